--- a/benchlink/src/line.rs
+++ b/benchlink/src/line.rs
@@ -19,7 +19,9 @@
         while !rest.is_empty() {
             let cut = match rest.split_once('=') {
                 // Text runs to the end of its line.
-                Some(("boot-info" | "message", value)) => (rest.len() - value.len() - 1, rest.len()),
+                Some(("boot-info" | "message", value)) => {
+                    (rest.len() - value.len() - 1, rest.len())
+                }
                 Some((_, value)) => {
                     let eq = rest.len() - value.len() - 1;
                     (eq, eq + 1 + value.find(' ').unwrap_or(value.len()))
@@ -29,12 +31,18 @@
             fields.push((&rest[..cut.0], &rest[cut.0 + 1..cut.1]));
             rest = rest[cut.1..].trim_start_matches(' ');
         }
-        Ok(Line { name, whole, fields })
+        Ok(Line {
+            name,
+            whole,
+            fields,
+        })
     }
 
     pub fn bad(&self, field: &str, expected: &str) -> Bad {
         let shown: String = self.whole.chars().take(120).collect();
-        Bad(format!("line {shown:?}: field {field:?}: expected {expected}"))
+        Bad(format!(
+            "line {shown:?}: field {field:?}: expected {expected}"
+        ))
     }
 
     pub fn get(&self, field: &str) -> Option<&'a str> {
@@ -51,11 +59,13 @@
     }
 
     pub fn num(&self, field: &str) -> Result<u64, Bad> {
-        self.maybe_num(field)?.ok_or_else(|| self.bad(field, "a whole number"))
+        self.maybe_num(field)?
+            .ok_or_else(|| self.bad(field, "a whole number"))
     }
 
     pub fn hex(&self, field: &str) -> Result<MessageId, Bad> {
         let read = u64::from_str_radix(self.text(field)?, 16);
-        read.map(MessageId).map_err(|_| self.bad(field, "16 hex digits"))
+        read.map(MessageId)
+            .map_err(|_| self.bad(field, "16 hex digits"))
     }
 }
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -35,16 +35,28 @@
 impl Outlet for Writer<'_> {
     fn attempt(&mut self, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
         let to = &self.endpoints[endpoint.0 as usize];
-        self.action("SEND", format_args!(" txn={:016x} give-up-after-ns={time_out} endpoint={to}", mail.0));
+        self.action(
+            "SEND",
+            format_args!(
+                " txn={:016x} give-up-after-ns={time_out} endpoint={to}",
+                mail.0
+            ),
+        );
     }
     fn defer(&mut self, mail: MessageId, come_back: Nanos) {
-        self.action("OVERLOAD_REPLY", format_args!(" txn={:016x} backoff-ns={come_back}", mail.0));
+        self.action(
+            "OVERLOAD_REPLY",
+            format_args!(" txn={:016x} backoff-ns={come_back}", mail.0),
+        );
     }
     fn bounce(&mut self, mail: MessageId) {
         self.action("END_FAILED", format_args!(" txn={:016x}", mail.0));
     }
     fn cancel(&mut self, mail: MessageId, no: AttemptNumber) {
-        self.action("CALL_OFF", format_args!(" txn={:016x} round-no={}", mail.0, no.0));
+        self.action(
+            "CALL_OFF",
+            format_args!(" txn={:016x} round-no={}", mail.0, no.0),
+        );
     }
     fn close_idle(&mut self, endpoint: EndpointId) {
         let to = &self.endpoints[endpoint.0 as usize];
@@ -59,7 +71,10 @@
         self.action("ARM", format_args!(" mark=wake sleep-for-ns={after}"));
     }
     fn log(&mut self, line: &str) {
-        self.action("LOG", format_args!(" message={}", line.replace(['\n', '\r'], " ")));
+        self.action(
+            "LOG",
+            format_args!(" message={}", line.replace(['\n', '\r'], " ")),
+        );
     }
 }
 
@@ -88,7 +103,12 @@
             "BOOT" => {
                 let boot = read_boot(line)?;
                 let (dispatcher, names) = (Dispatcher::boot(now, boot.facts), boot.names);
-                let fresh = Instance { dispatcher, names, endpoints: vec![], endpoint_ids: HashMap::new() };
+                let fresh = Instance {
+                    dispatcher,
+                    names,
+                    endpoints: vec![],
+                    endpoint_ids: HashMap::new(),
+                };
                 self.instances.insert(name.to_string(), fresh);
                 return Ok(());
             }
@@ -96,16 +116,24 @@
                 self.instances.remove(name);
                 return Ok(());
             }
-            "MEMBERS" | "CALL" | "CLOSED_ATTEMPT" | "CHECKED" | "PEER" | "ABANDONED" | "DEADLINE_HIT"
-            | "HEADERS" => {}
+            "MEMBERS" | "CALL" | "CLOSED_ATTEMPT" | "CHECKED" | "PEER" | "ABANDONED"
+            | "DEADLINE_HIT" | "HEADERS" => {}
             _ => return Err(line.bad("", "a known message name")),
         }
         let Some(it) = self.instances.get_mut(name) else {
             return Ok(());
         };
-        let news = if line.name == "MEMBERS" { Some(read_news(line, &self.lists, it)?) } else { None };
+        let news = if line.name == "MEMBERS" {
+            Some(read_news(line, &self.lists, it)?)
+        } else {
+            None
+        };
         let from = self.out.len();
-        let out = &mut Writer { out: &mut self.out, instance: name, endpoints: &it.endpoints };
+        let out = &mut Writer {
+            out: &mut self.out,
+            instance: name,
+            endpoints: &it.endpoints,
+        };
         let d = &mut it.dispatcher;
         let names = &it.names;
         let decided = catch_unwind(AssertUnwindSafe(|| -> Result<(), Bad> {
@@ -163,7 +191,8 @@
                     .unwrap_or("panic")
                     .replace(['\n', '\r'], " ");
                 self.out.truncate(from);
-                writeln!(self.out, "GIVE_IN dispatcher={name} message={text}").expect("writing to memory");
+                writeln!(self.out, "GIVE_IN dispatcher={name} message={text}")
+                    .expect("writing to memory");
                 self.instances.remove(name);
                 Ok(())
             }
@@ -196,7 +225,11 @@
 
 /// What an answer tells of the limit there, in calls a second.
 fn told_limit(line: &Line) -> Result<f64, Bad> {
-    let told = line.get("usage").unwrap_or("").split(',').find_map(|pair| pair.strip_prefix("x1:"));
+    let told = line
+        .get("usage")
+        .unwrap_or("")
+        .split(',')
+        .find_map(|pair| pair.strip_prefix("x1:"));
     match told.map(str::parse::<f64>) {
         None => Ok(0.0),
         Some(Ok(limit)) if (0.0..=1e9).contains(&limit) => Ok(limit),
@@ -227,22 +260,42 @@
         "unavailable" => return Ok(None),
         _ => return Err(line.bad("scope", "update, replace, restored or unavailable")),
     };
-    let items = lists.get(&line.num("bank")?).ok_or_else(|| line.bad("bank", "the number of a list"))?;
+    let items = lists
+        .get(&line.num("bank")?)
+        .ok_or_else(|| line.bad("bank", "the number of a list"))?;
     let mut entries = Vec::with_capacity(items.len());
     for item in items {
         let next = EndpointId(it.endpoints.len() as u32);
-        let endpoint = *it.endpoint_ids.entry(item.endpoint.clone()).or_insert_with(|| {
-            it.endpoints.push(item.endpoint.clone());
-            next
-        });
+        let endpoint = *it
+            .endpoint_ids
+            .entry(item.endpoint.clone())
+            .or_insert_with(|| {
+                it.endpoints.push(item.endpoint.clone());
+                next
+            });
         entries.push(ListEntry {
             endpoint,
             shared_order: crc32fast::hash(item.endpoint.as_bytes()),
             destination: item.belongs_to,
-            zone: ZoneId(it.names.zones.iter().position(|z| *z == item.locality).unwrap_or(usize::MAX)),
-            kind: KindId(it.names.kinds.iter().position(|k| *k == item.shape).unwrap_or(usize::MAX)),
+            zone: ZoneId(
+                it.names
+                    .zones
+                    .iter()
+                    .position(|z| *z == item.locality)
+                    .unwrap_or(usize::MAX),
+            ),
+            kind: KindId(
+                it.names
+                    .kinds
+                    .iter()
+                    .position(|k| *k == item.shape)
+                    .unwrap_or(usize::MAX),
+            ),
             serving: item.serving,
-            rate: it.names.rate(item.weight).ok_or_else(|| line.bad("power-hint", "a rate"))?,
+            rate: it
+                .names
+                .rate(item.weight)
+                .ok_or_else(|| line.bad("power-hint", "a rate"))?,
             waits_until: 0,
         });
     }
@@ -273,7 +326,12 @@
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), Bad> {
     let mut link = Link::default();
     let mut lines = input.lines();
-    let mut next = || lines.next().transpose().map_err(|e| Bad(format!("cannot read input: {e}")));
+    let mut next = || {
+        lines
+            .next()
+            .transpose()
+            .map_err(|e| Bad(format!("cannot read input: {e}")))
+    };
     let ended = || Bad("input ended inside a batch".into());
     while let Some(text) = next()? {
         if text.is_empty() {
@@ -302,7 +360,10 @@
             }
         }
         writeln!(link.out, "FINISHED seq={seq}").expect("writing to memory");
-        output.write_all(&link.out).and_then(|()| output.flush()).map_err(|e| Bad(e.to_string()))?;
+        output
+            .write_all(&link.out)
+            .and_then(|()| output.flush())
+            .map_err(|e| Bad(e.to_string()))?;
         link.out.clear();
     }
     Ok(())
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -25,8 +25,9 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut input =
-        format!("BATCH time-ns=1 seq=0\nBOOT dispatcher=d/1 salt=7 boot-info={settings}\nEOF_BATCH\n");
+    let mut input = format!(
+        "BATCH time-ns=1 seq=0\nBOOT dispatcher=d/1 salt=7 boot-info={settings}\nEOF_BATCH\n"
+    );
     for (seq, (at, lines)) in batches.iter().enumerate() {
         input += &format!("BATCH time-ns={at} seq={}\n{lines}EOF_BATCH\n", seq + 1);
     }
@@ -42,7 +43,9 @@
     MEMBERS dispatcher=d/1 bank=0 gen=1 scope=restored\n";
 
 fn call(id: u32, more: &str) -> String {
-    format!("CALL dispatcher=d/1 txn={id:016x} tier-class=order due-ns=20000000000 destination=5{more}\n")
+    format!(
+        "CALL dispatcher=d/1 txn={id:016x} tier-class=order due-ns=20000000000 destination=5{more}\n"
+    )
 }
 
 #[test]
@@ -50,11 +53,18 @@
     const S: u64 = 1_000_000_000;
     let hit = "DEADLINE_HIT dispatcher=d/1 mark=wake\n";
     let lost = "MEMBERS dispatcher=d/1 bank=0 gen=1 scope=unavailable\n";
-    let play =
-        |batches: &[(u64, &str)]| play(batches, settings()).1.matches("LISTEN dispatcher=d/1 want=1").count();
+    let play = |batches: &[(u64, &str)]| {
+        play(batches, settings())
+            .1
+            .matches("LISTEN dispatcher=d/1 want=1")
+            .count()
+    };
     assert_eq!(play(&[(2, LIST)]), 0);
     assert_eq!(play(&[(2, LIST), (10 * S, hit), (12 * S, hit)]), 1);
-    assert_eq!(play(&[(2, LIST), (10 * S, hit), (11 * S, lost), (50 * S, hit)]), 2);
+    assert_eq!(
+        play(&[(2, LIST), (10 * S, hit), (11 * S, lost), (50 * S, hit)]),
+        2
+    );
 }
 
 #[test]
@@ -77,12 +87,36 @@
         play(&[], all)
     };
     for ((code, _, error), field) in [
-        (bad("/family-info/per-call", serde_json::json!([1, 0])), "family-info.per-call"),
-        (bad("/discovery", serde_json::json!("sometimes")), "discovery"),
-        (bad("/guarantees/ask-within-ns", serde_json::json!(null)), "guarantees.ask-within-ns"),
-        (bad("/realms", serde_json::json!([{"fraction": 1.0}])), "realms"),
-        (play(&[(2, LIST), (3, &call(1, " client-group=nobody"))], settings()), "client-group"),
-        (play(&[(2, LIST), (3, &call(1, "").replace("=order", "=other"))], settings()), "tier-class"),
+        (
+            bad("/family-info/per-call", serde_json::json!([1, 0])),
+            "family-info.per-call",
+        ),
+        (
+            bad("/discovery", serde_json::json!("sometimes")),
+            "discovery",
+        ),
+        (
+            bad("/guarantees/ask-within-ns", serde_json::json!(null)),
+            "guarantees.ask-within-ns",
+        ),
+        (
+            bad("/realms", serde_json::json!([{"fraction": 1.0}])),
+            "realms",
+        ),
+        (
+            play(
+                &[(2, LIST), (3, &call(1, " client-group=nobody"))],
+                settings(),
+            ),
+            "client-group",
+        ),
+        (
+            play(
+                &[(2, LIST), (3, &call(1, "").replace("=order", "=other"))],
+                settings(),
+            ),
+            "tier-class",
+        ),
     ] {
         assert_eq!(code, Some(2), "{field}");
         assert!(error.contains("line") && error.contains(field), "{error}");
--- a/boot/src/lib.rs
+++ b/boot/src/lib.rs
@@ -31,7 +31,9 @@
     /// The rate that a weight in a list tells, nought for none; nothing for a weight that makes no sense.
     pub fn rate(&self, weight: Option<f64>) -> Option<f64> {
         match weight {
-            Some(weight) if self.weights_are_rates => Some(weight).filter(|w| (0.0..=MOST).contains(w)),
+            Some(weight) if self.weights_are_rates => {
+                Some(weight).filter(|w| (0.0..=MOST).contains(w))
+            }
             _ => Some(0.0),
         }
     }
@@ -63,7 +65,10 @@
 impl<'a> Reader<'a> {
     pub fn bad(&self, path: &str, expected: &str) -> BadField {
         let dot = if self.place.is_empty() { "" } else { "." };
-        BadField { field: format!("{}{dot}{path}", self.place), expected: expected.to_string() }
+        BadField {
+            field: format!("{}{dot}{path}", self.place),
+            expected: expected.to_string(),
+        }
     }
     pub fn at(&self, path: &str) -> Option<&'a Value> {
         path.split('.').try_fold(self.json, |v, part| v.get(part))
@@ -74,7 +79,9 @@
         expected: &str,
         read: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, BadField> {
-        self.at(path).and_then(read).ok_or_else(|| self.bad(path, expected))
+        self.at(path)
+            .and_then(read)
+            .ok_or_else(|| self.bad(path, expected))
     }
     pub fn num(&self, path: &str) -> Result<f64, BadField> {
         self.need(path, "a number", Value::as_f64)
@@ -82,7 +89,9 @@
     /// A number between these.
     pub fn within(&self, least: f64, most: f64, path: &str) -> Result<f64, BadField> {
         let expected = format!("a number from {least} to {most}");
-        self.need(path, &expected, |v| v.as_f64().filter(|n| (least..=most).contains(n)))
+        self.need(path, &expected, |v| {
+            v.as_f64().filter(|n| (least..=most).contains(n))
+        })
     }
     pub fn count(&self, path: &str) -> Result<u64, BadField> {
         self.need(path, "a whole number", Value::as_u64)
@@ -102,7 +111,11 @@
         self.need(path, "a list", |v| v.as_array().map(Vec::as_slice))
     }
     pub fn words(&self, path: &str) -> Result<Vec<String>, BadField> {
-        let word = |v: &Value| v.as_str().map(str::to_string).ok_or_else(|| self.bad(path, "words"));
+        let word = |v: &Value| {
+            v.as_str()
+                .map(str::to_string)
+                .ok_or_else(|| self.bad(path, "words"))
+        };
         self.list(path)?.iter().map(word).collect()
     }
 }
@@ -111,9 +124,10 @@
     let r = Reader { json, place };
     let repeat = match r.word("repeat")? {
         "idempotent" => Repeat::Idempotent,
-        "deduplicated" => {
-            Repeat::Deduplicated { window: r.count("window-ns")?, same_zone: r.word("dedup-scope")? != "all" }
-        }
+        "deduplicated" => Repeat::Deduplicated {
+            window: r.count("window-ns")?,
+            same_zone: r.word("dedup-scope")? != "all",
+        },
         "at_most_once" => Repeat::AtMostOnce,
         _ => return Err(r.bad("repeat", "idempotent, deduplicated or at_most_once")),
     };
@@ -132,8 +146,9 @@
 pub fn read(json: &Value, seed: u64, place: &str) -> Result<Boot, BadField> {
     let r = Reader { json, place };
     let services = r.list("services")?.iter().enumerate();
-    let classes =
-        services.map(|(i, c)| class(c, &format!("{place}.services[{i}]"))).collect::<Result<Vec<_>, _>>()?;
+    let classes = services
+        .map(|(i, c)| class(c, &format!("{place}.services[{i}]")))
+        .collect::<Result<Vec<_>, _>>()?;
     let (class_names, classes): (Vec<_>, Vec<_>) = classes.into_iter().unzip();
     let names = Names {
         classes: class_names,
@@ -144,12 +159,19 @@
             Some(all) => {
                 let name = |v: &Value| v.get("name").and_then(Value::as_str).map(str::to_string);
                 let bad = || r.bad("realms", "a name for each");
-                all.iter().map(|v| name(v).ok_or_else(bad)).collect::<Result<_, _>>()?
+                all.iter()
+                    .map(|v| name(v).ok_or_else(bad))
+                    .collect::<Result<_, _>>()?
             }
         },
         weights_are_rates: matches!(r.word("weights"), Ok("rough" | "nominal")),
     };
-    for price in r.at("penalties").and_then(Value::as_object).into_iter().flat_map(|p| p.keys()) {
+    for price in r
+        .at("penalties")
+        .and_then(Value::as_object)
+        .into_iter()
+        .flat_map(|p| p.keys())
+    {
         r.within(0.0, MOST, &format!("penalties.{price}"))?;
     }
     let own = r.list("family-info.own-limits")?;
@@ -159,14 +181,18 @@
     };
     let most = |v: &Value| {
         let most = v.as_u64().filter(|n| (1..=MOST as u64).contains(n));
-        most.map(|n| n as usize).ok_or_else(|| r.bad("family-info.per-call", "whole numbers from 1"))
+        most.map(|n| n as usize)
+            .ok_or_else(|| r.bad("family-info.per-call", "whole numbers from 1"))
     };
     let facts = BootFacts {
         seed,
         dispatchers: r.need("balancers", "a whole number from 1 to 4294967295", |v| {
             u32::try_from(v.as_u64()?).ok().filter(|n| *n > 0)
         })?,
-        position: r.at("position").and_then(Value::as_u64).and_then(|n| u32::try_from(n).ok()),
+        position: r
+            .at("position")
+            .and_then(Value::as_u64)
+            .and_then(|n| u32::try_from(n).ok()),
         classes,
         separate_limits: own.iter().map(|v| v.as_bool().unwrap_or(false)).collect(),
         batch: batch.iter().map(most).collect::<Result<_, _>>()?,
@@ -176,12 +202,19 @@
         own_admission: false,
         max_attempts: r.from(1, "limits.max-attempts")? as u32,
         connect_timeout: r.count("limits.connect-timeout-ns")?,
-        max_retry_after: if r.flag("limits.retry-after") { r.count("limits.max-retry-after-ns")? } else { 0 },
+        max_retry_after: if r.flag("limits.retry-after") {
+            r.count("limits.max-retry-after-ns")?
+        } else {
+            0
+        },
         cold_share: r.within(LEAST_PART, 1.0, "guarantees.cold-share")?,
         ramp: r.count("guarantees.ramp-time-ns")?,
         tip_multiple: r.within(LEAST_PART, MOST, "guarantees.tip-multiple")?,
         tip_window: r.count("guarantees.overload-for-ns")?,
-        key_cooldown: r.at("guarantees.turn-gap-ns").and_then(Value::as_u64).unwrap_or(0),
+        key_cooldown: r
+            .at("guarantees.turn-gap-ns")
+            .and_then(Value::as_u64)
+            .unwrap_or(0),
         watch_within: match r.at("discovery").map(Value::as_str) {
             None | Some(Some("pushed")) => None,
             Some(Some("on_request")) => Some(r.from(1, "guarantees.ask-within-ns")?),
@@ -198,5 +231,11 @@
     let columns = r.at("report.columns").and_then(Value::as_array);
     let tells = columns.is_some_and(|all| all.iter().any(|name| name.as_str() == Some("x1")));
     let reports_limits = tells && matches!(r.word("report.how"), Ok("inline"));
-    Ok(Boot { facts, names, keep_alive, drain_grace, reports_limits })
+    Ok(Boot {
+        facts,
+        names,
+        keep_alive,
+        drain_grace,
+        reports_limits,
+    })
 }
--- a/configlog/src/codec.rs
+++ b/configlog/src/codec.rs
@@ -67,7 +67,10 @@
         let mut reader = Reader::new(bytes);
         let checked = reader.clone().take(Self::LENGTH - 4)?;
         let magic: [u8; 8] = reader.array()?;
-        let header = FileHeader { format: reader.u32()?, after: reader.u64()? };
+        let header = FileHeader {
+            format: reader.u32()?,
+            after: reader.u64()?,
+        };
         let intact = magic == LOG_MAGIC && reader.u32()? == crc32fast::hash(checked);
         intact.then_some(header)
     }
--- a/configlog/src/config_log.rs
+++ b/configlog/src/config_log.rs
@@ -54,8 +54,21 @@
         let read = read_records(&directory, &listing.logs, base)?;
         report.torn_bytes = read.torn_bytes;
         let segment = open_last_segment(&directory, &read)?;
-        let log = ConfigLog { directory, segment, last_index: read.last_index, snapshots, failed: false };
-        Ok((log, Recovered { snapshot, records: read.records, report }))
+        let log = ConfigLog {
+            directory,
+            segment,
+            last_index: read.last_index,
+            snapshots,
+            failed: false,
+        };
+        Ok((
+            log,
+            Recovered {
+                snapshot,
+                records: read.records,
+                report,
+            },
+        ))
     }
 
     /// Writes a record. Its index must be above that of every record and snapshot before.
@@ -98,7 +111,10 @@
     ) -> Result<(), LogError> {
         let earlier = self.snapshots.last().copied().unwrap_or(0);
         if index < earlier {
-            return Err(LogError::IndexOutOfOrder { last: earlier, found: index });
+            return Err(LogError::IndexOutOfOrder {
+                last: earlier,
+                found: index,
+            });
         }
         self.sync()?;
         snapshot::write(&self.directory, index, records)?;
@@ -132,8 +148,13 @@
         let surplus = self.snapshots.len().saturating_sub(SNAPSHOTS_KEPT);
         self.snapshots.drain(..surplus);
         let listing = self.directory.list()?;
-        for index in listing.snapshots.iter().filter(|index| !self.snapshots.contains(index)) {
-            self.directory.remove(&self.directory.snapshot_path(*index))?;
+        for index in listing
+            .snapshots
+            .iter()
+            .filter(|index| !self.snapshots.contains(index))
+        {
+            self.directory
+                .remove(&self.directory.snapshot_path(*index))?;
         }
         if self.snapshots.len() == SNAPSHOTS_KEPT {
             for after in logs_before(&listing.logs, self.snapshots[0]) {
@@ -145,7 +166,9 @@
 
     fn check_usable(&self) -> Result<(), LogError> {
         if self.failed {
-            return Err(LogError::Failed { directory: self.directory.path().to_owned() });
+            return Err(LogError::Failed {
+                directory: self.directory.path().to_owned(),
+            });
         }
         Ok(())
     }
@@ -153,20 +176,29 @@
 
 /// The index of the last of some records that follow one another and are not too long.
 fn check_records(last_index: u64, records: &[(u64, &[u8])]) -> Result<u64, LogError> {
-    records.iter().try_fold(last_index, |last, (index, payload)| {
-        if payload.len() > LONGEST_RECORD {
-            return Err(LogError::RecordTooLong { length: payload.len() });
-        }
-        if *index <= last {
-            return Err(LogError::IndexOutOfOrder { last, found: *index });
-        }
-        Ok(*index)
-    })
+    records
+        .iter()
+        .try_fold(last_index, |last, (index, payload)| {
+            if payload.len() > LONGEST_RECORD {
+                return Err(LogError::RecordTooLong {
+                    length: payload.len(),
+                });
+            }
+            if *index <= last {
+                return Err(LogError::IndexOutOfOrder {
+                    last,
+                    found: *index,
+                });
+            }
+            Ok(*index)
+        })
 }
 
 /// The logs whose records are all up to an index: those that another log follows which begins there or before.
 fn logs_before(logs: &[u64], index: u64) -> impl Iterator<Item = u64> {
-    logs.windows(2).filter(move |pair| pair[1] <= index).map(|pair| pair[0])
+    logs.windows(2)
+        .filter(move |pair| pair[1] <= index)
+        .map(|pair| pair[0])
 }
 
 fn remove_unfinished(
@@ -176,7 +208,10 @@
 ) -> Result<(), LogError> {
     for file in &listing.temporary {
         directory.remove(file)?;
-        report.rejected.push(Rejected { file: file.clone(), reason: RejectReason::Unfinished });
+        report.rejected.push(Rejected {
+            file: file.clone(),
+            reason: RejectReason::Unfinished,
+        });
     }
     Ok(())
 }
@@ -218,19 +253,45 @@
 }
 
 fn read_records(directory: &Directory, logs: &[u64], base: u64) -> Result<ReadRecords, LogError> {
-    let mut read = ReadRecords { records: Vec::new(), last_index: base, last_segment: None, torn_bytes: 0 };
+    let mut read = ReadRecords {
+        records: Vec::new(),
+        last_index: base,
+        last_segment: None,
+        torn_bytes: 0,
+    };
     let outdated: Vec<u64> = logs_before(logs, base).collect();
-    for after in logs.iter().copied().filter(|after| !outdated.contains(after)) {
+    for after in logs
+        .iter()
+        .copied()
+        .filter(|after| !outdated.contains(after))
+    {
         let file = directory.log_path(after);
         if after > read.last_index {
-            return Err(LogError::MissingRecords { file, after, reached: read.last_index });
+            return Err(LogError::MissingRecords {
+                file,
+                after,
+                reached: read.last_index,
+            });
         }
-        let tail = if logs.last() == Some(&after) { Tail::MayBeTorn } else { Tail::IsWhole };
-        let SegmentContent { records, length, torn_bytes } = segment::read(&file, after, tail)?;
+        let tail = if logs.last() == Some(&after) {
+            Tail::MayBeTorn
+        } else {
+            Tail::IsWhole
+        };
+        let SegmentContent {
+            records,
+            length,
+            torn_bytes,
+        } = segment::read(&file, after, tail)?;
         let last_index = records.last().map_or(after, |record| record.index);
-        read.last_segment = Some(LastSegment { after, length, last_index });
+        read.last_segment = Some(LastSegment {
+            after,
+            length,
+            last_index,
+        });
         read.last_index = read.last_index.max(last_index);
-        read.records.extend(records.into_iter().filter(|record| record.index > base));
+        read.records
+            .extend(records.into_iter().filter(|record| record.index > base));
         read.torn_bytes = torn_bytes;
     }
     Ok(read)
@@ -238,7 +299,13 @@
 
 /// The file to append to: the last one, or a new one where a snapshot is ahead of it.
 fn open_last_segment(directory: &Directory, read: &ReadRecords) -> Result<Segment, LogError> {
-    let Some(last) = &read.last_segment else { return Segment::create(directory, read.last_index) };
+    let Some(last) = &read.last_segment else {
+        return Segment::create(directory, read.last_index);
+    };
     let segment = Segment::open(&directory.log_path(last.after), last.after, last.length)?;
-    if last.last_index < read.last_index { Segment::create(directory, read.last_index) } else { Ok(segment) }
+    if last.last_index < read.last_index {
+        Segment::create(directory, read.last_index)
+    } else {
+        Ok(segment)
+    }
 }
--- a/configlog/src/directory.rs
+++ b/configlog/src/directory.rs
@@ -34,8 +34,13 @@
         let lock_path = path.join(LOCK_NAME);
         let lock = File::create(&lock_path).map_err(io_error("create", &lock_path))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Directory { path: path.to_owned(), _lock: lock }),
-            Err(TryLockError::WouldBlock) => Err(LogError::InUse { directory: path.to_owned() }),
+            Ok(()) => Ok(Directory {
+                path: path.to_owned(),
+                _lock: lock,
+            }),
+            Err(TryLockError::WouldBlock) => Err(LogError::InUse {
+                directory: path.to_owned(),
+            }),
             Err(TryLockError::Error(error)) => Err(io_error("lock", &lock_path)(error)),
         }
     }
@@ -56,7 +61,9 @@
         let mut listing = Listing::default();
         for entry in fs::read_dir(&self.path).map_err(io_error("list", &self.path))? {
             let path = entry.map_err(io_error("list", &self.path))?.path();
-            let Some(name) = path.file_name().and_then(|name| name.to_str()) else { continue };
+            let Some(name) = path.file_name().and_then(|name| name.to_str()) else {
+                continue;
+            };
             if name.ends_with(TEMPORARY_SUFFIX) {
                 listing.temporary.push(path);
             } else if let Some(after) = index_of_name(name, LOG_PREFIX) {
--- a/configlog/src/error.rs
+++ b/configlog/src/error.rs
@@ -9,13 +9,21 @@
 #[derive(Debug, Error)]
 pub enum LogError {
     #[error("could not {action} {}: {source}", file.display())]
-    Io { action: &'static str, file: PathBuf, source: io::Error },
+    Io {
+        action: &'static str,
+        file: PathBuf,
+        source: io::Error,
+    },
     #[error(
         "{} is damaged at byte {offset}: {damage}. Nothing was changed. Copy the directory of another control process \
          over this one, or move this one away to begin from nothing and follow another process",
         file.display()
     )]
-    Corrupt { file: PathBuf, offset: u64, damage: Damage },
+    Corrupt {
+        file: PathBuf,
+        offset: u64,
+        damage: Damage,
+    },
     #[error("{} has the format {found}, this program reads {FORMAT_VERSION}: run the program that wrote it", file.display())]
     UnknownFormat { file: PathBuf, found: u32 },
     #[error(
@@ -23,7 +31,11 @@
          a snapshot was refused. Restore it, or copy the directory of another control process over this one",
         file.display()
     )]
-    MissingRecords { file: PathBuf, after: u64, reached: u64 },
+    MissingRecords {
+        file: PathBuf,
+        after: u64,
+        reached: u64,
+    },
     #[error("a record of {length} bytes is longer than {LONGEST_RECORD}: split it")]
     RecordTooLong { length: usize },
     #[error("index {found} does not follow {last}: indices rise")]
@@ -80,5 +92,9 @@
 /// Names the action and the file in an error of the operating system.
 pub(crate) fn io_error(action: &'static str, file: &Path) -> impl FnOnce(io::Error) -> LogError {
     let file = file.to_owned();
-    move |source| LogError::Io { action, file, source }
+    move |source| LogError::Io {
+        action,
+        file,
+        source,
+    }
 }
--- a/configlog/src/segment.rs
+++ b/configlog/src/segment.rs
@@ -28,16 +28,31 @@
     /// Makes the file of the records after an index.
     pub fn create(directory: &Directory, after: u64) -> Result<Segment, LogError> {
         let path = directory.log_path(after);
-        let header = FileHeader { format: FORMAT_VERSION, after }.encode();
+        let header = FileHeader {
+            format: FORMAT_VERSION,
+            after,
+        }
+        .encode();
         directory.write_whole(&path, |file, path| write_all(file, path, &header))?;
         Segment::open(&path, after, header.len() as u64)
     }
 
     /// Opens a file to append to its first `length` bytes; what follows them is cut off.
     pub fn open(path: &Path, after: u64, length: u64) -> Result<Segment, LogError> {
-        let file = File::options().append(true).open(path).map_err(io_error("open", path))?;
-        file.set_len(length).and_then(|()| file.sync_all()).map_err(io_error("cut", path))?;
-        Ok(Segment { path: path.to_owned(), file, after, length, durable: length })
+        let file = File::options()
+            .append(true)
+            .open(path)
+            .map_err(io_error("open", path))?;
+        file.set_len(length)
+            .and_then(|()| file.sync_all())
+            .map_err(io_error("cut", path))?;
+        Ok(Segment {
+            path: path.to_owned(),
+            file,
+            after,
+            length,
+            durable: length,
+        })
     }
 
     /// The index that the records come after.
@@ -67,7 +82,9 @@
 
     /// Makes what was appended durable.
     pub fn sync(&mut self) -> Result<(), LogError> {
-        self.file.sync_data().map_err(io_error("sync", &self.path))?;
+        self.file
+            .sync_data()
+            .map_err(io_error("sync", &self.path))?;
         self.durable = self.length;
         Ok(())
     }
@@ -82,7 +99,10 @@
     }
 
     fn undo(&self, error: LogError) -> AppendError {
-        AppendError { error, undone: self.file.set_len(self.length).is_ok() }
+        AppendError {
+            error,
+            undone: self.file.set_len(self.length).is_ok(),
+        }
     }
 }
 
@@ -114,11 +134,17 @@
 /// Reads a file of records that come after an index.
 pub(crate) fn read(path: &Path, after: u64, tail: Tail) -> Result<SegmentContent, LogError> {
     let bytes = fs::read(path).map_err(io_error("read", path))?;
-    let corrupt =
-        |offset: usize, damage| LogError::Corrupt { file: path.to_owned(), offset: offset as u64, damage };
+    let corrupt = |offset: usize, damage| LogError::Corrupt {
+        file: path.to_owned(),
+        offset: offset as u64,
+        damage,
+    };
     let header = FileHeader::decode(&bytes).ok_or_else(|| corrupt(0, Damage::FileHeader))?;
     if header.format != FORMAT_VERSION {
-        return Err(LogError::UnknownFormat { file: path.to_owned(), found: header.format });
+        return Err(LogError::UnknownFormat {
+            file: path.to_owned(),
+            found: header.format,
+        });
     }
     if header.after != after {
         return Err(corrupt(0, Damage::FileHeader));
@@ -139,7 +165,11 @@
             Err(_) => break,
         }
     }
-    Ok(SegmentContent { records, length: offset as u64, torn_bytes: (bytes.len() - offset) as u64 })
+    Ok(SegmentContent {
+        records,
+        length: offset as u64,
+        torn_bytes: (bytes.len() - offset) as u64,
+    })
 }
 
 fn decode_record(bytes: &[u8], last: u64) -> Result<Record, Damage> {
@@ -148,14 +178,19 @@
     if length > LONGEST_RECORD {
         return Err(Damage::TooLong);
     }
-    let payload = bytes[RecordHeader::LENGTH..].get(..length).ok_or(Damage::Incomplete)?;
+    let payload = bytes[RecordHeader::LENGTH..]
+        .get(..length)
+        .ok_or(Damage::Incomplete)?;
     if crc32fast::hash(payload) != header.payload_checksum {
         return Err(Damage::Payload);
     }
     if header.index <= last {
         return Err(Damage::Index);
     }
-    Ok(Record { index: header.index, payload: payload.to_vec() })
+    Ok(Record {
+        index: header.index,
+        payload: payload.to_vec(),
+    })
 }
 
 /// Whether damage is what a write without a sync leaves: no later record says that this place was durable. A header whose
--- a/configlog/src/snapshot.rs
+++ b/configlog/src/snapshot.rs
@@ -27,7 +27,11 @@
     records: impl Iterator<Item = Vec<u8>>,
 ) -> Result<(), LogError> {
     directory.write_whole(&directory.snapshot_path(index), |file, path| {
-        let mut writer = ChecksummedWriter { file: BufWriter::new(file), path, hasher: Hasher::new() };
+        let mut writer = ChecksummedWriter {
+            file: BufWriter::new(file),
+            path,
+            hasher: Hasher::new(),
+        };
         writer.write(&SNAPSHOT_MAGIC)?;
         writer.write(&FORMAT_VERSION.to_le_bytes())?;
         writer.write(&index.to_le_bytes())?;
@@ -44,16 +48,20 @@
 /// Reads the snapshot of an index; `Ok(Err(_))` where the file can be read but is none.
 pub(crate) fn read(path: &Path, index: u64) -> Result<Result<Snapshot, RejectReason>, LogError> {
     let bytes = fs::read(path).map_err(io_error("read", path))?;
-    Ok(decode(&bytes).and_then(
-        |snapshot| {
-            if snapshot.index == index { Ok(snapshot) } else { Err(RejectReason::Index) }
-        },
-    ))
+    Ok(decode(&bytes).and_then(|snapshot| {
+        if snapshot.index == index {
+            Ok(snapshot)
+        } else {
+            Err(RejectReason::Index)
+        }
+    }))
 }
 
 fn decode(bytes: &[u8]) -> Result<Snapshot, RejectReason> {
     let too_short = RejectReason::NotASnapshot;
-    let (content, checksum) = bytes.split_last_chunk::<CHECKSUM_LENGTH>().ok_or(too_short)?;
+    let (content, checksum) = bytes
+        .split_last_chunk::<CHECKSUM_LENGTH>()
+        .ok_or(too_short)?;
     let mut reader = Reader::new(content);
     if reader.array() != Some(SNAPSHOT_MAGIC) {
         return Err(RejectReason::NotASnapshot);
@@ -66,7 +74,9 @@
         other => return Err(RejectReason::UnknownFormat(other)),
     }
     let index = reader.u64().ok_or(too_short)?;
-    let (_, count) = content.split_last_chunk::<COUNT_LENGTH>().ok_or(too_short)?;
+    let (_, count) = content
+        .split_last_chunk::<COUNT_LENGTH>()
+        .ok_or(too_short)?;
     let records = decode_records(&mut reader, u64::from_le_bytes(*count))?;
     Ok(Snapshot { index, records })
 }
@@ -81,7 +91,11 @@
         records.push(reader.take(length).ok_or(RejectReason::Count)?.to_vec());
     }
     let rest = reader.take(COUNT_LENGTH);
-    if rest.is_some() && reader.is_empty() { Ok(records) } else { Err(RejectReason::Count) }
+    if rest.is_some() && reader.is_empty() {
+        Ok(records)
+    } else {
+        Err(RejectReason::Count)
+    }
 }
 
 /// Writes a file and the checksum of all that was written.
@@ -99,7 +113,9 @@
 
     fn write_record(&mut self, record: &[u8]) -> Result<(), LogError> {
         if record.len() > LONGEST_RECORD {
-            return Err(LogError::RecordTooLong { length: record.len() });
+            return Err(LogError::RecordTooLong {
+                length: record.len(),
+            });
         }
         let length = u32::try_from(record.len()).expect("checked against the longest record");
         self.write(&length.to_le_bytes())?;
--- a/configlog/tests/log.rs
+++ b/configlog/tests/log.rs
@@ -22,7 +22,9 @@
 }
 
 fn refusal(directory: &TempDir) -> LogError {
-    ConfigLog::open(directory.path()).err().expect("the log is refused")
+    ConfigLog::open(directory.path())
+        .err()
+        .expect("the log is refused")
 }
 
 /// Appends records up to an index, each durable before the next.
@@ -40,19 +42,43 @@
 
 /// Asserts that the snapshot and the records after it are all records up to an index.
 fn assert_holds(recovered: &Recovered, snapshot: Option<u64>, last: u64) {
-    assert_eq!(recovered.snapshot.as_ref().map(|snapshot| snapshot.index), snapshot);
-    let mut held = recovered.snapshot.clone().map_or_else(Vec::new, |snapshot| snapshot.records);
+    assert_eq!(
+        recovered.snapshot.as_ref().map(|snapshot| snapshot.index),
+        snapshot
+    );
+    let mut held = recovered
+        .snapshot
+        .clone()
+        .map_or_else(Vec::new, |snapshot| snapshot.records);
     let first = held.len() as u64 + 1;
-    let indices: Vec<u64> = recovered.records.iter().map(|record| record.index).collect();
+    let indices: Vec<u64> = recovered
+        .records
+        .iter()
+        .map(|record| record.index)
+        .collect();
     assert_eq!(indices, (first..=last).collect::<Vec<u64>>());
-    held.extend(recovered.records.iter().map(|record| record.payload.clone()));
+    held.extend(
+        recovered
+            .records
+            .iter()
+            .map(|record| record.payload.clone()),
+    );
     assert_eq!(held, state(last));
 }
 
 fn files(directory: &TempDir, prefix: &str) -> Vec<PathBuf> {
-    let paths = fs::read_dir(directory.path()).unwrap().map(|entry| entry.unwrap().path());
-    let mut found: Vec<PathBuf> =
-        paths.filter(|path| path.file_name().unwrap().to_str().unwrap().starts_with(prefix)).collect();
+    let paths = fs::read_dir(directory.path())
+        .unwrap()
+        .map(|entry| entry.unwrap().path());
+    let mut found: Vec<PathBuf> = paths
+        .filter(|path| {
+            path.file_name()
+                .unwrap()
+                .to_str()
+                .unwrap()
+                .starts_with(prefix)
+        })
+        .collect();
     found.sort();
     found
 }
@@ -90,7 +116,10 @@
     let (log, recovered) = open(&directory);
     let bytes = FILE_HEADER + 7 * (RECORD_HEADER + payload(1).len());
     assert_eq!(log.bytes(), bytes as u64);
-    assert_eq!((recovered.report.torn_bytes, recovered.report.rejected.len()), (0, 0));
+    assert_eq!(
+        (recovered.report.torn_bytes, recovered.report.rejected.len()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -99,12 +128,19 @@
     let (mut log, _) = open(&directory);
     log.append_batch(&[(5, b"five"), (9, b"")]).unwrap();
     for wrong in [0, 5, 9] {
-        assert!(matches!(log.append(wrong, b""), Err(LogError::IndexOutOfOrder { last: 9, .. })));
+        assert!(matches!(
+            log.append(wrong, b""),
+            Err(LogError::IndexOutOfOrder { last: 9, .. })
+        ));
     }
-    assert!(log.append_batch(&[(10, b"ten"), (10, b"ten")]).is_err(), "all or none");
+    assert!(
+        log.append_batch(&[(10, b"ten"), (10, b"ten")]).is_err(),
+        "all or none"
+    );
     drop(log);
     let (_, recovered) = open(&directory);
-    let records = [(5, b"five".to_vec()), (9, Vec::new())].map(|(index, payload)| Record { index, payload });
+    let records =
+        [(5, b"five".to_vec()), (9, Vec::new())].map(|(index, payload)| Record { index, payload });
     assert_eq!(recovered.records, records);
 }
 
@@ -123,7 +159,10 @@
     for left in 1..record {
         let directory = TempDir::new().unwrap();
         append_to(&mut open(&directory).0, 3);
-        cut(&file_of(&directory, "log", 0), FILE_HEADER + 2 * record + left);
+        cut(
+            &file_of(&directory, "log", 0),
+            FILE_HEADER + 2 * record + left,
+        );
         let (mut log, recovered) = open(&directory);
         assert_holds(&recovered, None, 2);
         assert_eq!(recovered.report.torn_bytes, left as u64);
@@ -167,10 +206,24 @@
         flip_bit(&file, byte);
         let damaged = fs::read(&file).unwrap();
         let error = refusal(&directory);
-        let LogError::Corrupt { file: named, offset, .. } = &error else { panic!("byte {byte}: {error}") };
-        let expected = byte.checked_sub(FILE_HEADER).map_or(0, |byte| FILE_HEADER + byte / record * record);
+        let LogError::Corrupt {
+            file: named,
+            offset,
+            ..
+        } = &error
+        else {
+            panic!("byte {byte}: {error}")
+        };
+        let expected = byte
+            .checked_sub(FILE_HEADER)
+            .map_or(0, |byte| FILE_HEADER + byte / record * record);
         assert_eq!((named, *offset), (&file, expected as u64), "byte {byte}");
-        assert!(error.to_string().contains("Copy the directory of another control process"), "{error}");
+        assert!(
+            error
+                .to_string()
+                .contains("Copy the directory of another control process"),
+            "{error}"
+        );
         assert_eq!(fs::read(&file).unwrap(), damaged, "nothing was changed");
     }
 }
@@ -185,7 +238,13 @@
     let first = file_of(&directory, "log", 0);
     cut(&first, fs::read(&first).unwrap().len() - 1);
     flip_bit(&file_of(&directory, "snapshot", 3), 30);
-    assert!(matches!(refusal(&directory), LogError::Corrupt { damage: Damage::Incomplete, .. }));
+    assert!(matches!(
+        refusal(&directory),
+        LogError::Corrupt {
+            damage: Damage::Incomplete,
+            ..
+        }
+    ));
 }
 
 #[test]
@@ -198,7 +257,10 @@
     let checksum = crc32fast::hash(&bytes[..FILE_HEADER - 4]);
     bytes[FILE_HEADER - 4..].copy_from_slice(&checksum.to_le_bytes());
     fs::write(&file, bytes).unwrap();
-    assert!(matches!(refusal(&directory), LogError::UnknownFormat { found: 2, .. }));
+    assert!(matches!(
+        refusal(&directory),
+        LogError::UnknownFormat { found: 2, .. }
+    ));
 }
 
 #[test]
@@ -214,7 +276,10 @@
     assert_holds(&open(&directory).1, Some(22), 24);
     let kept = [15, 22].map(|index| file_of(&directory, "snapshot", index));
     assert_eq!(files(&directory, "snapshot"), kept);
-    assert_eq!(files(&directory, "log"), [15, 22].map(|after| file_of(&directory, "log", after)));
+    assert_eq!(
+        files(&directory, "log"),
+        [15, 22].map(|after| file_of(&directory, "log", after))
+    );
 }
 
 #[test]
@@ -245,7 +310,17 @@
     assert_holds(&open(&directory).1, Some(50), 52);
     flip_bit(&file_of(&directory, "snapshot", 50), 40);
     let error = refusal(&directory);
-    assert!(matches!(error, LogError::MissingRecords { after: 50, reached: 2, .. }), "{error}");
+    assert!(
+        matches!(
+            error,
+            LogError::MissingRecords {
+                after: 50,
+                reached: 2,
+                ..
+            }
+        ),
+        "{error}"
+    );
 }
 
 /// Every way in which a snapshot may be half there.
@@ -275,7 +350,11 @@
     let (mut log, _) = open(&whole);
     snapshot_at(&mut log, 11);
     let kept = [4, 11].map(|index| file_of(&whole, "snapshot", index));
-    assert_eq!(files(&whole, "snapshot"), kept, "the damaged one is removed");
+    assert_eq!(
+        files(&whole, "snapshot"),
+        kept,
+        "the damaged one is removed"
+    );
 }
 
 #[test]
@@ -290,7 +369,10 @@
     assert_holds(&recovered, Some(4), 4);
     assert_eq!(
         recovered.report.rejected,
-        [Rejected { file: unfinished.clone(), reason: RejectReason::Unfinished }]
+        [Rejected {
+            file: unfinished.clone(),
+            reason: RejectReason::Unfinished
+        }]
     );
     assert!(!unfinished.exists());
 }
@@ -303,12 +385,16 @@
     snapshot_at(&mut log, 3);
     append_to(&mut log, 6);
     drop(log);
-    let before = files(&directory, "").into_iter().map(|file| (file.clone(), fs::read(file).unwrap()));
+    let before = files(&directory, "")
+        .into_iter()
+        .map(|file| (file.clone(), fs::read(file).unwrap()));
     let before: Vec<(PathBuf, Vec<u8>)> = before.collect();
     snapshot_at(&mut open(&directory).0, 6);
     // The snapshot has its name, the next log is not there yet.
     fs::remove_file(file_of(&directory, "log", 6)).unwrap();
-    before.iter().for_each(|(file, bytes)| fs::write(file, bytes).unwrap());
+    before
+        .iter()
+        .for_each(|(file, bytes)| fs::write(file, bytes).unwrap());
     let (mut log, recovered) = open(&directory);
     assert_holds(&recovered, Some(6), 6);
     append_to(&mut log, 8);
@@ -328,7 +414,17 @@
     fs::remove_file(file_of(&directory, "snapshot", 3)).unwrap();
     fs::remove_file(file_of(&directory, "log", 0)).unwrap();
     let error = refusal(&directory);
-    assert!(matches!(error, LogError::MissingRecords { after: 3, reached: 0, .. }), "{error}");
+    assert!(
+        matches!(
+            error,
+            LogError::MissingRecords {
+                after: 3,
+                reached: 0,
+                ..
+            }
+        ),
+        "{error}"
+    );
     assert!(error.to_string().contains("Restore it"), "{error}");
 }
 
@@ -355,7 +451,16 @@
     bytes[second + 24..second + 28].copy_from_slice(&checksum.to_le_bytes());
     fs::write(&file, bytes).unwrap();
     let error = refusal(&directory);
-    assert!(matches!(error, LogError::Corrupt { damage: Damage::TooLong, .. }), "{error}");
+    assert!(
+        matches!(
+            error,
+            LogError::Corrupt {
+                damage: Damage::TooLong,
+                ..
+            }
+        ),
+        "{error}"
+    );
 }
 
 #[test]
@@ -369,5 +474,12 @@
     append_to(&mut open(&directory).0, 52);
     assert_holds(&open(&directory).1, Some(50), 52);
     flip_bit(&file_of(&directory, "snapshot", 50), 40);
-    assert!(matches!(refusal(&directory), LogError::MissingRecords { after: 50, reached: 2, .. }));
+    assert!(matches!(
+        refusal(&directory),
+        LogError::MissingRecords {
+            after: 50,
+            reached: 2,
+            ..
+        }
+    ));
 }
--- a/controlplane/src/config.rs
+++ b/controlplane/src/config.rs
@@ -45,11 +45,17 @@
 #[derive(Debug, Error)]
 pub enum ConfigError {
     #[error("{path}: cannot be read: {source}")]
-    Unreadable { path: PathBuf, source: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("not as a configuration has to be: {0}")]
     Malformed(String),
     #[error("field {field}: expected {expected}")]
-    Field { field: &'static str, expected: String },
+    Field {
+        field: &'static str,
+        expected: String,
+    },
     #[error("field zones or buckets_per_region: {0}")]
     Layout(#[from] LayoutError),
 }
@@ -102,23 +108,39 @@
     /// Reads a file.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path);
-        let text = text.map_err(|source| ConfigError::Unreadable { path: path.to_path_buf(), source })?;
+        let text = text.map_err(|source| ConfigError::Unreadable {
+            path: path.to_path_buf(),
+            source,
+        })?;
         Config::parse(&text)
     }
 
     /// Reads and checks the text of a file.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let file: File = toml::from_str(text).map_err(|error| ConfigError::Malformed(error.to_string()))?;
+        let file: File =
+            toml::from_str(text).map_err(|error| ConfigError::Malformed(error.to_string()))?;
         let role = file.role()?;
         let layout = file.layout()?;
-        check(is_member_name(&file.name), "name", "letters, digits and - _ . : alone")?;
-        check(!file.state.as_os_str().is_empty(), "state", "a directory that lasts")?;
+        check(
+            is_member_name(&file.name),
+            "name",
+            "letters, digits and - _ . : alone",
+        )?;
+        check(
+            !file.state.as_os_str().is_empty(),
+            "state",
+            "a directory that lasts",
+        )?;
         check(
             (1..=LONGEST_RESTART_GRACE_SECONDS).contains(&file.restart_grace_seconds),
             "restart_grace_seconds",
             &format!("a whole number from 1 to {LONGEST_RESTART_GRACE_SECONDS}"),
         )?;
-        check(file.fill_bytes_per_second > 0, "fill_bytes_per_second", "a whole number from 1")?;
+        check(
+            file.fill_bytes_per_second > 0,
+            "fill_bytes_per_second",
+            "a whole number from 1",
+        )?;
         let fill_pace = PaceLimits {
             bytes_per_second: file.fill_bytes_per_second,
             burst_bytes: file.fill_bytes_per_second.saturating_mul(BURST_SECONDS),
@@ -152,12 +174,21 @@
     }
 
     fn layout(&self) -> Result<Layout, ConfigError> {
-        let names = self.zones.iter().flat_map(|zone| [&zone.name, &zone.region]);
+        let names = self
+            .zones
+            .iter()
+            .flat_map(|zone| [&zone.name, &zone.region]);
         for name in names {
-            check(is_member_name(name), "zones", "names of letters, digits and - _ . : alone")?;
+            check(
+                is_member_name(name),
+                "zones",
+                "names of letters, digits and - _ . : alone",
+            )?;
         }
-        let zones =
-            self.zones.iter().map(|zone| (ZoneName(zone.name.clone()), RegionName(zone.region.clone())));
+        let zones = self
+            .zones
+            .iter()
+            .map(|zone| (ZoneName(zone.name.clone()), RegionName(zone.region.clone())));
         let layout = Layout::new(zones, self.buckets_per_region)?;
         check(
             layout.buckets() <= MOST_BUCKETS,
@@ -169,9 +200,16 @@
 }
 
 fn check(holds: bool, name: &'static str, expected: &str) -> Result<(), ConfigError> {
-    if holds { Ok(()) } else { Err(field(name, expected)) }
+    if holds {
+        Ok(())
+    } else {
+        Err(field(name, expected))
+    }
 }
 
 fn field(field: &'static str, expected: &str) -> ConfigError {
-    ConfigError::Field { field, expected: expected.to_string() }
+    ConfigError::Field {
+        field,
+        expected: expected.to_string(),
+    }
 }
--- a/controlplane/src/connections.rs
+++ b/controlplane/src/connections.rs
@@ -111,7 +111,13 @@
         stop.set_nonblocking(true)?;
         add(&poller, &listener, Event::readable(LISTENER))?;
         add(&poller, &stop, Event::readable(STOP))?;
-        Ok(Connections { poller, events: Events::new(), slots: Slots::default(), listener, stop })
+        Ok(Connections {
+            poller,
+            events: Events::new(),
+            slots: Slots::default(),
+            listener,
+            stop,
+        })
     }
 
     /// Waits for something to happen, no longer than this.
@@ -159,7 +165,11 @@
     }
 
     /// The next connection that waits to be accepted. Its rings have these bounds.
-    pub fn accept(&mut self, bounds: (usize, usize), now: Nanos) -> io::Result<Option<ConnectionId>> {
+    pub fn accept(
+        &mut self,
+        bounds: (usize, usize),
+        now: Nanos,
+    ) -> io::Result<Option<ConnectionId>> {
         loop {
             match self.listener.accept() {
                 Ok((stream, _)) if self.len() >= MOST_CONNECTIONS => {
@@ -168,7 +178,9 @@
                 }
                 Ok((stream, _)) => {
                     stream.set_nonblocking(true)?;
-                    return self.admit(stream, Purpose::Client, bounds, false, now).map(Some);
+                    return self
+                        .admit(stream, Purpose::Client, bounds, false, now)
+                        .map(Some);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
                 // The other side has given up meanwhile.
@@ -181,7 +193,8 @@
 
     /// Has the poller tell of the next connection to accept.
     pub fn arm_listener(&mut self) -> io::Result<()> {
-        self.poller.modify(&self.listener, Event::readable(LISTENER))
+        self.poller
+            .modify(&self.listener, Event::readable(LISTENER))
     }
 
     /// Starts a connection to another control process.
@@ -196,7 +209,8 @@
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
             Err(error)
-                if error.raw_os_error() != Some(EINPROGRESS) && error.kind() != io::ErrorKind::WouldBlock =>
+                if error.raw_os_error() != Some(EINPROGRESS)
+                    && error.kind() != io::ErrorKind::WouldBlock =>
             {
                 return Err(error);
             }
@@ -214,7 +228,9 @@
 
     /// Reads what has come; an error where the connection has failed.
     pub fn read(&mut self, id: ConnectionId) -> io::Result<()> {
-        let Some(connection) = self.slots.get_mut(id) else { return Ok(()) };
+        let Some(connection) = self.slots.get_mut(id) else {
+            return Ok(());
+        };
         if connection.connecting {
             if let Some(error) = connection.stream.take_error()? {
                 return Err(error);
@@ -230,7 +246,9 @@
     /// Writes what can be written, and has the poller watch for what the connection waits for. True: all is written and
     /// it was to be closed then.
     pub fn write(&mut self, id: ConnectionId, now: Nanos) -> io::Result<bool> {
-        let Some(connection) = self.slots.get_mut(id) else { return Ok(false) };
+        let Some(connection) = self.slots.get_mut(id) else {
+            return Ok(false);
+        };
         if !connection.connecting {
             let before = connection.output.len();
             connection.output.drain(&mut connection.stream)?;
@@ -244,12 +262,15 @@
     }
 
     fn arm(&mut self, id: ConnectionId) -> io::Result<()> {
-        let Some(connection) = self.slots.get_mut(id) else { return Ok(()) };
+        let Some(connection) = self.slots.get_mut(id) else {
+            return Ok(());
+        };
         let read = !connection.connecting && !connection.ended && connection.input.room() > 0;
         let write = connection.connecting || !connection.output.is_empty();
         if connection.armed != Some((read, write)) {
             connection.armed = Some((read, write));
-            self.poller.modify(&connection.stream, Event::new(id.0 as usize, read, write))?;
+            self.poller
+                .modify(&connection.stream, Event::new(id.0 as usize, read, write))?;
         }
         Ok(())
     }
@@ -279,8 +300,11 @@
             armed: Some(armed),
         });
         let connection = self.slots.get(id).expect("it was just added");
-        if let Err(error) = add(&self.poller, &connection.stream, Event::new(id.0 as usize, armed.0, armed.1))
-        {
+        if let Err(error) = add(
+            &self.poller,
+            &connection.stream,
+            Event::new(id.0 as usize, armed.0, armed.1),
+        ) {
             self.close(id);
             return Err(error);
         }
--- a/controlplane/src/disk.rs
+++ b/controlplane/src/disk.rs
@@ -26,13 +26,25 @@
     )]
     NoSnapshot { rejected: Rejected },
     #[error("{}: record {index} is refused: {error}", directory.display())]
-    Record { directory: PathBuf, index: u64, error: InvalidRecord },
+    Record {
+        directory: PathBuf,
+        index: u64,
+        error: InvalidRecord,
+    },
     #[error("{}: record {index} does not follow: {error}", directory.display())]
-    Apply { directory: PathBuf, index: u64, error: ApplyError },
+    Apply {
+        directory: PathBuf,
+        index: u64,
+        error: ApplyError,
+    },
     #[error("{}: record {index} is before any snapshot", directory.display())]
     NothingBefore { directory: PathBuf, index: u64 },
     #[error("{}: snapshot {index} is refused: {error}", directory.display())]
-    Snapshot { directory: PathBuf, index: u64, error: SnapshotError },
+    Snapshot {
+        directory: PathBuf,
+        index: u64,
+        error: SnapshotError,
+    },
 }
 
 /// The log of one control process. Its indices rise by one for each record, over all histories of the configuration:
@@ -63,17 +75,33 @@
             let index = logged.index;
             let directory = directory
                 .as_mut()
-                .ok_or_else(|| StorageError::NothingBefore { directory: path.to_path_buf(), index })?;
-            let record: LoggedRecord = record::decode(&logged.payload)
-                .map_err(|error| StorageError::Record { directory: path.to_path_buf(), index, error })?;
-            directory.apply(&record).map_err(|error| StorageError::Apply {
-                directory: path.to_path_buf(),
-                index,
-                error,
-            })?;
+                .ok_or_else(|| StorageError::NothingBefore {
+                    directory: path.to_path_buf(),
+                    index,
+                })?;
+            let record: LoggedRecord =
+                record::decode(&logged.payload).map_err(|error| StorageError::Record {
+                    directory: path.to_path_buf(),
+                    index,
+                    error,
+                })?;
+            directory
+                .apply(&record)
+                .map_err(|error| StorageError::Apply {
+                    directory: path.to_path_buf(),
+                    index,
+                    error,
+                })?;
         }
         let longest_log = LONGEST_LOG + hash(process_name) % LONGEST_LOG;
-        Ok((Storage { log, report: recovered.report, longest_log }, directory))
+        Ok((
+            Storage {
+                log,
+                report: recovered.report,
+                longest_log,
+            },
+            directory,
+        ))
     }
 
     /// Bytes at the end of the log that were dropped when it was opened.
@@ -107,12 +135,16 @@
 
     /// Writes a snapshot of what the records have led to.
     pub fn write_snapshot(&mut self, directory: &Directory) -> Result<(), StorageError> {
-        Ok(self.log.write_snapshot(self.log.last_index(), encoded_parts(directory))?)
+        Ok(self
+            .log
+            .write_snapshot(self.log.last_index(), encoded_parts(directory))?)
     }
 
     /// Begins anew with a configuration that the records have not led to.
     pub fn begin_with(&mut self, directory: &Directory) -> Result<(), StorageError> {
-        Ok(self.log.write_snapshot(self.log.last_index() + 1, encoded_parts(directory))?)
+        Ok(self
+            .log
+            .write_snapshot(self.log.last_index() + 1, encoded_parts(directory))?)
     }
 }
 
@@ -137,8 +169,15 @@
 
 /// An empty directory has no snapshot; one whose only snapshot is damaged must not pass for empty.
 fn no_snapshot(report: &RecoveryReport) -> Result<Option<Directory>, StorageError> {
-    let damaged = report.rejected.iter().find(|rejected| rejected.reason != RejectReason::Unfinished);
-    damaged.map_or(Ok(None), |rejected| Err(StorageError::NoSnapshot { rejected: rejected.clone() }))
+    let damaged = report
+        .rejected
+        .iter()
+        .find(|rejected| rejected.reason != RejectReason::Unfinished);
+    damaged.map_or(Ok(None), |rejected| {
+        Err(StorageError::NoSnapshot {
+            rejected: rejected.clone(),
+        })
+    })
 }
 
 fn read_snapshot(
@@ -148,7 +187,11 @@
     keeping: Keeping,
 ) -> Result<Directory, StorageError> {
     let index = snapshot.index;
-    let refused = |error| StorageError::Snapshot { directory: path.to_path_buf(), index, error };
+    let refused = |error| StorageError::Snapshot {
+        directory: path.to_path_buf(),
+        index,
+        error,
+    };
     let mut reader = SnapshotReader::new(layout, keeping);
     for part in snapshot.records {
         reader.part(&part).map_err(refused)?;
--- a/controlplane/src/follower.rs
+++ b/controlplane/src/follower.rs
@@ -49,7 +49,13 @@
 
 impl Follower {
     pub fn new(writer: SocketAddr, now: Nanos) -> Follower {
-        Follower { writer, watch: None, ask_at: now, restore: None, presence_call: None }
+        Follower {
+            writer,
+            watch: None,
+            ask_at: now,
+            restore: None,
+            presence_call: None,
+        }
     }
 }
 
@@ -57,7 +63,9 @@
     /// Begins the watch on the writer when it is due, and ends one that is silent.
     pub fn follower_tick(&mut self) {
         let now = self.now;
-        let RoleState::Follower(follower) = &self.role else { return };
+        let RoleState::Follower(follower) = &self.role else {
+            return;
+        };
         match &follower.watch {
             Some(watch) if now.saturating_sub(watch.heard) > SILENT_FOR => {
                 self.writer_watch_broke(Broken::Connection("it is silent".into()));
@@ -69,13 +77,20 @@
 
     /// Each second: tells the writer which dispatchers have a watch here.
     pub fn follower_second(&mut self) {
-        let RoleState::Follower(follower) = &mut self.role else { return };
+        let RoleState::Follower(follower) = &mut self.role else {
+            return;
+        };
         let (writer, late) = (follower.writer, follower.presence_call.take());
         if let Some(late) = late {
             self.close(late);
         }
-        let lines = self.watchers.members().map(|member| PresenceLine { dispatcher: member.clone() });
-        let lines = lines.filter_map(|line| serde_json::to_string(&line).ok()).collect::<Vec<_>>().join("\n");
+        let lines = self.watchers.members().map(|member| PresenceLine {
+            dispatcher: member.clone(),
+        });
+        let lines = lines
+            .filter_map(|line| serde_json::to_string(&line).ok())
+            .collect::<Vec<_>>()
+            .join("\n");
         if lines.is_empty() {
             return;
         }
@@ -94,7 +109,9 @@
     /// The answer of the writer to which dispatchers are here: only its end matters.
     pub fn presence_call_ready(&mut self, id: ConnectionId) {
         let read = self.connections.read(id);
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         let length = connection.input.len();
         connection.input.consume(length);
         if read.is_ok() && !connection.ended {
@@ -123,7 +140,10 @@
             }
         }
         self.touched.insert(id);
-        let ended = self.connections.get_mut(id).is_none_or(|connection| connection.ended);
+        let ended = self
+            .connections
+            .get_mut(id)
+            .is_none_or(|connection| connection.ended);
         if ended {
             self.writer_watch_broke(Broken::Connection("it was ended".into()));
         }
@@ -131,20 +151,33 @@
     }
 
     fn watch_writer(&mut self) {
-        let RoleState::Follower(follower) = &self.role else { return };
+        let RoleState::Follower(follower) = &self.role else {
+            return;
+        };
         let writer = follower.writer;
-        let known = self.directory.as_ref().map(|directory| (directory.version().0, &directory.log().0));
+        let known = self
+            .directory
+            .as_ref()
+            .map(|directory| (directory.version().0, &directory.log().0));
         let known = match known {
             Some((since, log)) => format!("since={since}&log={log}"),
             None => "since=0".to_string(),
         };
-        let request =
-            format!("GET /api/targets?follow=1&{known}&scope=all HTTP/1.1\r\nHost: {writer}\r\n\r\n");
+        let request = format!(
+            "GET /api/targets?follow=1&{known}&scope=all HTTP/1.1\r\nHost: {writer}\r\n\r\n"
+        );
         match self.call_writer(writer, Purpose::WriterWatch, &request) {
             Ok(id) => {
                 let heard = self.now;
-                let RoleState::Follower(follower) = &mut self.role else { return };
-                follower.watch = Some(WriterWatch { id, body: None, line: Vec::new(), heard });
+                let RoleState::Follower(follower) = &mut self.role else {
+                    return;
+                };
+                follower.watch = Some(WriterWatch {
+                    id,
+                    body: None,
+                    line: Vec::new(),
+                    heard,
+                });
             }
             Err(error) => self.writer_watch_broke(Broken::Connection(error.to_string())),
         }
@@ -156,7 +189,9 @@
         purpose: Purpose,
         request: &str,
     ) -> std::io::Result<ConnectionId> {
-        let id = self.connections.open(writer, purpose, (INPUT_BOUND, REQUEST_BOUND), self.now)?;
+        let id = self
+            .connections
+            .open(writer, purpose, (INPUT_BOUND, REQUEST_BOUND), self.now)?;
         if let Some(connection) = self.connections.get_mut(id) {
             connection.send(request.as_bytes());
         }
@@ -165,14 +200,19 @@
 
     fn writer_watch_broke(&mut self, broken: Broken) {
         let now = self.now;
-        let RoleState::Follower(follower) = &mut self.role else { return };
+        let RoleState::Follower(follower) = &mut self.role else {
+            return;
+        };
         let rest = match &broken {
             Broken::Connection(_) => REST,
             Broken::Refused(_) => REST_AFTER_REFUSAL,
         };
         follower.ask_at = now + rest;
         follower.restore = None;
-        let served = follower.watch.as_ref().is_some_and(|watch| watch.body.is_some());
+        let served = follower
+            .watch
+            .as_ref()
+            .is_some_and(|watch| watch.body.is_some());
         let writer = follower.writer;
         if let Some(watch) = follower.watch.take() {
             self.close(watch.id);
@@ -183,10 +223,14 @@
                 self.figures.writer_watches_broken += 1;
                 log::warn!("the watch on the writer at {writer} broke: {why}");
             }
-            Broken::Connection(why) => log::debug!("the writer at {writer} cannot be watched: {why}"),
+            Broken::Connection(why) => {
+                log::debug!("the writer at {writer} cannot be watched: {why}")
+            }
             Broken::Refused(why) => {
                 self.figures.writer_lines_refused += 1;
-                log::error!("the writer at {writer} said what is not taken, the configuration stays: {why}");
+                log::error!(
+                    "the writer at {writer} said what is not taken, the configuration stays: {why}"
+                );
             }
         }
     }
@@ -214,13 +258,19 @@
             }
             watch.body = Some(head.body);
         }
-        let Some(body) = watch.body.as_mut() else { return Ok(Vec::new()) };
+        let Some(body) = watch.body.as_mut() else {
+            return Ok(Vec::new());
+        };
         let mut lines = Vec::new();
         let partial = &mut watch.line;
-        body.take(&mut connection.input, |bytes| split_lines(bytes, partial, &mut lines))
-            .map_err(|_| malformed())?;
+        body.take(&mut connection.input, |bytes| {
+            split_lines(bytes, partial, &mut lines)
+        })
+        .map_err(|_| malformed())?;
         if partial.len() > LONGEST_WHOLE_LINE {
-            return Err(Broken::Refused(format!("a line of more than {LONGEST_WHOLE_LINE} bytes")));
+            return Err(Broken::Refused(format!(
+                "a line of more than {LONGEST_WHOLE_LINE} bytes"
+            )));
         }
         if !lines.is_empty() {
             watch.heard = now;
@@ -235,7 +285,11 @@
         }
         let line: WholeLine = match serde_json::from_slice(line) {
             Ok(line) => line,
-            Err(error) => return Ok(Err(Broken::Refused(format!("a line cannot be read: {error}")))),
+            Err(error) => {
+                return Ok(Err(Broken::Refused(format!(
+                    "a line cannot be read: {error}"
+                ))));
+            }
         };
         match line.transfer {
             Some(TransferStep::Begin) => Ok(self.begin_transfer(line).map_err(Broken::Refused)),
@@ -251,13 +305,20 @@
             version: line.version,
             forgotten: line.forgotten.unwrap_or(line.version),
         };
-        log::info!("the whole configuration is transferred from the writer, at version {}", point.version.0);
+        log::info!(
+            "the whole configuration is transferred from the writer, at version {}",
+            point.version.0
+        );
         let mut restore = Restore::begin(self.config.layout.clone(), point, Keeping::default());
         restore
             .members(line.members.into_iter().map(|line| line.member).collect())
             .map_err(|e| e.to_string())?;
-        let table = line.table.ok_or("a transfer begins without its assignment")?;
-        restore.assignment(&table).map_err(|error| error.to_string())?;
+        let table = line
+            .table
+            .ok_or("a transfer begins without its assignment")?;
+        restore
+            .assignment(&table)
+            .map_err(|error| error.to_string())?;
         if let RoleState::Follower(follower) = &mut self.role {
             follower.restore = Some(Box::new(restore));
         }
@@ -265,7 +326,11 @@
     }
 
     fn take_piece(&mut self, line: WholeLine) -> Result<(), String> {
-        let RoleState::Follower(Follower { restore: Some(restore), .. }) = &mut self.role else {
+        let RoleState::Follower(Follower {
+            restore: Some(restore),
+            ..
+        }) = &mut self.role
+        else {
             return Err("a piece without a transfer".into());
         };
         line.servers
@@ -275,9 +340,13 @@
     }
 
     fn end_transfer(&mut self) -> Result<Result<(), Broken>, RunError> {
-        let RoleState::Follower(follower) = &mut self.role else { return Ok(Ok(())) };
+        let RoleState::Follower(follower) = &mut self.role else {
+            return Ok(Ok(()));
+        };
         let Some(restore) = follower.restore.take() else {
-            return Ok(Err(Broken::Refused("the end of a transfer that was not begun".into())));
+            return Ok(Err(Broken::Refused(
+                "the end of a transfer that was not begun".into(),
+            )));
         };
         let directory = restore.finish();
         self.sync()?;
@@ -298,12 +367,24 @@
         let log = line.log.clone();
         let version = line.version;
         let records = line.into_records().map_err(|error| error.to_string())?;
-        if let RoleState::Follower(Follower { restore: Some(restore), .. }) = &mut self.role {
-            return records.iter().try_for_each(|logged| restore.apply(logged)).map_err(|e| e.to_string());
+        if let RoleState::Follower(Follower {
+            restore: Some(restore),
+            ..
+        }) = &mut self.role
+        {
+            return records
+                .iter()
+                .try_for_each(|logged| restore.apply(logged))
+                .map_err(|e| e.to_string());
         }
-        let Some(directory) = &self.directory else { return Err("changes before a transfer".into()) };
+        let Some(directory) = &self.directory else {
+            return Err("changes before a transfer".into());
+        };
         if !log.is_empty() && log != directory.log().0 {
-            return Err(format!("changes of the history {log}, this process has {}", directory.log().0));
+            return Err(format!(
+                "changes of the history {log}, this process has {}",
+                directory.log().0
+            ));
         }
         for logged in records {
             self.apply(logged).map_err(|error| error.to_string())?;
--- a/controlplane/src/http_server.rs
+++ b/controlplane/src/http_server.rs
@@ -51,10 +51,16 @@
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if bytes.len() < LONGEST_HEAD => return Received::Part,
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Received::Unreadable(Response::error(431, "the head of the request is too long"));
+            return Received::Unreadable(Response::error(
+                431,
+                "the head of the request is too long",
+            ));
         }
         Err(error) => {
-            return Received::Unreadable(Response::error(400, &format!("no HTTP/1.1 request: {error}")));
+            return Received::Unreadable(Response::error(
+                400,
+                &format!("no HTTP/1.1 request: {error}"),
+            ));
         }
     };
     let body_length = match body_length(head.headers) {
@@ -63,7 +69,11 @@
     };
     let whole = length + body_length;
     if bytes.len() < whole {
-        return if whole > LONGEST_HEAD { Received::NeedsRoom(whole) } else { Received::Part };
+        return if whole > LONGEST_HEAD {
+            Received::NeedsRoom(whole)
+        } else {
+            Received::Part
+        };
     }
     let target = head.path.unwrap_or("/");
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -89,25 +99,33 @@
             return Err(Response::error(411, "a body needs its Content-Length"));
         }
         if header.name.eq_ignore_ascii_case("content-length") {
-            let length =
-                std::str::from_utf8(header.value).ok().and_then(|text| text.trim().parse::<usize>().ok());
-            let length =
-                length.ok_or_else(|| Response::error(400, "Content-Length: expected a whole number"))?;
+            let length = std::str::from_utf8(header.value)
+                .ok()
+                .and_then(|text| text.trim().parse::<usize>().ok());
+            let length = length
+                .ok_or_else(|| Response::error(400, "Content-Length: expected a whole number"))?;
             if told.replace(length).is_some_and(|other| other != length) {
-                return Err(Response::error(400, "Content-Length: told twice, differently"));
+                return Err(Response::error(
+                    400,
+                    "Content-Length: told twice, differently",
+                ));
             }
         }
     }
     let length = told.unwrap_or(0);
     if length > LONGEST_BODY {
-        let why = format!("the body has more than {LONGEST_BODY} bytes: send it in several requests");
+        let why =
+            format!("the body has more than {LONGEST_BODY} bytes: send it in several requests");
         return Err(Response::error(413, &why));
     }
     Ok(length)
 }
 
 fn keeps_alive(head: &httparse::Request) -> bool {
-    let connection = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case("connection"));
+    let connection = head
+        .headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case("connection"));
     match connection.map(|header| header.value.to_ascii_lowercase()) {
         Some(value) if value == b"close" => false,
         Some(value) if value == b"keep-alive" => true,
@@ -133,18 +151,33 @@
 impl Response {
     /// The status 200 with this body.
     pub fn json(body: &impl Serialize) -> Response {
-        Response { status: 200, body: serde_json::to_vec(body).unwrap_or_default(), close: false }
+        Response {
+            status: 200,
+            body: serde_json::to_vec(body).unwrap_or_default(),
+            close: false,
+        }
     }
 
     /// Says why a request is not served.
     pub fn error(status: u16, why: &str) -> Response {
-        Response { status, ..Response::json(&ErrorBody { error: why }) }
+        Response {
+            status,
+            ..Response::json(&ErrorBody { error: why })
+        }
     }
 
     /// The answer's bytes.
     pub fn into_bytes(self) -> Vec<u8> {
-        let retry = if matches!(self.status, 429 | 503) { "Retry-After: 1\r\n" } else { "" };
-        let close = if self.close { "Connection: close\r\n" } else { "" };
+        let retry = if matches!(self.status, 429 | 503) {
+            "Retry-After: 1\r\n"
+        } else {
+            ""
+        };
+        let close = if self.close {
+            "Connection: close\r\n"
+        } else {
+            ""
+        };
         let head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{retry}{close}\r\n",
             self.status,
--- a/controlplane/src/presence.rs
+++ b/controlplane/src/presence.rs
@@ -18,7 +18,12 @@
 
 impl Presence {
     pub fn new(now: Nanos, grace: Nanos) -> Presence {
-        Presence { heard: HashMap::new(), started: now, grace, looked: now }
+        Presence {
+            heard: HashMap::new(),
+            started: now,
+            grace,
+            looked: now,
+        }
     }
 
     /// A dispatcher has a watch somewhere, or was declared just now.
@@ -32,8 +37,15 @@
     /// The members whose presence is another than it is said to be, as they are now. To be called each second.
     pub fn changed(&mut self, members: &[Member], now: Nanos) -> Vec<Member> {
         self.pass_over_own_absence(now);
-        let changed = members.iter().filter(|member| member.present != self.is_present(member, now));
-        changed.map(|member| Member { present: !member.present, ..member.clone() }).collect()
+        let changed = members
+            .iter()
+            .filter(|member| member.present != self.is_present(member, now));
+        changed
+            .map(|member| Member {
+                present: !member.present,
+                ..member.clone()
+            })
+            .collect()
     }
 
     /// A process that stood still heard nobody: all would seem gone at once, and every bucket would move.
@@ -42,7 +54,9 @@
         self.looked = now;
         if away > AWAY {
             self.started += away;
-            self.heard.values_mut().for_each(|heard| *heard = now.min(*heard + away));
+            self.heard
+                .values_mut()
+                .for_each(|heard| *heard = now.min(*heard + away));
         }
     }
 
--- a/controlplane/src/process.rs
+++ b/controlplane/src/process.rs
@@ -36,7 +36,10 @@
 #[derive(Debug, Error)]
 pub enum RunError {
     #[error("field listen: {address}: {source}")]
-    Listen { address: SocketAddr, source: io::Error },
+    Listen {
+        address: SocketAddr,
+        source: io::Error,
+    },
     #[error("field state: {0}")]
     Storage(#[from] StorageError),
     #[error("a record that was taken cannot be applied: {0}")]
@@ -48,7 +51,10 @@
 /// Runs a control process until it is told to end. What it answered is on disk.
 pub fn run(config: Config, stop: Stop) -> Result<(), RunError> {
     let listener = connections::listen(config.listen);
-    let listener = listener.map_err(|source| RunError::Listen { address: config.listen, source })?;
+    let listener = listener.map_err(|source| RunError::Listen {
+        address: config.listen,
+        source,
+    })?;
     run_on(listener, config, stop)
 }
 
@@ -58,7 +64,11 @@
     while !process.stopped {
         process.turn()?;
     }
-    log::info!("{} ends at version {}", process.config.name, process.version());
+    log::info!(
+        "{} ends at version {}",
+        process.config.name,
+        process.version()
+    );
     Ok(())
 }
 
@@ -107,8 +117,12 @@
         stop: Stop,
     ) -> Result<ControlProcess, RunError> {
         let begun = Instant::now();
-        let (mut storage, mut directory) =
-            Storage::open(&config.state, &config.name, config.layout.clone(), Keeping::default())?;
+        let (mut storage, mut directory) = Storage::open(
+            &config.state,
+            &config.name,
+            config.layout.clone(),
+            Keeping::default(),
+        )?;
         if directory.is_none() && config.role == Role::Writer {
             let new = Directory::new(config.layout.clone(), new_log_id()?, Keeping::default());
             storage.begin_with(&new)?;
@@ -144,7 +158,10 @@
             stopped: false,
             config,
         };
-        let entries = process.directory.as_ref().map_or(0, |directory| directory.entries().len());
+        let entries = process
+            .directory
+            .as_ref()
+            .map_or(0, |directory| directory.entries().len());
         log::info!(
             "{} listens on {}, at version {} with {entries} endpoints, started in {} ms",
             process.config.name,
@@ -156,12 +173,16 @@
     }
 
     pub fn version(&self) -> u64 {
-        self.directory.as_ref().map_or(0, |directory| directory.version().0)
+        self.directory
+            .as_ref()
+            .map_or(0, |directory| directory.version().0)
     }
 
     /// Takes in a record. It is told once it is on disk.
     pub fn apply(&mut self, logged: LoggedRecord) -> Result<(), ApplyError> {
-        let Some(directory) = &mut self.directory else { return Ok(()) };
+        let Some(directory) = &mut self.directory else {
+            return Ok(());
+        };
         let applied: Applied = directory.apply(&logged)?;
         self.watchers.applied(&applied, directory);
         self.unsynced.push(logged);
@@ -177,14 +198,20 @@
         self.figures.records += self.unsynced.len() as u64;
         self.figures.syncs += 1;
         self.unsynced.clear();
-        if let Some(directory) = self.directory.as_ref().filter(|_| self.storage.is_log_too_long()) {
+        if let Some(directory) = self
+            .directory
+            .as_ref()
+            .filter(|_| self.storage.is_log_too_long())
+        {
             self.storage.write_snapshot(directory)?;
         }
         Ok(())
     }
 
     fn turn(&mut self) -> Result<(), RunError> {
-        let seen = self.connections.wait(Duration::from_nanos(self.next_tick.saturating_sub(self.now)))?;
+        let seen = self.connections.wait(Duration::from_nanos(
+            self.next_tick.saturating_sub(self.now),
+        ))?;
         let (begun, mut times) = (Instant::now(), TurnTimes::default());
         self.now = self.clock.elapsed().as_nanos() as Nanos;
         for what in seen {
@@ -240,7 +267,10 @@
 
     fn accept(&mut self) {
         loop {
-            match self.connections.accept(crate::server::CLIENT_BOUNDS, self.now) {
+            match self
+                .connections
+                .accept(crate::server::CLIENT_BOUNDS, self.now)
+            {
                 Ok(Some(id)) => drop(self.touched.insert(id)),
                 Ok(None) => break,
                 Err(error) => {
@@ -255,7 +285,11 @@
     }
 
     fn ready(&mut self, id: ConnectionId) -> Result<(), RunError> {
-        match self.connections.get_mut(id).map(|connection| connection.purpose) {
+        match self
+            .connections
+            .get_mut(id)
+            .map(|connection| connection.purpose)
+        {
             Some(Purpose::Client) => self.client_ready(id),
             Some(Purpose::Watch(watcher)) => self.watch_ready(id, watcher),
             Some(Purpose::WriterWatch) => self.writer_watch_ready(id)?,
--- a/controlplane/src/server.rs
+++ b/controlplane/src/server.rs
@@ -37,7 +37,9 @@
         }
         self.touched.insert(id);
         while self.serve_next(id) {}
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         if connection.ended && connection.purpose == Purpose::Client {
             connection.close_when_written = true;
         }
@@ -46,7 +48,9 @@
     /// A watcher has ended its side, or can be told more.
     pub fn watch_ready(&mut self, id: ConnectionId, watcher: WatcherId) {
         let read = self.connections.read(id);
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         // A watcher has nothing more to say.
         let said = connection.input.len();
         connection.input.consume(said);
@@ -116,12 +120,15 @@
     }
 
     fn tell_watcher(&mut self, watcher: WatcherId) {
-        let (Some(id), Some(directory)) = (self.watching.get(&watcher).copied(), &self.directory) else {
+        let (Some(id), Some(directory)) = (self.watching.get(&watcher).copied(), &self.directory)
+        else {
             return;
         };
         while let Some(connection) = self.connections.get_mut(id) {
             while connection.output.len() < MOST_UNREAD {
-                let Some(line) = self.watchers.next_line(watcher, directory, self.now) else { break };
+                let Some(line) = self.watchers.next_line(watcher, directory, self.now) else {
+                    break;
+                };
                 self.figures.told(line.kind, line.bytes.len());
                 connection.send(&http_server::chunk(&line.bytes));
             }
@@ -132,7 +139,11 @@
                 Ok(_) => {}
                 Err(_) => return self.close(id),
             }
-            if self.connections.get_mut(id).is_some_and(|connection| !connection.output.is_empty()) {
+            if self
+                .connections
+                .get_mut(id)
+                .is_some_and(|connection| !connection.output.is_empty())
+            {
                 return;
             }
         }
@@ -140,7 +151,9 @@
 
     /// Serves the next request of a client. False: there is none, or no other one is served after it.
     fn serve_next(&mut self, id: ConnectionId) -> bool {
-        let Some(connection) = self.connections.get_mut(id) else { return false };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return false;
+        };
         if connection.close_when_written {
             return false;
         }
@@ -148,14 +161,26 @@
             Received::Part => false,
             Received::NeedsRoom(length) => self.make_room(id, length),
             Received::Unreadable(response) => {
-                self.answer(id, Response { close: true, ..response });
+                self.answer(
+                    id,
+                    Response {
+                        close: true,
+                        ..response
+                    },
+                );
                 false
             }
             Received::Whole(request) => {
                 let keep_alive = request.keep_alive;
                 match self.serve(request) {
                     Outcome::Answer(response) => {
-                        self.answer(id, Response { close: !keep_alive, ..response });
+                        self.answer(
+                            id,
+                            Response {
+                                close: !keep_alive,
+                                ..response
+                            },
+                        );
                         true
                     }
                     Outcome::Watch(watcher) => {
@@ -170,14 +195,26 @@
     /// Lets a long body come. True: more of it has come.
     fn make_room(&mut self, id: ConnectionId, length: usize) -> bool {
         let long = |bound: usize| bound > LONGEST_HEAD;
-        let bodies = self.connections.iter().filter(|(_, c)| long(c.input.len() + c.input.room())).count();
-        let Some(connection) = self.connections.get_mut(id) else { return false };
+        let bodies = self
+            .connections
+            .iter()
+            .filter(|(_, c)| long(c.input.len() + c.input.room()))
+            .count();
+        let Some(connection) = self.connections.get_mut(id) else {
+            return false;
+        };
         if connection.input.len() + connection.input.room() >= length {
             return false;
         }
         if bodies >= MOST_LONG_BODIES {
             let response = Response::error(503, "too many long requests at once: send it again");
-            self.answer(id, Response { close: true, ..response });
+            self.answer(
+                id,
+                Response {
+                    close: true,
+                    ..response
+                },
+            );
             return false;
         }
         connection.make_room(length);
@@ -193,7 +230,9 @@
     fn answer(&mut self, id: ConnectionId, response: Response) {
         self.figures.refused.count(response.status);
         let now = self.now;
-        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
         connection.progress = now;
         connection.close_when_written |= response.close;
         if !connection.send(&response.into_bytes()) {
@@ -214,7 +253,9 @@
         let answer = match (request.method, request.path.as_str()) {
             (Method::Get, "/api/targets") => return self.serve_targets(&request.query),
             (Method::Get, "/v2/figures") => Response::json(&self.current_figures()),
-            (Method::Post, "/api/targets" | "/v2/members" | "/v2/presence") => self.serve_write(&request),
+            (Method::Post, "/api/targets" | "/v2/members" | "/v2/presence") => {
+                self.serve_write(&request)
+            }
             (_, "/api/targets" | "/v2/figures" | "/v2/members" | "/v2/presence") => {
                 Response::error(405, "this path does not take this method")
             }
@@ -246,12 +287,16 @@
     }
 
     fn serve_watch(&mut self, request: WatchRequest) -> Outcome {
-        let Some(directory) = &self.directory else { return Outcome::Answer(no_configuration()) };
+        let Some(directory) = &self.directory else {
+            return Outcome::Answer(no_configuration());
+        };
         let whole = request.scope == RequestedScope::Whole;
-        let anew = request.since > Version(0) && !directory.remembers(request.log.as_ref(), request.since);
-        let transfer =
-            request.log.as_ref() != Some(directory.log()) || !directory.history().covers(request.since);
-        let ahead = request.log.as_ref() == Some(directory.log()) && request.since > directory.version();
+        let anew =
+            request.since > Version(0) && !directory.remembers(request.log.as_ref(), request.since);
+        let transfer = request.log.as_ref() != Some(directory.log())
+            || !directory.history().covers(request.since);
+        let ahead =
+            request.log.as_ref() == Some(directory.log()) && request.since > directory.version();
         if ahead && matches!(self.config.role, Role::Writer) {
             log::warn!(
                 "a watcher knows version {}, the writer has {}: its state directory is older than it was",
@@ -267,7 +312,10 @@
                 if let (true, RoleState::Writer(writer)) = (whole, &mut self.role) {
                     writer.followed();
                 }
-                if let Some(id) = opened.replaced.and_then(|replaced| self.watching.remove(&replaced)) {
+                if let Some(id) = opened
+                    .replaced
+                    .and_then(|replaced| self.watching.remove(&replaced))
+                {
                     self.close(id);
                 }
                 Outcome::Watch(opened.id)
@@ -277,7 +325,9 @@
     }
 
     fn serve_look_up(&mut self, request: &LookUpRequest) -> Response {
-        let Some(directory) = &self.directory else { return no_configuration() };
+        let Some(directory) = &self.directory else {
+            return no_configuration();
+        };
         if directory.member(&request.dispatcher).is_none() {
             return refusal(WatchRefused::NotMember);
         }
@@ -316,13 +366,19 @@
 
 fn refusal(refused: WatchRefused) -> Response {
     match refused {
-        WatchRefused::NotMember => {
-            Response::error(404, "dispatcher: not a declared member; POST /v2/members declares")
+        WatchRefused::NotMember => Response::error(
+            404,
+            "dispatcher: not a declared member; POST /v2/members declares",
+        ),
+        WatchRefused::NoWatch => {
+            Response::error(409, "dispatcher: it has no watch at this process")
         }
-        WatchRefused::NoWatch => Response::error(409, "dispatcher: it has no watch at this process"),
-        WatchRefused::TooManyCells => {
-            Response::error(429, "cells: the watch has too many of them; name some in forget")
+        WatchRefused::TooManyCells => Response::error(
+            429,
+            "cells: the watch has too many of them; name some in forget",
+        ),
+        WatchRefused::Behind => {
+            Response::error(503, "this process is behind what the dispatcher knows")
         }
-        WatchRefused::Behind => Response::error(503, "this process is behind what the dispatcher knows"),
     }
 }
--- a/controlplane/src/writer.rs
+++ b/controlplane/src/writer.rs
@@ -99,9 +99,14 @@
 
 /// Names the process that takes writes.
 pub fn not_the_writer(writer: SocketAddr) -> Response {
-    let body =
-        NotTheWriter { error: "this control process follows another; send writes to the writer", writer };
-    Response { status: 421, ..Response::json(&body) }
+    let body = NotTheWriter {
+        error: "this control process follows another; send writes to the writer",
+        writer,
+    };
+    Response {
+        status: 421,
+        ..Response::json(&body)
+    }
 }
 
 /// A line of a request that is refused.
@@ -114,17 +119,26 @@
     fn into_response(self) -> Response {
         Response::error(
             400,
-            &format!("line {}: {}; nothing of the request is taken", self.number, self.expected),
+            &format!(
+                "line {}: {}; nothing of the request is taken",
+                self.number, self.expected
+            ),
         )
     }
 }
 
 /// Reads a body of JSON lines; with each value comes the number of its line.
 fn read_lines<T: DeserializeOwned>(body: &[u8]) -> Result<Vec<(usize, T)>, BadLine> {
-    let lines = body.split(|byte| *byte == b'\n').zip(1..).filter(|(line, _)| !line.trim_ascii().is_empty());
+    let lines = body
+        .split(|byte| *byte == b'\n')
+        .zip(1..)
+        .filter(|(line, _)| !line.trim_ascii().is_empty());
     let read = |(line, number): (&[u8], usize)| match serde_json::from_slice(line) {
         Ok(value) => Ok((number, value)),
-        Err(error) => Err(BadLine { number, expected: error.to_string() }),
+        Err(error) => Err(BadLine {
+            number,
+            expected: error.to_string(),
+        }),
     };
     lines.map(read).collect()
 }
@@ -133,9 +147,11 @@
     /// `POST /api/targets`.
     pub fn write_targets(&mut self, body: &[u8]) -> Response {
         match self.read_targets(body) {
-            Ok(endpoints) => {
-                self.write_records(endpoints, MOST_ENDPOINTS_IN_RECORD, Record::EndpointsChanged)
-            }
+            Ok(endpoints) => self.write_records(
+                endpoints,
+                MOST_ENDPOINTS_IN_RECORD,
+                Record::EndpointsChanged,
+            ),
             Err(bad) => bad.into_response(),
         }
     }
@@ -166,7 +182,9 @@
                 writer.presence.heard_of(&dispatcher, now);
             }
         }
-        Response::json(&Written { version: directory.version() })
+        Response::json(&Written {
+            version: directory.version(),
+        })
     }
 
     /// Each second: members whose presence has changed, and the assignment that they call for.
@@ -174,7 +192,9 @@
         let (RoleState::Writer(writer), Some(directory)) = (&mut self.role, &self.directory) else {
             return Ok(());
         };
-        self.watchers.members().for_each(|member| writer.presence.heard_of(member, self.now));
+        self.watchers
+            .members()
+            .for_each(|member| writer.presence.heard_of(member, self.now));
         writer.count_followers(self.watchers.followers());
         // A writer that is cut off would move nearly every bucket. Who is heard of meanwhile comes in when it is not any more.
         let changed = match writer.followers {
@@ -184,7 +204,10 @@
         self.figures.seconds_without_followers += u64::from(writer.followers == Followers::Lost);
         let plan_due = std::mem::replace(&mut writer.plan_due, false) || !changed.is_empty();
         for members in changed.chunks(MOST_MEMBERS_IN_RECORD) {
-            log::info!("members that are present or no longer present: {}", described(members));
+            log::info!(
+                "members that are present or no longer present: {}",
+                described(members)
+            );
             self.write_record(Record::MembersChanged(members.to_vec()))?;
         }
         if plan_due {
@@ -199,7 +222,10 @@
         let mut endpoints = Vec::with_capacity(entries.len());
         for (number, entry) in entries {
             let endpoint = Endpoint::try_from(entry);
-            endpoints.push(endpoint.map_err(|error| BadLine { number, expected: error.to_string() })?);
+            endpoints.push(endpoint.map_err(|error| BadLine {
+                number,
+                expected: error.to_string(),
+            })?);
             numbers.push(number);
         }
         if let Some(directory) = &self.directory {
@@ -215,7 +241,10 @@
     fn read_members(&self, body: &[u8]) -> Result<Vec<Member>, BadLine> {
         let declared: Vec<(usize, MemberDeclaration)> = read_lines(body)?;
         let numbers: Vec<usize> = declared.iter().map(|(number, _)| *number).collect();
-        let members: Vec<Member> = declared.into_iter().map(|(_, declared)| self.member(declared)).collect();
+        let members: Vec<Member> = declared
+            .into_iter()
+            .map(|(_, declared)| self.member(declared))
+            .collect();
         if let Some(directory) = &self.directory {
             let checked = directory.check_members(&members);
             checked.map_err(|(place, refused)| BadLine {
@@ -228,7 +257,10 @@
 
     /// A member as declared; one that is known stays present or absent.
     fn member(&self, declared: MemberDeclaration) -> Member {
-        let known = self.directory.as_ref().and_then(|directory| directory.member(&declared.name));
+        let known = self
+            .directory
+            .as_ref()
+            .and_then(|directory| directory.member(&declared.name));
         Member {
             present: known.is_none_or(|known| known.present),
             name: declared.name,
@@ -239,9 +271,14 @@
 
     /// New members have the restart grace from now on to begin their watch.
     fn members_declared(&mut self, members: &[Member]) {
-        let (RoleState::Writer(writer), Some(directory)) = (&mut self.role, &self.directory) else { return };
+        let (RoleState::Writer(writer), Some(directory)) = (&mut self.role, &self.directory) else {
+            return;
+        };
         writer.plan_due = true;
-        for member in members.iter().filter(|member| directory.member(&member.name).is_none()) {
+        for member in members
+            .iter()
+            .filter(|member| directory.member(&member.name).is_none())
+        {
             writer.presence.heard_of(&member.name, self.now);
         }
     }
@@ -258,7 +295,9 @@
             }
         }
         self.figures.writes += 1;
-        Response::json(&Written { version: Version(self.version()) })
+        Response::json(&Written {
+            version: Version(self.version()),
+        })
     }
 
     fn write_record(&mut self, record: Record) -> Result<(), ApplyError> {
@@ -267,11 +306,16 @@
     }
 
     fn plan(&mut self) -> Result<(), RunError> {
-        let Some(directory) = &self.directory else { return Ok(()) };
+        let Some(directory) = &self.directory else {
+            return Ok(());
+        };
         let begun = std::time::Instant::now();
         match directory.plan() {
             Ok(Some(change)) => {
-                change.warnings.iter().for_each(|warning| log::warn!("the assignment: {warning}"));
+                change
+                    .warnings
+                    .iter()
+                    .for_each(|warning| log::warn!("the assignment: {warning}"));
                 log::info!(
                     "assignment {}: {} replicas move, no less than {} can, planned in {} ms",
                     change.epoch.0,
@@ -290,7 +334,15 @@
 
 fn described(members: &[Member]) -> String {
     let each = members.iter().map(|member| {
-        format!("{} {}", member.name, if member.present { "is present" } else { "is no longer present" })
+        format!(
+            "{} {}",
+            member.name,
+            if member.present {
+                "is present"
+            } else {
+                "is no longer present"
+            }
+        )
     });
     each.collect::<Vec<_>>().join(", ")
 }
--- a/controlplane/tests/common/mod.rs
+++ b/controlplane/tests/common/mod.rs
@@ -39,14 +39,24 @@
 
     /// Starts a process here, with more lines for its configuration.
     pub fn start(&self, state: &Path, role: &str, more: &str) -> Running {
-        let config = Config::parse(&config_text(self.address, state, role, more)).expect("a configuration");
+        let config =
+            Config::parse(&config_text(self.address, state, role, more)).expect("a configuration");
         let (wake, waker) = UnixStream::pair().expect("a pair of sockets");
         let requested: Arc<AtomicBool> = Arc::default();
-        let stop = Stop { wake, requested: requested.clone() };
+        let stop = Stop {
+            wake,
+            requested: requested.clone(),
+        };
         let listener = self.listener.try_clone().expect("a listener");
-        let thread =
-            std::thread::spawn(move || process::run_on(listener, config, stop).map_err(|e| e.to_string()));
-        Running { address: self.address, thread: Some(thread), waker, requested }
+        let thread = std::thread::spawn(move || {
+            process::run_on(listener, config, stop).map_err(|e| e.to_string())
+        });
+        Running {
+            address: self.address,
+            thread: Some(thread),
+            waker,
+            requested,
+        }
     }
 
     pub fn start_writer(&self, state: &Path) -> Running {
@@ -54,7 +64,11 @@
     }
 
     pub fn start_follower(&self, state: &Path, writer: SocketAddr) -> Running {
-        self.start(state, &format!("role = \"follower\"\nwriter = \"{writer}\""), "")
+        self.start(
+            state,
+            &format!("role = \"follower\"\nwriter = \"{writer}\""),
+            "",
+        )
     }
 }
 
@@ -83,13 +97,19 @@
 
     /// Waits until it ends by itself.
     pub fn ended(mut self) -> Result<(), String> {
-        self.thread.take().expect("it runs").join().expect("no panic")
+        self.thread
+            .take()
+            .expect("it runs")
+            .join()
+            .expect("no panic")
     }
 
     fn end(&mut self) -> Result<(), String> {
         self.requested.store(true, Ordering::SeqCst);
         let _ = self.waker.write_all(b"x");
-        self.thread.take().map_or(Ok(()), |thread| thread.join().expect("no panic"))
+        self.thread
+            .take()
+            .map_or(Ok(()), |thread| thread.join().expect("no panic"))
     }
 
     pub fn figures(&self) -> Value {
@@ -110,7 +130,9 @@
     }
 
     pub fn wait_for_version(&self, version: u64) -> Value {
-        self.wait_for("the version", |figures| figures["version"].as_u64() >= Some(version))
+        self.wait_for("the version", |figures| {
+            figures["version"].as_u64() >= Some(version)
+        })
     }
 
     pub fn write(&self, body: &str) -> u64 {
@@ -123,7 +145,9 @@
     pub fn declare(&self) {
         let (status, answer) = request(self.address, "POST", "/v2/members", MEMBERS);
         assert_eq!(status, 200, "{answer}");
-        self.wait_for("the assignment", |figures| figures["epoch"].as_u64() >= Some(1));
+        self.wait_for("the assignment", |figures| {
+            figures["epoch"].as_u64() >= Some(1)
+        });
     }
 }
 
@@ -156,8 +180,12 @@
 pub fn request(address: SocketAddr, method: &str, target: &str, body: &str) -> (u16, Value) {
     let mut stream = connect(address);
     let length = body.len();
-    let head = format!("{method} {target} HTTP/1.1\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
-    stream.write_all(&[head.as_bytes(), body.as_bytes()].concat()).expect("a request");
+    let head = format!(
+        "{method} {target} HTTP/1.1\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
+    );
+    stream
+        .write_all(&[head.as_bytes(), body.as_bytes()].concat())
+        .expect("a request");
     read_answer(&mut stream)
 }
 
@@ -165,7 +193,11 @@
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
+    let status = head
+        .split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok())
+        .expect("a status");
     (status, serde_json::from_str(body).expect("a body of JSON"))
 }
 
@@ -178,7 +210,10 @@
     pub fn open(address: SocketAddr, query: &str) -> Watch {
         let mut reader = BufReader::new(connect(address));
         let request = format!("GET /api/targets?follow=1&{query} HTTP/1.1\r\nHost: x\r\n\r\n");
-        reader.get_mut().write_all(request.as_bytes()).expect("a request");
+        reader
+            .get_mut()
+            .write_all(request.as_bytes())
+            .expect("a request");
         let mut watch = Watch { reader };
         assert_eq!(watch.text_line().split(' ').nth(1), Some("200"));
         while !watch.text_line().is_empty() {}
@@ -216,7 +251,9 @@
             let line = self.next().expect("a line");
             let last = wanted(&line);
             assert!(
-                lines.last().is_none_or(|before| before.version <= line.version),
+                lines
+                    .last()
+                    .is_none_or(|before| before.version <= line.version),
                 "the version went back"
             );
             lines.push(line);
@@ -230,7 +267,12 @@
     /// Reads until these many buckets have been filled.
     pub fn until_filled(&mut self, buckets: usize) -> Vec<ScopedLine> {
         let mut lines = Vec::new();
-        while lines.iter().map(|line: &ScopedLine| line.filled.len()).sum::<usize>() < buckets {
+        while lines
+            .iter()
+            .map(|line: &ScopedLine| line.filled.len())
+            .sum::<usize>()
+            < buckets
+        {
             lines.extend(self.until(|line| !line.filled.is_empty()));
         }
         lines
@@ -238,5 +280,8 @@
 }
 
 pub fn ids(lines: &[ScopedLine]) -> Vec<String> {
-    lines.iter().flat_map(|line| line.servers.iter().map(|entry| entry.id.clone())).collect()
+    lines
+        .iter()
+        .flat_map(|line| line.servers.iter().map(|entry| entry.id.clone()))
+        .collect()
 }
--- a/controlplane/tests/config.rs
+++ b/controlplane/tests/config.rs
@@ -18,14 +18,23 @@
     assert_eq!(config.role, Role::Writer);
     assert_eq!(config.restart_grace.as_secs(), 30);
     assert_eq!(config.fill_pace.bytes_per_second, 8192);
-    assert_eq!(config.layout.buckets_per_region(), bellsill_placement::DEFAULT_BUCKETS_PER_REGION);
+    assert_eq!(
+        config.layout.buckets_per_region(),
+        bellsill_placement::DEFAULT_BUCKETS_PER_REGION
+    );
 }
 
 #[test]
 fn a_follower_names_its_writer() {
-    let text = GOOD.replace("role = \"writer\"", "role = \"follower\"\nwriter = \"10.0.0.1:7400\"");
+    let text = GOOD.replace(
+        "role = \"writer\"",
+        "role = \"follower\"\nwriter = \"10.0.0.1:7400\"",
+    );
     let writer = "10.0.0.1:7400".parse().expect("an address");
-    assert_eq!(Config::parse(&text).expect("a configuration").role, Role::Follower { writer });
+    assert_eq!(
+        Config::parse(&text).expect("a configuration").role,
+        Role::Follower { writer }
+    );
 }
 
 #[test]
@@ -35,15 +44,27 @@
         (GOOD.replace("\"writer\"", "\"follower\""), "field writer"),
         (GOOD.replace("\"writer\"", "\"reader\""), "reader"),
         (with("writer = \"10.0.0.1:7400\""), "field writer"),
-        (with("restart_grace_seconds = 0"), "field restart_grace_seconds"),
-        (with("fill_bytes_per_second = 0"), "field fill_bytes_per_second"),
+        (
+            with("restart_grace_seconds = 0"),
+            "field restart_grace_seconds",
+        ),
+        (
+            with("fill_bytes_per_second = 0"),
+            "field fill_bytes_per_second",
+        ),
         (with("buckets_per_region = 0"), "buckets_per_region"),
-        (with("buckets_per_region = 1000000"), "field buckets_per_region"),
+        (
+            with("buckets_per_region = 1000000"),
+            "field buckets_per_region",
+        ),
         (with("colour = \"blue\""), "colour"),
         (GOOD.replace("control-1", "two words"), "field name"),
         (GOOD.replace("\"north-1\"", "\"\""), "field zones"),
         (GOOD.replace("127.0.0.1:7400", "here"), "listen"),
-        (format!("{GOOD}[[zones]]\nname = \"north-1\"\nregion = \"south\"\n"), "north-1"),
+        (
+            format!("{GOOD}[[zones]]\nname = \"north-1\"\nregion = \"south\"\n"),
+            "north-1",
+        ),
     ] {
         let error = Config::parse(&text).expect_err(named).to_string();
         assert!(error.contains(named), "{named}: {error}");
--- a/controlplane/tests/disk.rs
+++ b/controlplane/tests/disk.rs
@@ -25,9 +25,13 @@
 
 /// The files of this kind, the latest last.
 fn files(state: &Path, kind: &str) -> Vec<PathBuf> {
-    let files = fs::read_dir(state).expect("a directory").map(|file| file.expect("a file").path());
-    let is_kind =
-        |path: &PathBuf| path.file_name().is_some_and(|name| name.to_string_lossy().starts_with(kind));
+    let files = fs::read_dir(state)
+        .expect("a directory")
+        .map(|file| file.expect("a file").path());
+    let is_kind = |path: &PathBuf| {
+        path.file_name()
+            .is_some_and(|name| name.to_string_lossy().starts_with(kind))
+    };
     let mut of_kind: Vec<PathBuf> = files.filter(is_kind).collect();
     of_kind.sort();
     of_kind
@@ -56,7 +60,9 @@
     let place = Place::new();
     for cut in [1, 13, 100] {
         let (state, version) = state_with_log(&place);
-        change(&log_file(state.path()), |bytes| bytes.truncate(bytes.len() - cut));
+        change(&log_file(state.path()), |bytes| {
+            bytes.truncate(bytes.len() - cut)
+        });
         let writer = place.start_writer(state.path());
         let figures = writer.figures();
         assert_eq!(figures["version"], version - 1);
@@ -95,7 +101,8 @@
 /// Adds a record to a log, as a process would that is mistaken.
 fn add_record(state: &Path, payload: &[u8]) {
     let (mut log, _) = ConfigLog::open(state).expect("a log");
-    log.append(log.last_index() + 1, payload).expect("an appended record");
+    log.append(log.last_index() + 1, payload)
+        .expect("an appended record");
     log.sync().expect("a synced record");
 }
 
@@ -108,14 +115,20 @@
         let endpoint: EndpointEntry = serde_json::from_str(&entry(8, Draining)).expect("an entry");
         let endpoint = Endpoint::try_from(endpoint).expect("an endpoint");
         let record = Record::EndpointsChanged(vec![endpoint]);
-        let logged = LoggedRecord { version: Version(version + skipped), record };
+        let logged = LoggedRecord {
+            version: Version(version + skipped),
+            record,
+        };
         add_record(state.path(), &record::encode(&logged));
         let error = refusal(&place, state.path());
         assert!(error.contains("does not follow"), "{error}");
     }
     add_record(state.path(), b"{\"version\":1}");
     let error = refusal(&place, state.path());
-    assert!(error.contains("is refused: a record that cannot be decoded"), "version {version}: {error}");
+    assert!(
+        error.contains("is refused: a record that cannot be decoded"),
+        "version {version}: {error}"
+    );
 }
 
 #[test]
@@ -129,7 +142,11 @@
         let log = fs::read(log_file(state.path())).expect("a log");
         let error = refusal(&place, state.path());
         assert!(error.contains("snapshot"), "{length}: {error}");
-        assert_eq!(fs::read(log_file(state.path())).expect("a log"), log, "nothing is changed");
+        assert_eq!(
+            fs::read(log_file(state.path())).expect("a log"),
+            log,
+            "nothing is changed"
+        );
     }
     // Without any log it must not pass for an empty directory.
     for log in files(state.path(), "log.") {
@@ -147,7 +164,10 @@
     let writer = place.start_writer(state.path());
     let figures = writer.figures();
     assert_eq!(
-        (figures["version"].as_u64(), figures["rejected_snapshots"].as_u64()),
+        (
+            figures["version"].as_u64(),
+            figures["rejected_snapshots"].as_u64()
+        ),
         (Some(version), Some(1))
     );
 }
@@ -163,8 +183,12 @@
     let config = bellsill_controlplane::Config::parse(&text).expect("a configuration");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
     let (wake, _waker) = std::os::unix::net::UnixStream::pair().expect("a pair of sockets");
-    let stop = bellsill_controlplane::Stop { wake, requested: Default::default() };
-    let error = bellsill_controlplane::process::run_on(listener, config, stop).expect_err("a refusal");
+    let stop = bellsill_controlplane::Stop {
+        wake,
+        requested: Default::default(),
+    };
+    let error =
+        bellsill_controlplane::process::run_on(listener, config, stop).expect_err("a refusal");
     assert!(error.to_string().contains("buckets_per_region"), "{error}");
     let first = place.start_writer(state.path());
     first.wait_for_version(1);
--- a/controlplane/tests/failover.rs
+++ b/controlplane/tests/failover.rs
@@ -11,7 +11,12 @@
 
 /// The list of `north-a`, in the layout of the control processes of these tests.
 fn new_list() -> ScopedList {
-    let zones = [("north-1", "north"), ("north-2", "north"), ("south-1", "south"), ("south-2", "south")];
+    let zones = [
+        ("north-1", "north"),
+        ("north-2", "north"),
+        ("south-1", "south"),
+        ("south-2", "south"),
+    ];
     let zones = zones.map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region)));
     ScopedList::new(Arc::new(Layout::new(zones, 8).expect("a layout")), 16)
 }
@@ -22,7 +27,11 @@
     let mut gained = 0;
     while list.version().0 < version || list.complete_buckets().count() < 8 {
         let line = watch.next().expect("a line");
-        gained += list.apply(line).expect("a line that can be applied").gained.len();
+        gained += list
+            .apply(line)
+            .expect("a line that can be applied")
+            .gained
+            .len();
     }
     gained
 }
@@ -35,7 +44,9 @@
     writer.declare();
     let version = writer.write(&entries(0..100, Up));
     let followers = [1, 2].map(|n| places[n].start_follower(states[n].path(), places[0].address));
-    followers.iter().for_each(|follower| drop(follower.wait_for_version(version)));
+    followers
+        .iter()
+        .for_each(|follower| drop(follower.wait_for_version(version)));
 
     let mut list = new_list();
     assert_eq!(watch_until(&mut list, places[1].address, version), 8);
@@ -44,7 +55,12 @@
     first.stop().expect("an end");
     let version = writer.write(&entries(0..10, Draining));
     assert_eq!(watch_until(&mut list, places[2].address, version), 0);
-    assert_eq!(list.entries().filter(|entry| entry.state == Draining).count(), 10);
+    assert_eq!(
+        list.entries()
+            .filter(|entry| entry.state == Draining)
+            .count(),
+        10
+    );
     assert_eq!(second.figures()["watches_told_anew"], 0);
 
     // All die; one comes back alone, with what it had.
@@ -55,7 +71,10 @@
     let writer = places[0].start_writer(states[0].path());
     first.wait_for_version(version);
     let line = behind.next().expect("a line");
-    assert!(line.gained.is_empty() && line.version.0 == version, "nothing older is told: {line:?}");
+    assert!(
+        line.gained.is_empty() && line.version.0 == version,
+        "nothing older is told: {line:?}"
+    );
     let version = writer.write(&entry(50, Draining));
     assert_eq!(watch_until(&mut list, places[1].address, version), 0);
     assert_eq!(list.counters().duplicate_entries, 0);
--- a/controlplane/tests/presence.rs
+++ b/controlplane/tests/presence.rs
@@ -7,7 +7,12 @@
 const GRACE: u64 = 30;
 
 fn member(name: &str, present: bool) -> Member {
-    Member { name: name.into(), zone: "north-1".into(), weight: 1.0, present }
+    Member {
+        name: name.into(),
+        zone: "north-1".into(),
+        weight: 1.0,
+        present,
+    }
 }
 
 fn changed(
@@ -16,7 +21,8 @@
     seconds: std::ops::RangeInclusive<u64>,
 ) -> Vec<(u64, Member)> {
     let each = seconds.map(|second| (second, presence.changed(members, second * SECOND)));
-    each.flat_map(|(second, members)| members.into_iter().map(move |member| (second, member))).collect()
+    each.flat_map(|(second, members)| members.into_iter().map(move |member| (second, member)))
+        .collect()
 }
 
 #[test]
@@ -25,12 +31,21 @@
     let members = [member("heard", true), member("never", true)];
     presence.heard_of(&"heard".into(), 5 * SECOND);
     assert_eq!(changed(&mut presence, &members, 1..=30), []);
-    assert_eq!(changed(&mut presence, &members, 31..=31), [(31, member("never", false))]);
-    assert_eq!(changed(&mut presence, &members[..1], 32..=36), [(36, member("heard", false))]);
+    assert_eq!(
+        changed(&mut presence, &members, 31..=31),
+        [(31, member("never", false))]
+    );
+    assert_eq!(
+        changed(&mut presence, &members[..1], 32..=36),
+        [(36, member("heard", false))]
+    );
     let out = [member("heard", false), member("never", false)];
     assert_eq!(changed(&mut presence, &out, 37..=40), []);
     presence.heard_of(&"never".into(), 41 * SECOND);
-    assert_eq!(changed(&mut presence, &out, 41..=41), [(41, member("never", true))]);
+    assert_eq!(
+        changed(&mut presence, &out, 41..=41),
+        [(41, member("never", true))]
+    );
 }
 
 #[test]
@@ -40,5 +55,8 @@
     presence.heard_of(&"heard".into(), 10 * SECOND);
     assert_eq!(changed(&mut presence, &members, 1..=10), []);
     assert_eq!(changed(&mut presence, &members, 500..=519), []);
-    assert_eq!(changed(&mut presence, &members, 520..=521), [(521, member("never", false))]);
+    assert_eq!(
+        changed(&mut presence, &members, 520..=521),
+        [(521, member("never", false))]
+    );
 }
--- a/controlplane/tests/random.rs
+++ b/controlplane/tests/random.rs
@@ -22,9 +22,17 @@
 const DISPATCHER: &str = "north-a";
 
 fn layout() -> Layout {
-    let zones = [("north-1", "north"), ("north-2", "north"), ("south-1", "south"), ("south-2", "south")];
-    Layout::new(zones.map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region))), 8)
-        .expect("a layout")
+    let zones = [
+        ("north-1", "north"),
+        ("north-2", "north"),
+        ("south-1", "south"),
+        ("south-2", "south"),
+    ];
+    Layout::new(
+        zones.map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region))),
+        8,
+    )
+    .expect("a layout")
 }
 
 /// Every third destination has endpoints in both regions, the others in one.
@@ -58,7 +66,10 @@
 impl Server {
     fn new(keeping: Keeping) -> Server {
         let directory = Directory::new(layout(), LogId("random".into()), keeping);
-        Server { directory, watchers: Watchers::new(FILL_PACE) }
+        Server {
+            directory,
+            watchers: Watchers::new(FILL_PACE),
+        }
     }
 
     fn apply(&mut self, logged: &LoggedRecord) {
@@ -120,7 +131,11 @@
     }
 
     fn server(&mut self, is_writer: bool) -> &mut Server {
-        if is_writer { &mut self.writer } else { &mut self.follower }
+        if is_writer {
+            &mut self.writer
+        } else {
+            &mut self.follower
+        }
     }
 
     fn break_watch(&mut self) {
@@ -133,24 +148,33 @@
         self.break_watch();
         let query = format!("follow=1&{}", self.list.query(DISPATCHER));
         self.list.asked_anew();
-        let Ok(TargetsRequest::Watch(request)) = TargetsRequest::parse(&query) else { panic!("{query}") };
+        let Ok(TargetsRequest::Watch(request)) = TargetsRequest::parse(&query) else {
+            panic!("{query}")
+        };
         let now = self.now;
         let server = self.server(is_writer);
-        let opened = server.watchers.open(request, &server.directory, now).expect("a watch");
+        let opened = server
+            .watchers
+            .open(request, &server.directory, now)
+            .expect("a watch");
         self.watch = Some((is_writer, opened.id));
     }
 
     /// Reads some lines; false once there is nothing but an empty one.
     fn read(&mut self, most: usize) -> bool {
-        let Some((is_writer, id)) = self.watch else { return false };
+        let Some((is_writer, id)) = self.watch else {
+            return false;
+        };
         for _ in 0..most {
             let now = self.now;
             let server = self.server(is_writer);
             match server.watchers.next_line(id, &server.directory, now) {
                 Some(line) if line.kind == LineKind::Empty => return false,
-                Some(line) => {
-                    drop(self.list.apply_document(&line.bytes).expect("a line that can be applied"))
-                }
+                Some(line) => drop(
+                    self.list
+                        .apply_document(&line.bytes)
+                        .expect("a line that can be applied"),
+                ),
                 None => self.now += TICK,
             }
         }
@@ -159,15 +183,24 @@
 
     fn look_up(&mut self) {
         let destination = self.random.random_range(0..ENDPOINTS / 4);
-        let Some((is_writer, _)) = self.watch else { return };
+        let Some((is_writer, _)) = self.watch else {
+            return;
+        };
         if self.list.knowledge(destination) != Knowledge::Unknown || self.list.log().is_empty() {
             return;
         }
-        self.list.want(destination, &|_| false).expect("room in the cache");
+        self.list
+            .want(destination, &|_| false)
+            .expect("room in the cache");
         let forget = self.list.to_forget();
         let target = ScopedList::lookup_target(DISPATCHER, &[destination], &forget);
-        let query = target.split_once('?').map_or("", |(_, query)| query).to_string();
-        let Ok(TargetsRequest::LookUp(request)) = TargetsRequest::parse(&query) else { panic!("{query}") };
+        let query = target
+            .split_once('?')
+            .map_or("", |(_, query)| query)
+            .to_string();
+        let Ok(TargetsRequest::LookUp(request)) = TargetsRequest::parse(&query) else {
+            panic!("{query}")
+        };
         let server = self.server(is_writer);
         if server.watchers.change_cells(&request).is_err() {
             self.list.cancel(destination);
@@ -180,21 +213,31 @@
             ..ScopedLine::default()
         };
         self.list.forgot(&forget);
-        self.list.apply_lookup(&[destination], line).expect("an answer that can be applied");
+        self.list
+            .apply_lookup(&[destination], line)
+            .expect("an answer that can be applied");
     }
 
     fn step(&mut self, look_up: bool) {
         match self.random.random_range(0..14) {
             0..=5 => {
                 let number = self.random.random_range(0..ENDPOINTS);
-                let states = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed];
+                let states = [
+                    EndpointState::Up,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ];
                 let state = states[self.random.random_range(0..states.len())];
                 self.write(Record::EndpointsChanged(vec![endpoint(number, state)]));
             }
             6 => {
                 let present = self.random.random_range(0..2) == 0;
                 let name = ["north-b", "north-c", "north-d"][self.random.random_range(0..3)];
-                let zone = if name == "north-b" { "north-2" } else { "north-1" };
+                let zone = if name == "north-b" {
+                    "north-2"
+                } else {
+                    "north-1"
+                };
                 self.write(Record::MembersChanged(vec![member(name, zone, present)]));
                 self.assign();
             }
@@ -229,18 +272,30 @@
         let entries = directory.entries();
         let wanted = entries.after(None).filter(|index| {
             let destination = entries.destination(*index).expect("an endpoint");
-            let kept = entries.bucket(*index).is_some_and(|bucket| held.contains(&bucket))
+            let kept = entries
+                .bucket(*index)
+                .is_some_and(|bucket| held.contains(&bucket))
                 || self.list.knowledge(destination) == Knowledge::Cached;
             kept && entries.state(*index) != Some(EndpointState::Removed)
         });
-        let wanted = wanted.filter_map(|index| entries.entry(index)).map(|entry| (entry.id, entry.version));
-        let known = self.list.entries().map(|entry| (entry.id.clone(), entry.version));
+        let wanted = wanted
+            .filter_map(|index| entries.entry(index))
+            .map(|entry| (entry.id, entry.version));
+        let known = self
+            .list
+            .entries()
+            .map(|entry| (entry.id.clone(), entry.version));
         (wanted.collect(), known.collect())
     }
 }
 
 fn member(name: &str, zone: &str, present: bool) -> Member {
-    Member { name: name.into(), zone: zone.into(), weight: 1.0, present }
+    Member {
+        name: name.into(),
+        zone: zone.into(),
+        weight: 1.0,
+        present,
+    }
 }
 
 fn run(seed: u64, keeping: Keeping, look_up: bool) {
@@ -266,5 +321,14 @@
 
 #[test]
 fn a_list_ends_as_the_directory_is_when_removals_are_forgotten() {
-    (0..CASES).for_each(|seed| run(seed, Keeping { changes: 10, removed: 2 }, false));
+    (0..CASES).for_each(|seed| {
+        run(
+            seed,
+            Keeping {
+                changes: 10,
+                removed: 2,
+            },
+            false,
+        )
+    });
 }
--- a/controlplane/tests/serving.rs
+++ b/controlplane/tests/serving.rs
@@ -19,7 +19,10 @@
     assert_eq!(ids(&lines).len(), 40);
     let version = writer.write(&entry(7, Draining));
     let line = watch.next().expect("a line");
-    assert_eq!((line.version.0, ids(&[line])), (version, vec!["endpoint-7".to_string()]));
+    assert_eq!(
+        (line.version.0, ids(&[line])),
+        (version, vec!["endpoint-7".to_string()])
+    );
     let version = writer.write(&entry(7, Removed));
     let line = watch.next().expect("a line");
     assert_eq!((line.version.0, line.servers[0].state), (version, Removed));
@@ -31,14 +34,21 @@
     let writer = place.start_writer(state.path());
     writer.declare();
     writer.write(&entries(0..40, Up));
-    let look_up = |target: &str| request(place.address, "GET", &format!("/api/targets?{target}"), "");
+    let look_up =
+        |target: &str| request(place.address, "GET", &format!("/api/targets?{target}"), "");
     assert_eq!(look_up("dispatcher=south-a&cells=17").0, 409);
     let mut watch = Watch::open(place.address, "since=0&dispatcher=south-a");
     watch.until_filled(8);
     let (status, answer) = look_up("dispatcher=south-a&cells=17");
-    assert_eq!((status, answer["servers"][0]["id"].as_str()), (200, Some("endpoint-17")));
+    assert_eq!(
+        (status, answer["servers"][0]["id"].as_str()),
+        (200, Some("endpoint-17"))
+    );
     let (status, answer) = look_up("dispatcher=south-a&cells=4711");
-    assert_eq!((status, answer["servers"].as_array().map(Vec::len)), (200, Some(0)));
+    assert_eq!(
+        (status, answer["servers"].as_array().map(Vec::len)),
+        (200, Some(0))
+    );
     writer.write(&entry(17, Draining));
     assert_eq!(ids(&[watch.next().expect("a line")]), ["endpoint-17"]);
     assert_eq!(look_up("dispatcher=south-a&forget=17").0, 200);
@@ -47,7 +57,10 @@
     writer.write(&entry(18, Draining));
     assert_eq!(ids(&[watch.next().expect("a line")]), ["endpoint-18"]);
     let many: Vec<String> = (0..5000).map(|cell: u32| cell.to_string()).collect();
-    assert_eq!(look_up(&format!("dispatcher=south-a&cells={}", many.join(","))).0, 429);
+    assert_eq!(
+        look_up(&format!("dispatcher=south-a&cells={}", many.join(","))).0,
+        429
+    );
 }
 
 #[test]
@@ -56,17 +69,38 @@
     let writer = place.start_writer(state.path());
     writer.declare();
     let before = writer.figures();
-    let status = |method: &str, target: &str, body: &str| request(place.address, method, target, body).0;
-    assert_eq!(status("GET", "/api/targets?follow=1&dispatcher=nobody", ""), 404);
-    assert_eq!(status("GET", "/api/targets?dispatcher=nobody&cells=1", ""), 404);
+    let status =
+        |method: &str, target: &str, body: &str| request(place.address, method, target, body).0;
+    assert_eq!(
+        status("GET", "/api/targets?follow=1&dispatcher=nobody", ""),
+        404
+    );
+    assert_eq!(
+        status("GET", "/api/targets?dispatcher=nobody&cells=1", ""),
+        404
+    );
     assert_eq!(status("GET", "/elsewhere", ""), 404);
     assert_eq!(status("PUT", "/api/targets", ""), 405);
-    assert_eq!(status("GET", "/api/targets?follow=1&since=x&dispatcher=north-a", ""), 400);
+    assert_eq!(
+        status(
+            "GET",
+            "/api/targets?follow=1&since=x&dispatcher=north-a",
+            ""
+        ),
+        400
+    );
     let bad = [
         (format!("{}no JSON\n", entry(1, Up)), "line 2"),
         (entry(1, Up).replace("north-1", "west-1"), "west-1"),
         (entry(1, Up).replace("10.0.0.1:1001", "nowhere"), "addr"),
-        (format!("{}{}", entry(1, Up), entry(1, Up).replace("\"cell\":1", "\"cell\":2")), "line 2"),
+        (
+            format!(
+                "{}{}",
+                entry(1, Up),
+                entry(1, Up).replace("\"cell\":1", "\"cell\":2")
+            ),
+            "line 2",
+        ),
         (entry(1, Up).replace("\"up\"", "\"away\""), "away"),
     ];
     for (body, named) in &bad {
@@ -74,11 +108,35 @@
         let error = answer["error"].as_str().unwrap_or_default();
         assert!(status == 400 && error.contains(named), "{status} {answer}");
     }
-    assert_eq!(status("POST", "/v2/members", "{\"name\":\"a b\",\"zone\":\"north-1\"}"), 400);
-    assert_eq!(status("POST", "/v2/members", "{\"name\":\"a\",\"zone\":\"north-1\",\"weight\":-1}"), 400);
-    assert_eq!(status("POST", "/v2/members", "{\"name\":\"a\",\"zone\":\"north-1\",\"extra\":1}"), 400);
+    assert_eq!(
+        status(
+            "POST",
+            "/v2/members",
+            "{\"name\":\"a b\",\"zone\":\"north-1\"}"
+        ),
+        400
+    );
+    assert_eq!(
+        status(
+            "POST",
+            "/v2/members",
+            "{\"name\":\"a\",\"zone\":\"north-1\",\"weight\":-1}"
+        ),
+        400
+    );
+    assert_eq!(
+        status(
+            "POST",
+            "/v2/members",
+            "{\"name\":\"a\",\"zone\":\"north-1\",\"extra\":1}"
+        ),
+        400
+    );
     let after = writer.figures();
-    assert_eq!(after["version"], before["version"], "nothing of a bad request is taken");
+    assert_eq!(
+        after["version"], before["version"],
+        "nothing of a bad request is taken"
+    );
     assert_eq!(after["refused"]["malformed"], 1 + bad.len() + 3);
     assert_eq!(after["refused"]["not_found"], 4);
 }
@@ -92,9 +150,18 @@
         stream.write_all(bytes).expect("a request");
         read_answer(&mut stream).0
     };
-    assert_eq!(raw(b"POST /api/targets HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"), 413);
-    assert_eq!(raw(b"POST /api/targets HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), 411);
-    assert_eq!(raw(b"POST /api/targets HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"), 400);
+    assert_eq!(
+        raw(b"POST /api/targets HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
+        413
+    );
+    assert_eq!(
+        raw(b"POST /api/targets HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        411
+    );
+    assert_eq!(
+        raw(b"POST /api/targets HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
+        400
+    );
     assert_eq!(raw(b"no request\r\n\r\n"), 400);
     let long = vec![b'a'; 160 * 1024 - 5];
     assert_eq!(raw(&[b"GET /", &long[..]].concat()), 431);
@@ -108,7 +175,8 @@
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
     let _writer = place.start_writer(state.path());
     let mut stream = connect(place.address);
-    let both = b"GET /nowhere HTTP/1.1\r\n\r\nGET /v2/figures HTTP/1.1\r\nConnection: close\r\n\r\n";
+    let both =
+        b"GET /nowhere HTTP/1.1\r\n\r\nGET /v2/figures HTTP/1.1\r\nConnection: close\r\n\r\n";
     stream.write_all(both).expect("requests");
     let mut answers = String::new();
     stream.read_to_string(&mut answers).expect("answers");
@@ -119,14 +187,19 @@
 #[test]
 fn a_watcher_that_reads_nothing_is_parted_with() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let writer = place.start(state.path(), "role = \"writer\"", "fill_bytes_per_second = 1000000000");
+    let writer = place.start(
+        state.path(),
+        "role = \"writer\"",
+        "fill_bytes_per_second = 1000000000",
+    );
     writer.declare();
     for start in (0..60_000).step_by(20_000) {
         writer.write(&entries(start..start + 20_000, Up));
     }
     let watch = Watch::open(place.address, "since=0&dispatcher=north-a");
-    writer
-        .wait_for("the end of the watch", |figures| figures["closed_slow"] == 1 && figures["watchers"] == 0);
+    writer.wait_for("the end of the watch", |figures| {
+        figures["closed_slow"] == 1 && figures["watchers"] == 0
+    });
     drop(watch);
 }
 
--- a/daemon/src/clients.rs
+++ b/daemon/src/clients.rs
@@ -36,9 +36,10 @@
     fn make_way(&mut self) -> bool {
         while self.conns.clients_full() {
             let now = self.now;
-            let least = self
-                .conns
-                .least_client(now.saturating_sub(SILENT_GIVES_WAY), now.saturating_sub(IDLE_GIVES_WAY));
+            let least = self.conns.least_client(
+                now.saturating_sub(SILENT_GIVES_WAY),
+                now.saturating_sub(IDLE_GIVES_WAY),
+            );
             let Some(id) = least else { return false };
             // One that lingers has nothing more to say.
             let lingers = self.conns.get(id).is_some_and(|c| c.lingers);
@@ -55,14 +56,18 @@
     /// Reads what has come from a client. True: something had.
     fn hear(&mut self, id: ConnId) -> std::io::Result<bool> {
         let now = self.now;
-        let Some(conn) = self.conns.get_mut(id) else { return Ok(false) };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return Ok(false);
+        };
         let had = conn.input.len();
         if conn.asked && conn.between() {
             // Its next command begins.
             conn.used = now;
         }
         let read = self.conns.fill(id);
-        let Some(conn) = self.conns.get_mut(id) else { return Ok(false) };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return Ok(false);
+        };
         let came = conn.input.len() != had;
         if came {
             conn.heard = now;
@@ -81,7 +86,9 @@
     /// without an answer it would be lost.
     fn end_overdue(&mut self, id: ConnId) {
         let now = self.now;
-        let Some(conn) = self.conns.get_mut(id) else { return };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return;
+        };
         if !conn.input.is_empty() && conn.output.is_empty() {
             conn.input.consume(conn.input.len());
             conn.say("-ERR the request did not come whole in time\r\n", now);
@@ -102,9 +109,17 @@
     pub fn part_with(&mut self, id: ConnId) {
         self.deadlines.clear(Due::Read(id));
         let told = |c: &crate::conns::Conn| c.asked || c.errors > 0;
-        let polite =
-            self.conns.get(id).is_some_and(|c| told(c) && !c.lingers && !c.ended && c.output.is_empty());
-        if polite && self.conns.linger(id).and_then(|()| self.conns.arm(id)).is_ok() {
+        let polite = self
+            .conns
+            .get(id)
+            .is_some_and(|c| told(c) && !c.lingers && !c.ended && c.output.is_empty());
+        if polite
+            && self
+                .conns
+                .linger(id)
+                .and_then(|()| self.conns.arm(id))
+                .is_ok()
+        {
             // What is here already is met now.
             self.deadlines.set(Due::Conn(id), self.now + LINGER);
             self.deadlines.set(Due::Read(id), self.now);
@@ -125,7 +140,10 @@
             if !runtime.make_way() {
                 // Said once, until there is place again.
                 if !std::mem::replace(&mut self.turned_away, true) {
-                    log::warn!("no place for more clients, {} connections are open", runtime.conns.len());
+                    log::warn!(
+                        "no place for more clients, {} connections are open",
+                        runtime.conns.len()
+                    );
                 }
                 runtime.deadlines.set(Due::Accept, runtime.now + BACK_OFF);
                 return false;
@@ -134,7 +152,11 @@
                 Ok(Some(id)) => {
                     self.turned_away = false;
                     let now = runtime.now;
-                    runtime.conns.get_mut(id).into_iter().for_each(|c| (c.used, c.heard) = (now, now));
+                    runtime
+                        .conns
+                        .get_mut(id)
+                        .into_iter()
+                        .for_each(|c| (c.used, c.heard) = (now, now));
                     runtime.deadlines.set(Due::Conn(id), now + REQUEST_WITHIN);
                 }
                 Ok(None) => {
@@ -159,7 +181,9 @@
     pub fn client_ready(&mut self, id: ConnId) {
         let runtime = &mut self.runtime;
         let broken = runtime.hear(id).is_err();
-        let Some(conn) = runtime.conns.get_mut(id) else { return };
+        let Some(conn) = runtime.conns.get_mut(id) else {
+            return;
+        };
         if conn.lingers {
             conn.input.consume(conn.input.len());
             if broken || conn.ended || runtime.conns.arm(id).is_err() {
@@ -197,7 +221,9 @@
         let serves = self.serves();
         let mut left = TURN_MOST;
         loop {
-            let Some(conn) = self.runtime.conns.get_mut(id) else { return true };
+            let Some(conn) = self.runtime.conns.get_mut(id) else {
+                return true;
+            };
             if left == 0 {
                 // What else it sent waits until all others have had their turn.
                 self.runtime.deadlines.set(Due::Read(id), now + 1);
@@ -215,20 +241,26 @@
                 Ok(None) if !full => break,
                 bad => {
                     let why = bad.err().map_or("a command is too long", |bad| bad.0);
-                    conn.output.push(format!("-ERR Protocol error: {why}\r\n").as_bytes());
+                    conn.output
+                        .push(format!("-ERR Protocol error: {why}\r\n").as_bytes());
                     conn.last = true;
                     break;
                 }
             };
             let words: Vec<&[u8]> = words.into_iter().map(|range| &bytes[range]).collect();
-            let name = words.first().map(|name| name.to_ascii_uppercase()).unwrap_or_default();
+            let name = words
+                .first()
+                .map(|name| name.to_ascii_uppercase())
+                .unwrap_or_default();
             let mut last = false;
             let mut new = None;
             let answer = match (name.as_slice(), words.len()) {
                 (b"", _) => String::new(),
                 (b"PING", _) if !serves => "-ERR draining\r\n".into(),
                 (b"PING", 1) => "+PONG\r\n".into(),
-                (b"PING", 2) if words[1].len() > PING_MOST => "-ERR the text is too long\r\n".into(),
+                (b"PING", 2) if words[1].len() > PING_MOST => {
+                    "-ERR the text is too long\r\n".into()
+                }
                 (b"PING", 2) => {
                     let text = String::from_utf8_lossy(words[1]);
                     format!("${}\r\n{text}\r\n", text.len())
@@ -252,7 +284,12 @@
             if let Some((put, body)) = new {
                 self.hand_in(id, put, body);
             }
-            if let Some(conn) = self.runtime.conns.get_mut(id).filter(|c| c.errors >= ERRORS_MOST) {
+            if let Some(conn) = self
+                .runtime
+                .conns
+                .get_mut(id)
+                .filter(|c| c.errors >= ERRORS_MOST)
+            {
                 conn.last = true;
             }
         }
@@ -260,14 +297,26 @@
         if runtime.conns.flush(id).is_err() {
             return false;
         }
-        let Some(conn) = runtime.conns.get(id) else { return true };
+        let Some(conn) = runtime.conns.get(id) else {
+            return true;
+        };
         if !conn.output.is_empty() || left == 0 || !(conn.last || conn.ended) {
-            let stay = if conn.asked && conn.between() { IDLE_MOST } else { REQUEST_WITHIN };
+            let stay = if conn.asked && conn.between() {
+                IDLE_MOST
+            } else {
+                REQUEST_WITHIN
+            };
             runtime.deadlines.set(Due::Conn(id), conn.used + stay);
             return true;
         }
         // Closed with input unread, a connection is reset, and the answer to what was wrong with it may be lost.
-        if !conn.ended && runtime.conns.linger(id).and_then(|()| runtime.conns.arm(id)).is_ok() {
+        if !conn.ended
+            && runtime
+                .conns
+                .linger(id)
+                .and_then(|()| runtime.conns.arm(id))
+                .is_ok()
+        {
             runtime.deadlines.set(Due::Conn(id), runtime.now + LINGER);
             return true;
         }
@@ -294,7 +343,10 @@
             class: put.class,
             key: put.key,
             destination: put.destination,
-            due: self.runtime.now.saturating_add(put.lifetime_ms.saturating_mul(1_000_000)),
+            due: self
+                .runtime
+                .now
+                .saturating_add(put.lifetime_ms.saturating_mul(1_000_000)),
             tag: put.tag,
             body,
             attempts: vec![],
@@ -306,8 +358,13 @@
         match taken {
             Ok(()) => {}
             Err(Refusal::UnknownClass) => say(&mut self.runtime, "-ERR c: unknown class\r\n"),
-            Err(Refusal::UnknownDestination) => say(&mut self.runtime, "-ERR dest: unknown destination\r\n"),
-            Err(Refusal::TooLong) => say(&mut self.runtime, "-ERR d: longer than the class allows\r\n"),
+            Err(Refusal::UnknownDestination) => {
+                say(&mut self.runtime, "-ERR dest: unknown destination\r\n")
+            }
+            Err(Refusal::TooLong) => say(
+                &mut self.runtime,
+                "-ERR d: longer than the class allows\r\n",
+            ),
             Err(Refusal::Untagged) => say(&mut self.runtime, "-ERR k: expected in this class\r\n"),
             Err(Refusal::NoRoom) => {
                 if let Some(class) = class {
--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -13,14 +13,18 @@
 /// The time now: the machine's monotonic clock, which all processes of one boot share.
 pub fn now() -> Nanos {
     // The call fails for clocks that do not exist alone; this one does on every Linux.
-    let time = clock_gettime(ClockId::CLOCK_MONOTONIC)
-        .map_or(0, |time| time.tv_sec() as Nanos * 1_000_000_000 + time.tv_nsec() as Nanos);
+    let time = clock_gettime(ClockId::CLOCK_MONOTONIC).map_or(0, |time| {
+        time.tv_sec() as Nanos * 1_000_000_000 + time.tv_nsec() as Nanos
+    });
     AT_BOOT + time
 }
 
 /// The wall clock, in nanoseconds of Unix time.
 pub fn wall_now() -> Nanos {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos() as Nanos
 }
 
 /// Both clocks at one moment, and the boot in which they were read.
@@ -35,7 +39,11 @@
 impl ClockReading {
     pub fn take() -> ClockReading {
         let boot = std::fs::read_to_string(BOOT_ID_FILE).unwrap_or_default();
-        ClockReading { boot: boot.trim().to_string(), monotonic: now(), wall: wall_now() }
+        ClockReading {
+            boot: boot.trim().to_string(),
+            monotonic: now(),
+            wall: wall_now(),
+        }
     }
 
     /// How times on the clock of an earlier reading become times on the clock of this one.
@@ -46,12 +54,18 @@
         }
         // A wall clock that was set back in between tells nothing of how long it was.
         let elapsed = self.wall.saturating_sub(earlier.wall);
-        Translation::ByWallClock { from: earlier.monotonic.saturating_add(elapsed), to: self.monotonic }
+        Translation::ByWallClock {
+            from: earlier.monotonic.saturating_add(elapsed),
+            to: self.monotonic,
+        }
     }
 
     /// How times on the wall clock become times on the clock of this reading.
     pub fn translation_from_wall(&self) -> Translation {
-        Translation::ByWallClock { from: self.wall, to: self.monotonic }
+        Translation::ByWallClock {
+            from: self.wall,
+            to: self.monotonic,
+        }
     }
 }
 
--- a/daemon/src/command_line.rs
+++ b/daemon/src/command_line.rs
@@ -115,7 +115,9 @@
                 return ExitCode::from(2);
             };
             let state = line.state.or_else(|| variable("RELAY_STATE"));
-            let installation = line.installation.or_else(|| variable("BELLSILL_INSTALLATION"));
+            let installation = line
+                .installation
+                .or_else(|| variable("BELLSILL_INSTALLATION"));
             let start = match start::read_all(&file, state, installation.as_deref()) {
                 Ok(start) => start,
                 Err(e) => {
@@ -124,7 +126,12 @@
                 }
             };
             if line.command == Command::Check {
-                println!("{}: good, for {} on {}", file.display(), start.name, start.listen);
+                println!(
+                    "{}: good, for {} on {}",
+                    file.display(),
+                    start.name,
+                    start.listen
+                );
             } else if let Err(e) = Daemon::start(start, told).and_then(|mut daemon| daemon.run()) {
                 eprintln!("bellsill: {e}");
                 return ExitCode::from(1);
@@ -149,7 +156,10 @@
         }
     };
     let run = |told: Told| {
-        let stop = bellsill_controlplane::Stop { wake: told.wake, requested: told.leave };
+        let stop = bellsill_controlplane::Stop {
+            wake: told.wake,
+            requested: told.leave,
+        };
         bellsill_controlplane::run(config, stop)
     };
     match Told::by_signals().map_err(Into::into).and_then(run) {
--- a/daemon/src/conns.rs
+++ b/daemon/src/conns.rs
@@ -143,7 +143,11 @@
             mgmt: None,
             signals,
             most,
-            most_clients: most.saturating_sub(reserve).max(most / 4).min(client_bytes / CLIENT_BYTES).max(1),
+            most_clients: most
+                .saturating_sub(reserve)
+                .max(most / 4)
+                .min(client_bytes / CLIENT_BYTES)
+                .max(1),
             clients: 0,
             callers: 0,
         })
@@ -212,13 +216,17 @@
             _ if c.output.is_empty() && c.heard <= idle => Some(3),
             _ => None,
         };
-        let clients = self.iter().filter_map(|(id, c)| Some((rank(c)?, c.heard, id)));
+        let clients = self
+            .iter()
+            .filter_map(|(id, c)| Some((rank(c)?, c.heard, id)));
         clients.min().map(|(_, _, id)| id)
     }
 
     /// The next client that waits to be let in.
     pub fn accept(&mut self) -> io::Result<Option<ConnId>> {
-        let Some(listener) = &self.listener else { return Ok(None) };
+        let Some(listener) = &self.listener else {
+            return Ok(None);
+        };
         self.admit_accepted(listener.accept(), Role::Client, crate::resp::COMMAND_MOST)
     }
 
@@ -245,20 +253,28 @@
         add(&self.poller, &listener, Event::readable(MGMT))?;
         self.mgmt = Some(listener);
         self.most = self.most.saturating_sub(CALLERS_MOST).max(8);
-        self.most_clients = self.most_clients.saturating_sub(CALLERS_MOST).max(self.most / 4).max(1);
+        self.most_clients = self
+            .most_clients
+            .saturating_sub(CALLERS_MOST)
+            .max(self.most / 4)
+            .max(1);
         Ok(())
     }
 
     /// The next caller that waits on the management listener; the listener is armed again.
     pub fn accept_caller(&mut self, bound: usize) -> io::Result<Option<ConnId>> {
-        let Some(listener) = &self.mgmt else { return Ok(None) };
+        let Some(listener) = &self.mgmt else {
+            return Ok(None);
+        };
         let accepted = listener.accept();
         self.poller.modify(listener, Event::readable(MGMT))?;
         self.admit_accepted(accepted, Role::Caller, bound)
     }
 
     pub fn arm_listener(&self) -> io::Result<()> {
-        self.listener.as_ref().map_or(Ok(()), |l| self.poller.modify(l, Event::readable(LISTENER)))
+        self.listener
+            .as_ref()
+            .map_or(Ok(()), |l| self.poller.modify(l, Event::readable(LISTENER)))
     }
 
     pub fn close_listener(&mut self) {
@@ -268,15 +284,26 @@
     }
 
     /// Starts a connection; it is up once it has become writable without an error.
-    pub fn open(&mut self, to: SocketAddr, role: Role, bounds: (usize, usize)) -> io::Result<ConnId> {
-        let socket = socket2::Socket::new(socket2::Domain::for_address(to), socket2::Type::STREAM, None)?;
+    pub fn open(
+        &mut self,
+        to: SocketAddr,
+        role: Role,
+        bounds: (usize, usize),
+    ) -> io::Result<ConnId> {
+        let socket = socket2::Socket::new(
+            socket2::Domain::for_address(to),
+            socket2::Type::STREAM,
+            None,
+        )?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
             Err(e) if !goes_on(&e) => return Err(e),
             _ => {}
         }
         let id = self.admit(socket.into(), role, bounds, true)?;
-        self.get_mut(id).into_iter().for_each(|conn| conn.opened_to = Some(to));
+        self.get_mut(id)
+            .into_iter()
+            .for_each(|conn| conn.opened_to = Some(to));
         Ok(id)
     }
 
@@ -340,7 +367,9 @@
 
     /// What came of a rising connection.
     pub fn risen(&mut self, id: ConnId) -> io::Result<()> {
-        let Some(conn) = self.slots.get_mut(id) else { return Ok(()) };
+        let Some(conn) = self.slots.get_mut(id) else {
+            return Ok(());
+        };
         if let Some(e) = conn.stream.take_error()? {
             return Err(e);
         }
@@ -352,21 +381,27 @@
 
     /// Ends the sending side, so that the other side reads all that was written before the end.
     pub fn linger(&mut self, id: ConnId) -> io::Result<()> {
-        let Some(conn) = self.slots.get_mut(id) else { return Ok(()) };
+        let Some(conn) = self.slots.get_mut(id) else {
+            return Ok(());
+        };
         conn.lingers = true;
         conn.stream.shutdown(Shutdown::Write)
     }
 
     /// Reads what has come.
     pub fn fill(&mut self, id: ConnId) -> io::Result<()> {
-        let Some(conn) = self.slots.get_mut(id) else { return Ok(()) };
+        let Some(conn) = self.slots.get_mut(id) else {
+            return Ok(());
+        };
         conn.ended |= conn.input.fill(&mut conn.stream)?;
         Ok(())
     }
 
     /// Writes what can be written.
     pub fn flush(&mut self, id: ConnId) -> io::Result<()> {
-        let Some(conn) = self.slots.get_mut(id).filter(|c| !c.rising) else { return Ok(()) };
+        let Some(conn) = self.slots.get_mut(id).filter(|c| !c.rising) else {
+            return Ok(());
+        };
         conn.output.drain(&mut conn.stream)?;
         self.arm(id)
     }
@@ -374,7 +409,9 @@
     /// Has the poller watch for what the connection waits for. With a full input, or much unread output, nothing more
     /// is read from it.
     pub fn arm(&mut self, id: ConnId) -> io::Result<()> {
-        let Some(conn) = self.slots.get_mut(id) else { return Ok(()) };
+        let Some(conn) = self.slots.get_mut(id) else {
+            return Ok(());
+        };
         let unread = conn.output.len() > conn.output.room();
         let read = !conn.rising && !conn.ended && conn.input.room() > 0 && !unread;
         let wanted = (read, conn.rising || !conn.output.is_empty());
@@ -408,7 +445,10 @@
 /// Whether a connect that answered this is under way: one that was interrupted goes on by itself too.
 fn goes_on(e: &io::Error) -> bool {
     e.raw_os_error() == Some(libc::EINPROGRESS)
-        || matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+        || matches!(
+            e.kind(),
+            io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+        )
 }
 
 fn event(id: ConnId, (read, write): (bool, bool)) -> Event {
--- a/daemon/src/discovery.rs
+++ b/daemon/src/discovery.rs
@@ -6,7 +6,8 @@
 use bellsill_boot::Names;
 use bellsill_net::Nanos;
 use bellsill_watch::{
-    Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer, Watch,
+    Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer,
+    Watch,
 };
 use std::net::SocketAddr;
 
@@ -41,7 +42,11 @@
 
 impl Discovery {
     pub fn new(watch: Watch, names: Names) -> Discovery {
-        Discovery { watch, calls: Vec::new(), names }
+        Discovery {
+            watch,
+            calls: Vec::new(),
+            names,
+        }
     }
 
     pub fn names(&self) -> &Names {
@@ -63,7 +68,10 @@
 
     /// Notes that a destination is used.
     pub fn touch(&mut self, destination: u64) {
-        self.watch.list_mut().into_iter().for_each(|list| list.touch(destination));
+        self.watch
+            .list_mut()
+            .into_iter()
+            .for_each(|list| list.touch(destination));
     }
 
     /// Has a destination looked up; `in_use` says which ones must not give way to it. What gave way is answered.
@@ -146,7 +154,9 @@
     where
         K: Ord + Copy + From<WatchTimer>,
     {
-        let Some(call) = self.call_of(conn) else { return Received::default() };
+        let Some(call) = self.call_of(conn) else {
+            return Received::default();
+        };
         if io.conns.get(conn).is_some_and(|c| c.rising) {
             if io.conns.risen(conn).is_err() {
                 self.broken(io, call);
@@ -159,8 +169,12 @@
             self.broken(io, call);
             return Received::default();
         }
-        let Some(from) = io.conns.get_mut(conn) else { return Received::default() };
-        let mut received = self.watch.received(io.now, call, &mut from.input, from.ended);
+        let Some(from) = io.conns.get_mut(conn) else {
+            return Received::default();
+        };
+        let mut received = self
+            .watch
+            .received(io.now, call, &mut from.input, from.ended);
         self.carry_out(io, std::mem::take(&mut received.commands));
         received
     }
@@ -170,8 +184,15 @@
     where
         K: Ord + Copy + From<WatchTimer>,
     {
-        let Some(call) = self.call_of(conn) else { return };
-        if io.conns.flush(conn).and_then(|()| io.conns.arm(conn)).is_err() {
+        let Some(call) = self.call_of(conn) else {
+            return;
+        };
+        if io
+            .conns
+            .flush(conn)
+            .and_then(|()| io.conns.arm(conn))
+            .is_err()
+        {
             self.broken(io, call);
         }
     }
@@ -190,16 +211,26 @@
     {
         for command in commands {
             match command {
-                Command::Connect { call, address, request } => self.connect(io, call, address, &request),
+                Command::Connect {
+                    call,
+                    address,
+                    request,
+                } => self.connect(io, call, address, &request),
                 Command::Close(call) => {
-                    self.conn_of(call).into_iter().for_each(|conn| io.conns.close(conn));
+                    self.conn_of(call)
+                        .into_iter()
+                        .for_each(|conn| io.conns.close(conn));
                     self.calls.retain(|(c, _)| *c != call);
                 }
                 Command::SetTimer(timer, at) => {
-                    self.key(timer).into_iter().for_each(|key| io.deadlines.set(key, at));
+                    self.key(timer)
+                        .into_iter()
+                        .for_each(|key| io.deadlines.set(key, at));
                 }
                 Command::ClearTimer(timer) => {
-                    self.key(timer).into_iter().for_each(|key| io.deadlines.clear(key));
+                    self.key(timer)
+                        .into_iter()
+                        .for_each(|key| io.deadlines.clear(key));
                 }
             }
         }
@@ -230,10 +261,16 @@
     }
 
     fn conn_of(&self, call: CallId) -> Option<ConnId> {
-        self.calls.iter().find(|(c, _)| *c == call).map(|(_, conn)| *conn)
+        self.calls
+            .iter()
+            .find(|(c, _)| *c == call)
+            .map(|(_, conn)| *conn)
     }
 
     fn call_of(&self, conn: ConnId) -> Option<CallId> {
-        self.calls.iter().find(|(_, c)| *c == conn).map(|(call, _)| *call)
+        self.calls
+            .iter()
+            .find(|(_, c)| *c == conn)
+            .map(|(call, _)| *call)
     }
 }
--- a/daemon/src/endpoint_list.rs
+++ b/daemon/src/endpoint_list.rs
@@ -32,7 +32,10 @@
 
 /// Reads a list. One with no version or no servers is logged and skipped, and so is an entry that cannot be read.
 pub fn read(json: &Value, names: &Names) -> Option<EndpointList> {
-    let (version, servers) = (json.get("version").and_then(Value::as_u64), json.get("servers"));
+    let (version, servers) = (
+        json.get("version").and_then(Value::as_u64),
+        json.get("servers"),
+    );
     let (Some(version), Some(servers)) = (version, servers.and_then(Value::as_array)) else {
         log::warn!("discovery: a line with no version or no servers was skipped");
         return None;
@@ -40,8 +43,12 @@
     let whole = json.get("full").and_then(Value::as_bool).unwrap_or(false);
     let mut endpoints = Vec::with_capacity(servers.len());
     let id = |server: &Value| server.get("id").and_then(Value::as_str).map(str::to_string);
-    let drains =
-        |server: &&Value| matches!(server.get("state").and_then(Value::as_str), Some("draining" | "removed"));
+    let drains = |server: &&Value| {
+        matches!(
+            server.get("state").and_then(Value::as_str),
+            Some("draining" | "removed")
+        )
+    };
     let draining: BTreeSet<String> = servers.iter().filter(drains).filter_map(id).collect();
     let mut named = BTreeSet::new();
     for server in servers {
@@ -59,7 +66,11 @@
             Err(what) => warn_of_entry(what),
         }
     }
-    Some(EndpointList { version, whole, endpoints })
+    Some(EndpointList {
+        version,
+        whole,
+        endpoints,
+    })
 }
 
 /// Logs that an entry was skipped for what its field says.
@@ -81,11 +92,17 @@
         "draining" | "removed" => false,
         _ => return Err("state"),
     };
-    let (zone, kind) = (needed(word("zone"), serving)?, needed(word("kind"), serving)?);
+    let (zone, kind) = (
+        needed(word("zone"), serving)?,
+        needed(word("kind"), serving)?,
+    );
     let weight = server.get("weight").filter(|_| serving);
     let weight = weight.map(|w| w.as_f64().ok_or("weight")).transpose()?;
     let rate = names.rate(weight).ok_or("weight")?;
-    let destination = needed(server.get("cell").and_then(Value::as_u64).ok_or("cell"), serving)?;
+    let destination = needed(
+        server.get("cell").and_then(Value::as_u64).ok_or("cell"),
+        serving,
+    )?;
     Ok(ListedEndpoint {
         name: name.to_string(),
         addr: word("addr").ok().and_then(|addr| addr.parse().ok()),
--- a/daemon/src/endpoints.rs
+++ b/daemon/src/endpoints.rs
@@ -102,8 +102,9 @@
     fn release_name(&mut self, listed: &ListedEndpoint) -> Option<EndpointId> {
         let id = self.find(&listed.name)?;
         let row = &mut self[id];
-        let same =
-            row.destination == Some(listed.destination) && row.zone == listed.zone && row.kind == listed.kind;
+        let same = row.destination == Some(listed.destination)
+            && row.zone == listed.zone
+            && row.kind == listed.kind;
         if same {
             return None;
         }
@@ -124,7 +125,9 @@
     }
 
     fn forget_one_of(&mut self, destination: u64) {
-        let Some(known) = self.by_destination.get_mut(&destination) else { return };
+        let Some(known) = self.by_destination.get_mut(&destination) else {
+            return;
+        };
         *known -= 1;
         if *known == 0 {
             self.by_destination.remove(&destination);
@@ -163,7 +166,10 @@
             // The other side may have closed it, and the poller not yet told: a call written then would be lost.
             let good = in_time
                 && self.conns.fill(conn).is_ok()
-                && self.conns.get(conn).is_some_and(|c| !c.ended && c.input.is_empty());
+                && self
+                    .conns
+                    .get(conn)
+                    .is_some_and(|c| !c.ended && c.input.is_empty());
             if good {
                 return self.write_call(slot, conn);
             }
@@ -174,28 +180,39 @@
         }
         let bounds = (http::HEAD_MOST, COMMAND_MOST);
         let opened = match !self.conns.full() {
-            true => self.conns.open(self.endpoints[endpoint].addr, Role::Endpoint(endpoint), bounds),
+            true => self.conns.open(
+                self.endpoints[endpoint].addr,
+                Role::Endpoint(endpoint),
+                bounds,
+            ),
             false => Err(std::io::Error::other("no descriptor is left")),
         };
         match opened {
             Ok(conn) => {
                 self.endpoints.calls.insert(conn, slot);
-                self.deadlines.set(Due::Conn(conn), self.now + self.connect_timeout);
+                self.deadlines
+                    .set(Due::Conn(conn), self.now + self.connect_timeout);
                 if let Some(call) = self.messages.get_mut(slot).and_then(|m| m.call.as_mut()) {
                     call.conn = Some(conn);
                 }
                 self.shift(slot, crate::messages::Stage::Rising);
             }
             // Nobody was asked: taken for a refusal it would speak against the endpoint.
-            Err(e) if self.conns.full() || is_local(&e) => self.end_call(slot, Outcome::NotBegun, false),
+            Err(e) if self.conns.full() || is_local(&e) => {
+                self.end_call(slot, Outcome::NotBegun, false)
+            }
             Err(_) => self.end_call(slot, Outcome::Unconnected, false),
         }
     }
 
     /// Keeps a connection for the next call, while it is sure to be good.
     pub fn pool(&mut self, id: ConnId) {
-        let Some(conn) = self.conns.get(id) else { return };
-        let Role::Endpoint(endpoint) = conn.role else { return };
+        let Some(conn) = self.conns.get(id) else {
+            return;
+        };
+        let Role::Endpoint(endpoint) = conn.role else {
+            return;
+        };
         let row = &self.endpoints[endpoint];
         // An endpoint that has moved while the call was out is elsewhere now.
         let there = conn.opened_to == Some(row.addr);
@@ -205,7 +222,8 @@
         }
         self.endpoints[endpoint].idle.push(id);
         // A request written when the other side has just closed is lost, so it is closed here a little earlier.
-        self.deadlines.set(Due::Conn(id), self.now + self.keep_alive / 20 * 19);
+        self.deadlines
+            .set(Due::Conn(id), self.now + self.keep_alive / 20 * 19);
         if self.conns.arm(id).is_err() {
             self.drop_idle(id);
         }
@@ -224,23 +242,32 @@
     /// Gives back the idle connection that was used longest ago, so that a client or a call finds a descriptor.
     pub fn shed_idle(&mut self) -> bool {
         let idle = |id: EndpointId| self.endpoints[id].idle.first().copied();
-        let Some(oldest) = self.endpoints.ids().filter_map(idle).next() else { return false };
+        let Some(oldest) = self.endpoints.ids().filter_map(idle).next() else {
+            return false;
+        };
         self.drop_idle(oldest);
         true
     }
 
     /// Whether an attempt's time is not up.
     fn in_time(&self, slot: MessageSlot) -> bool {
-        self.messages.get(slot).and_then(|m| m.call).is_some_and(|c| self.now < c.until)
+        self.messages
+            .get(slot)
+            .and_then(|m| m.call)
+            .is_some_and(|c| self.now < c.until)
     }
 
     /// Reads on in an answer. True: it is whole.
     fn read_on(&mut self, id: ConnId, answer: &mut Answer) -> Result<bool, http::Malformed> {
-        let Some(conn) = self.conns.get_mut(id) else { return Err(http::Malformed) };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return Err(http::Malformed);
+        };
         if answer.head.is_none() {
             answer.head = http::head(&mut conn.input)?;
         }
-        let Some(head) = &mut answer.head else { return Ok(false) };
+        let Some(head) = &mut answer.head else {
+            return Ok(false);
+        };
         let whole = head.body.empty(&mut conn.input, &mut answer.left)?;
         // Without a length it ends with its connection.
         Ok(whole || (conn.ended && head.body == http::Body::UntilEnd))
@@ -249,7 +276,9 @@
     /// The answer to a call, as far as it has come. True: it is known. Anything but a message relayed is believed only when
     /// the answer is whole and sound: a spoilt one may stand for a message that ran, and would go out again.
     pub fn answer(&mut self, id: ConnId, slot: MessageSlot) -> Result<bool, http::Malformed> {
-        let Some(conn) = self.conns.get_mut(id) else { return Ok(true) };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return Ok(true);
+        };
         if conn.input.is_empty() && !conn.ended {
             return Ok(false);
         }
@@ -258,10 +287,19 @@
         if begun.is_none() {
             self.deadlines.set(Due::Conn(id), self.now + ANSWER_WITHIN);
         }
-        let mut answer = begun.unwrap_or(Answer { head: None, left: BODY_MOST });
+        let mut answer = begun.unwrap_or(Answer {
+            head: None,
+            left: BODY_MOST,
+        });
         let read = self.read_on(id, &mut answer);
-        let first = self.conns.get_mut(id).is_some_and(|c| http::says_relayed(c.input.bytes()));
-        let (status, wait) = answer.head.as_ref().map_or((0, 0), |head| (head.status, head.wait));
+        let first = self
+            .conns
+            .get_mut(id)
+            .is_some_and(|c| http::says_relayed(c.input.bytes()));
+        let (status, wait) = answer
+            .head
+            .as_ref()
+            .map_or((0, 0), |head| (head.status, head.wait));
         let relayed = status == 200 || (answer.head.is_none() && first);
         let outcome = match status {
             _ if relayed => Outcome::Relayed,
@@ -274,12 +312,18 @@
             }
             // A server with no place for one more connection takes it, says so and closes it: no limit was met. Could
             // take another refusal for that, where the server closes after each: that route alone then rests.
-            503 if wait == 0 && answer.head.as_ref().is_some_and(|head| head.last) => Outcome::Unconnected,
+            503 if wait == 0 && answer.head.as_ref().is_some_and(|head| head.last) => {
+                Outcome::Unconnected
+            }
             429 | 503 => Outcome::Full(wait),
             504 | 410 => Outcome::Unsent(false),
             _ => Outcome::Errored,
         };
-        let report = answer.head.as_ref().and_then(|head| head.report).filter(|_| self.reports_limits);
+        let report = answer
+            .head
+            .as_ref()
+            .and_then(|head| head.report)
+            .filter(|_| self.reports_limits);
         self.heed_report(slot, report);
         self.endpoints.calls.remove(&id);
         match read {
@@ -299,9 +343,14 @@
 
     /// A report that cannot be read changes nothing; that is said once.
     fn heed_report(&mut self, slot: MessageSlot, report: Option<Result<f64, http::BadReport>>) {
-        match (report, self.messages.get_mut(slot).and_then(|m| m.call.as_mut())) {
+        match (
+            report,
+            self.messages.get_mut(slot).and_then(|m| m.call.as_mut()),
+        ) {
             (Some(Ok(limit)), Some(call)) => call.limit = limit,
-            (Some(Err(http::BadReport)), _) if !std::mem::replace(&mut self.bad_report_said, true) => {
+            (Some(Err(http::BadReport)), _)
+                if !std::mem::replace(&mut self.bad_report_said, true) =>
+            {
                 log::warn!(
                     "an answer's load report tells no `{}` from 0 to 1e9; such reports are passed over",
                     http::LIMIT
@@ -323,7 +372,9 @@
     /// Something happened on a connection to an endpoint.
     pub fn endpoint_ready(&mut self, id: ConnId) {
         let runtime = &mut self.runtime;
-        let Some(conn) = runtime.conns.get(id) else { return };
+        let Some(conn) = runtime.conns.get(id) else {
+            return;
+        };
         let Some(&slot) = runtime.endpoints.calls.get(&id) else {
             return self.idle_ready(id);
         };
@@ -337,7 +388,9 @@
             // What is not written by its time is not written later: its deadline is the next thing seen.
             Ok(false) if !ended && !self.runtime.in_time(slot) => {}
             // Half written, and its window has closed, or a drain or a wait has begun: what is not whole never runs.
-            Ok(false) if !ended && self.may_not_end(slot) => self.runtime.break_call(slot, Outcome::Reset),
+            Ok(false) if !ended && self.may_not_end(slot) => {
+                self.runtime.break_call(slot, Outcome::Reset)
+            }
             Ok(false) if !ended && self.runtime.conns.flush(id).is_ok() => {}
             // The end before an answer: nobody knows whether it ran.
             Ok(_) => self.runtime.break_call(slot, Outcome::Reset),
@@ -354,9 +407,12 @@
         match runtime.conns.risen(id) {
             Ok(()) => {
                 runtime.deadlines.clear(Due::Conn(id));
-                let call = runtime.messages.get(slot).and_then(|m| Some((m.id, m.call?.endpoint)));
-                let open =
-                    call.is_some_and(|(message, e)| self.dispatcher.may_begin(runtime.now, message, e));
+                let call = runtime
+                    .messages
+                    .get(slot)
+                    .and_then(|m| Some((m.id, m.call?.endpoint)));
+                let open = call
+                    .is_some_and(|(message, e)| self.dispatcher.may_begin(runtime.now, message, e));
                 if open && runtime.in_time(slot) {
                     runtime.write_call(slot, id);
                 } else {
@@ -371,24 +427,38 @@
 
     /// Whether a call is not whole yet, and might not begin now.
     fn may_not_end(&self, slot: MessageSlot) -> bool {
-        let Some((id, call)) = self.runtime.messages.get(slot).and_then(|m| Some((m.id, m.call?))) else {
+        let Some((id, call)) = self
+            .runtime
+            .messages
+            .get(slot)
+            .and_then(|m| Some((m.id, m.call?)))
+        else {
             return false;
         };
-        let half = call.conn.and_then(|c| self.runtime.conns.get(c)).is_some_and(|c| !c.output.is_empty());
-        half && !self.dispatcher.may_begin(self.runtime.now, id, call.endpoint)
+        let half = call
+            .conn
+            .and_then(|c| self.runtime.conns.get(c))
+            .is_some_and(|c| !c.output.is_empty());
+        half && !self
+            .dispatcher
+            .may_begin(self.runtime.now, id, call.endpoint)
     }
 
     fn idle_ready(&mut self, id: ConnId) {
         let runtime = &mut self.runtime;
         let mut good = runtime.conns.fill(id).is_ok();
-        let Some(conn) = runtime.conns.get_mut(id) else { return };
+        let Some(conn) = runtime.conns.get_mut(id) else {
+            return;
+        };
         good &= !conn.ended;
         let empty = conn.input.is_empty();
         if let Some(mut answer) = runtime.endpoints.emptying.remove(&id) {
             let last = |answer: &Answer| answer.head.as_ref().is_some_and(|head| head.last);
             match runtime.read_on(id, &mut answer) {
                 Ok(true) if !last(&answer) => return runtime.emptied(id),
-                Ok(false) if good && !last(&answer) => drop(runtime.endpoints.emptying.insert(id, answer)),
+                Ok(false) if good && !last(&answer) => {
+                    drop(runtime.endpoints.emptying.insert(id, answer))
+                }
                 _ => good = false,
             }
         } else {
@@ -409,10 +479,18 @@
             return;
         }
         self.apply_list(&scope::list_of(applied, self.runtime.discovery.names()));
-        let dropped: BTreeSet<u64> = applied.dropped.iter().map(|entry| entry.destination).collect();
+        let dropped: BTreeSet<u64> = applied
+            .dropped
+            .iter()
+            .map(|entry| entry.destination)
+            .collect();
         for destination in dropped {
-            if self.runtime.held_for.contains_key(&destination) && self.look_up(destination).is_err() {
-                log::warn!("destination {destination} cannot be looked up, all in the cache are in use");
+            if self.runtime.held_for.contains_key(&destination)
+                && self.look_up(destination).is_err()
+            {
+                log::warn!(
+                    "destination {destination} cannot be looked up, all in the cache are in use"
+                );
             }
         }
     }
@@ -423,16 +501,21 @@
         let mut entries = Vec::with_capacity(list.endpoints.len());
         for listed in &list.endpoints {
             let replaced = runtime.end_replaced(listed);
-            let waits_until = replaced.map_or(0, |old| self.dispatcher.suspended_until(old.endpoint));
+            let waits_until =
+                replaced.map_or(0, |old| self.dispatcher.suspended_until(old.endpoint));
             entries.extend(replaced);
             match runtime.entry(listed) {
-                Ok(entry) => entries.extend(entry.map(|entry| ListEntry { waits_until, ..entry })),
+                Ok(entry) => entries.extend(entry.map(|entry| ListEntry {
+                    waits_until,
+                    ..entry
+                })),
                 Err(what) => endpoint_list::warn_of_entry(what),
             }
         }
         runtime.discovery.told(list.version);
         // By their ids: asked of each endpoint, a list of thousands would stop all else for seconds.
-        let told: BTreeMap<EndpointId, bool> = entries.iter().map(|e| (e.endpoint, e.serving)).collect();
+        let told: BTreeMap<EndpointId, bool> =
+            entries.iter().map(|e| (e.endpoint, e.serving)).collect();
         if list.whole {
             for id in runtime.endpoints.ids().filter(|id| !told.contains_key(id)) {
                 runtime.set_serving(id, false);
@@ -442,13 +525,21 @@
             runtime.set_serving(id, serving);
         }
         // Held out by hand, whatever the list says: the decisions know before they hear of it.
-        let held: Vec<EndpointId> =
-            runtime.held_out.iter().filter_map(|name| runtime.endpoints.find(name)).collect();
+        let held: Vec<EndpointId> = runtime
+            .held_out
+            .iter()
+            .filter_map(|name| runtime.endpoints.find(name))
+            .collect();
         for id in held {
             self.dispatcher.set_disabled(runtime.now, id, true, runtime);
         }
-        let scope = if list.whole { ListScope::Whole } else { ListScope::Update };
-        self.dispatcher.apply_list(runtime.now, scope, &entries, runtime);
+        let scope = if list.whole {
+            ListScope::Whole
+        } else {
+            ListScope::Update
+        };
+        self.dispatcher
+            .apply_list(runtime.now, scope, &entries, runtime);
     }
 }
 
@@ -464,7 +555,11 @@
             "endpoint {} is another by its entry: it was one of destination {destination}",
             listed.name
         );
-        Some(ListEntry { endpoint, destination: DestinationId(destination), ..ListEntry::default() })
+        Some(ListEntry {
+            endpoint,
+            destination: DestinationId(destination),
+            ..ListEntry::default()
+        })
     }
 
     /// What the decisions are told of a listed endpoint; nothing of one that never served and does not now, since nothing
@@ -484,7 +579,9 @@
             self.move_endpoint(endpoint, addr);
         }
         let names = self.discovery.names();
-        let find = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(usize::MAX);
+        let find = |names: &[String], name: &str| {
+            names.iter().position(|n| n == name).unwrap_or(usize::MAX)
+        };
         Ok(Some(ListEntry {
             endpoint,
             shared_order: crc32fast::hash(listed.name.as_bytes()),
@@ -510,8 +607,11 @@
         self.close_idle(endpoint);
         self.endpoints[endpoint].addr = addr;
         // What still comes up at the old address would be somebody else's by then.
-        let rises =
-            |id: &ConnId| self.conns.get(*id).is_some_and(|c| c.rising && c.role == Role::Endpoint(endpoint));
+        let rises = |id: &ConnId| {
+            self.conns
+                .get(*id)
+                .is_some_and(|c| c.rising && c.role == Role::Endpoint(endpoint))
+        };
         let calls = self.endpoints.calls.iter().filter(|(id, _)| rises(id));
         for slot in calls.map(|(_, slot)| *slot).collect::<Vec<_>>() {
             self.break_call(slot, Outcome::Unsent(false));
--- a/daemon/src/event_loop.rs
+++ b/daemon/src/event_loop.rs
@@ -37,7 +37,11 @@
 
 /// The clients' listener, which a new version of the dispatcher shares while the old one ends.
 fn shared_listener(at: std::net::SocketAddr) -> io::Result<TcpListener> {
-    let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
+    let socket = socket2::Socket::new(
+        socket2::Domain::for_address(at),
+        socket2::Type::STREAM,
+        None,
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.bind(&at.into())?;
@@ -54,12 +58,19 @@
     };
     let mut file = ScopeFile::new(&start.state, &installation.dispatcher, start.disk_bytes);
     let list = file.load(installation).unwrap_or_else(|| {
-        let mut list = ScopedList::new(installation.layout.clone(), installation.cache_destinations);
+        let mut list =
+            ScopedList::new(installation.layout.clone(), installation.cache_destinations);
         let known = endpoint_list::read(&start.known, &start.boot.names);
-        known.iter().for_each(|known| list.adopt(scope::entries_of(known)));
+        known
+            .iter()
+            .for_each(|known| list.adopt(scope::entries_of(known)));
         list
     });
-    log::info!("the configuration of {} destinations is known, version {}", list.len(), list.version().0);
+    log::info!(
+        "the configuration of {} destinations is known, version {}",
+        list.len(),
+        list.version().0
+    );
     let options = ScopedOptions {
         dispatcher: installation.dispatcher.clone(),
         servers: installation.control.clone(),
@@ -71,7 +82,10 @@
 /// How long this process has been on a processor, as far as the system tells.
 fn busy() -> Nanos {
     let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
-    text.split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0)
+    text.split(' ')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 /// What a dispatcher is told from outside: a byte on `wake` has it look at the two.
@@ -87,8 +101,16 @@
     /// SIGTERM and SIGINT tell it to leave, SIGHUP to read its configuration again.
     pub fn by_signals() -> io::Result<Told> {
         let (wake, sender) = UnixStream::pair()?;
-        let told = Told { wake, leave: Arc::default(), reread: Arc::default() };
-        for (signal, what) in [(SIGTERM, &told.leave), (SIGINT, &told.leave), (SIGHUP, &told.reread)] {
+        let told = Told {
+            wake,
+            leave: Arc::default(),
+            reread: Arc::default(),
+        };
+        for (signal, what) in [
+            (SIGTERM, &told.leave),
+            (SIGINT, &told.leave),
+            (SIGHUP, &told.reread),
+        ] {
             // In this order: whoever is woken finds what for.
             signal_hook::flag::register(signal, Arc::clone(what))?;
             signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
@@ -128,25 +150,34 @@
         let now = clock::now();
         let (watch, scope_file) = watch_of(&start);
         let boot = start.boot;
-        let (facts, names) = (BootFacts { own_admission: true, ..boot.facts }, boot.names);
+        let (facts, names) = (
+            BootFacts {
+                own_admission: true,
+                ..boot.facts
+            },
+            boot.names,
+        );
         let class_names = names.classes.clone();
         let journal_bytes = match scope_file {
             Some(_) => scope::disk_left(start.disk_bytes),
             None => start.disk_bytes,
         };
-        let in_folder = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", start.state.display()));
-        let (mut journal, mut kept) =
-            start_retry::wait_out(&told.leave, || MessageJournal::open(&start.state, journal_bytes))
-                .map_err(in_folder)?;
+        let in_folder =
+            |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", start.state.display()));
+        let (mut journal, mut kept) = start_retry::wait_out(&told.leave, || {
+            MessageJournal::open(&start.state, journal_bytes)
+        })
+        .map_err(in_folder)?;
         // What an old process left is taken before clients are answered; one that still runs is looked for again.
         let (adopted, others_held) = journal.adopt();
-        let held_out =
-            start_retry::wait_out(&told.leave, || crate::mgmt::load_held(&start.state)).map_err(in_folder)?;
+        let held_out = start_retry::wait_out(&told.leave, || crate::mgmt::load_held(&start.state))
+            .map_err(in_folder)?;
         kept.messages.extend(adopted.messages);
         kept.owed.extend(adopted.owed);
         let held_stamp = crate::mgmt::held_stamp(&start.state);
         let bind = start_retry::wait_out(&told.leave, || shared_listener(start.listen));
-        let listener = bind.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", start.listen)))?;
+        let listener =
+            bind.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", start.listen)))?;
         // Kept for calls, the watch and notices.
         let reserve = facts.slots + 8;
         let mut daemon = Daemon {
@@ -197,7 +228,10 @@
             let bind = bind.and_then(|listener| daemon.runtime.conns.listen_mgmt(listener));
             bind.map_err(|e| io::Error::new(e.kind(), format!("mgmt: {mgmt}: {e}")))?;
             log::info!("operators' calls on {mgmt}");
-            daemon.runtime.deadlines.set(Due::HeldOut, now + BESIDE_EVERY);
+            daemon
+                .runtime
+                .deadlines
+                .set(Due::HeldOut, now + BESIDE_EVERY);
         }
         daemon.list_known(&start.known);
         let (discovery, mut io) = daemon.runtime.watch();
@@ -205,7 +239,10 @@
         daemon.recover(kept);
         daemon.runtime.deadlines.set(Due::Standing, now + STANDING);
         if daemon.scope_file.is_some() {
-            daemon.runtime.deadlines.set(Due::SaveScope, now + SAVE_EVERY);
+            daemon
+                .runtime
+                .deadlines
+                .set(Due::SaveScope, now + SAVE_EVERY);
         }
         if others_held {
             daemon.runtime.deadlines.set(Due::Adopt, now + BESIDE_EVERY);
@@ -252,7 +289,9 @@
         match &applied {
             Ok(applied) => self.apply_changes(applied),
             Err(e) => {
-                log::warn!("configuration: a line was not taken, another control process is asked: {e}")
+                log::warn!(
+                    "configuration: a line was not taken, another control process is asked: {e}"
+                )
             }
         }
         applied.is_ok()
@@ -261,14 +300,21 @@
     /// The endpoints that are known at the start: of the scoped configuration those that it kept, else those that the
     /// platform's file names.
     fn list_known(&mut self, known: &Value) {
-        let Some(list) = self.runtime.discovery.scoped_list() else { return self.list(known) };
-        let entries = Applied { changed: list.entries().cloned().collect(), ..Applied::default() };
+        let Some(list) = self.runtime.discovery.scoped_list() else {
+            return self.list(known);
+        };
+        let entries = Applied {
+            changed: list.entries().cloned().collect(),
+            ..Applied::default()
+        };
         self.apply_changes(&entries);
     }
 
     /// Saves what is kept of the scoped configuration.
     fn save_scope(&mut self) {
-        if let (Some(file), Some(list)) = (&mut self.scope_file, self.runtime.discovery.scoped_list()) {
+        if let (Some(file), Some(list)) =
+            (&mut self.scope_file, self.runtime.discovery.scoped_list())
+        {
             file.save(list);
         }
     }
@@ -289,8 +335,12 @@
             self.runtime.notices.owe(id, ending);
         }
         // One met twice, in two journals, is taken once.
-        let mut kept = Kept { owed: Vec::new(), ..kept };
-        kept.messages.retain(|m| !self.runtime.slots.contains_key(&m.id));
+        let mut kept = Kept {
+            owed: Vec::new(),
+            ..kept
+        };
+        kept.messages
+            .retain(|m| !self.runtime.slots.contains_key(&m.id));
         for message in &kept.messages {
             self.runtime.hold(message.clone());
         }
@@ -302,11 +352,15 @@
                 );
             }
         }
-        let known = |m: &crate::message_journal::KeptMessage| self.runtime.class_of(&m.class).is_some();
+        let known =
+            |m: &crate::message_journal::KeptMessage| self.runtime.class_of(&m.class).is_some();
         let (known, unknown): (Vec<_>, Vec<_>) = kept.messages.into_iter().partition(known);
         for message in unknown {
             if let Some(&slot) = self.runtime.slots.get(&message.id) {
-                log::warn!("message {:016x} is of no class that is known now", message.id.0);
+                log::warn!(
+                    "message {:016x} is of no class that is known now",
+                    message.id.0
+                );
                 self.runtime.shift(slot, Stage::Bounced);
             }
         }
@@ -321,12 +375,19 @@
             self.turn()?;
         }
         self.save_scope();
-        log::info!("left, {} messages held for the next process", self.runtime.messages.len());
+        log::info!(
+            "left, {} messages held for the next process",
+            self.runtime.messages.len()
+        );
         Ok(())
     }
 
     fn turn(&mut self) -> io::Result<()> {
-        let wait = self.runtime.deadlines.next().map(|at| at.saturating_sub(clock::now()));
+        let wait = self
+            .runtime
+            .deadlines
+            .next()
+            .map(|at| at.saturating_sub(clock::now()));
         let seen = self.runtime.conns.wait(wait.map(Duration::from_nanos))?;
         for what in seen {
             self.runtime.now = clock::now();
@@ -365,7 +426,8 @@
     fn settle(&mut self) {
         while let Some(end) = self.runtime.ended.pop_front() {
             if self.leaving < Leaving::Ending {
-                self.dispatcher.attempt_ended(self.runtime.now, end, &mut self.runtime);
+                self.dispatcher
+                    .attempt_ended(self.runtime.now, end, &mut self.runtime);
             }
         }
     }
@@ -428,9 +490,16 @@
                 self.heed_held_out();
             }
             Due::Standing => {
-                let out = runtime.messages.iter().filter(|(_, m)| m.call.is_some()).count();
-                let (held, owed, open) =
-                    (runtime.messages.len(), runtime.notices.owed(), runtime.conns.len());
+                let out = runtime
+                    .messages
+                    .iter()
+                    .filter(|(_, m)| m.call.is_some())
+                    .count();
+                let (held, owed, open) = (
+                    runtime.messages.len(),
+                    runtime.notices.owed(),
+                    runtime.conns.len(),
+                );
                 let busy = busy() / MS;
                 log::info!(
                     "standing: {held} messages held, {out} out, {owed} notices owed, {open} connections, busy for {busy} ms"
@@ -446,17 +515,24 @@
             self.read_again();
         }
         if self.leave.load(Ordering::SeqCst) && self.leaving == Leaving::No {
-            log::info!("told to leave, {} messages held", self.runtime.messages.len());
+            log::info!(
+                "told to leave, {} messages held",
+                self.runtime.messages.len()
+            );
             self.leaving = Leaving::Told;
             self.told_to_leave = self.runtime.now;
-            self.runtime.deadlines.set(Due::Leave, self.told_to_leave + LET_IN_FOR);
+            self.runtime
+                .deadlines
+                .set(Due::Leave, self.told_to_leave + LET_IN_FOR);
         }
         Ok(())
     }
 
     /// Reads the configuration again. A bad one is not taken: a half-written file must not end a dispatcher that serves.
     fn read_again(&mut self) {
-        let Some(Source { file, state }) = self.source.clone() else { return };
+        let Some(Source { file, state }) = self.source.clone() else {
+            return;
+        };
         let new = match start::read(&file, state) {
             Ok(new) => new,
             Err(e) => {
@@ -467,10 +543,15 @@
         self.runtime.figures.reloads += 1;
         for ((field, old), (_, new)) in self.fixed.iter().zip(&new.fixed) {
             if old != new {
-                log::warn!("the new configuration: another `{field}` needs a restart, the old one stays");
+                log::warn!(
+                    "the new configuration: another `{field}` needs a restart, the old one stays"
+                );
             }
         }
-        log::info!("the configuration was read again, discovery is at {}", new.discovery);
+        log::info!(
+            "the configuration was read again, discovery is at {}",
+            new.discovery
+        );
         let (discovery, mut io) = self.runtime.watch();
         discovery.relocate(&mut io, new.discovery);
         self.runtime.notify_at(new.discovery);
