--- a/daemon/src/installation.rs
+++ b/daemon/src/installation.rs
@@ -32,11 +32,21 @@
 #[derive(Debug, Error)]
 pub enum InstallationError {
     #[error("{path}: cannot be read: {source}")]
-    Unreadable { path: PathBuf, source: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("{path}: not as an installation file has to be: {reason}")]
-    Malformed { path: PathBuf, reason: Box<toml::de::Error> },
+    Malformed {
+        path: PathBuf,
+        reason: Box<toml::de::Error>,
+    },
     #[error("{path}: field `{field}`: expected {expected}")]
-    Field { path: PathBuf, field: &'static str, expected: String },
+    Field {
+        path: PathBuf,
+        field: &'static str,
+        expected: String,
+    },
     #[error("{path}: fields `zones` and `buckets_per_region`: {reason}")]
     Layout { path: PathBuf, reason: LayoutError },
 }
@@ -73,17 +83,21 @@
 impl Installation {
     /// Reads a file and checks it whole.
     pub fn read(path: &Path) -> Result<Installation, InstallationError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| InstallationError::Unreadable { path: path.to_path_buf(), source })?;
+        let text =
+            std::fs::read_to_string(path).map_err(|source| InstallationError::Unreadable {
+                path: path.to_path_buf(),
+                source,
+            })?;
         Installation::parse(path, &text)
     }
 
     /// Checks the text of the file at `path`.
     pub fn parse(path: &Path, text: &str) -> Result<Installation, InstallationError> {
-        let file: InstallationFile = toml::from_str(text).map_err(|reason| InstallationError::Malformed {
-            path: path.to_path_buf(),
-            reason: Box::new(reason),
-        })?;
+        let file: InstallationFile =
+            toml::from_str(text).map_err(|reason| InstallationError::Malformed {
+                path: path.to_path_buf(),
+                reason: Box::new(reason),
+            })?;
         file.check().map_err(|bad| bad.in_file(path))
     }
 }
@@ -98,7 +112,11 @@
     fn in_file(self, path: &Path) -> InstallationError {
         let path = path.to_path_buf();
         match self {
-            Invalid::Field(field, expected) => InstallationError::Field { path, field, expected },
+            Invalid::Field(field, expected) => InstallationError::Field {
+                path,
+                field,
+                expected,
+            },
             Invalid::Layout(reason) => InstallationError::Layout { path, reason },
         }
     }
@@ -115,21 +133,31 @@
         expect(
             (1..=MOST_CONTROL_PROCESSES).contains(&self.control.len()),
             "control",
-            &format!("1 to {MOST_CONTROL_PROCESSES} addresses of control processes, such as 10.0.0.1:7400"),
+            &format!(
+                "1 to {MOST_CONTROL_PROCESSES} addresses of control processes, such as 10.0.0.1:7400"
+            ),
+        )?;
+        expect(
+            distinct.len() == self.control.len(),
+            "control",
+            "each address once",
         )?;
-        expect(distinct.len() == self.control.len(), "control", "each address once")?;
         expect(
             (1..=MOST_CELLS).contains(&self.cache_destinations),
             "cache_destinations",
             &format!("a whole number from 1 to {MOST_CELLS}, as many as a control process tells"),
         )?;
         expect(
-            self.zones.iter().all(|zone| is_member_name(&zone.name) && is_member_name(&zone.region)),
+            self.zones
+                .iter()
+                .all(|zone| is_member_name(&zone.name) && is_member_name(&zone.region)),
             "zones",
             "names of letters, digits and - _ . : alone",
         )?;
-        let zones =
-            self.zones.iter().map(|zone| (ZoneName(zone.name.clone()), RegionName(zone.region.clone())));
+        let zones = self
+            .zones
+            .iter()
+            .map(|zone| (ZoneName(zone.name.clone()), RegionName(zone.region.clone())));
         let layout = Layout::new(zones, self.buckets_per_region).map_err(Invalid::Layout)?;
         let zone = ZoneName(self.zone);
         expect(
--- a/daemon/src/leaving.rs
+++ b/daemon/src/leaving.rs
@@ -36,12 +36,19 @@
             return false;
         }
         // A client still here is within a request, has not read its answer, or has not ended its side.
-        let inside = self.runtime.conns.iter().any(|(_, c)| c.role == Role::Client);
+        let inside = self
+            .runtime
+            .conns
+            .iter()
+            .any(|(_, c)| c.role == Role::Client);
         let recorded = !self.runtime.journal.is_behind();
-        let quiet =
-            self.runtime.messages.is_empty() && self.runtime.notices.owed() == 0 && !inside && recorded;
+        let quiet = self.runtime.messages.is_empty()
+            && self.runtime.notices.owed() == 0
+            && !inside
+            && recorded;
         let out = || self.runtime.messages.iter().any(|(_, m)| m.call.is_some());
-        (self.leaving == Leaving::Parting && quiet) || (self.leaving == Leaving::Ending && !inside && !out())
+        (self.leaving == Leaving::Parting && quiet)
+            || (self.leaving == Leaving::Ending && !inside && !out())
     }
 
     /// The next step of leaving.
@@ -56,7 +63,9 @@
             }
         };
         self.leaving = next;
-        self.runtime.deadlines.set(Due::Leave, self.told_to_leave + then);
+        self.runtime
+            .deadlines
+            .set(Due::Leave, self.told_to_leave + then);
         if next == Leaving::Shut {
             // Whoever has come is let in: closed over them, the listener would reset them.
             while self.let_in() {}
@@ -73,7 +82,12 @@
 
     /// All clients that are inside now.
     fn clients(&self) -> Vec<ConnId> {
-        self.runtime.conns.iter().filter(|(_, c)| c.role == Role::Client).map(|(id, _)| id).collect()
+        self.runtime
+            .conns
+            .iter()
+            .filter(|(_, c)| c.role == Role::Client)
+            .map(|(id, _)| id)
+            .collect()
     }
 
     /// On the way out, parts with a client whose last request is answered; it sends its next one elsewhere.
@@ -95,7 +109,14 @@
         if std::mem::replace(&mut self.draining, on) == on {
             return;
         }
-        log::info!("{}", if on { "drained by a call" } else { "takes clients again" });
+        log::info!(
+            "{}",
+            if on {
+                "drained by a call"
+            } else {
+                "takes clients again"
+            }
+        );
         if on {
             for id in self.clients() {
                 // What has come is met first; and one that came just now has its time to ask.
--- a/daemon/src/logger.rs
+++ b/daemon/src/logger.rs
@@ -25,7 +25,9 @@
     }
 
     fn log(&self, record: &Record) {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let mut text = record.args().to_string().replace(['\n', '\r'], " ");
         let lost = self.lost.load(Ordering::Relaxed);
         if lost > 0 {
@@ -42,7 +44,9 @@
             None => std::io::stderr().write_all(&line),
         };
         match written {
-            Err(e) if e.kind() == ErrorKind::WouldBlock => self.lost.store(lost + 1, Ordering::Relaxed),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                self.lost.store(lost + 1, Ordering::Relaxed)
+            }
             _ => self.lost.store(0, Ordering::Relaxed),
         }
     }
@@ -53,8 +57,17 @@
 /// Starts logging; a second start changes only the level.
 pub fn start(level: LevelFilter) {
     let is_pipe = std::fs::metadata(STANDARD_ERROR).is_ok_and(|m| m.file_type().is_fifo());
-    let open = || OpenOptions::new().write(true).custom_flags(NON_BLOCKING).open(STANDARD_ERROR).ok();
+    let open = || {
+        OpenOptions::new()
+            .write(true)
+            .custom_flags(NON_BLOCKING)
+            .open(STANDARD_ERROR)
+            .ok()
+    };
     let pipe = is_pipe.then(open).flatten();
-    let _ = log::set_boxed_logger(Box::new(Logger { pipe, lost: AtomicU64::new(0) }));
+    let _ = log::set_boxed_logger(Box::new(Logger {
+        pipe,
+        lost: AtomicU64::new(0),
+    }));
     log::set_max_level(level);
 }
--- a/daemon/src/message_journal/adoption.rs
+++ b/daemon/src/message_journal/adoption.rs
@@ -32,11 +32,17 @@
 
 impl Journals {
     pub fn new(folder: &Path) -> Journals {
-        Journals { folder: folder.to_path_buf() }
+        Journals {
+            folder: folder.to_path_buf(),
+        }
     }
 
     pub fn path(&self, journal: usize) -> PathBuf {
-        let name = if journal == 0 { FILE.to_string() } else { format!("{FILE}.{journal}") };
+        let name = if journal == 0 {
+            FILE.to_string()
+        } else {
+            format!("{FILE}.{journal}")
+        };
         self.folder.join(name)
     }
 
@@ -56,8 +62,13 @@
     fn bytes_of_others(&self, own: usize) -> (u64, bool) {
         let (path, next) = (self.path(own), self.next_path(own));
         let (mut bytes, mut journals) = (0, false);
-        let Ok(files) = std::fs::read_dir(&self.folder) else { return (bytes, journals) };
-        for file in files.flatten().filter(|file| file.path() != path && file.path() != next) {
+        let Ok(files) = std::fs::read_dir(&self.folder) else {
+            return (bytes, journals);
+        };
+        for file in files
+            .flatten()
+            .filter(|file| file.path() != path && file.path() != next)
+        {
             let name = file.file_name().to_string_lossy().into_owned();
             if !name.starts_with(crate::scope::SCOPE_FILE) {
                 let length = file.metadata().map_or(0, |metadata| metadata.len());
@@ -72,17 +83,28 @@
     pub fn open_own(&self) -> io::Result<(usize, File)> {
         for journal in 0..JOURNALS_MOST {
             let path = self.path(journal);
-            let file = OpenOptions::new().read(true).append(true).create(true).open(&path)?;
+            let file = OpenOptions::new()
+                .read(true)
+                .append(true)
+                .create(true)
+                .open(&path)?;
             if lock(&file) && is_at(&file, &path) {
                 return Ok((journal, file));
             }
         }
-        Err(io::Error::new(io::ErrorKind::ResourceBusy, "other dispatchers use this folder"))
+        Err(io::Error::new(
+            io::ErrorKind::ResourceBusy,
+            "other dispatchers use this folder",
+        ))
     }
 
     /// Another journal, if there is one.
     pub fn open_other(&self, journal: usize) -> io::Result<Option<File>> {
-        match OpenOptions::new().read(true).append(true).open(self.path(journal)) {
+        match OpenOptions::new()
+            .read(true)
+            .append(true)
+            .open(self.path(journal))
+        {
             Ok(file) => Ok(Some(file)),
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
             Err(e) => Err(e),
@@ -110,7 +132,10 @@
                 Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
                 Err(e) => return Err(e),
             };
-            let covered = replay(&other).adopted.into_iter().map(|source| source.covers(bytes));
+            let covered = replay(&other)
+                .adopted
+                .into_iter()
+                .map(|source| source.covers(bytes));
             spent = covered.fold(spent, usize::max);
         }
         Ok(spent)
@@ -130,7 +155,11 @@
 
 impl Neighbours {
     pub fn new() -> Neighbours {
-        Neighbours { bytes: 0, journals: false, looked_at: None }
+        Neighbours {
+            bytes: 0,
+            journals: false,
+            looked_at: None,
+        }
     }
 
     /// The bytes that all other files of the folder take.
@@ -161,7 +190,10 @@
     /// True: it is empty.
     pub fn try_again(&mut self) -> bool {
         if let Err(e) = self.file.set_len(0) {
-            log::warn!("message journal: {} is taken over and cannot be emptied yet: {e}", self.at.display());
+            log::warn!(
+                "message journal: {} is taken over and cannot be emptied yet: {e}",
+                self.at.display()
+            );
             return false;
         }
         // Empty it says nothing, and the next process may have it.
--- a/daemon/src/message_journal/live.rs
+++ b/daemon/src/message_journal/live.rs
@@ -22,8 +22,12 @@
 impl LiveRecords {
     pub fn of(kept: &Kept) -> LiveRecords {
         let mut live = LiveRecords::default();
-        kept.messages.iter().for_each(|message| live.put(message.id, record::message(message)));
-        kept.owed.iter().for_each(|&(id, ending)| live.put(id, record::ended(id, Some(ending))));
+        kept.messages
+            .iter()
+            .for_each(|message| live.put(message.id, record::message(message)));
+        kept.owed
+            .iter()
+            .for_each(|&(id, ending)| live.put(id, record::ended(id, Some(ending))));
         live
     }
 
@@ -40,7 +44,13 @@
     pub fn put(&mut self, id: MessageId, bytes: Vec<u8>) {
         self.remove(id);
         self.total += bytes.len() as u64;
-        self.entries.insert(id, Entry { order: self.next_order, bytes });
+        self.entries.insert(
+            id,
+            Entry {
+                order: self.next_order,
+                bytes,
+            },
+        );
         self.next_order += 1;
     }
 
@@ -53,19 +63,27 @@
     }
 
     pub fn remove(&mut self, id: MessageId) {
-        self.total -= self.entries.remove(&id).map_or(0, |entry| entry.bytes.len() as u64);
+        self.total -= self
+            .entries
+            .remove(&id)
+            .map_or(0, |entry| entry.bytes.len() as u64);
     }
 
     pub fn append(&mut self, other: LiveRecords) {
         let mut entries: Vec<(MessageId, Entry)> = other.entries.into_iter().collect();
         entries.sort_by_key(|(_, entry)| entry.order);
-        entries.into_iter().for_each(|(id, entry)| self.put(id, entry.bytes));
+        entries
+            .into_iter()
+            .for_each(|(id, entry)| self.put(id, entry.bytes));
     }
 
     /// All of them, in order.
     pub fn bytes(&self) -> Vec<u8> {
         let mut entries: Vec<&Entry> = self.entries.values().collect();
         entries.sort_by_key(|entry| entry.order);
-        entries.into_iter().flat_map(|entry| entry.bytes.iter().copied()).collect()
+        entries
+            .into_iter()
+            .flat_map(|entry| entry.bytes.iter().copied())
+            .collect()
     }
 }
--- a/daemon/src/message_journal/mod.rs
+++ b/daemon/src/message_journal/mod.rs
@@ -171,7 +171,11 @@
         self.emptying.retain_mut(|emptying| !emptying.try_again());
         let (mut all, mut again) = (Kept::default(), !self.emptying.is_empty());
         for other in self.journals.others(self.own) {
-            if self.emptying.iter().any(|emptying| emptying.journal == other) {
+            if self
+                .emptying
+                .iter()
+                .any(|emptying| emptying.journal == other)
+            {
                 continue;
             }
             match self.adopt_one(other) {
@@ -192,7 +196,9 @@
     }
 
     fn adopt_one(&mut self, other: usize) -> io::Result<Adoption> {
-        let Some(mut file) = self.journals.open_other(other)? else { return Ok(Adoption::Nothing) };
+        let Some(mut file) = self.journals.open_other(other)? else {
+            return Ok(Adoption::Nothing);
+        };
         if !adoption::lock(&file) || !adoption::is_at(&file, &self.journals.path(other)) {
             return Ok(Adoption::Held);
         }
@@ -213,15 +219,24 @@
                 return Ok(Adoption::Held);
             }
             self.live.append(live);
-            log::info!("message journal: {} messages of journal {other} taken over", kept.messages.len());
+            log::info!(
+                "message journal: {} messages of journal {other} taken over",
+                kept.messages.len()
+            );
         }
         // From here on it counts no more, whatever becomes of the file.
-        let mut emptying =
-            Emptying { journal: other, file, source: Extent::of(&bytes), at: self.journals.path(other) };
+        let mut emptying = Emptying {
+            journal: other,
+            file,
+            source: Extent::of(&bytes),
+            at: self.journals.path(other),
+        };
         if !emptying.try_again() {
             self.emptying.push(emptying);
         }
-        self.journals.remove_next(other).unwrap_or_else(|e| log::warn!("message journal: {e}"));
+        self.journals
+            .remove_next(other)
+            .unwrap_or_else(|e| log::warn!("message journal: {e}"));
         Ok(Adoption::Taken(kept))
     }
 
@@ -292,7 +307,9 @@
         }
         if !self.unwritten.is_empty() {
             let records = std::mem::take(&mut self.unwritten);
-            let written = self.make_room(records.len() as u64).and_then(|()| self.write(&records));
+            let written = self
+                .make_room(records.len() as u64)
+                .and_then(|()| self.write(&records));
             if written.is_err() && !self.must_write_anew {
                 self.unwritten = records;
             }
@@ -441,7 +458,10 @@
             let why = "all files together would pass the disk limit";
             return Err(io::Error::new(io::ErrorKind::StorageFull, why));
         }
-        let (next, path) = (self.journals.next_path(self.own), self.journals.path(self.own));
+        let (next, path) = (
+            self.journals.next_path(self.own),
+            self.journals.path(self.own),
+        );
         let opened = OpenOptions::new().append(true).create(true).open(&next);
         let written = opened.and_then(|mut file| {
             file.set_len(0)?;
@@ -479,7 +499,11 @@
 
 fn warn_of_translation(translation: Translation, read: &Replayed) {
     if translation != Translation::Same && read.kept != Kept::default() {
-        let why = if read.clock.is_some() { "another boot of the machine" } else { "an older program" };
+        let why = if read.clock.is_some() {
+            "another boot of the machine"
+        } else {
+            "an older program"
+        };
         log::warn!(
             "message journal: it is of {why}: the wall clock tells how long ago that was, and a step of it in between \
              moves what is left of deadlines and windows"
--- a/daemon/src/message_journal/record.rs
+++ b/daemon/src/message_journal/record.rs
@@ -45,12 +45,17 @@
 
 impl Extent {
     pub fn of(bytes: &[u8]) -> Extent {
-        Extent { length: bytes.len() as u64, checksum: crc32fast::hash(bytes) }
+        Extent {
+            length: bytes.len() as u64,
+            checksum: crc32fast::hash(bytes),
+        }
     }
 
     /// How many of these bytes it covers: all of its own, if they begin with them.
     pub fn covers(&self, bytes: &[u8]) -> usize {
-        let first = bytes.get(..self.length as usize).filter(|first| Extent::of(first) == *self);
+        let first = bytes
+            .get(..self.length as usize)
+            .filter(|first| Extent::of(first) == *self);
         first.map_or(0, <[u8]>::len)
     }
 }
@@ -157,11 +162,15 @@
     }
 
     fn number(&mut self) -> Option<u64> {
-        self.take(8).and_then(|b| b.try_into().ok()).map(u64::from_le_bytes)
+        self.take(8)
+            .and_then(|b| b.try_into().ok())
+            .map(u64::from_le_bytes)
     }
 
     fn short_number(&mut self) -> Option<u32> {
-        self.take(4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes)
+        self.take(4)
+            .and_then(|b| b.try_into().ok())
+            .map(u32::from_le_bytes)
     }
 
     fn bytes(&mut self) -> Option<&'a [u8]> {
@@ -170,7 +179,8 @@
     }
 
     fn text(&mut self) -> Option<String> {
-        self.bytes().and_then(|b| String::from_utf8(b.to_vec()).ok())
+        self.bytes()
+            .and_then(|b| String::from_utf8(b.to_vec()).ok())
     }
 }
 
@@ -180,18 +190,38 @@
     let record = match kind {
         b'S' => {
             let (monotonic, wall, boot) = (f.number()?, f.number()?, f.text()?);
-            Record::Clock(ClockReading { boot, monotonic, wall })
+            Record::Clock(ClockReading {
+                boot,
+                monotonic,
+                wall,
+            })
         }
         b'M' => {
             let (key, destination, due) = (f.number()?, f.number()?, f.number()?);
             let (class, tag, body) = (f.text()?, f.text()?, f.bytes()?.to_vec());
-            Record::Taken(KeptMessage { id, class, key, destination, due, tag, body, attempts: vec![] })
+            Record::Taken(KeptMessage {
+                id,
+                class,
+                key,
+                destination,
+                due,
+                tag,
+                body,
+                attempts: vec![],
+            })
         }
         b'C' => {
-            let attempt = KeptAttempt { at: f.number()?, zone: f.text()?, may_have_run: None };
+            let attempt = KeptAttempt {
+                at: f.number()?,
+                zone: f.text()?,
+                may_have_run: None,
+            };
             Record::Attempt { id, attempt }
         }
-        b'O' => Record::Outcome { id, may_have_run: f.byte()? != 0 },
+        b'O' => Record::Outcome {
+            id,
+            may_have_run: f.byte()? != 0,
+        },
         b'E' => {
             let (how, wait) = (f.byte()?, f.number()?);
             let ending = match how {
@@ -203,8 +233,14 @@
         }
         b'N' => Record::Told { id },
         b'A' => {
-            let source = Extent { length: f.number()?, checksum: f.short_number()? };
-            Record::Adopted { source, records: f.bytes()? }
+            let source = Extent {
+                length: f.number()?,
+                checksum: f.short_number()?,
+            };
+            Record::Adopted {
+                source,
+                records: f.bytes()?,
+            }
         }
         _ => return None,
     };
--- a/daemon/src/message_journal/replay.rs
+++ b/daemon/src/message_journal/replay.rs
@@ -49,7 +49,9 @@
                 self.messages.push(Some(message));
             }
             Record::Attempt { id, attempt } => {
-                self.message(id).into_iter().for_each(|message| message.attempts.push(attempt.clone()));
+                self.message(id)
+                    .into_iter()
+                    .for_each(|message| message.attempts.push(attempt.clone()));
             }
             Record::Outcome { id, may_have_run } => {
                 if let Some(attempt) = self.message(id).and_then(|m| m.attempts.last_mut()) {
@@ -99,7 +101,10 @@
         }
     }
     Replayed {
-        kept: Kept { messages: all.messages.into_iter().flatten().collect(), owed: all.owed },
+        kept: Kept {
+            messages: all.messages.into_iter().flatten().collect(),
+            owed: all.owed,
+        },
         good: good.unwrap_or(bytes.len()),
         damaged,
         clock: all.clock,
--- a/daemon/src/messages.rs
+++ b/daemon/src/messages.rs
@@ -155,7 +155,11 @@
 impl Runtime {
     /// The watch, and what it works with.
     pub fn watch(&mut self) -> (&mut Discovery, WatchIo<'_, Due>) {
-        let io = WatchIo { now: self.now, conns: &mut self.conns, deadlines: &mut self.deadlines };
+        let io = WatchIo {
+            now: self.now,
+            conns: &mut self.conns,
+            deadlines: &mut self.deadlines,
+        };
         (&mut self.discovery, io)
     }
 
@@ -200,7 +204,9 @@
 
     /// A message for a destination is held no longer.
     fn release(&mut self, destination: u64) {
-        let Some(held) = self.held_for.get_mut(&destination) else { return };
+        let Some(held) = self.held_for.get_mut(&destination) else {
+            return;
+        };
         *held -= 1;
         if *held == 0 {
             self.held_for.remove(&destination);
@@ -210,7 +216,8 @@
     /// Has the journal try again while it is behind.
     pub fn watch_journal(&mut self) {
         if self.journal.is_behind() {
-            self.deadlines.set_if_unset(Due::Journal, self.now + JOURNAL_AGAIN);
+            self.deadlines
+                .set_if_unset(Due::Journal, self.now + JOURNAL_AGAIN);
         } else {
             self.notices.recorded();
         }
@@ -224,8 +231,14 @@
 
     /// The only place where a message changes its stage: keeps the journal, the notices owed and the tables true.
     pub fn shift(&mut self, slot: MessageSlot, to: Stage) {
-        let Some(message) = self.messages.get_mut(slot) else { return };
-        let (id, due, from) = (message.id, message.due, std::mem::replace(&mut message.stage, to));
+        let Some(message) = self.messages.get_mut(slot) else {
+            return;
+        };
+        let (id, due, from) = (
+            message.id,
+            message.due,
+            std::mem::replace(&mut message.stage, to),
+        );
         if to.ended() && !from.ended() {
             let ending = match to {
                 Stage::Deferred(come_back) => Some(Ending::Deferred(come_back)),
@@ -251,7 +264,10 @@
             }
         }
         if to.ended() && self.messages.get(slot).is_some_and(|m| m.call.is_none()) {
-            self.messages.remove(slot).into_iter().for_each(|gone| self.release(gone.destination));
+            self.messages
+                .remove(slot)
+                .into_iter()
+                .for_each(|gone| self.release(gone.destination));
             self.slots.remove(&id);
             self.recent.note(self.now, id);
         }
@@ -259,13 +275,22 @@
 
     /// Ends a message's attempt: the decisions are told once they are not at work. The connection is the caller's.
     pub fn end_call(&mut self, slot: MessageSlot, outcome: Outcome, over: bool) {
-        let Some(message) = self.messages.get_mut(slot) else { return };
-        let Some(call) = message.call.take() else { return };
+        let Some(message) = self.messages.get_mut(slot) else {
+            return;
+        };
+        let Some(call) = message.call.take() else {
+            return;
+        };
         if outcome == Outcome::NotBegun {
             message.attempts -= 1;
         }
         let (id, stage) = (message.id, message.stage);
-        log::debug!("message {:016x}: attempt {} ended, begun {}: {outcome:?}", id.0, call.no.0, call.begun);
+        log::debug!(
+            "message {:016x}: attempt {} ended, begun {}: {outcome:?}",
+            id.0,
+            call.no.0,
+            call.begun
+        );
         self.deadlines.clear(Due::Call(slot));
         let was_over = stage.ended();
         if call.begun && !was_over && outcome != Outcome::Relayed {
@@ -296,7 +321,9 @@
     /// Breaks an attempt off: its connection is closed, which tells the endpoint. What has come until then is read first: an
     /// answer that arrived in the moment in which its time fell due, or in which it is called off, is an answer.
     pub fn break_call(&mut self, slot: MessageSlot, outcome: Outcome) {
-        let Some(call) = self.messages.get(slot).and_then(|m| m.call) else { return };
+        let Some(call) = self.messages.get(slot).and_then(|m| m.call) else {
+            return;
+        };
         let in_time = matches!(outcome, Outcome::TimedOut | Outcome::CalledOff);
         if let Some(conn) = call.conn.filter(|_| call.begun && in_time) {
             // What cannot be read is as good as not come.
@@ -305,7 +332,10 @@
                 return;
             }
         }
-        let written = call.conn.and_then(|c| self.conns.get(c)).is_some_and(|c| c.output.is_empty());
+        let written = call
+            .conn
+            .and_then(|c| self.conns.get(c))
+            .is_some_and(|c| c.output.is_empty());
         let outcome = match outcome {
             Outcome::Unsent(_) | Outcome::NotBegun => outcome,
             // Not all of it was written: it never ran.
@@ -323,8 +353,12 @@
 
     /// Writes a message to a connection that is up, the journal first.
     pub fn write_call(&mut self, slot: MessageSlot, conn: ConnId) {
-        let (now, Some(message)) = (self.now, self.messages.get_mut(slot)) else { return };
-        let Some(call) = &mut message.call else { return };
+        let (now, Some(message)) = (self.now, self.messages.get_mut(slot)) else {
+            return;
+        };
+        let Some(call) = &mut message.call else {
+            return;
+        };
         let endpoint = &self.endpoints[call.endpoint];
         let room = self.journal.attempt(message.id, now, &endpoint.zone);
         let head = crate::http::call(
@@ -370,18 +404,31 @@
         let Some(list) = self.discovery.scoped_list() else {
             return self.endpoints.serve(destination);
         };
-        list.knowledge(destination) != Knowledge::Cached || list.entries_of(destination).next().is_some()
+        list.knowledge(destination) != Knowledge::Cached
+            || list.entries_of(destination).next().is_some()
     }
 }
 
 impl Outlet for Runtime {
     fn attempt(&mut self, message: MessageId, endpoint: EndpointId, time_out: Nanos) {
-        let Some(&slot) = self.slots.get(&message) else { return };
-        let Some(held) = self.messages.get_mut(slot) else { return };
+        let Some(&slot) = self.slots.get(&message) else {
+            return;
+        };
+        let Some(held) = self.messages.get_mut(slot) else {
+            return;
+        };
         let (at, until) = (self.now, self.now + time_out);
         let no = AttemptNumber(held.attempts);
         held.attempts += 1;
-        held.call = Some(Call { no, endpoint, conn: None, at, until, begun: false, limit: 0.0 });
+        held.call = Some(Call {
+            no,
+            endpoint,
+            conn: None,
+            at,
+            until,
+            begun: false,
+            limit: 0.0,
+        });
         self.deadlines.set(Due::Call(slot), until);
         self.place(slot, endpoint);
     }
@@ -395,8 +442,15 @@
     }
 
     fn cancel(&mut self, message: MessageId, no: AttemptNumber) {
-        let Some(&slot) = self.slots.get(&message) else { return };
-        if self.messages.get(slot).and_then(|m| m.call).is_some_and(|c| c.no == no) {
+        let Some(&slot) = self.slots.get(&message) else {
+            return;
+        };
+        if self
+            .messages
+            .get(slot)
+            .and_then(|m| m.call)
+            .is_some_and(|c| c.no == no)
+        {
             self.break_call(slot, Outcome::CalledOff);
         }
     }
@@ -411,7 +465,12 @@
     fn forget(&mut self, endpoint: EndpointId) {
         let of = |c: &crate::conns::Conn| c.role == crate::conns::Role::Endpoint(endpoint);
         // What the next one of that number finds is its own.
-        let conns: Vec<ConnId> = self.conns.iter().filter(|(_, c)| of(c)).map(|(id, _)| id).collect();
+        let conns: Vec<ConnId> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| of(c))
+            .map(|(id, _)| id)
+            .collect();
         conns.into_iter().for_each(|conn| self.drop_idle(conn));
         self.endpoints.forget(endpoint);
     }
@@ -429,10 +488,17 @@
 
 impl Runtime {
     fn give_up(&mut self, message: MessageId, to: Stage) {
-        let Some(&slot) = self.slots.get(&message) else { return };
+        let Some(&slot) = self.slots.get(&message) else {
+            return;
+        };
         self.shift(slot, to);
         // Once its end is told nothing of it may go out: an attempt that has not begun ends here.
-        if self.messages.get(slot).and_then(|m| m.call).is_some_and(|c| !c.begun) {
+        if self
+            .messages
+            .get(slot)
+            .and_then(|m| m.call)
+            .is_some_and(|c| !c.begun)
+        {
             self.break_call(slot, Outcome::Unconnected);
         }
     }
@@ -454,10 +520,16 @@
 impl Daemon {
     /// Accepts a message, by whatever front it came: it is written to the journal, then its client is answered, then the
     /// decisions begin. One that is held already, or has ended of late, is answered like one that was just taken.
-    pub fn accept(&mut self, message: KeptMessage, answer: impl FnOnce(&mut Runtime)) -> Result<(), Refusal> {
+    pub fn accept(
+        &mut self,
+        message: KeptMessage,
+        answer: impl FnOnce(&mut Runtime),
+    ) -> Result<(), Refusal> {
         let takes = self.accepts_messages();
         let runtime = &mut self.runtime;
-        let class = runtime.class_of(&message.class).ok_or(Refusal::UnknownClass)?;
+        let class = runtime
+            .class_of(&message.class)
+            .ok_or(Refusal::UnknownClass)?;
         let facts = &self.classes[class];
         if message.tag.is_empty() && matches!(facts.repeat, Repeat::Deduplicated { .. }) {
             return Err(Refusal::Untagged);
@@ -472,7 +544,9 @@
             answer(runtime);
             return Ok(());
         }
-        let admitted = self.dispatcher.admits(ClassId(class), DestinationId(message.destination));
+        let admitted = self
+            .dispatcher
+            .admits(ClassId(class), DestinationId(message.destination));
         if !takes || !admitted || self.look_up(message.destination).is_err() {
             return Err(Refusal::NoRoom);
         }
@@ -488,13 +562,18 @@
     /// Has a destination looked up that is not known; with no scoped configuration there is nothing to be done.
     pub fn look_up(&mut self, destination: u64) -> Result<(), CacheFull> {
         let runtime = &mut self.runtime;
-        let Some(list) = runtime.discovery.scoped_list() else { return Ok(()) };
+        let Some(list) = runtime.discovery.scoped_list() else {
+            return Ok(());
+        };
         if list.knowledge(destination) != Knowledge::Unknown {
             runtime.discovery.touch(destination);
             return Ok(());
         }
-        let mut io =
-            WatchIo { now: runtime.now, conns: &mut runtime.conns, deadlines: &mut runtime.deadlines };
+        let mut io = WatchIo {
+            now: runtime.now,
+            conns: &mut runtime.conns,
+            deadlines: &mut runtime.deadlines,
+        };
         let held_for = &runtime.held_for;
         let in_use = |other: u64| held_for.contains_key(&other);
         let gave_way = runtime.discovery.want(&mut io, destination, &in_use)?;
@@ -526,6 +605,14 @@
 /// What the decisions are told of a message's past: an outcome that nobody knows may mean that it ran.
 fn past(attempts: &[KeptAttempt], zones: &[String]) -> Past {
     let ran = attempts.iter().find(|c| c.may_have_run != Some(false));
-    let zone = |c: &KeptAttempt| zones.iter().position(|z| *z == c.zone).unwrap_or(usize::MAX);
-    Past { attempts: attempts.len() as u32, ran: ran.map(|c| (c.at, ZoneId(zone(c)))) }
+    let zone = |c: &KeptAttempt| {
+        zones
+            .iter()
+            .position(|z| *z == c.zone)
+            .unwrap_or(usize::MAX)
+    };
+    Past {
+        attempts: attempts.len() as u32,
+        ran: ran.map(|c| (c.at, ZoneId(zone(c)))),
+    }
 }
--- a/daemon/src/mgmt.rs
+++ b/daemon/src/mgmt.rs
@@ -26,7 +26,11 @@
 /// Reads the endpoints held out by hand. A line that is no id is skipped and said, and so are those beyond the bound.
 pub fn read_held(text: &str) -> (std::collections::BTreeSet<String>, Vec<String>) {
     let (mut held, mut bad) = (std::collections::BTreeSet::new(), Vec::new());
-    for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
+    for (n, line) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, l)| !l.trim().is_empty())
+    {
         match parse(format!("disable-server {line}").as_bytes()) {
             Ok(Call::Disable(id)) if held.len() < HELD_MOST => drop(held.insert(id)),
             Ok(_) => bad.push(format!("line {}: more than {HELD_MOST} endpoints", n + 1)),
@@ -45,14 +49,19 @@
         Err(e) => return Err(e),
     };
     let (held, bad) = read_held(&text);
-    bad.iter().for_each(|why| log::error!("{}: {why}, skipped", path.display()));
+    bad.iter()
+        .for_each(|why| log::error!("{}: {why}, skipped", path.display()));
     log::info!("{} endpoints are held out by hand", held.len());
     Ok(held)
 }
 
 /// Takes an endpoint out or puts it back. True: that was a change.
 fn set_out(held: &mut std::collections::BTreeSet<String>, name: &str, out: bool) -> bool {
-    if out { held.insert(name.to_string()) } else { held.remove(name) }
+    if out {
+        held.insert(name.to_string())
+    } else {
+        held.remove(name)
+    }
 }
 
 /// What changes with the list of endpoints held out each time that it is written: none while there is none.
@@ -86,7 +95,9 @@
 pub fn parse(line: &[u8]) -> Result<Call, String> {
     let text = std::str::from_utf8(line).map_err(|_| "the call is not UTF-8".to_string())?;
     let mut words = text.split_ascii_whitespace();
-    let Some(name) = words.next() else { return Err("an empty call".into()) };
+    let Some(name) = words.next() else {
+        return Err("an empty call".into());
+    };
     let id = words.next();
     if let Some(extra) = words.next() {
         return Err(format!("`{name}` takes no word `{}`", extra.escape_debug()));
@@ -147,8 +158,16 @@
     let mut text = String::from("SUCCESS\n");
     for (c, name) in classes.iter().enumerate() {
         let ends = figures.ends.get(c).copied().unwrap_or_default();
-        for (end, word) in [(COMPLETED, "completed"), (REJECTED, "rejected"), (FAILED, "failed")] {
-            let _ = writeln!(text, "dispatcher.downstream_requests.{name}.{word}={}", ends[end]);
+        for (end, word) in [
+            (COMPLETED, "completed"),
+            (REJECTED, "rejected"),
+            (FAILED, "failed"),
+        ] {
+            let _ = writeln!(
+                text,
+                "dispatcher.downstream_requests.{name}.{word}={}",
+                ends[end]
+            );
         }
     }
     let lines = [
@@ -191,7 +210,10 @@
         ("saved_files", file.saved),
         ("failed_saves", file.failed),
     ];
-    lines.iter().map(|(name, value)| format!("dispatcher.scope.{name}={value}\n")).collect()
+    lines
+        .iter()
+        .map(|(name, value)| format!("dispatcher.scope.{name}={value}\n"))
+        .collect()
 }
 
 impl Runtime {
@@ -208,14 +230,24 @@
     pub fn let_callers_in(&mut self) {
         for _ in 0..CALLERS_MOST {
             if self.runtime.conns.callers_full() {
-                let callers = self.runtime.conns.iter().filter(|(_, c)| c.role == Role::Caller);
+                let callers = self
+                    .runtime
+                    .conns
+                    .iter()
+                    .filter(|(_, c)| c.role == Role::Caller);
                 let first = callers.map(|(id, c)| (c.used, id)).min();
-                first.into_iter().for_each(|(_, id)| self.runtime.close_caller(id));
+                first
+                    .into_iter()
+                    .for_each(|(_, id)| self.runtime.close_caller(id));
             }
             match self.runtime.conns.accept_caller(LINE_MOST.max(ANSWER_MOST)) {
                 Ok(Some(id)) => {
                     let now = self.runtime.now;
-                    self.runtime.conns.get_mut(id).into_iter().for_each(|c| c.used = now);
+                    self.runtime
+                        .conns
+                        .get_mut(id)
+                        .into_iter()
+                        .for_each(|c| c.used = now);
                     self.runtime.deadlines.set(Due::Conn(id), now + CALL_WITHIN);
                 }
                 Ok(None) => return,
@@ -229,7 +261,9 @@
     pub fn caller_ready(&mut self, id: ConnId) {
         let broken = self.runtime.conns.fill(id).is_err();
         loop {
-            let Some(conn) = self.runtime.conns.get_mut(id) else { return };
+            let Some(conn) = self.runtime.conns.get_mut(id) else {
+                return;
+            };
             let bytes = conn.input.bytes();
             let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
                 if conn.input.len() >= LINE_MOST {
@@ -239,7 +273,10 @@
                 }
                 break;
             };
-            let line = bytes[..end].strip_suffix(b"\r").unwrap_or(&bytes[..end]).to_vec();
+            let line = bytes[..end]
+                .strip_suffix(b"\r")
+                .unwrap_or(&bytes[..end])
+                .to_vec();
             conn.input.consume(end + 1);
             let answer = match parse(&line) {
                 _ if end >= LINE_MOST => format!("FAILURE {TOO_LONG}\n"),
@@ -255,7 +292,9 @@
             }
         }
         let runtime = &mut self.runtime;
-        let Some(conn) = runtime.conns.get(id) else { return };
+        let Some(conn) = runtime.conns.get(id) else {
+            return;
+        };
         let done = (conn.last || conn.ended) && conn.output.is_empty();
         if broken || runtime.conns.flush(id).is_err() || done {
             return runtime.close_caller(id);
@@ -267,7 +306,9 @@
     /// The answer to `show-stat`, with what there is to say on the scoped configuration.
     fn with_scope(&self, text: String) -> String {
         let discovery = &self.runtime.discovery;
-        let (Some(list), Some(file)) = (discovery.scoped_list(), &self.scope_file) else { return text };
+        let (Some(list), Some(file)) = (discovery.scoped_list(), &self.scope_file) else {
+            return text;
+        };
         let lines = scope_lines(list, discovery.counters(), file);
         text.replace("EOT\n", &format!("{lines}EOT\n"))
     }
@@ -300,7 +341,9 @@
                 self.drain(false);
                 "SUCCESS serving\n".into()
             }
-            Call::Disable(name) | Call::Enable(name) if self.runtime.endpoints.find(&name).is_none() => {
+            Call::Disable(name) | Call::Enable(name)
+                if self.runtime.endpoints.find(&name).is_none() =>
+            {
                 format!("FAILURE unknown endpoint `{}`\n", name.escape_debug())
             }
             Call::Disable(name) | Call::Enable(name) => {
@@ -311,7 +354,10 @@
                 if held.len() > HELD_MOST {
                     return format!("FAILURE {HELD_MOST} endpoints are out already\n");
                 }
-                log::info!("endpoint {name} {} by a call", if out { "taken out" } else { "put back" });
+                log::info!(
+                    "endpoint {name} {} by a call",
+                    if out { "taken out" } else { "put back" }
+                );
                 self.hold_out(held);
                 if changed {
                     self.held_unwritten.insert(name.clone(), out);
@@ -360,7 +406,10 @@
     fn hold_out(&mut self, held: std::collections::BTreeSet<String>) {
         let (now, runtime) = (self.runtime.now, &mut self.runtime);
         let before = std::mem::replace(&mut runtime.held_out, held);
-        let changed: Vec<String> = before.symmetric_difference(&runtime.held_out).cloned().collect();
+        let changed: Vec<String> = before
+            .symmetric_difference(&runtime.held_out)
+            .cloned()
+            .collect();
         for name in changed {
             let out = runtime.held_out.contains(&name);
             if let Some(id) = runtime.endpoints.find(&name) {
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -69,7 +69,10 @@
             Ending::Bounced => format!("{{\"ref\":\"{:016x}\",\"result\":\"dead\"}}\n", id.0),
             Ending::Deferred(wait) => {
                 let ms = wait.div_ceil(1_000_000);
-                format!("{{\"ref\":\"{:016x}\",\"result\":\"bounced\",\"wait_ms\":{ms}}}\n", id.0)
+                format!(
+                    "{{\"ref\":\"{:016x}\",\"result\":\"bounced\",\"wait_ms\":{ms}}}\n",
+                    id.0
+                )
             }
         };
         self.out.iter().map(line).collect()
@@ -92,7 +95,10 @@
         let request = http::notices(n.addr, &n.lines());
         let id = match n.conn {
             Some(id) => id,
-            None => match self.conns.open(n.addr, Role::Notices, (http::HEAD_MOST, BYTES_MOST)) {
+            None => match self
+                .conns
+                .open(n.addr, Role::Notices, (http::HEAD_MOST, BYTES_MOST))
+            {
                 Ok(id) => id,
                 Err(_) => return self.notices_broke(),
             },
@@ -116,7 +122,8 @@
         self.notices.head = None;
         if !std::mem::take(&mut self.notices.out).is_empty() {
             self.notices.rests = true;
-            self.deadlines.set(Due::Notices, self.now + self.notices.again);
+            self.deadlines
+                .set(Due::Notices, self.now + self.notices.again);
             self.notices.again = (self.notices.again * 2).min(AGAIN_MOST);
         }
     }
@@ -147,7 +154,9 @@
             self.conns.risen(id).map_err(broken)?;
         }
         self.conns.fill(id).map_err(broken)?;
-        let Some(conn) = self.conns.get_mut(id) else { return Ok(()) };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return Ok(());
+        };
         if self.notices.head.is_none() {
             self.notices.head = http::head(&mut conn.input)?;
         }
--- a/daemon/src/resp.rs
+++ b/daemon/src/resp.rs
@@ -24,7 +24,10 @@
         Some(end) if end > LINE_MOST => Err(Malformed("a line is too long")),
         Some(end) => {
             let text = &rest[..end];
-            Ok(Some((text.strip_suffix(b"\r").unwrap_or(text), from + end + 1)))
+            Ok(Some((
+                text.strip_suffix(b"\r").unwrap_or(text),
+                from + end + 1,
+            )))
         }
         None if rest.len() > LINE_MOST => Err(Malformed("a line is too long")),
         None => Ok(None),
@@ -32,13 +35,18 @@
 }
 
 fn number(text: &[u8], most: usize, wrong: &'static str) -> Result<usize, Malformed> {
-    let read = std::str::from_utf8(text).ok().and_then(|t| t.parse::<usize>().ok());
-    read.filter(|&n| n <= most && text[0] != b'+').ok_or(Malformed(wrong))
+    let read = std::str::from_utf8(text)
+        .ok()
+        .and_then(|t| t.parse::<usize>().ok());
+    read.filter(|&n| n <= most && text[0] != b'+')
+        .ok_or(Malformed(wrong))
 }
 
 /// The first command of the input, once all of it has come: an array of bulk strings, or words on one line.
 pub fn command(bytes: &[u8]) -> Result<Option<Command>, Malformed> {
-    let Some((head, mut at)) = line(bytes, 0)? else { return Ok(None) };
+    let Some((head, mut at)) = line(bytes, 0)? else {
+        return Ok(None);
+    };
     if head.first() != Some(&b'*') {
         let mut words = Vec::new();
         let mut from = 0;
@@ -49,12 +57,18 @@
             from += part.len() + 1;
         }
         let plain = head.iter().all(|b| (b' '..=b'~').contains(b));
-        return if plain { Ok(Some((words, at))) } else { Err(Malformed("expected '*'")) };
+        return if plain {
+            Ok(Some((words, at)))
+        } else {
+            Err(Malformed("expected '*'"))
+        };
     }
     let count = number(&head[1..], WORDS_MOST, "invalid multibulk length")?;
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
-        let Some((head, from)) = line(bytes, at)? else { return Ok(None) };
+        let Some((head, from)) = line(bytes, at)? else {
+            return Ok(None);
+        };
         if head.first() != Some(&b'$') {
             return Err(Malformed("expected '$'"));
         }
@@ -84,12 +98,16 @@
 /// Reads the words of MSG.PUT but for the body; says which is bad.
 pub fn put(words: &[&[u8]]) -> Result<Put, String> {
     let [_, key, id, fields, _] = words else {
-        return Err("wrong number of arguments for 'MSG.PUT': expected key, id, fields and body".into());
+        return Err(
+            "wrong number of arguments for 'MSG.PUT': expected key, id, fields and body".into(),
+        );
     };
     let hex = |name: &str, word: &[u8]| {
-        let digits = word.len() == 16 && word.iter().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+        let digits =
+            word.len() == 16 && word.iter().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         let text = std::str::from_utf8(word).ok().filter(|_| digits);
-        text.and_then(|t| u64::from_str_radix(t, 16).ok()).ok_or(format!("{name}: expected 16 hex digits"))
+        text.and_then(|t| u64::from_str_radix(t, 16).ok())
+            .ok_or(format!("{name}: expected 16 hex digits"))
     };
     let (key, id) = (hex("key", key)?, hex("id", id)?);
     let fields = std::str::from_utf8(fields).map_err(|_| "fields: expected text")?;
@@ -102,7 +120,9 @@
     let find = |name: &str| values.get(name).copied();
     let whole = |name: &str| {
         let digits = find(name).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
-        digits.and_then(|v| v.parse::<u64>().ok()).ok_or(format!("{name}: expected a whole number"))
+        digits
+            .and_then(|v| v.parse::<u64>().ok())
+            .ok_or(format!("{name}: expected a whole number"))
     };
     let tag = find("k").unwrap_or("");
     if tag.len() > 64 || !tag.bytes().all(|b| b.is_ascii_graphic()) {
--- a/daemon/src/scope.rs
+++ b/daemon/src/scope.rs
@@ -64,7 +64,12 @@
             }
         };
         let layout = installation.layout.clone();
-        match ScopedList::from_bytes(&bytes, &self.dispatcher, layout, installation.cache_destinations) {
+        match ScopedList::from_bytes(
+            &bytes,
+            &self.dispatcher,
+            layout,
+            installation.cache_destinations,
+        ) {
             Ok(list) => Some(list),
             Err(e) => {
                 self.refuse(&e);
@@ -75,7 +80,10 @@
 
     fn refuse(&mut self, why: &dyn std::error::Error) {
         self.counters.refused += 1;
-        log::error!("{}: not taken, the configuration begins from nothing: {why}", self.path.display());
+        log::error!(
+            "{}: not taken, the configuration begins from nothing: {why}",
+            self.path.display()
+        );
     }
 
     /// Whether the list has changed since it was saved last.
@@ -103,12 +111,18 @@
     /// Writes a file beside it that takes its place once it is whole.
     fn write(&self, bytes: &[u8]) -> io::Result<()> {
         if bytes.len() > self.most_bytes {
-            let why = format!("{} bytes are more than a quarter of the disk limit", bytes.len());
+            let why = format!(
+                "{} bytes are more than a quarter of the disk limit",
+                bytes.len()
+            );
             return Err(io::Error::other(why));
         }
         // Of this process alone: another version of the dispatcher may run beside it.
-        let beside = self.path.with_extension(format!("{}.new", std::process::id()));
-        let written = std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, &self.path));
+        let beside = self
+            .path
+            .with_extension(format!("{}.new", std::process::id()));
+        let written =
+            std::fs::write(&beside, bytes).and_then(|()| std::fs::rename(&beside, &self.path));
         if written.is_err() {
             let _ = std::fs::remove_file(&beside);
         }
@@ -124,7 +138,11 @@
         zone: listed.zone.clone(),
         kind: listed.kind.clone(),
         destination: listed.destination,
-        state: if listed.serving { EndpointState::Up } else { EndpointState::Draining },
+        state: if listed.serving {
+            EndpointState::Up
+        } else {
+            EndpointState::Draining
+        },
         weight: listed.weight,
         version: Version(0),
     };
@@ -133,14 +151,24 @@
 
 /// What a dispatcher is told of the changes to its list. An entry whose weight makes no sense is logged and skipped.
 pub fn list_of(applied: &Applied, names: &Names) -> EndpointList {
-    let changed = applied.changed.iter().filter_map(|entry| listed(entry, names));
+    let changed = applied
+        .changed
+        .iter()
+        .filter_map(|entry| listed(entry, names));
     let dropped = applied.dropped.iter().filter_map(|entry| {
-        let gone = EndpointEntry { state: EndpointState::Removed, ..entry.clone() };
+        let gone = EndpointEntry {
+            state: EndpointState::Removed,
+            ..entry.clone()
+        };
         listed(&gone, names)
     });
     // One that is dropped and there again under the same name is there.
     let endpoints = dropped.chain(changed).collect();
-    EndpointList { version: 0, whole: false, endpoints }
+    EndpointList {
+        version: 0,
+        whole: false,
+        endpoints,
+    }
 }
 
 fn listed(entry: &EndpointEntry, names: &Names) -> Option<ListedEndpoint> {
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -73,35 +73,60 @@
     let file = |why: String| BadStart::File(path.to_path_buf(), why);
     let text = std::fs::read_to_string(path).map_err(|e| file(e.to_string()))?;
     let json: Value = serde_json::from_str(&text).map_err(|e| file(format!("not JSON: {e}")))?;
-    let source = Source { file: path.to_path_buf(), state: state.clone() };
-    let mut start = Start { source: Some(source), ..parse(&json, state)? };
+    let source = Source {
+        file: path.to_path_buf(),
+        state: state.clone(),
+    };
+    let mut start = Start {
+        source: Some(source),
+        ..parse(&json, state)?
+    };
     if let (None, Some(mgmt)) = (start.mgmt, std::env::var_os("RELAY_MGMT")) {
         let mgmt = mgmt.to_string_lossy();
-        let bad = || file(format!("RELAY_MGMT: `{mgmt}` is no address such as 127.0.0.1:9100"));
+        let bad = || {
+            file(format!(
+                "RELAY_MGMT: `{mgmt}` is no address such as 127.0.0.1:9100"
+            ))
+        };
         start.mgmt = Some(mgmt.parse().map_err(|_| bad())?);
     }
     Ok(start)
 }
 
 /// Reads the platform's file and that of the installation, if there is one.
-pub fn read_all(path: &Path, state: Option<PathBuf>, installation: Option<&Path>) -> Result<Start, BadStart> {
+pub fn read_all(
+    path: &Path,
+    state: Option<PathBuf>,
+    installation: Option<&Path>,
+) -> Result<Start, BadStart> {
     let start = read(path, state)?;
     let installation = installation.map(Installation::read).transpose()?;
-    Ok(Start { installation, ..start })
+    Ok(Start {
+        installation,
+        ..start
+    })
 }
 
 pub fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, BadField> {
     let r = Reader { json, place: "" };
-    let address =
-        |field: &str| r.need(field, "an address such as 127.0.0.1:6379", |v| v.as_str()?.parse().ok());
-    let seed = r.need("seed", "16 hex digits", |v| u64::from_str_radix(v.as_str()?, 16).ok())?;
+    let address = |field: &str| {
+        r.need(field, "an address such as 127.0.0.1:6379", |v| {
+            v.as_str()?.parse().ok()
+        })
+    };
+    let seed = r.need("seed", "16 hex digits", |v| {
+        u64::from_str_radix(v.as_str()?, 16).ok()
+    })?;
     let settings = r.need("settings", "an object", |v| v.is_object().then_some(v))?;
-    let known = r.need("known", "a list of endpoints", |v| v.get("servers")?.is_array().then_some(v))?;
+    let known = r.need("known", "a list of endpoints", |v| {
+        v.get("servers")?.is_array().then_some(v)
+    })?;
     let state = match state {
         Some(state) => state,
-        None => {
-            r.word("state").map_err(|_| r.bad("state", "a folder that lasts, here or by RELAY_STATE"))?.into()
-        }
+        None => r
+            .word("state")
+            .map_err(|_| r.bad("state", "a folder that lasts, here or by RELAY_STATE"))?
+            .into(),
     };
     let boot = bellsill_boot::read(settings, seed, "settings")?;
     if boot.facts.batch.iter().any(|most| *most > 1) {
@@ -126,6 +151,8 @@
         state,
         installation: None,
         source: None,
-        fixed: FIXED.map(|field| (field, json.get(field).cloned().unwrap_or(Value::Null))).to_vec(),
+        fixed: FIXED
+            .map(|field| (field, json.get(field).cloned().unwrap_or(Value::Null)))
+            .to_vec(),
     })
 }
--- a/daemon/src/start_retry.rs
+++ b/daemon/src/start_retry.rs
@@ -14,8 +14,14 @@
 /// operator has to mend, such as a folder without permission or another's address, ends the start at once.
 fn may_pass(e: &io::Error) -> bool {
     use io::ErrorKind::*;
-    let of_the_folder =
-        [PermissionDenied, NotADirectory, IsADirectory, NotFound, ReadOnlyFilesystem, ResourceBusy];
+    let of_the_folder = [
+        PermissionDenied,
+        NotADirectory,
+        IsADirectory,
+        NotFound,
+        ReadOnlyFilesystem,
+        ResourceBusy,
+    ];
     let of_the_address = [AddrInUse, AddrNotAvailable, InvalidInput];
     let lasting = of_the_folder.contains(&e.kind()) || of_the_address.contains(&e.kind());
     let known = e.raw_os_error().is_some() || e.kind() == StorageFull;
--- a/daemon/tests/calls.rs
+++ b/daemon/tests/calls.rs
@@ -66,12 +66,22 @@
         e.does(Does::Writes(text));
         let once = client.message("payment", 7, 20_000, "spoilt");
         wait_for("its end", || rig.platform.notice(&once).is_some());
-        assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead", "{text:?}");
+        assert_eq!(
+            rig.platform.notice(&once).unwrap()["result"],
+            "dead",
+            "{text:?}"
+        );
     }
     e.does(OK);
     client.message("notice", 7, 8000, "after all that");
-    wait_for("the message", || e.calls().iter().any(|c| c.body == "after all that"));
-    assert_eq!(e.calls().len(), relayed.len() + spoilt.len() + 1, "each went out once");
+    wait_for("the message", || {
+        e.calls().iter().any(|c| c.body == "after all that")
+    });
+    assert_eq!(
+        e.calls().len(),
+        relayed.len() + spoilt.len() + 1,
+        "each went out once"
+    );
     assert_eq!(rig.platform.notices().len(), spoilt.len());
 }
 
@@ -95,7 +105,11 @@
     std::thread::sleep(Duration::from_millis(3500).saturating_sub(from.elapsed()));
     rig.signal(Signal::CONT);
     wait_for("the message's end", || rig.platform.notice(&id).is_some());
-    assert_eq!(rig.platform.notice(&id).unwrap()["result"], "bounced", "it never ran");
+    assert_eq!(
+        rig.platform.notice(&id).unwrap()["result"],
+        "bounced",
+        "it never ran"
+    );
     let mut got = Vec::new();
     assert!(late.read_to_end(&mut got).is_ok() && got.is_empty());
 }
@@ -112,11 +126,13 @@
     rig.start();
     let mut client = rig.client();
     // Picks are even: one of the two goes to the endpoint that does not answer yet.
-    let messages = [client.message("payment", 7, 24_000, "x"), client.message("payment", 7, 24_000, "x")];
+    let messages = [
+        client.message("payment", 7, 24_000, "x"),
+        client.message("payment", 7, 24_000, "x"),
+    ];
     let relayed = |id: &String| second.calls().iter().any(|c| c.header("X-Trace-Id") == id);
     wait_for("the first message", || messages.iter().any(relayed));
-    let news =
-        json!({"version": 2, "full": false, "servers": [entry("draining"), second.entry("more", 9, "up")]});
+    let news = json!({"version": 2, "full": false, "servers": [entry("draining"), second.entry("more", 9, "up")]});
     rig.platform.tell(&format!("{news}\n"));
     // Its destination is in the same line, so when it goes out the drain is known.
     // Until the line is read its destination is unknown, and a message to it is turned away unheard.
@@ -155,12 +171,18 @@
         wait_for("the message at the open route", || open.calls().len() == n);
     }
     assert_eq!(full.calls().len(), 1);
-    assert_eq!(rig.platform.notices().len(), 0, "nothing is owed for what is over");
+    assert_eq!(
+        rig.platform.notices().len(),
+        0,
+        "nothing is owed for what is over"
+    );
 }
 
 #[test]
 fn a_connection_turned_away_with_503_and_closed_closes_no_sibling() {
-    let full = Endpoint::start(Does::SaysLast("503 Service Unavailable\r\nConnection: close"));
+    let full = Endpoint::start(Does::SaysLast(
+        "503 Service Unavailable\r\nConnection: close",
+    ));
     let open = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&full, 7), (&open, 7)]);
     // In so large a fleet the wait after a refusal at their common limit would outlast every message.
@@ -173,7 +195,14 @@
             open.calls().len() == n || !rig.platform.notices().is_empty()
         });
     }
-    assert_eq!((full.calls().len(), open.calls().len(), rig.platform.notices().len()), (1, 3, 0));
+    assert_eq!(
+        (
+            full.calls().len(),
+            open.calls().len(),
+            rig.platform.notices().len()
+        ),
+        (1, 3, 0)
+    );
 }
 
 /// Seen on join+mass, zone+brink and split+brink: a repeat was decided inside its window and written up to 1.5 s later, once its
@@ -203,9 +232,17 @@
     let mut late = slow.accept().unwrap().0;
     let mut got = Vec::new();
     // It is kept for other calls until it has been idle for its time.
-    assert!(late.read_to_end(&mut got).is_ok() && got.is_empty(), "{}", String::from_utf8_lossy(&got));
+    assert!(
+        late.read_to_end(&mut got).is_ok() && got.is_empty(),
+        "{}",
+        String::from_utf8_lossy(&got)
+    );
     wait_for("the message's end", || rig.platform.notice(&id).is_some());
-    assert_eq!(rig.platform.notice(&id).unwrap()["result"], "dead", "it may have run");
+    assert_eq!(
+        rig.platform.notice(&id).unwrap()["result"],
+        "dead",
+        "it may have run"
+    );
 }
 
 #[test]
@@ -226,7 +263,9 @@
     wait_for("the news", || rig.client().says(&ask) == "+OK");
     // The connection to the old address is given up: nothing comes up there, or what did is closed with nothing written.
     drop((old.accept().unwrap(), filler));
-    wait_for("the message where it is now", || moved.calls().iter().any(|c| c.header("X-Trace-Id") == id));
+    wait_for("the message where it is now", || {
+        moved.calls().iter().any(|c| c.header("X-Trace-Id") == id)
+    });
     old.set_nonblocking(true).unwrap();
     let mut got = Vec::new();
     if let Ok((mut late, _)) = old.accept() {
--- a/daemon/tests/clients.rs
+++ b/daemon/tests/clients.rs
@@ -15,7 +15,11 @@
     rig.start();
     let (mut client, a, b) = (rig.client(), fresh(), fresh());
     let mut input = b"PING\r\n".to_vec();
-    input.extend(put(&a, "c=notice,d=8000,k=tag-a,dest=7,new=1", "one\r\ntwo"));
+    input.extend(put(
+        &a,
+        "c=notice,d=8000,k=tag-a,dest=7,new=1",
+        "one\r\ntwo",
+    ));
     input.extend(put(&b, "c=payment,d=8000,dest=7", ""));
     input.extend(b"*1\r\n$4\r\nPING\r\n");
     for byte in input {
@@ -28,14 +32,22 @@
     wait_for("both messages", || e.calls().len() == 2);
     let calls = e.calls();
     let call = calls.iter().find(|c| c.header("X-Trace-Id") == a).unwrap();
-    assert_eq!((call.head[0].as_str(), call.body.as_str()), ("POST /events HTTP/1.1", "one\r\ntwo"));
+    assert_eq!(
+        (call.head[0].as_str(), call.body.as_str()),
+        ("POST /events HTTP/1.1", "one\r\ntwo")
+    );
     assert_eq!(call.header("Idempotency-Key"), "tag-a");
     assert!(call.header("X-Expires-In").ends_with('u'));
     let other = calls.iter().find(|c| c.header("X-Trace-Id") == b).unwrap();
-    assert_eq!((other.header("Idempotency-Key"), other.body.as_str()), ("", ""));
+    assert_eq!(
+        (other.header("Idempotency-Key"), other.body.as_str()),
+        ("", "")
+    );
     // One that is handed in twice is held or over; it is not an error, and while held not a second message.
     client.message("notice", 7, 8000, "another");
-    wait_for("an idle connection used again", || e.calls().iter().any(|c| c.body == "another"));
+    wait_for("an idle connection used again", || {
+        e.calls().iter().any(|c| c.body == "another")
+    });
     assert!(e.calls().iter().all(|c| c.conn < 2));
 }
 
@@ -59,16 +71,42 @@
         ("c=notice,d=5,k=a\r\nX: y,dest=7", "k:"),
     ] {
         let answer = client.says(&put(&id, fields, "x"));
-        assert!(answer.starts_with(&format!("-ERR {named}")), "{fields:?}: {answer}");
+        assert!(
+            answer.starts_with(&format!("-ERR {named}")),
+            "{fields:?}: {answer}"
+        );
     }
-    assert!(client.says(&put("xyz", "c=notice,d=5,k=a,dest=7", "x")).starts_with("-ERR id:"));
-    assert!(client.says(b"*1\r\n$7\r\nMSG.PUT\r\n").starts_with("-ERR wrong number"));
-    assert!(client.says(b"*1\r\n$4\r\nNONE\r\n").starts_with("-ERR unknown command"));
+    assert!(
+        client
+            .says(&put("xyz", "c=notice,d=5,k=a,dest=7", "x"))
+            .starts_with("-ERR id:")
+    );
+    assert!(
+        client
+            .says(b"*1\r\n$7\r\nMSG.PUT\r\n")
+            .starts_with("-ERR wrong number")
+    );
+    assert!(
+        client
+            .says(b"*1\r\n$4\r\nNONE\r\n")
+            .starts_with("-ERR unknown command")
+    );
     assert_eq!(client.says(b"PING\r\n"), "+PONG");
     let long = "x".repeat(70_000);
-    for malformed in ["*1\r\n+PING\r\n", "*x\r\n", "*1\r\n$-2\r\n", "\u{1}\u{2}\r\n", &put_text(&id, &long)] {
+    for malformed in [
+        "*1\r\n+PING\r\n",
+        "*x\r\n",
+        "*1\r\n$-2\r\n",
+        "\u{1}\u{2}\r\n",
+        &put_text(&id, &long),
+    ] {
         let mut other = rig.client();
-        assert!(other.says(malformed.as_bytes()).starts_with("-ERR Protocol error"), "{malformed:.20?}");
+        assert!(
+            other
+                .says(malformed.as_bytes())
+                .starts_with("-ERR Protocol error"),
+            "{malformed:.20?}"
+        );
         assert_eq!(other.line(), "", "closed");
     }
     client.message("notice", 7, 8000, "still served");
@@ -88,12 +126,17 @@
     assert_eq!(client.says(b"PING\r\n"), "+PONG");
     // The dispatcher stands still while the client hands in a message and ends its side.
     rig.signal(Signal::STOP);
-    client.to.write_all(&put(&id, "c=payment,d=8000,dest=7", "x")).unwrap();
+    client
+        .to
+        .write_all(&put(&id, "c=payment,d=8000,dest=7", "x"))
+        .unwrap();
     client.to.shutdown(std::net::Shutdown::Write).unwrap();
     rig.signal(Signal::CONT);
     assert_eq!([client.line(), client.line()], ["-BUSY", ""]);
     let later = rig.client().message("payment", 7, 8000, "x");
-    wait_for("a later message", || e.calls().iter().any(|c| c.header("X-Trace-Id") == later));
+    wait_for("a later message", || {
+        e.calls().iter().any(|c| c.header("X-Trace-Id") == later)
+    });
     assert!(!e.calls().iter().any(|c| c.header("X-Trace-Id") == id));
 }
 
@@ -117,7 +160,11 @@
         let mut rest = Vec::new();
         match client.from.read_to_end(&mut rest) {
             Ok(_) => {}
-            Err(e) => assert_ne!(e.kind(), std::io::ErrorKind::WouldBlock, "neither an error nor a close"),
+            Err(e) => assert_ne!(
+                e.kind(),
+                std::io::ErrorKind::WouldBlock,
+                "neither an error nor a close"
+            ),
         }
     }
     assert_eq!(e.calls().len(), 3);
@@ -132,14 +179,20 @@
     rig.start();
     let silent = rig.client();
     let mut inside: Vec<Client> = (0..10).map(|_| rig.client()).collect();
-    assert!(inside.iter_mut().all(|c| c.says(b"PING\r\n") == "+PONG"), "they and the one before are inside");
+    assert!(
+        inside.iter_mut().all(|c| c.says(b"PING\r\n") == "+PONG"),
+        "they and the one before are inside"
+    );
     // While the dispatcher stands still a crowd comes first, then the requests; all of them find it at once.
     rig.signal(Signal::STOP);
     let crowd: Vec<Client> = (0..150).map(|_| rig.client()).collect();
     let ids = [fresh(), fresh()];
     let mut askers = [silent, inside.remove(0)];
     for (asker, id) in askers.iter_mut().zip(&ids) {
-        asker.to.write_all(&put(id, "c=payment,d=20000,dest=7", "x")).unwrap();
+        asker
+            .to
+            .write_all(&put(id, "c=payment,d=20000,dest=7", "x"))
+            .unwrap();
     }
     std::thread::sleep(Duration::from_millis(600));
     rig.signal(Signal::CONT);
@@ -147,7 +200,9 @@
         assert_eq!(asker.line(), "+OK");
     }
     for id in &ids {
-        wait_for("the message", || e.calls().iter().any(|c| c.header("X-Trace-Id") == id));
+        wait_for("the message", || {
+            e.calls().iter().any(|c| c.header("X-Trace-Id") == id)
+        });
     }
     drop(crowd);
 }
@@ -162,7 +217,10 @@
     client.to.write_all(&b"NONE\r\n".repeat(500)).unwrap();
     let mut rest = String::new();
     client.from.read_to_string(&mut rest).unwrap();
-    assert!(rest.starts_with("-ERR unknown command") && rest.lines().count() < 500, "{rest}");
+    assert!(
+        rest.starts_with("-ERR unknown command") && rest.lines().count() < 500,
+        "{rest}"
+    );
 }
 
 #[test]
@@ -178,7 +236,9 @@
         client.message("notice", 7, 8000, "served all the same");
     }
     wait_for("all of them", || e.calls().len() == 20);
-    let open = std::fs::read_dir(format!("/proc/{}/fd", rig.child.as_ref().unwrap().id())).unwrap().count();
+    let open = std::fs::read_dir(format!("/proc/{}/fd", rig.child.as_ref().unwrap().id()))
+        .unwrap()
+        .count();
     assert!(open <= 64, "{open} descriptors");
     drop(others);
     assert_eq!(rig.client().says(b"PING\r\n"), "+PONG");
@@ -194,11 +254,21 @@
     let mut client = rig.client();
     let put_in = |client: &mut Client, cell: u64| {
         let id = fresh();
-        client.says(&put(&id, &format!("c=notice,d=20000,k=k{id},dest={cell}"), "x"))
+        client.says(&put(
+            &id,
+            &format!("c=notice,d=20000,k=k{id},dest={cell}"),
+            "x",
+        ))
     };
-    let taken = (0..200).take_while(|_| put_in(&mut client, 7) == "+OK").count();
+    let taken = (0..200)
+        .take_while(|_| put_in(&mut client, 7) == "+OK")
+        .count();
     let kept = rig.kept();
-    assert_eq!((kept.messages.len(), kept.owed.len()), (taken, 0), "one given up while it could wait");
+    assert_eq!(
+        (kept.messages.len(), kept.owed.len()),
+        (taken, 0),
+        "one given up while it could wait"
+    );
     assert_eq!(put_in(&mut client, 9), "+OK");
     wait_for("a message elsewhere", || !sound.calls().is_empty());
 }
@@ -216,13 +286,22 @@
     assert!(rig.call("drain")[0].starts_with("SUCCESS"));
     assert_eq!(resting.line(), "", "parted with");
     let crossing = fresh();
-    resting.to.write_all(&put(&crossing, "c=notice,d=8000,k=a,dest=7", "crossing")).unwrap();
+    resting
+        .to
+        .write_all(&put(&crossing, "c=notice,d=8000,k=a,dest=7", "crossing"))
+        .unwrap();
     // Over a connection that was reset nothing more can be written.
     resting.to.write_all(b"PING\r\n").expect("no reset");
     // Once this is answered, what came before has been met.
     let later = rig.client().message("notice", 7, 8000, "later");
-    wait_for("the later message", || e.calls().iter().any(|c| c.header("X-Trace-Id") == later));
+    wait_for("the later message", || {
+        e.calls().iter().any(|c| c.header("X-Trace-Id") == later)
+    });
     assert_eq!(resting.line(), "", "no answer");
-    let kept = rig.kept().messages.iter().any(|m| format!("{:016x}", m.id.0) == crossing);
+    let kept = rig
+        .kept()
+        .messages
+        .iter()
+        .any(|m| format!("{:016x}", m.id.0) == crossing);
     assert!(!kept && !e.calls().iter().any(|c| c.header("X-Trace-Id") == crossing));
 }
--- a/daemon/tests/common/control.rs
+++ b/daemon/tests/common/control.rs
@@ -60,7 +60,11 @@
             zone: zone.into(),
             kind: "shops".into(),
             destination,
-            state: if up { EndpointState::Up } else { EndpointState::Removed },
+            state: if up {
+                EndpointState::Up
+            } else {
+                EndpointState::Removed
+            },
             weight: None,
             version: Version(state.version),
         };
@@ -105,10 +109,18 @@
 fn serve(stream: TcpStream, state: &Mutex<State>) {
     let mut to = stream.try_clone().unwrap();
     let mut from = BufReader::new(stream);
-    let Some((head, _)) = request(&mut from) else { return };
+    let Some((head, _)) = request(&mut from) else {
+        return;
+    };
     let target = head[0].split(' ').nth(1).unwrap().to_string();
-    let query = target.strip_prefix("/api/targets?").expect("a request for targets").to_string();
-    let fields: BTreeMap<&str, &str> = query.split('&').filter_map(|field| field.split_once('=')).collect();
+    let query = target
+        .strip_prefix("/api/targets?")
+        .expect("a request for targets")
+        .to_string();
+    let fields: BTreeMap<&str, &str> = query
+        .split('&')
+        .filter_map(|field| field.split_once('='))
+        .collect();
     assert_eq!(fields["dispatcher"], "d1");
     match fields.contains_key("follow") {
         true => serve_watch(&mut to, &fields, &query, state),
@@ -118,10 +130,18 @@
 
 fn numbers(fields: &BTreeMap<&str, &str>, name: &str) -> BTreeSet<u64> {
     let list = fields.get(name).copied().unwrap_or_default();
-    list.split(',').filter(|text| !text.is_empty()).map(|text| text.parse().unwrap()).collect()
+    list.split(',')
+        .filter(|text| !text.is_empty())
+        .map(|text| text.parse().unwrap())
+        .collect()
 }
 
-fn serve_lookup(to: &mut TcpStream, fields: &BTreeMap<&str, &str>, query: &str, state: &Mutex<State>) {
+fn serve_lookup(
+    to: &mut TcpStream,
+    fields: &BTreeMap<&str, &str>,
+    query: &str,
+    state: &Mutex<State>,
+) {
     let mut state = state.lock().unwrap();
     state.lookup_queries.push(query.to_string());
     if state.lookups_fail {
@@ -132,8 +152,9 @@
     let forgotten = numbers(fields, "forget");
     state.cells.retain(|cell| !forgotten.contains(cell));
     state.cells.extend(&cells);
-    let wanted =
-        |entry: &&EndpointEntry| cells.contains(&entry.destination) && entry.state != EndpointState::Removed;
+    let wanted = |entry: &&EndpointEntry| {
+        cells.contains(&entry.destination) && entry.state != EndpointState::Removed
+    };
     let line = ScopedLine {
         version: Version(state.version),
         log: LOG.into(),
@@ -141,10 +162,19 @@
         ..ScopedLine::default()
     };
     let body = serde_json::to_string(&line).unwrap() + "\n";
-    let _ = write!(to, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let _ = write!(
+        to,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
 }
 
-fn serve_watch(to: &mut TcpStream, fields: &BTreeMap<&str, &str>, query: &str, state: &Mutex<State>) {
+fn serve_watch(
+    to: &mut TcpStream,
+    fields: &BTreeMap<&str, &str>,
+    query: &str,
+    state: &Mutex<State>,
+) {
     let (mut line, epoch) = {
         let mut state = state.lock().unwrap();
         state.watch_queries.push(query.to_string());
@@ -152,12 +182,19 @@
         (first_line(fields, &state), state.epoch)
     };
     let (mut told, mut holds) = (line.version, true);
-    if to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err() {
+    if to
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .is_err()
+    {
         return;
     }
     loop {
         let text = serde_json::to_string(&line).unwrap() + "\n";
-        let text = if line == ScopedLine::default() { "\n".to_string() } else { text };
+        let text = if line == ScopedLine::default() {
+            "\n".to_string()
+        } else {
+            text
+        };
         if write!(to, "{:x}\r\n{text}\r\n", text.len()).is_err() {
             return;
         }
@@ -167,7 +204,10 @@
             return;
         }
         line = match state.version > told.0 {
-            true => ScopedLine { servers: changes(&state, told), ..ScopedLine::default() },
+            true => ScopedLine {
+                servers: changes(&state, told),
+                ..ScopedLine::default()
+            },
             false => ScopedLine::default(),
         };
         if state.version > told.0 {
@@ -186,10 +226,20 @@
 /// The first line: changes since, or all buckets anew and filled at once.
 fn first_line(fields: &BTreeMap<&str, &str>, state: &State) -> ScopedLine {
     let known = fields.get("log") == Some(&LOG);
-    let since = if known { Version(fields["since"].parse().unwrap()) } else { Version(0) };
-    let kept = if known { numbers(fields, "buckets") } else { BTreeSet::new() };
-    let gained: Vec<BucketId> =
-        (0..BUCKETS).filter(|bucket| !kept.contains(&u64::from(*bucket))).map(BucketId).collect();
+    let since = if known {
+        Version(fields["since"].parse().unwrap())
+    } else {
+        Version(0)
+    };
+    let kept = if known {
+        numbers(fields, "buckets")
+    } else {
+        BTreeSet::new()
+    };
+    let gained: Vec<BucketId> = (0..BUCKETS)
+        .filter(|bucket| !kept.contains(&u64::from(*bucket)))
+        .map(BucketId)
+        .collect();
     let since = if gained.is_empty() { since } else { Version(0) };
     ScopedLine {
         version: Version(state.version),
--- a/daemon/tests/common/faults.rs
+++ b/daemon/tests/common/faults.rs
@@ -21,8 +21,16 @@
 /// The preloaded library: an example of this package, built with its tests.
 fn library() -> PathBuf {
     let test = std::env::current_exe().unwrap();
-    let built = test.parent().unwrap().with_file_name("examples").join("libbellsill_faults.so");
-    assert!(built.exists(), "{}: built by `cargo build --examples`", built.display());
+    let built = test
+        .parent()
+        .unwrap()
+        .with_file_name("examples")
+        .join("libbellsill_faults.so");
+    assert!(
+        built.exists(),
+        "{}: built by `cargo build --examples`",
+        built.display()
+    );
     built
 }
 
@@ -30,7 +38,13 @@
     /// A page in this folder that asks for nothing.
     pub fn new(folder: &Path, seed: u64) -> Faults {
         let path = folder.join("faults");
-        let page = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path).unwrap();
+        let page = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(&path)
+            .unwrap();
         page.set_len(words::PAGE_BYTES as u64).unwrap();
         let faults = Faults { path, page };
         faults.ask(words::RANDOM_STATE, seed);
@@ -38,12 +52,16 @@
     }
 
     pub fn ask(&self, word: usize, value: u64) {
-        self.page.write_all_at(&value.to_ne_bytes(), word as u64 * 8).unwrap();
+        self.page
+            .write_all_at(&value.to_ne_bytes(), word as u64 * 8)
+            .unwrap();
     }
 
     pub fn count(&self, word: usize) -> u64 {
         let mut bytes = [0; 8];
-        self.page.read_exact_at(&mut bytes, word as u64 * 8).unwrap();
+        self.page
+            .read_exact_at(&mut bytes, word as u64 * 8)
+            .unwrap();
         u64::from_ne_bytes(bytes)
     }
 
@@ -78,6 +96,8 @@
     /// Has a command's process preload the library, with faults in that folder.
     pub fn preload(&self, command: &mut Command, folder: &Path) {
         command.env("LD_PRELOAD", library());
-        command.env("BELLSILL_FAULTS", &self.path).env("BELLSILL_FAULT_FOLDER", folder);
+        command
+            .env("BELLSILL_FAULTS", &self.path)
+            .env("BELLSILL_FAULT_FOLDER", folder);
     }
 }
--- a/daemon/tests/common/installation.rs
+++ b/daemon/tests/common/installation.rs
@@ -29,14 +29,25 @@
             layout()
         );
         std::fs::write(folder.join("control.toml"), text).unwrap();
-        ControlProcess { addr, folder, child: None }
+        ControlProcess {
+            addr,
+            folder,
+            child: None,
+        }
     }
 
     pub fn start(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill"));
-        command.arg("control").arg("--config").arg(self.folder.join("control.toml")).arg("--log").arg("warn");
+        command
+            .arg("control")
+            .arg("--config")
+            .arg(self.folder.join("control.toml"))
+            .arg("--log")
+            .arg("warn");
         self.child = Some(command.spawn().unwrap());
-        wait_for("a control process that is ready", || TcpStream::connect(&self.addr).is_ok());
+        wait_for("a control process that is ready", || {
+            TcpStream::connect(&self.addr).is_ok()
+        });
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -78,7 +89,9 @@
         let seen = Arc::clone(&cut);
         let addr = stand_in(move |near| {
             wait_until_healed(&seen);
-            let Ok(far) = TcpStream::connect(&target) else { return };
+            let Ok(far) = TcpStream::connect(&target) else {
+                return;
+            };
             let (near_again, far_again) = (near.try_clone().unwrap(), far.try_clone().unwrap());
             let there = Arc::clone(&seen);
             std::thread::spawn(move || carry(near_again, far_again, &there));
@@ -115,8 +128,14 @@
     fn new(number: usize, control: &[ControlProcess]) -> Dispatcher {
         let mut rig = Rig::new(&[]);
         rig.json["mgmt"] = rig.mgmt_at(0).into();
-        let links: Vec<Link> = control.iter().map(|process| Link::to(process.addr.clone())).collect();
-        let addresses: Vec<String> = links.iter().map(|link| format!("{:?}", link.addr)).collect();
+        let links: Vec<Link> = control
+            .iter()
+            .map(|process| Link::to(process.addr.clone()))
+            .collect();
+        let addresses: Vec<String> = links
+            .iter()
+            .map(|link| format!("{:?}", link.addr))
+            .collect();
         let text = format!(
             "dispatcher = \"d{number}\"\nzone = \"{}\"\ncontrol = [{}]\n{}",
             ZONES[number],
@@ -129,13 +148,17 @@
 
     pub fn start(&mut self) {
         let mut command = self.rig.command("serve");
-        command.arg("--installation").arg(self.rig.folder.join("installation.toml"));
+        command
+            .arg("--installation")
+            .arg(self.rig.folder.join("installation.toml"));
         self.rig.start_by(command);
     }
 
     /// Cuts or heals the link to all control processes.
     pub fn cut(&self, cut: bool) {
-        self.links.iter().for_each(|link| link.cut.store(cut, Ordering::SeqCst));
+        self.links
+            .iter()
+            .for_each(|link| link.cut.store(cut, Ordering::SeqCst));
     }
 
     pub fn scope(&self, name: &str) -> u64 {
@@ -167,10 +190,15 @@
         let addr = |n: usize| places[n].listen.replace(":6379", ":7400");
         let folder = |n: usize| places[n].folder.with_extension("control");
         let mut control: Vec<ControlProcess> = (0..SIZE)
-            .map(|n| ControlProcess::new(addr(n), folder(n), Some(addr(0).as_str()).filter(|_| n > 0)))
+            .map(|n| {
+                ControlProcess::new(addr(n), folder(n), Some(addr(0).as_str()).filter(|_| n > 0))
+            })
             .collect();
         control.iter_mut().for_each(ControlProcess::start);
-        let mut installation = Installation { control, dispatchers: Vec::new() };
+        let mut installation = Installation {
+            control,
+            dispatchers: Vec::new(),
+        };
         let members: Vec<String> = ZONES
             .iter()
             .enumerate()
@@ -189,21 +217,30 @@
     /// Waits until every bucket is held in both zones.
     pub fn wait_for_buckets(&self) {
         wait_for("every bucket in both zones", || {
-            let held: u64 = self.dispatchers.iter().map(|d| d.scope("complete_buckets")).sum();
+            let held: u64 = self
+                .dispatchers
+                .iter()
+                .map(|d| d.scope("complete_buckets"))
+                .sum();
             held == 2 * u64::from(BUCKETS_PER_REGION)
         });
     }
 
     /// Writes an endpoint of each of these destinations, at the writer.
     pub fn write(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint) {
-        let lines = destinations.map(|cell| format!("{}\n", endpoint.entry(&format!("e{cell}"), cell, "up")));
+        let lines = destinations
+            .map(|cell| format!("{}\n", endpoint.entry(&format!("e{cell}"), cell, "up")));
         self.post("/api/targets", &lines.collect::<String>());
     }
 
     fn post(&self, path: &str, body: &str) {
         let mut to = TcpStream::connect(&self.control[0].addr).unwrap();
-        write!(to, "POST {path} HTTP/1.1\r\nHost: control\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-            .unwrap();
+        write!(
+            to,
+            "POST {path} HTTP/1.1\r\nHost: control\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+        .unwrap();
         let mut status = String::new();
         BufReader::new(to).read_line(&mut status).unwrap();
         assert!(status.starts_with("HTTP/1.1 200 "), "{path}: {status}");
@@ -213,7 +250,11 @@
     pub fn all_reach(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint, what: &str) {
         for (n, dispatcher) in self.dispatchers.iter().enumerate() {
             for destination in destinations.clone() {
-                dispatcher.reaches(destination, endpoint, &format!("{what}: by d{n} for {destination}"));
+                dispatcher.reaches(
+                    destination,
+                    endpoint,
+                    &format!("{what}: by d{n} for {destination}"),
+                );
             }
         }
     }
--- a/daemon/tests/common/ledger.rs
+++ b/daemon/tests/common/ledger.rs
@@ -87,9 +87,24 @@
 
 impl std::fmt::Display for Verdict {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let Verdict { accepted, refused, delivered, noticed, stalled, broken } = self;
-        write!(f, "accepted {accepted}, refused {refused}, delivered {delivered}, noticed {noticed}, ")?;
-        write!(f, "machine stalled {} ms, broken {}", stalled.as_millis(), broken.len())
+        let Verdict {
+            accepted,
+            refused,
+            delivered,
+            noticed,
+            stalled,
+            broken,
+        } = self;
+        write!(
+            f,
+            "accepted {accepted}, refused {refused}, delivered {delivered}, noticed {noticed}, "
+        )?;
+        write!(
+            f,
+            "machine stalled {} ms, broken {}",
+            stalled.as_millis(),
+            broken.len()
+        )
     }
 }
 
@@ -128,22 +143,39 @@
         self.stalled(ago);
         let last_restart = self.restarts.last().map(|restart| restart.0);
         let bound = |&&(told, until): &&(Instant, Instant)| {
-            last_restart.is_none_or(|at| told > at) && told + WAIT_SLACK < now && now + LIMIT_SLACK < until
+            last_restart.is_none_or(|at| told > at)
+                && told + WAIT_SLACK < now
+                && now + LIMIT_SLACK < until
         };
-        if self.waits.get(&limiter).is_some_and(|waits| waits.iter().any(|wait| bound(&wait))) {
-            self.wrong.push(format!("{id}: called while limiter {limiter} had told to wait"));
+        if self
+            .waits
+            .get(&limiter)
+            .is_some_and(|waits| waits.iter().any(|wait| bound(&wait)))
+        {
+            self.wrong.push(format!(
+                "{id}: called while limiter {limiter} had told to wait"
+            ));
         }
         let Some(message) = self.messages.get_mut(id) else {
-            self.wrong.push(format!("{id}: called, and nobody handed it in"));
+            self.wrong
+                .push(format!("{id}: called, and nobody handed it in"));
             return 0;
         };
-        message.calls.push(Call { began: now, ended: None, effect: Effect::MayHaveRun });
+        message.calls.push(Call {
+            began: now,
+            ended: None,
+            effect: Effect::MayHaveRun,
+        });
         message.calls.len() - 1
     }
 
     /// A call is over: answered, or its connection has ended.
     pub fn call_ended(&mut self, id: &str, number: usize, effect: Effect) {
-        if let Some(call) = self.messages.get_mut(id).and_then(|message| message.calls.get_mut(number)) {
+        if let Some(call) = self
+            .messages
+            .get_mut(id)
+            .and_then(|message| message.calls.get_mut(number))
+        {
             call.ended = Some(Instant::now());
             call.effect = effect;
         }
@@ -151,13 +183,18 @@
 
     pub fn told_to_wait(&mut self, limiter: usize, wait: Duration) {
         let now = Instant::now();
-        self.waits.entry(limiter).or_default().push((now, now + wait));
+        self.waits
+            .entry(limiter)
+            .or_default()
+            .push((now, now + wait));
     }
 
     pub fn noticed(&mut self, id: &str) {
         match self.messages.get_mut(id) {
             Some(message) => message.notices.push(Instant::now()),
-            None => self.wrong.push(format!("{id}: a notice, and nobody handed it in")),
+            None => self
+                .wrong
+                .push(format!("{id}: a notice, and nobody handed it in")),
         }
     }
 
@@ -165,10 +202,15 @@
     pub fn bad_client_ended(&mut self, began: Instant, owed: Duration) {
         let took = began.elapsed();
         if took > owed + LIMIT_SLACK
-            && !self.restarts.iter().any(|(_, ready)| ready.is_none_or(|r| r >= began))
+            && !self
+                .restarts
+                .iter()
+                .any(|(_, ready)| ready.is_none_or(|r| r >= began))
         {
-            self.wrong
-                .push(format!("a client that stopped half way was owed an end for {} ms", took.as_millis()));
+            self.wrong.push(format!(
+                "a client that stopped half way was owed an end for {} ms",
+                took.as_millis()
+            ));
         }
     }
 
@@ -183,9 +225,13 @@
     }
 
     pub fn restart_ended(&mut self) {
-        let took = self.down_since.take().map_or(Duration::ZERO, |since| since.elapsed());
+        let took = self
+            .down_since
+            .take()
+            .map_or(Duration::ZERO, |since| since.elapsed());
         if took > READY_WITHIN {
-            self.wrong.push(format!("ready after {} ms", took.as_millis()));
+            self.wrong
+                .push(format!("ready after {} ms", took.as_millis()));
         }
         self.restarts.last_mut().unwrap().1 = Some(Instant::now());
     }
@@ -205,15 +251,23 @@
     /// Whether all that was accepted has its end.
     pub fn all_ended(&self) -> bool {
         let ended = |m: &Message| !m.notices.is_empty() || m.delivered().is_some();
-        self.messages.values().all(|m| m.heard != Heard::Accepted || ended(m))
+        self.messages
+            .values()
+            .all(|m| m.heard != Heard::Accepted || ended(m))
     }
 
     /// The verdict at this moment; what is still in time is not yet judged as lost.
     pub fn verdict(&self) -> Verdict {
-        let mut verdict = Verdict { broken: self.wrong.clone(), stalled: self.stalled, ..Verdict::default() };
+        let mut verdict = Verdict {
+            broken: self.wrong.clone(),
+            stalled: self.stalled,
+            ..Verdict::default()
+        };
         for (id, message) in &self.messages {
             let breaks = message.breaks(self.stalled, |due| self.overdue_at(due));
-            verdict.broken.extend(breaks.into_iter().map(|what| format!("{id}: {what}")));
+            verdict
+                .broken
+                .extend(breaks.into_iter().map(|what| format!("{id}: {what}")));
             verdict.accepted += usize::from(message.heard == Heard::Accepted);
             verdict.refused += usize::from(message.heard == Heard::Refused);
             verdict.delivered += usize::from(message.delivered().is_some());
@@ -221,26 +275,36 @@
             if let Some(at) = message.closed_at
                 && !self.is_restarting(at)
             {
-                verdict.broken.push(format!("{id}: read, and closed with no answer"));
+                verdict
+                    .broken
+                    .push(format!("{id}: read, and closed with no answer"));
             }
         }
         verdict
     }
 
     fn is_restarting(&self, at: Instant) -> bool {
-        self.restarts.iter().any(|(from, ready)| at >= *from && ready.is_none_or(|ready| at <= ready))
+        self.restarts
+            .iter()
+            .any(|(from, ready)| at >= *from && ready.is_none_or(|ready| at <= ready))
     }
 }
 
 /// A moment in Unix time, as the dispatcher's log writes it.
 fn wall_time(at: Instant) -> f64 {
     let ago = at.elapsed();
-    (SystemTime::now() - ago).duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+    (SystemTime::now() - ago)
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
 }
 
 impl Message {
     fn delivered(&self) -> Option<Instant> {
-        self.calls.iter().find(|call| call.effect == Effect::Delivered).and_then(|call| call.ended)
+        self.calls
+            .iter()
+            .find(|call| call.effect == Effect::Delivered)
+            .and_then(|call| call.ended)
     }
 
     /// The rules that the dispatcher broke with this message.
@@ -254,18 +318,29 @@
             return broken;
         }
         let overdue = overdue_at(self.due);
-        let end = self.delivered().into_iter().chain(self.notices.first().copied()).min();
+        let end = self
+            .delivered()
+            .into_iter()
+            .chain(self.notices.first().copied())
+            .min();
         match end {
-            None if Instant::now() > overdue => broken.push("lost: neither delivered nor noticed".into()),
-            Some(end) if end > overdue => {
-                broken.push(format!("lost: its end came {} ms too late", (end - overdue).as_millis()))
+            None if Instant::now() > overdue => {
+                broken.push("lost: neither delivered nor noticed".into())
             }
+            Some(end) if end > overdue => broken.push(format!(
+                "lost: its end came {} ms too late",
+                (end - overdue).as_millis()
+            )),
             _ => {}
         }
         self.check_effects(&mut broken);
         if let Some(notice) = self.notices.first() {
             let slack = RECORDING_SLACK + stalled;
-            for call in self.calls.iter().filter(|call| call.began > *notice + slack) {
+            for call in self
+                .calls
+                .iter()
+                .filter(|call| call.began > *notice + slack)
+            {
                 let after = (call.began - *notice).as_millis();
                 broken.push(format!(
                     "called {after} ms after its notice, which came at {:.3}",
@@ -274,7 +349,10 @@
             }
         }
         for pair in self.calls.windows(2) {
-            if pair[0].ended.is_none_or(|ended| ended > pair[1].began + RECORDING_SLACK + stalled) {
+            if pair[0]
+                .ended
+                .is_none_or(|ended| ended > pair[1].began + RECORDING_SLACK + stalled)
+            {
                 broken.push("two calls at once".into());
             }
         }
@@ -282,13 +360,20 @@
     }
 
     fn check_effects(&self, broken: &mut Vec<String>) {
-        let ran: Vec<&Call> = self.calls.iter().filter(|call| call.effect != Effect::NeverRan).collect();
+        let ran: Vec<&Call> = self
+            .calls
+            .iter()
+            .filter(|call| call.effect != Effect::NeverRan)
+            .collect();
         let Some(first) = ran.first() else { return };
         match self.window {
             None if ran.len() > 1 => broken.push(format!("ran {} times", ran.len())),
             Some(window) => {
                 // Counted from the first that may have run; a later call that never ran did no harm, but was a breach.
-                let late = self.calls.iter().filter(|call| call.began > first.began + window + LIMIT_SLACK);
+                let late = self
+                    .calls
+                    .iter()
+                    .filter(|call| call.began > first.began + window + LIMIT_SLACK);
                 let late = late.count();
                 if late > 0 {
                     broken.push(format!("called {late} times after its window"));
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -25,7 +25,10 @@
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let from = Instant::now();
     while !done() {
-        assert!(from.elapsed() < Duration::from_secs(60), "never came: {what}");
+        assert!(
+            from.elapsed() < Duration::from_secs(60),
+            "never came: {what}"
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -43,8 +46,10 @@
             text => lines.push(text.to_string()),
         }
     }
-    let length =
-        lines.iter().find_map(|l| l.strip_prefix("Content-Length: ")).map_or(0, |n| n.parse().unwrap());
+    let length = lines
+        .iter()
+        .find_map(|l| l.strip_prefix("Content-Length: "))
+        .map_or(0, |n| n.parse().unwrap());
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
     Some((lines, body))
@@ -73,7 +78,10 @@
 
 impl Call {
     pub fn header(&self, name: &str) -> &str {
-        self.head.iter().find_map(|l| l.strip_prefix(name)?.strip_prefix(": ")).unwrap_or("")
+        self.head
+            .iter()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
+            .unwrap_or("")
     }
 }
 
@@ -100,7 +108,11 @@
 impl Endpoint {
     pub fn start(does: Does) -> Endpoint {
         let (calls, does) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(does)));
-        let (seen, way, conns) = (Arc::clone(&calls), Arc::clone(&does), Arc::new(AtomicU64::new(0)));
+        let (seen, way, conns) = (
+            Arc::clone(&calls),
+            Arc::clone(&does),
+            Arc::new(AtomicU64::new(0)),
+        );
         let addr = stand_in(move |stream| {
             let conn = conns.fetch_add(1, Ordering::SeqCst);
             let mut to = stream.try_clone().unwrap();
@@ -132,7 +144,10 @@
     }
     /// How many calls came for a message.
     pub fn calls_of(&self, id: &str) -> usize {
-        self.calls().iter().filter(|call| call.header("X-Trace-Id") == id).count()
+        self.calls()
+            .iter()
+            .filter(|call| call.header("X-Trace-Id") == id)
+            .count()
     }
     pub fn entry(&self, id: &str, cell: u64, state: &str) -> Value {
         entry(id, &self.addr, cell, state)
@@ -155,14 +170,19 @@
         let since: Arc<Mutex<Vec<String>>> = Arc::default();
         let notices: Arc<Mutex<Vec<Value>>> = Arc::default();
         let deaf = Arc::new(AtomicBool::new(false));
-        let (w, s, n, d) =
-            (Arc::clone(&watches), Arc::clone(&since), Arc::clone(&notices), Arc::clone(&deaf));
+        let (w, s, n, d) = (
+            Arc::clone(&watches),
+            Arc::clone(&since),
+            Arc::clone(&notices),
+            Arc::clone(&deaf),
+        );
         let addr = stand_in(move |stream| {
             let mut to = stream.try_clone().unwrap();
             let mut from = BufReader::new(stream);
             while let Some((head, body)) = request(&mut from) {
                 if head[0].starts_with("GET /api/targets?follow=1&since=") {
-                    to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+                    to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                        .unwrap();
                     s.lock().unwrap().push(head[0].clone());
                     w.lock().unwrap().push(to.try_clone().unwrap());
                     continue;
@@ -172,11 +192,21 @@
                     return;
                 }
                 let lines = String::from_utf8(body).unwrap();
-                n.lock().unwrap().extend(lines.lines().map(|l| serde_json::from_str::<Value>(l).unwrap()));
+                n.lock().unwrap().extend(
+                    lines
+                        .lines()
+                        .map(|l| serde_json::from_str::<Value>(l).unwrap()),
+                );
                 to.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").unwrap();
             }
         });
-        Platform { addr, watches, since, notices, deaf }
+        Platform {
+            addr,
+            watches,
+            since,
+            notices,
+            deaf,
+        }
     }
     /// Tells all watches, each byte in a chunk of its own.
     pub fn tell(&self, text: &str) {
@@ -216,21 +246,38 @@
         let listen = format!("127.{}.{}.{}:6379", 16 + pid % 200, pid / 200 % 250, n + 1);
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("rig-{pid}-{n}"));
         std::fs::create_dir_all(folder.join("state")).unwrap();
-        let mut json: Value = serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
+        let mut json: Value =
+            serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
         let platform = Platform::start();
         json["listen"] = listen.clone().into();
         json["discovery"] = platform.addr.clone().into();
         let entries = endpoints.iter().enumerate();
-        json["known"]["servers"] =
-            entries.map(|(i, (e, cell))| e.entry(&format!("e{i}"), *cell, "up")).collect::<Vec<_>>().into();
-        Rig { folder, listen, json, platform, child: None }
+        json["known"]["servers"] = entries
+            .map(|(i, (e, cell))| e.entry(&format!("e{i}"), *cell, "up"))
+            .collect::<Vec<_>>()
+            .into();
+        Rig {
+            folder,
+            listen,
+            json,
+            platform,
+            child: None,
+        }
     }
 
     pub fn command(&self, what: &str) -> Command {
         std::fs::write(self.folder.join("config.json"), self.json.to_string()).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill"));
-        command.env_remove("RELAY_STATE").arg(what).arg("--config").arg(self.folder.join("config.json"));
-        command.arg("--state").arg(self.folder.join("state")).arg("--log").arg("warn");
+        command
+            .env_remove("RELAY_STATE")
+            .arg(what)
+            .arg("--config")
+            .arg(self.folder.join("config.json"));
+        command
+            .arg("--state")
+            .arg(self.folder.join("state"))
+            .arg("--log")
+            .arg("warn");
         command
     }
 
@@ -260,9 +307,14 @@
     pub fn start_by(&mut self, mut command: Command) {
         self.child = Some(command.spawn().unwrap());
         wait_for("a dispatcher that is ready", || {
-            let Ok(mut stream) = TcpStream::connect(&self.listen) else { return false };
+            let Ok(mut stream) = TcpStream::connect(&self.listen) else {
+                return false;
+            };
             stream.write_all(b"PING\r\n").is_ok()
-                && BufReader::new(stream).lines().next().is_some_and(|l| l.is_ok_and(|l| l == "+PONG"))
+                && BufReader::new(stream)
+                    .lines()
+                    .next()
+                    .is_some_and(|l| l.is_ok_and(|l| l == "+PONG"))
         });
     }
 
@@ -285,7 +337,9 @@
     pub fn kept_in(&self, journal: &str) -> Kept {
         // A folder of its own each time: a process that another test starts just now holds a lock on the last one's file
         // until it is the program, and the journal would be taken for another's and found empty.
-        let copy = self.folder.join(format!("copy-{}", COPIES.fetch_add(1, Ordering::SeqCst)));
+        let copy = self
+            .folder
+            .join(format!("copy-{}", COPIES.fetch_add(1, Ordering::SeqCst)));
         std::fs::create_dir_all(&copy).unwrap();
         std::fs::copy(self.folder.join("state").join(journal), copy.join("mails")).unwrap();
         MessageJournal::open(&copy, 10_000_000).unwrap().1
@@ -331,19 +385,28 @@
 /// One call as an operator makes it: a line out, the lines of the answer.
 pub fn call_at(addr: &str, line: &str) -> Vec<String> {
     let mut stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(60)))
+        .unwrap();
     stream.write_all(format!("{line}\n").as_bytes()).unwrap();
     let mut lines = BufReader::new(stream).lines().map(|l| l.unwrap());
     let first = lines.next().unwrap();
     let more = line == "show-stat" && first.starts_with("SUCCESS");
-    let rest = lines.take_while(|l| l != "EOT").take(if more { usize::MAX } else { 0 });
+    let rest = lines
+        .take_while(|l| l != "EOT")
+        .take(if more { usize::MAX } else { 0 });
     std::iter::once(first).chain(rest).collect()
 }
 
 pub fn figure_at(addr: &str, name: &str) -> u64 {
     let lines = call_at(addr, "show-stat");
-    let value = lines.iter().find_map(|l| l.strip_prefix(&format!("dispatcher.{name}=")));
-    value.unwrap_or_else(|| panic!("{name} in {lines:?}")).parse().unwrap()
+    let value = lines
+        .iter()
+        .find_map(|l| l.strip_prefix(&format!("dispatcher.{name}=")));
+    value
+        .unwrap_or_else(|| panic!("{name} in {lines:?}"))
+        .parse()
+        .unwrap()
 }
 
 /// A process that does not outlive its test, however that ends.
@@ -380,12 +443,18 @@
     let stream = TcpStream::connect(to)?;
     // What never comes fails, as in `wait_for`.
     stream.set_read_timeout(Some(Duration::from_secs(60)))?;
-    Ok(Client { from: BufReader::new(stream.try_clone()?), to: stream })
+    Ok(Client {
+        from: BufReader::new(stream.try_clone()?),
+        to: stream,
+    })
 }
 
 pub fn put(id: &str, fields: &str, body: &str) -> Vec<u8> {
     let words = ["MSG.PUT", "0000000000000000", id, fields, body];
-    let words: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+    let words: String = words
+        .iter()
+        .map(|w| format!("${}\r\n{w}\r\n", w.len()))
+        .collect();
     format!("*5\r\n{words}").into_bytes()
 }
 
@@ -406,7 +475,11 @@
     /// Hands in a message that is accepted.
     pub fn message(&mut self, class: &str, cell: u64, ms: u64, body: &str) -> String {
         let id = fresh();
-        let answer = self.says(&put(&id, &format!("c={class},d={ms},k=k{id},dest={cell}"), body));
+        let answer = self.says(&put(
+            &id,
+            &format!("c={class},d={ms},k=k{id},dest={cell}"),
+            body,
+        ));
         assert_eq!(answer, "+OK");
         id
     }
@@ -423,8 +496,16 @@
 
 /// An endpoint whose queue takes so many new connections that it has not accepted, and no more.
 pub fn crowded_but_for(places: i32) -> TcpListener {
-    let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    listener.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
+    let listener =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    listener
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<std::net::SocketAddr>()
+                .unwrap()
+                .into(),
+        )
+        .unwrap();
     listener.listen(places - 1).unwrap();
     listener.into()
 }
@@ -448,6 +529,8 @@
     });
     let stream = next.unwrap().0;
     stream.set_nonblocking(false).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(60)))
+        .unwrap();
     BufReader::new(stream)
 }
--- a/daemon/tests/common/soak.rs
+++ b/daemon/tests/common/soak.rs
@@ -161,7 +161,10 @@
 
 /// Reads the id out of a call's head.
 fn id_of(head: &[String]) -> String {
-    head.iter().find_map(|line| line.strip_prefix("X-Trace-Id: ")).unwrap_or("none").to_string()
+    head.iter()
+        .find_map(|line| line.strip_prefix("X-Trace-Id: "))
+        .unwrap_or("none")
+        .to_string()
 }
 
 /// Waits until the other side has closed, or for as long as an endpoint hangs.
@@ -178,25 +181,42 @@
         let mut info: libc::tcp_info = std::mem::zeroed();
         let mut length = std::mem::size_of::<libc::tcp_info>() as libc::socklen_t;
         let at = std::ptr::from_mut(&mut info).cast();
-        let done = libc::getsockopt(stream.as_raw_fd(), libc::IPPROTO_TCP, libc::TCP_INFO, at, &mut length);
-        if done == 0 { info.tcpi_last_data_recv } else { 0 }
+        let done = libc::getsockopt(
+            stream.as_raw_fd(),
+            libc::IPPROTO_TCP,
+            libc::TCP_INFO,
+            at,
+            &mut length,
+        );
+        if done == 0 {
+            info.tcpi_last_data_recv
+        } else {
+            0
+        }
     };
     Duration::from_millis(came_ms.into())
 }
 
 /// One connection to an endpoint; a limiter is what its waits bind.
 fn serve_calls(stream: TcpStream, limiter: usize, shared: &Shared) {
-    let Ok(mut to) = stream.try_clone() else { return };
+    let Ok(mut to) = stream.try_clone() else {
+        return;
+    };
     let mut from = BufReader::new(stream);
     let mut served = 0;
     loop {
-        if served > 0 && shared.troubles.close_idle.load(Ordering::SeqCst) && shared.draw(0..3) == 0 {
+        if served > 0 && shared.troubles.close_idle.load(Ordering::SeqCst) && shared.draw(0..3) == 0
+        {
             return;
         }
-        let Some((head, _body)) = request(&mut from) else { return };
+        let Some((head, _body)) = request(&mut from) else {
+            return;
+        };
         served += 1;
         let id = id_of(&head);
-        let call = shared.ledger().call_began(&id, limiter, last_came(from.get_ref()));
+        let call = shared
+            .ledger()
+            .call_began(&id, limiter, last_came(from.get_ref()));
         std::thread::sleep(Duration::from_millis(shared.draw(1..12)));
         let end = |effect| shared.ledger().call_ended(&id, call, effect);
         if shared.troubles.hang.load(Ordering::SeqCst) {
@@ -206,7 +226,8 @@
         let [delivered, full, error, _closed] = shared.answers;
         let written = match shared.draw(0..100) as u32 {
             n if n < delivered => {
-                let cut = shared.troubles.cut_answers.load(Ordering::SeqCst) && shared.draw(0..4) == 0;
+                let cut =
+                    shared.troubles.cut_answers.load(Ordering::SeqCst) && shared.draw(0..4) == 0;
                 if cut {
                     // Not the whole of the first line: nobody can tell that it was delivered.
                     let _ = to.write_all(b"HTTP/1.1 20");
@@ -217,10 +238,15 @@
             }
             n if n < delivered + full => {
                 let wait_ms = shared.draw(50..400);
-                shared.ledger().told_to_wait(limiter, Duration::from_millis(wait_ms));
+                shared
+                    .ledger()
+                    .told_to_wait(limiter, Duration::from_millis(wait_ms));
                 end(Effect::NeverRan);
                 let seconds = wait_ms as f64 / 1000.0;
-                write!(to, "HTTP/1.1 429 Full\r\nRetry-After: {seconds:.3}\r\nContent-Length: 0\r\n\r\n")
+                write!(
+                    to,
+                    "HTTP/1.1 429 Full\r\nRetry-After: {seconds:.3}\r\nContent-Length: 0\r\n\r\n"
+                )
             }
             n if n < delivered + full + error => {
                 end(Effect::MayHaveRun);
@@ -236,7 +262,9 @@
 
 /// One connection to the platform: discovery's watch, or notices.
 fn serve_platform(stream: TcpStream, shared: &Shared) {
-    let Ok(mut to) = stream.try_clone() else { return };
+    let Ok(mut to) = stream.try_clone() else {
+        return;
+    };
     let mut from = BufReader::new(stream);
     while let Some((head, body)) = request(&mut from) {
         if head[0].starts_with("GET ") {
@@ -293,7 +321,12 @@
         Ok(0) => Asked::Closed,
         Ok(_) if line.ends_with('\n') => Asked::Answered(line.trim_end().to_string()),
         Ok(_) => Asked::Closed,
-        Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {
+        Err(e)
+            if matches!(
+                e.kind(),
+                std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+            ) =>
+        {
             Asked::Silent
         }
         Err(_) => Asked::Closed,
@@ -319,14 +352,20 @@
             }
             self.hand_in();
             let pause = self.scenario.pause.as_millis() as u64;
-            std::thread::sleep(Duration::from_millis(self.random.random_range(pause / 2..pause * 3 / 2 + 1)));
+            std::thread::sleep(Duration::from_millis(
+                self.random.random_range(pause / 2..pause * 3 / 2 + 1),
+            ));
         }
     }
 
     /// A connection of its own on which half a request is sent, and which stays open until it is told an error or closed.
     fn stop_half_way(&self) {
-        let Ok(mut client) = connect(&self.listen) else { return };
-        let _ = client.to.write_all(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000");
+        let Ok(mut client) = connect(&self.listen) else {
+            return;
+        };
+        let _ = client
+            .to
+            .write_all(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000");
         let shared = Arc::clone(&self.shared);
         std::thread::spawn(move || {
             let began = Instant::now();
@@ -341,13 +380,21 @@
         let tagged = self.random.random_range(0..2) == 0;
         let lifetime = self.random.random_range(self.scenario.lifetimes_ms.clone());
         let class = match tagged {
-            true => Class { name: "notice", window: Some(self.scenario.window) },
-            false => Class { name: "payment", window: None },
+            true => Class {
+                name: "notice",
+                window: Some(self.scenario.window),
+            },
+            false => Class {
+                name: "payment",
+                window: None,
+            },
         };
         let destination = self.random.random_range(7..9);
         let fields = format!("c={},d={lifetime},k=k{id},dest={destination}", class.name);
         let bytes = put(&id, &fields, "a message");
-        self.shared.ledger().handed_in(&id, class, Duration::from_millis(lifetime));
+        self.shared
+            .ledger()
+            .handed_in(&id, class, Duration::from_millis(lifetime));
         let resting = self.kept.is_some();
         let mut asked = self.ask(&bytes);
         if resting && matches!(asked, Asked::Closed) {
@@ -359,7 +406,9 @@
             self.shared.ledger().closed_unanswered(&id);
         }
         match asked {
-            Asked::Answered(answer) if answer == "+OK" => self.shared.ledger().heard(&id, Heard::Accepted),
+            Asked::Answered(answer) if answer == "+OK" => {
+                self.shared.ledger().heard(&id, Heard::Accepted)
+            }
             Asked::Answered(answer) if answer.starts_with("-BUSY") => {
                 self.shared.ledger().heard(&id, Heard::Refused);
             }
@@ -397,7 +446,11 @@
             let shared = Arc::clone(&shared);
             stand_in(move |stream| serve_calls(stream, limiter, &shared))
         };
-        let list = [("e0", 7, 0, "shops"), ("e1", 7, 0, "shops"), ("e2", 8, 1, "banks")];
+        let list = [
+            ("e0", 7, 0, "shops"),
+            ("e1", 7, 0, "shops"),
+            ("e2", 8, 1, "banks"),
+        ];
         let servers = list.map(|(id, cell, limiter, kind)| {
             json!({"id": id, "addr": endpoint(limiter), "zone": "north", "kind": kind, "cell": cell,
                 "state": "up"})
@@ -428,7 +481,8 @@
 
     fn start_clients(&mut self) {
         let shared = Arc::clone(&self.shared);
-        self.clients.push(std::thread::spawn(move || watch_machine(&shared)));
+        self.clients
+            .push(std::thread::spawn(move || watch_machine(&shared)));
         for n in 0..CLIENTS {
             let sender = Sender {
                 listen: self.rig.listen.clone(),
@@ -446,7 +500,11 @@
 
     fn start_process(&mut self) {
         let mut command = self.rig.command_with(&self.faults);
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_path()).unwrap();
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log_path())
+            .unwrap();
         command.arg("--log").arg("debug").stderr(log);
         self.rig.start_by(command);
     }
@@ -459,9 +517,14 @@
     fn trace(&self, broken: &[String]) -> Vec<String> {
         let log = std::fs::read(self.log_path()).unwrap_or_default();
         let log = String::from_utf8_lossy(&log);
-        let ids: Vec<&str> =
-            broken.iter().filter_map(|what| what.split(':').next()).take(TRACED_MOST).collect();
-        let of_ids = log.lines().filter(|line| ids.iter().any(|id| line.contains(id)));
+        let ids: Vec<&str> = broken
+            .iter()
+            .filter_map(|what| what.split(':').next())
+            .take(TRACED_MOST)
+            .collect();
+        let of_ids = log
+            .lines()
+            .filter(|line| ids.iter().any(|id| line.contains(id)));
         of_ids.map(|line| format!("  log: {line}")).collect()
     }
 
@@ -473,7 +536,11 @@
     pub fn play(&mut self, time: Duration) {
         std::thread::sleep(time);
         if let Some(child) = &mut self.rig.child {
-            assert_eq!(child.try_wait().unwrap(), None, "the dispatcher ended by itself");
+            assert_eq!(
+                child.try_wait().unwrap(),
+                None,
+                "the dispatcher ended by itself"
+            );
         }
     }
 
@@ -512,7 +579,15 @@
         let began = Instant::now();
         for (signal, after) in signals {
             std::thread::sleep(*after);
-            if self.rig.child.as_mut().unwrap().try_wait().unwrap().is_none() {
+            if self
+                .rig
+                .child
+                .as_mut()
+                .unwrap()
+                .try_wait()
+                .unwrap()
+                .is_none()
+            {
                 self.rig.signal(*signal);
             }
         }
@@ -540,7 +615,11 @@
     }
 
     fn disturb_once(&mut self) {
-        let runs = self.rig.child.as_mut().is_some_and(|child| child.try_wait().unwrap().is_none());
+        let runs = self
+            .rig
+            .child
+            .as_mut()
+            .is_some_and(|child| child.try_wait().unwrap().is_none());
         for trouble in self.disturbances.clone() {
             let drawn: u64 = self.random.random_range(0..6);
             match trouble {
@@ -549,7 +628,8 @@
                     self.faults.step_wall_clock(steps[drawn as usize]);
                 }
                 Trouble::FailingWrites if drawn < 2 => {
-                    self.faults.fail_writes(if drawn == 0 { ENOSPC } else { EIO }, drawn == 1);
+                    self.faults
+                        .fail_writes(if drawn == 0 { ENOSPC } else { EIO }, drawn == 1);
                     let failing = self.draw_ms(50..500);
                     std::thread::sleep(failing);
                     self.faults.heal_folder();
@@ -557,7 +637,9 @@
                 Trouble::Standstill if drawn == 0 && runs => self.stand_still(STANDSTILL),
                 Trouble::Hang => self.troubles().hang.store(drawn < 2, Ordering::SeqCst),
                 Trouble::DiscoverySilent => {
-                    self.troubles().discovery_silent.store(drawn < 3, Ordering::SeqCst);
+                    self.troubles()
+                        .discovery_silent
+                        .store(drawn < 3, Ordering::SeqCst);
                 }
                 _ => {}
             }
@@ -628,7 +710,8 @@
         for client in self.clients.drain(..) {
             client.join().unwrap();
         }
-        let longest = Duration::from_millis(self.scenario.lifetimes_ms.end) + Duration::from_secs(3);
+        let longest =
+            Duration::from_millis(self.scenario.lifetimes_ms.end) + Duration::from_secs(3);
         let until = Instant::now() + longest;
         while Instant::now() < until && !self.shared.ledger().all_ended() {
             std::thread::sleep(Duration::from_millis(20));
@@ -638,7 +721,9 @@
         self.rig.kill();
         std::thread::sleep(Duration::from_millis(100));
         let verdict = self.shared.ledger().verdict();
-        self.trace(&verdict.broken).iter().for_each(|line| println!("{line}"));
+        self.trace(&verdict.broken)
+            .iter()
+            .for_each(|line| println!("{line}"));
         verdict
     }
 }
@@ -647,5 +732,9 @@
 pub fn assert_kept(verdict: &Verdict) {
     println!("{verdict}");
     let first: Vec<_> = verdict.broken.iter().take(12).collect();
-    assert!(verdict.broken.is_empty(), "{} broken, the first: {first:#?}", verdict.broken.len());
+    assert!(
+        verdict.broken.is_empty(),
+        "{} broken, the first: {first:#?}",
+        verdict.broken.len()
+    );
 }
--- a/daemon/tests/control.rs
+++ b/daemon/tests/control.rs
@@ -9,7 +9,10 @@
 
 fn control(file: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill"));
-    command.args(["control", "--log", "warn", "--config"]).arg(file).stderr(Stdio::piped());
+    command
+        .args(["control", "--log", "warn", "--config"])
+        .arg(file)
+        .stderr(Stdio::piped());
     command
 }
 
@@ -22,12 +25,15 @@
 
 #[test]
 fn it_serves_until_it_is_told_to_end_and_names_what_is_wrong() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("control-{}", std::process::id()));
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("control-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("control.toml");
     // An address of its own, so that nothing else is ever given its port.
     let pid = std::process::id();
-    let address = format!("127.{}.{}.250:7400", 16 + pid % 200, pid / 200 % 250).parse().unwrap();
+    let address = format!("127.{}.{}.250:7400", 16 + pid % 200, pid / 200 % 250)
+        .parse()
+        .unwrap();
     let state = folder.join("state");
     let text = format!(
         "name = \"control-1\"\nlisten = \"{address}\"\nstate = \"{}\"\nrole = \"writer\"\n\
@@ -37,13 +43,19 @@
     std::fs::write(&file, text.replace("\"writer\"", "\"follower\"")).unwrap();
     let end = control(&file).output().unwrap();
     let error = String::from_utf8(end.stderr).unwrap();
-    assert!(end.status.code() == Some(2) && error.contains("field writer"), "{error}");
+    assert!(
+        end.status.code() == Some(2) && error.contains("field writer"),
+        "{error}"
+    );
 
     std::fs::write(&file, text).unwrap();
     let mut child = control(&file).spawn().unwrap();
     let begun = Instant::now();
     while !figures(address).is_ok_and(|answer| answer.contains("\"version\":0")) {
-        assert!(begun.elapsed() < Duration::from_secs(20), "it does not answer");
+        assert!(
+            begun.elapsed() < Duration::from_secs(20),
+            "it does not answer"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     let second = control(&file).output().unwrap();
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -16,12 +16,21 @@
     rig.start();
     let mut client = rig.client();
     let tell = |version: u64, entries: Vec<Value>| {
-        rig.platform.tell("\n{\"not\": json\n{\"version\":true}\n\n");
+        rig.platform
+            .tell("\n{\"not\": json\n{\"version\":true}\n\n");
         let line = json!({"version": version, "full": false, "servers": entries});
         rig.platform.tell(&format!("{line}\n"));
     };
-    let nonsense = json!({"id": "e9", "addr": "nowhere", "zone": "z", "kind": "k", "cell": 7, "state": "up"});
-    tell(2, vec![nonsense, second.entry("e1", 7, "up"), first.entry("e0", 7, "draining")]);
+    let nonsense =
+        json!({"id": "e9", "addr": "nowhere", "zone": "z", "kind": "k", "cell": 7, "state": "up"});
+    tell(
+        2,
+        vec![
+            nonsense,
+            second.entry("e1", 7, "up"),
+            first.entry("e0", 7, "draining"),
+        ],
+    );
     wait_for("messages at the newcomer", || {
         client.message("notice", 7, 8000, "to whom");
         !second.calls().is_empty()
@@ -38,7 +47,10 @@
     }
     let since = || rig.platform.since.lock().unwrap().last().cloned().unwrap();
     wait_for("a new watch", || since().contains("since=2 "));
-    tell(3, vec![first.entry("e0", 7, "up"), second.entry("e1", 7, "removed")]);
+    tell(
+        3,
+        vec![first.entry("e0", 7, "up"), second.entry("e1", 7, "removed")],
+    );
     wait_for("messages at the first again", || {
         client.message("notice", 7, 8000, "back");
         bodies(&first, "back") > 0
@@ -58,7 +70,9 @@
     let mut client = rig.client();
     for n in 1..9 {
         client.message("payment", 7, 8000, "x");
-        wait_for("the message at the second", || second.calls().len() == n || !first.calls().is_empty());
+        wait_for("the message at the second", || {
+            second.calls().len() == n || !first.calls().is_empty()
+        });
     }
     assert_eq!(first.calls().len(), 0);
 }
@@ -67,7 +81,10 @@
 /// and with one message after another all went to the old address.
 #[test]
 fn the_connection_of_a_call_that_was_out_while_its_endpoint_moved_is_not_used_again() {
-    let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), Endpoint::start(OK));
+    let (old, new) = (
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+        Endpoint::start(OK),
+    );
     let mut rig = Rig::new(&[]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.json["known"]["servers"] = vec![up("e0", &old.local_addr().unwrap().to_string(), 7)].into();
@@ -77,11 +94,20 @@
     let mut out = accept(&old);
     request(&mut out).unwrap();
     let moved = vec![new.entry("e0", 7, "up"), new.entry("e1", 8, "up")];
-    rig.platform.tell(&format!("{}\n", json!({"version": 5, "full": false, "servers": moved})));
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": 5, "full": false, "servers": moved})
+    ));
     wait_for("the list", || rig.figure("members") == 2);
-    out.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
+    out.get_mut()
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+        .unwrap();
     let mut end = [0];
-    assert_eq!(out.read(&mut end).unwrap(), 0, "it is closed, and nothing more comes on it");
+    assert_eq!(
+        out.read(&mut end).unwrap(),
+        0,
+        "it is closed, and nothing more comes on it"
+    );
     client.message("notice", 7, 8000, "after");
     wait_for("the message at the new address", || new.calls().len() == 1);
 }
@@ -90,9 +116,19 @@
 fn a_watch_that_falls_silent_is_asked_for_anew_from_where_it_was() {
     let mut rig = Rig::new(&[]);
     rig.start();
-    rig.platform.tell(&format!("{}\n", json!({"version": 5, "full": false, "servers": []})));
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": 5, "full": false, "servers": []})
+    ));
     // The stand-in keeps the connection open and sends nothing more.
-    wait_for("another watch", || rig.platform.since.lock().unwrap().iter().any(|s| s.contains("since=5 ")));
+    wait_for("another watch", || {
+        rig.platform
+            .since
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|s| s.contains("since=5 "))
+    });
 }
 
 #[test]
@@ -101,7 +137,10 @@
     let mut rig = Rig::new(&[(&failing, 7)]);
     rig.platform.deaf.store(true, Ordering::SeqCst);
     rig.start();
-    rig.platform.tell(&format!("{}\n", json!({"version": 90, "full": false, "servers": []})));
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": 90, "full": false, "servers": []})
+    ));
     let mut client = rig.client();
     let once = client.message("payment", 7, 8000, "may have run");
     wait_for("the call", || failing.calls().len() == 1);
@@ -121,8 +160,10 @@
     drop(rig.command("check"));
     rig.signal(Signal::HUP);
     wait_for("the notice", || rig.platform.notice(&once).is_some());
-    rig.platform
-        .tell(&format!("{}\n", json!({"version": 3, "full": true, "servers": [other.entry("e1", 7, "up")]})));
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": 3, "full": true, "servers": [other.entry("e1", 7, "up")]})
+    ));
     assert!(rig.platform.since.lock().unwrap()[0].contains("since=0 "));
     wait_for("a message by the new list", || {
         client.message("notice", 7, 8000, "to whom");
@@ -130,7 +171,11 @@
     });
     let mut end = [0];
     wait_for("the end of the old watch", || {
-        old.watches.lock().unwrap().iter().all(|w| matches!((&*w).read(&mut end), Ok(0)))
+        old.watches
+            .lock()
+            .unwrap()
+            .iter()
+            .all(|w| matches!((&*w).read(&mut end), Ok(0)))
     });
 }
 
@@ -182,8 +227,14 @@
     rig.start();
     let (mut first, _) = next_watch(&discovery);
     first.write_all(CHUNKED).unwrap();
-    says(&mut first, &format!("{}\n{{\"version\":", json!({"version": 5, "full": false, "servers": []})))
-        .unwrap();
+    says(
+        &mut first,
+        &format!(
+            "{}\n{{\"version\":",
+            json!({"version": 5, "full": false, "servers": []})
+        ),
+    )
+    .unwrap();
     // It drips until it is closed, which only another call brings about.
     let drips = std::thread::spawn(move || {
         while says(&mut first, " ").is_ok() {
@@ -191,7 +242,10 @@
         }
     });
     let (_second, head) = next_watch(&discovery);
-    assert!(head.contains("since=5 "), "from the last line that was whole: {head}");
+    assert!(
+        head.contains("since=5 "),
+        "from the last line that was whole: {head}"
+    );
     drips.join().unwrap();
 }
 
@@ -212,7 +266,8 @@
     assert_eq!(second.read(&mut end).unwrap(), 0, "the other one is closed");
     wait_for("a message by the list", || {
         let id = fresh();
-        rig.client().says(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
+        rig.client()
+            .says(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
         !endpoint.calls().is_empty()
     });
 }
@@ -223,12 +278,18 @@
     let mut rig = Rig::new(&[]);
     rig.start();
     let list = |version: u64, servers: Value| json!({"version": version, "full": true, "servers": servers});
-    let text = serde_json::to_string_pretty(&list(2, json!([endpoint.entry("e0", 7, "up")]))).unwrap();
+    let text =
+        serde_json::to_string_pretty(&list(2, json!([endpoint.entry("e0", 7, "up")]))).unwrap();
     // Broken off, then one on a line of its own, then one over many lines.
-    rig.platform.tell(&format!("{}\n{}\n{text}\n", &text[..text.len() - 9], list(1, json!([]))));
+    rig.platform.tell(&format!(
+        "{}\n{}\n{text}\n",
+        &text[..text.len() - 9],
+        list(1, json!([]))
+    ));
     wait_for("a message by the list", || {
         let id = fresh();
-        rig.client().says(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
+        rig.client()
+            .says(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
         !endpoint.calls().is_empty()
     });
 }
--- a/daemon/tests/endings.rs
+++ b/daemon/tests/endings.rs
@@ -25,7 +25,9 @@
     let (listener, to) = (TcpListener::bind(from).unwrap(), to.to_string());
     std::thread::spawn(move || {
         for near in listener.incoming().flatten() {
-            let Ok(far) = TcpStream::connect(&to) else { continue };
+            let Ok(far) = TcpStream::connect(&to) else {
+                continue;
+            };
             let ways = [
                 (near.try_clone().unwrap(), far.try_clone().unwrap()),
                 (far.try_clone().unwrap(), near.try_clone().unwrap()),
@@ -44,13 +46,21 @@
 fn to_the_end(from: &mut BufReader<TcpStream>) -> Vec<u8> {
     let mut got = Vec::new();
     if let Err(e) = from.read_to_end(&mut got) {
-        assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "neither an end nor a reset");
+        assert_eq!(
+            e.kind(),
+            std::io::ErrorKind::ConnectionReset,
+            "neither an end nor a reset"
+        );
     }
     got
 }
 
 fn kept_ids(rig: &Rig) -> BTreeSet<String> {
-    rig.kept().messages.iter().map(|m| format!("{:016x}", m.id.0)).collect()
+    rig.kept()
+        .messages
+        .iter()
+        .map(|m| format!("{:016x}", m.id.0))
+        .collect()
 }
 
 /// A place for notices that says each that has come, and answers only when it is told to; it can go for good.
@@ -68,7 +78,10 @@
         listener.set_nonblocking(true).unwrap();
         let addr = listener.local_addr().unwrap().to_string();
         let posts: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (answers, gone) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let (answers, gone) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (p, a, g) = (Arc::clone(&posts), Arc::clone(&answers), Arc::clone(&gone));
         let thread = std::thread::spawn(move || {
             while !g.load(Ordering::SeqCst) {
@@ -83,7 +96,9 @@
                     let mut from = BufReader::new(stream);
                     while let Some((head, body)) = request(&mut from) {
                         if head[0].starts_with("GET ") {
-                            let _ = to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            let _ = to.write_all(
+                                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+                            );
                             continue;
                         }
                         let answers = answers.load(Ordering::SeqCst);
@@ -95,11 +110,22 @@
                 });
             }
         });
-        Place { addr, posts, answers, gone, thread: Some(thread) }
+        Place {
+            addr,
+            posts,
+            answers,
+            gone,
+            thread: Some(thread),
+        }
     }
     /// How many requests have told of that message.
     fn told(&self, id: &str) -> usize {
-        self.posts.lock().unwrap().iter().filter(|lines| lines.contains(id)).count()
+        self.posts
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|lines| lines.contains(id))
+            .count()
     }
     /// Nobody listens there from now on.
     fn go(&mut self) {
@@ -113,9 +139,15 @@
 fn crowd(rig: &Rig, inside: &mut Vec<Client>) {
     for _ in 0..60 {
         let mut client = rig.client();
-        client.to.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+        client
+            .to
+            .set_read_timeout(Some(Duration::from_millis(200)))
+            .unwrap();
         let mut line = String::new();
-        let answered = client.to.write_all(b"PING\r\n").and_then(|()| client.from.read_line(&mut line));
+        let answered = client
+            .to
+            .write_all(b"PING\r\n")
+            .and_then(|()| client.from.read_line(&mut line));
         inside.push(client);
         if answered.is_err() || line != "+PONG\r\n" {
             return;
@@ -129,10 +161,16 @@
     let ask = put(&id, &format!("c={class},d={ms},k=k{id},dest={cell}"), "x");
     wait_for("a message accepted", || {
         let mut by = client.take().unwrap_or_else(|| rig.client());
-        by.to.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        by.to
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
         let sent = by.to.write_all(&ask);
         // One that waited for its place is told what it asked before.
-        let answer = by.from.lines().map_while(Result::ok).find(|line| !line.ends_with("PONG"));
+        let answer = by
+            .from
+            .lines()
+            .map_while(Result::ok)
+            .find(|line| !line.ends_with("PONG"));
         match (sent, answer) {
             (Ok(()), Some(answer)) => {
                 assert_eq!(answer, "+OK");
@@ -155,7 +193,10 @@
     // The system allows no more either.
     let served = rig.command("serve");
     let mut command = Command::new("sh");
-    command.env_remove("RELAY_STATE").arg("-c").arg("ulimit -n 32 && exec \"$0\" \"$@\"");
+    command
+        .env_remove("RELAY_STATE")
+        .arg("-c")
+        .arg("ulimit -n 32 && exec \"$0\" \"$@\"");
     command.arg(served.get_program()).args(served.get_args());
     rig.start_by(command);
     let mut inside = Vec::new();
@@ -165,19 +206,28 @@
     wait_for("the message", || sound.calls_of(&relayed) == 1);
     crowd(&rig, &mut inside);
     assert!(rig.call("ready")[0].starts_with("SUCCESS"));
-    wait_for("the figure", || rig.figure("downstream_requests.payment.completed") == 1);
+    wait_for("the figure", || {
+        rig.figure("downstream_requests.payment.completed") == 1
+    });
     let one = inside.remove(inside.len() - 2);
     let dead = hand_in(&rig, one, "payment", 8, 20_000);
-    wait_for("its end", || rig.figure("downstream_requests.payment.failed") == 1);
+    wait_for("its end", || {
+        rig.figure("downstream_requests.payment.failed") == 1
+    });
     crowd(&rig, &mut inside);
     assert!(rig.platform.since.lock().unwrap().is_empty() && rig.platform.notices().is_empty());
     forward(&discovery, &rig.platform.addr);
-    wait_for("the watch", || !rig.platform.since.lock().unwrap().is_empty());
+    wait_for("the watch", || {
+        !rig.platform.since.lock().unwrap().is_empty()
+    });
     wait_for("the notice", || rig.platform.notice(&dead).is_some());
     assert_eq!(rig.platform.notice(&dead).unwrap()["result"], "dead");
     // What the watch says is heard, and messages go by it.
     crowd(&rig, &mut inside);
-    rig.platform.tell(&format!("{}\n", json!({"version": 2, "servers": [sound.entry("more", 9, "up")]})));
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": 2, "servers": [sound.entry("more", 9, "up")]})
+    ));
     wait_for("the news", || rig.figure("members") == 3);
     let client = rig.client();
     let last = hand_in(&rig, client, "notice", 9, 19_000);
@@ -209,9 +259,14 @@
     forward(&refuses, &sound.addr);
     rig.json["known"]["servers"][1]["addr"] = sound.addr.clone().into();
     rig.start();
-    wait_for("all of them", || messages.iter().all(|id| sound.calls_of(id) > 0));
+    wait_for("all of them", || {
+        messages.iter().all(|id| sound.calls_of(id) > 0)
+    });
     wait_for("their ends", || rig.kept() == Kept::default());
-    assert!(messages.iter().all(|id| sound.calls_of(id) == 1), "each once");
+    assert!(
+        messages.iter().all(|id| sound.calls_of(id) == 1),
+        "each once"
+    );
     assert_eq!(rig.platform.notices(), Vec::<Value>::new());
 }
 
@@ -236,7 +291,10 @@
         flood.to.write_all(&commands).unwrap();
         if cell == 7 {
             assert_eq!(flood.line(), "+OK");
-            assert!(kept_ids(&rig).contains(&ids[0]), "it is in the journal before its answer");
+            assert!(
+                kept_ids(&rig).contains(&ids[0]),
+                "it is in the journal before its answer"
+            );
         }
         drop(flood);
         for _ in 0..20 {
@@ -298,7 +356,11 @@
 
 #[test]
 fn after_sighup_a_late_line_of_the_old_watch_is_not_heard() {
-    let (known, late, new) = (Endpoint::start(OK), Endpoint::start(OK), Endpoint::start(OK));
+    let (known, late, new) = (
+        Endpoint::start(OK),
+        Endpoint::start(OK),
+        Endpoint::start(OK),
+    );
     let old = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut rig = Rig::new(&[(&known, 7)]);
     rig.json["discovery"] = old.local_addr().unwrap().to_string().into();
@@ -308,28 +370,51 @@
     let says = |to: &mut TcpStream, text: &str| write!(to, "{:x}\r\n{text}\r\n", text.len());
     // It begins a list, and falls silent.
     let mut to = watch.get_ref().try_clone().unwrap();
-    to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     says(&mut to, "{\"version\": 50, \"servers\": [\n").unwrap();
     rig.json["discovery"] = rig.platform.addr.clone().into();
     // It writes the configuration.
     drop(rig.command("check"));
     rig.signal(Signal::HUP);
-    wait_for("the move", || !rig.platform.since.lock().unwrap().is_empty());
+    wait_for("the move", || {
+        !rig.platform.since.lock().unwrap().is_empty()
+    });
     assert!(rig.platform.since.lock().unwrap()[0].contains("since=0 "));
     // The list's end, and a list on one line. Where the connection has ended already that cannot be written.
     let entries = json!([late.entry("late7", 7, "up"), late.entry("late9", 9, "up")]);
-    let _ = says(&mut to, &format!("{}]}}\n", entries.to_string().trim_matches(['[', ']'])));
-    let _ = says(&mut to, &format!("{}\n", json!({"version": 51, "full": true, "servers": entries})));
+    let _ = says(
+        &mut to,
+        &format!("{}]}}\n", entries.to_string().trim_matches(['[', ']'])),
+    );
+    let _ = says(
+        &mut to,
+        &format!(
+            "{}\n",
+            json!({"version": 51, "full": true, "servers": entries})
+        ),
+    );
     to_the_end(&mut watch);
-    rig.platform.tell(&format!("{}\n", json!({"version": 3, "servers": [new.entry("new", 11, "up")]})));
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": 3, "servers": [new.entry("new", 11, "up")]})
+    ));
     let mut client = rig.client();
-    let ask = |cell: u64| put(&fresh(), &format!("c=notice,d=19000,k=a{cell},dest={cell}"), "x");
+    let ask = |cell: u64| {
+        put(
+            &fresh(),
+            &format!("c=notice,d=19000,k=a{cell},dest={cell}"),
+            "x",
+        )
+    };
     wait_for("the new one's line", || client.says(&ask(11)) == "+OK");
     wait_for("a message by it", || !new.calls().is_empty());
     assert_eq!(client.says(&ask(9)), "-ERR dest: unknown destination");
     for n in 1..=8 {
         client.message("payment", 7, 20_000, "x");
-        wait_for("the message", || known.calls().len() + late.calls().len() == n);
+        wait_for("the message", || {
+            known.calls().len() + late.calls().len() == n
+        });
     }
     assert_eq!(late.calls().len(), 0);
 }
@@ -338,13 +423,19 @@
 fn an_idle_connection_on_which_half_a_line_came_is_not_used_again() {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut rig = Rig::new(&[]);
-    rig.json["known"]["servers"] = json!([up("e0", &endpoint.local_addr().unwrap().to_string(), 7)]);
+    rig.json["known"]["servers"] =
+        json!([up("e0", &endpoint.local_addr().unwrap().to_string(), 7)]);
     rig.start();
     let mut client = rig.client();
     let answer = |conn: &mut BufReader<TcpStream>, id: &str| {
         let (head, _) = request(conn).unwrap();
-        assert!(head.contains(&format!("X-Trace-Id: {id}")), "{id} in {head:?}");
-        conn.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").unwrap();
+        assert!(
+            head.contains(&format!("X-Trace-Id: {id}")),
+            "{id} in {head:?}"
+        );
+        conn.get_mut()
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            .unwrap();
         // The answer is read, and the connection idle.
         wait_for("its end", || rig.kept().messages.is_empty());
     };
@@ -356,7 +447,10 @@
     let b = client.message("payment", 7, 20_000, "x");
     answer(&mut first, &b);
     half(&mut first);
-    assert!(to_the_end(&mut first).is_empty(), "closed, with nothing written to it");
+    assert!(
+        to_the_end(&mut first).is_empty(),
+        "closed, with nothing written to it"
+    );
     let c = client.message("payment", 7, 20_000, "x");
     let mut second = accept(&endpoint);
     answer(&mut second, &c);
@@ -364,10 +458,16 @@
     let d = fresh();
     rig.signal(Signal::STOP);
     half(&mut second);
-    client.to.write_all(&put(&d, "c=payment,d=20000,dest=7", "x")).unwrap();
+    client
+        .to
+        .write_all(&put(&d, "c=payment,d=20000,dest=7", "x"))
+        .unwrap();
     rig.signal(Signal::CONT);
     assert_eq!(client.line(), "+OK");
-    assert!(to_the_end(&mut second).is_empty(), "closed, with nothing written to it");
+    assert!(
+        to_the_end(&mut second).is_empty(),
+        "closed, with nothing written to it"
+    );
     let mut third = accept(&endpoint);
     answer(&mut third, &d);
     wait_for("all to be over", || rig.kept() == Kept::default());
@@ -383,13 +483,17 @@
     let mut client = rig.client();
     let once = client.message("payment", 7, 23_000, "x");
     let tagged = client.message("notice", 7, 19_000, "x");
-    wait_for("both calls", || hung.calls_of(&once) == 1 && hung.calls_of(&tagged) >= 1);
+    wait_for("both calls", || {
+        hung.calls_of(&once) == 1 && hung.calls_of(&tagged) >= 1
+    });
     rig.kill();
     hung.does(OK);
     let before = hung.calls_of(&tagged);
     rig.start();
     wait_for("the tagged one again", || hung.calls_of(&tagged) > before);
-    wait_for("the end of the other", || rig.platform.notice(&once).is_some());
+    wait_for("the end of the other", || {
+        rig.platform.notice(&once).is_some()
+    });
     assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
     wait_for("all to be over", || rig.kept() == Kept::default());
     let last = rig.client().message("payment", 7, 20_000, "x");
@@ -410,15 +514,30 @@
     hung.does(OK);
     // The journal stands still. A machine that stands still may have had it go again before.
     let held = rig.kept();
-    let attempts = held.messages.first().map(|m| m.attempts.iter().map(|c| c.at).collect::<Vec<_>>());
-    let before = attempts.as_ref().map_or_else(|| hung.calls_of(&id), Vec::len);
+    let attempts = held
+        .messages
+        .first()
+        .map(|m| m.attempts.iter().map(|c| c.at).collect::<Vec<_>>());
+    let before = attempts
+        .as_ref()
+        .map_or_else(|| hung.calls_of(&id), Vec::len);
     let closed = attempts.and_then(|c| c.last().copied()).unwrap_or(0) + 1_100_000_000;
     // The journal's times are on the dispatcher's clock.
-    wait_for("the window's end", || bellsill_daemon::clock::now() > closed);
+    wait_for("the window's end", || {
+        bellsill_daemon::clock::now() > closed
+    });
     rig.start();
     wait_for("its end", || rig.platform.notice(&id).is_some());
-    assert_eq!(rig.platform.notice(&id).unwrap()["result"], "dead", "it may have run");
+    assert_eq!(
+        rig.platform.notice(&id).unwrap()["result"],
+        "dead",
+        "it may have run"
+    );
     let last = rig.client().message("payment", 7, 20_000, "x");
     wait_for("a later message", || hung.calls_of(&last) == 1);
-    assert!(hung.calls_of(&id) <= before, "{} after {before}", hung.calls_of(&id));
+    assert!(
+        hung.calls_of(&id) <= before,
+        "{} after {before}",
+        hung.calls_of(&id)
+    );
 }
--- a/daemon/tests/failing_folder.rs
+++ b/daemon/tests/failing_folder.rs
@@ -12,7 +12,9 @@
     for round in 0..8 {
         let good = world.draw_ms(200..900);
         world.play(good);
-        world.faults.fail_writes(if round % 2 == 0 { ENOSPC } else { EIO }, half);
+        world
+            .faults
+            .fail_writes(if round % 2 == 0 { ENOSPC } else { EIO }, half);
         let failing = world.draw_ms(100..600);
         world.play(failing);
         // Every second kill comes while writes still fail.
@@ -26,7 +28,10 @@
         }
     }
     world.play(Duration::from_millis(300));
-    assert!(world.faults.count(words::WRITE_FAULTS) > 0, "no write has failed");
+    assert!(
+        world.faults.count(words::WRITE_FAULTS) > 0,
+        "no write has failed"
+    );
     let verdict = world.finish();
     assert!(verdict.accepted > 100, "{} accepted", verdict.accepted);
     assert_kept(&verdict);
--- a/daemon/tests/journal.rs
+++ b/daemon/tests/journal.rs
@@ -9,14 +9,18 @@
 
 #[test]
 fn after_sigkill_each_message_goes_on_as_its_class_allows() {
-    let (hung, shut) =
-        (Endpoint::start(Does::Hangs), Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")));
+    let (hung, shut) = (
+        Endpoint::start(Does::Hangs),
+        Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
+    );
     let mut rig = Rig::new(&[(&hung, 7), (&shut, 8)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     rig.start();
     let mut client = rig.client();
-    let (tagged, once) =
-        (client.message("notice", 7, 19_000, "t"), client.message("payment", 7, 19_000, "o"));
+    let (tagged, once) = (
+        client.message("notice", 7, 19_000, "t"),
+        client.message("payment", 7, 19_000, "o"),
+    );
     wait_for("both calls", || hung.calls().len() == 2);
     let waits = client.message("payment", 8, 19_000, "w");
     wait_for("a refusal", || rig.never_ran(&waits));
@@ -24,19 +28,42 @@
     hung.does(OK);
     shut.does(OK);
     rig.start();
-    wait_for("the tagged message again", || hung.calls().iter().filter(|c| c.body == "t").count() == 2);
-    wait_for("the message that never ran", || shut.calls().iter().filter(|c| c.body == "w").count() == 2);
-    wait_for("the end of the other", || rig.platform.notice(&once).is_some());
+    wait_for("the tagged message again", || {
+        hung.calls().iter().filter(|c| c.body == "t").count() == 2
+    });
+    wait_for("the message that never ran", || {
+        shut.calls().iter().filter(|c| c.body == "w").count() == 2
+    });
+    wait_for("the end of the other", || {
+        rig.platform.notice(&once).is_some()
+    });
     assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
-    assert_eq!(hung.calls().iter().filter(|c| c.body == "o").count(), 1, "it may have run");
+    assert_eq!(
+        hung.calls().iter().filter(|c| c.body == "o").count(),
+        1,
+        "it may have run"
+    );
     wait_for("all to be over", || rig.kept() == Kept::default());
-    assert_eq!(rig.platform.notices().len(), 1, "{tagged} and {waits} are relayed");
+    assert_eq!(
+        rig.platform.notices().len(),
+        1,
+        "{tagged} and {waits} are relayed"
+    );
     // Relayed messages are over: the next process does nothing for them.
     rig.kill();
     rig.start();
     let last = rig.client().message("notice", 7, 8000, "last");
-    wait_for("a later message", || hung.calls().iter().any(|c| c.header("X-Trace-Id") == last));
-    assert_eq!((hung.calls().len(), shut.calls().len(), rig.platform.notices().len()), (4, 2, 1));
+    wait_for("a later message", || {
+        hung.calls().iter().any(|c| c.header("X-Trace-Id") == last)
+    });
+    assert_eq!(
+        (
+            hung.calls().len(),
+            shut.calls().len(),
+            rig.platform.notices().len()
+        ),
+        (4, 2, 1)
+    );
 }
 
 #[test]
@@ -68,31 +95,50 @@
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     rig.start();
     let mut client = rig.client();
-    let (tagged, once) =
-        (client.message("notice", 7, 19_000, "t"), client.message("payment", 7, 19_000, "o"));
+    let (tagged, once) = (
+        client.message("notice", 7, 19_000, "t"),
+        client.message("payment", 7, 19_000, "o"),
+    );
     wait_for("both calls", || hung.calls().len() == 2);
     // A new version: the same folder and the same clients' address, while the old one still runs.
     let mut old = rig.child.take().unwrap();
     rig.start();
     let state = rig.folder.join("state");
     wait_for("a journal of its own", || state.join("mails.1").exists());
-    assert!(old.try_wait().unwrap().is_none() && rig.child.as_mut().unwrap().try_wait().unwrap().is_none());
+    assert!(
+        old.try_wait().unwrap().is_none()
+            && rig.child.as_mut().unwrap().try_wait().unwrap().is_none()
+    );
     hung.does(OK);
     old.kill().unwrap();
     old.wait().unwrap();
-    wait_for("the old journal taken over", || !state.join("mails").exists());
-    wait_for("the tagged message again", || hung.calls().iter().filter(|c| c.body == "t").count() == 2);
-    wait_for("the end of the once-only one", || rig.platform.notice(&once).is_some());
+    wait_for("the old journal taken over", || {
+        !state.join("mails").exists()
+    });
+    wait_for("the tagged message again", || {
+        hung.calls().iter().filter(|c| c.body == "t").count() == 2
+    });
+    wait_for("the end of the once-only one", || {
+        rig.platform.notice(&once).is_some()
+    });
     assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
-    assert_eq!(hung.calls().iter().filter(|c| c.body == "o").count(), 1, "it may have run");
+    assert_eq!(
+        hung.calls().iter().filter(|c| c.body == "o").count(),
+        1,
+        "it may have run"
+    );
     assert_eq!(rig.platform.notices().len(), 1, "{tagged} is relayed");
     // What was taken over is not done again by the process after it. Killed before it has read the platform's answer, this
     // one would leave the notice owed, to be told once more: that does no harm, but is not what is shown here.
-    wait_for("the ends in the journal", || rig.kept_in("mails.1") == Kept::default());
+    wait_for("the ends in the journal", || {
+        rig.kept_in("mails.1") == Kept::default()
+    });
     rig.kill();
     rig.start();
     let last = rig.client().message("notice", 7, 8000, "last");
-    wait_for("a later message", || hung.calls().iter().any(|c| c.header("X-Trace-Id") == last));
+    wait_for("a later message", || {
+        hung.calls().iter().any(|c| c.header("X-Trace-Id") == last)
+    });
     assert_eq!((hung.calls().len(), rig.platform.notices().len()), (4, 1));
 }
 
@@ -105,8 +151,12 @@
     let mut client = rig.client();
     let body = "x".repeat(30_000);
     let used = || {
-        let files = std::fs::read_dir(rig.folder.join("state")).unwrap().flatten();
-        files.map(|f| f.metadata().map_or(0, |m| m.len().div_ceil(512) * 512)).sum::<u64>()
+        let files = std::fs::read_dir(rig.folder.join("state"))
+            .unwrap()
+            .flatten();
+        files
+            .map(|f| f.metadata().map_or(0, |m| m.len().div_ceil(512) * 512))
+            .sum::<u64>()
     };
     let mut answers = Vec::new();
     for _ in 0..40 {
@@ -114,7 +164,10 @@
         answers.push(client.says(&put(&id, "c=payment,d=20000,k=x,dest=7", &body)));
         assert!(used() <= 400_000);
     }
-    assert_eq!((answers[0].as_str(), answers[39].as_str()), ("+OK", "-BUSY"));
+    assert_eq!(
+        (answers[0].as_str(), answers[39].as_str()),
+        ("+OK", "-BUSY")
+    );
     // Once messages are over there is room again, however much was written before.
     e.does(OK);
     wait_for("room for many more", || {
--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -27,7 +27,9 @@
         let mut stream = TcpStream::connect(&rig.listen)?;
         stream.write_all(&put(&late, "c=notice,d=20000,k=l,dest=7", "late"))?;
         let mut answer = String::new();
-        BufReader::new(stream).read_line(&mut answer).map(|_| answer)
+        BufReader::new(stream)
+            .read_line(&mut answer)
+            .map(|_| answer)
     };
     let answer = try_late().unwrap_or_default();
     assert!(answer.is_empty() || answer == "+OK\r\n", "{answer}");
@@ -35,10 +37,17 @@
     assert_eq!(rig.child.take().unwrap().wait().unwrap().code(), Some(0));
     rig.start();
     let last = rig.client().message("notice", 7, 8000, "last");
-    let gone_out = |id: &str| e.calls().iter().filter(|c| c.header("X-Trace-Id") == id).count();
+    let gone_out = |id: &str| {
+        e.calls()
+            .iter()
+            .filter(|c| c.header("X-Trace-Id") == id)
+            .count()
+    };
     wait_for("a later message", || gone_out(&last) == 1);
     wait_for("the message held", || gone_out(&held) >= 2);
-    wait_for("the late message", || answer.is_empty() || gone_out(&late) >= 1);
+    wait_for("the late message", || {
+        answer.is_empty() || gone_out(&late) >= 1
+    });
 }
 
 #[test]
@@ -49,9 +58,13 @@
     let mut client = rig.client();
     client.message("notice", 7, 8000, "before");
     rig.signal(Signal::TERM);
-    wait_for("a closed listener", || TcpStream::connect(&rig.listen).is_err());
+    wait_for("a closed listener", || {
+        TcpStream::connect(&rig.listen).is_err()
+    });
     client.message("notice", 7, 8000, "behind it");
-    wait_for("the message", || e.calls().iter().any(|c| c.body == "behind it"));
+    wait_for("the message", || {
+        e.calls().iter().any(|c| c.body == "behind it")
+    });
     assert_eq!(client.line(), "", "parted with");
     assert_eq!(rig.child.take().unwrap().wait().unwrap().code(), Some(0));
 }
@@ -83,7 +96,10 @@
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.json["settings"]["limits"]["max-open"] = json!(1000);
     rig.start();
-    let (stop, taken) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+    let (stop, taken) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(Mutex::new(Vec::new())),
+    );
     let clients: Vec<_> = (0..4)
         .map(|_| {
             let (listen, stop, taken) = (rig.listen.clone(), Arc::clone(&stop), Arc::clone(&taken));
@@ -94,12 +110,16 @@
                     let id = fresh();
                     let request = put(&id, "c=payment,d=20000,dest=7", "x");
                     for _ in 0..100 {
-                        let Ok(mut client) = kept.take().map_or_else(|| connect(&listen), Ok) else {
+                        let Ok(mut client) = kept.take().map_or_else(|| connect(&listen), Ok)
+                        else {
                             continue;
                         };
                         let mut line = String::new();
                         let sent = client.to.write_all(&request);
-                        if sent.and_then(|()| client.from.read_line(&mut line)).is_ok_and(|n| n > 0) {
+                        if sent
+                            .and_then(|()| client.from.read_line(&mut line))
+                            .is_ok_and(|n| n > 0)
+                        {
                             assert_eq!(line, "+OK\r\n");
                             taken.lock().unwrap().push(id);
                             kept = Some(client);
@@ -127,11 +147,24 @@
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
     let taken = taken.lock().unwrap().clone();
-    wait_for("all of them", || e.calls().len() >= taken.len() && rig.figure("pending") == 0);
-    let mut calls: Vec<String> = e.calls().iter().map(|c| c.header("X-Trace-Id").to_string()).collect();
+    wait_for("all of them", || {
+        e.calls().len() >= taken.len() && rig.figure("pending") == 0
+    });
+    let mut calls: Vec<String> = e
+        .calls()
+        .iter()
+        .map(|c| c.header("X-Trace-Id").to_string())
+        .collect();
     let all = calls.len();
     calls.sort();
     calls.dedup();
-    assert_eq!((calls.len(), rig.platform.notices()), (all, vec![]), "none twice, none given up");
-    assert!(taken.iter().all(|id| calls.binary_search(id).is_ok()), "none lost");
+    assert_eq!(
+        (calls.len(), rig.platform.notices()),
+        (all, vec![]),
+        "none twice, none given up"
+    );
+    assert!(
+        taken.iter().all(|id| calls.binary_search(id).is_ok()),
+        "none lost"
+    );
 }
--- a/daemon/tests/mgmt.rs
+++ b/daemon/tests/mgmt.rs
@@ -10,8 +10,14 @@
     assert_eq!(parse(b"show-stat"), Ok(Call::ShowStat));
     assert_eq!(parse(b"drain"), Ok(Call::Drain));
     assert_eq!(parse(b"  resume "), Ok(Call::Resume));
-    assert_eq!(parse(b"disable-server s-5be2a07c"), Ok(Call::Disable("s-5be2a07c".into())));
-    assert_eq!(parse(b"enable-server s-5be2a07c"), Ok(Call::Enable("s-5be2a07c".into())));
+    assert_eq!(
+        parse(b"disable-server s-5be2a07c"),
+        Ok(Call::Disable("s-5be2a07c".into()))
+    );
+    assert_eq!(
+        parse(b"enable-server s-5be2a07c"),
+        Ok(Call::Enable("s-5be2a07c".into()))
+    );
 }
 
 #[test]
@@ -49,7 +55,11 @@
     figures.count(0, COMPLETED);
     figures.count(0, COMPLETED);
     figures.upstream = 3;
-    let gauges = Gauges { pending: 4, members: 5, unavailable: 1 };
+    let gauges = Gauges {
+        pending: 4,
+        members: 5,
+        unavailable: 1,
+    };
     let text = render(&figures, &["notice".into(), "payment".into()], &gauges);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.first(), Some(&"SUCCESS"));
--- a/daemon/tests/operators.rs
+++ b/daemon/tests/operators.rs
@@ -13,19 +13,67 @@
     for (place, value, named) in [
         ("/listen", json!("nowhere"), "listen"),
         ("/limits/sockets", json!("many"), "limits.sockets"),
-        ("/settings/services/0/repeat", json!("sometimes"), "settings.services[0].repeat"),
-        ("/settings/family-info/workers", json!(0), "settings.family-info.workers"),
-        ("/settings/guarantees/ramp-time-ns", json!(null), "settings.guarantees.ramp-time-ns"),
+        (
+            "/settings/services/0/repeat",
+            json!("sometimes"),
+            "settings.services[0].repeat",
+        ),
+        (
+            "/settings/family-info/workers",
+            json!(0),
+            "settings.family-info.workers",
+        ),
+        (
+            "/settings/guarantees/ramp-time-ns",
+            json!(null),
+            "settings.guarantees.ramp-time-ns",
+        ),
         ("/settings/balancers", json!(0), "settings.balancers"),
-        ("/settings/balancers", json!(1u64 << 32), "settings.balancers"),
-        ("/settings/guarantees/cold-share", json!(0), "settings.guarantees.cold-share"),
-        ("/settings/guarantees/tip-multiple", json!(-2.0), "settings.guarantees.tip-multiple"),
-        ("/settings/services/0/worth", json!(-1), "settings.services[0].worth"),
-        ("/settings/penalties", json!({"probe": 0.01, "handshake": -0.04}), "settings.penalties.handshake"),
-        ("/settings/penalties", json!({"probe": "dear"}), "settings.penalties.probe"),
-        ("/settings/family-info/per-call", json!([0]), "settings.family-info.per-call"),
-        ("/settings/family-info/per-call", json!([1, 20]), "settings.family-info.per-call"),
-        ("/settings/discovery", json!("sometimes"), "settings.discovery"),
+        (
+            "/settings/balancers",
+            json!(1u64 << 32),
+            "settings.balancers",
+        ),
+        (
+            "/settings/guarantees/cold-share",
+            json!(0),
+            "settings.guarantees.cold-share",
+        ),
+        (
+            "/settings/guarantees/tip-multiple",
+            json!(-2.0),
+            "settings.guarantees.tip-multiple",
+        ),
+        (
+            "/settings/services/0/worth",
+            json!(-1),
+            "settings.services[0].worth",
+        ),
+        (
+            "/settings/penalties",
+            json!({"probe": 0.01, "handshake": -0.04}),
+            "settings.penalties.handshake",
+        ),
+        (
+            "/settings/penalties",
+            json!({"probe": "dear"}),
+            "settings.penalties.probe",
+        ),
+        (
+            "/settings/family-info/per-call",
+            json!([0]),
+            "settings.family-info.per-call",
+        ),
+        (
+            "/settings/family-info/per-call",
+            json!([1, 20]),
+            "settings.family-info.per-call",
+        ),
+        (
+            "/settings/discovery",
+            json!("sometimes"),
+            "settings.discovery",
+        ),
     ] {
         let mut rig = Rig::new(&[]);
         rig.json["settings"]["penalties"] = json!({"probe": 0.01});
@@ -36,13 +84,27 @@
         for what in ["serve", "check"] {
             let end = rig.command(what).stdout(Stdio::piped()).output().unwrap();
             let text = String::from_utf8(end.stderr).unwrap();
-            assert!(end.status.code() == Some(2) && text.contains(&format!("field {named}:")), "{text}");
+            assert!(
+                end.status.code() == Some(2) && text.contains(&format!("field {named}:")),
+                "{text}"
+            );
         }
     }
-    let end = Command::new(env!("CARGO_BIN_EXE_bellsill")).arg("sing").output().unwrap();
+    let end = Command::new(env!("CARGO_BIN_EXE_bellsill"))
+        .arg("sing")
+        .output()
+        .unwrap();
     assert_eq!(end.status.code(), Some(2));
-    let end = Command::new(env!("CARGO_BIN_EXE_bellsill")).arg("version").output().unwrap();
-    assert!(end.status.success() && String::from_utf8(end.stdout).unwrap().starts_with("bellsill "));
+    let end = Command::new(env!("CARGO_BIN_EXE_bellsill"))
+        .arg("version")
+        .output()
+        .unwrap();
+    assert!(
+        end.status.success()
+            && String::from_utf8(end.stdout)
+                .unwrap()
+                .starts_with("bellsill ")
+    );
 }
 
 #[test]
@@ -54,11 +116,19 @@
     rig.start_by(command);
     // Far more than a pipe holds.
     let garbage = "{\"not\": json\n".repeat(5000);
-    wait_for("a watch", || !rig.platform.watches.lock().unwrap().is_empty());
+    wait_for("a watch", || {
+        !rig.platform.watches.lock().unwrap().is_empty()
+    });
     let chunk = format!("{:x}\r\n{garbage}\r\n", garbage.len());
-    rig.platform.watches.lock().unwrap()[0].write_all(chunk.as_bytes()).unwrap();
-    rig.platform.tell(&format!("{}\n", json!({"version": 2, "servers": [e.entry("more", 9, "up")]})));
-    rig.client().message("notice", 9, 19_000, "behind all the garbage");
+    rig.platform.watches.lock().unwrap()[0]
+        .write_all(chunk.as_bytes())
+        .unwrap();
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": 2, "servers": [e.entry("more", 9, "up")]})
+    ));
+    rig.client()
+        .message("notice", 9, 19_000, "behind all the garbage");
     wait_for("the message", || e.calls().len() == 1);
 }
 
@@ -74,8 +144,12 @@
     rig.start();
     // Callers that say nothing, half a line, or too much hold nobody up.
     let addr = rig.mgmt_at(0);
-    let mut idle: Vec<TcpStream> = (0..30).map(|_| TcpStream::connect(&addr).unwrap()).collect();
-    idle.iter_mut().skip(15).for_each(|c| drop(c.write_all(b"show-st")));
+    let mut idle: Vec<TcpStream> = (0..30)
+        .map(|_| TcpStream::connect(&addr).unwrap())
+        .collect();
+    idle.iter_mut()
+        .skip(15)
+        .for_each(|c| drop(c.write_all(b"show-st")));
     for (line, says) in [
         ("ready", "SUCCESS"),
         ("reboot", "FAILURE unknown call"),
@@ -98,7 +172,10 @@
     let late = client.message("notice", 9, 700, "deferred");
     client.message("notice", 9, 19_000, "waits");
     wait_for("the ends", || {
-        sound.calls().len() == 5 && [&once, &late].iter().all(|id| rig.platform.notice(id).is_some())
+        sound.calls().len() == 5
+            && [&once, &late]
+                .iter()
+                .all(|id| rig.platform.notice(id).is_some())
     });
     let figures = [
         ("downstream_requests.notice.completed", 5),
@@ -116,7 +193,10 @@
     let calls = sound.calls().len() + failing.calls().len() + shut.calls().len();
     assert_eq!(rig.figure("upstream_requests"), calls as u64);
     assert!(rig.call("disable-server e0")[0].starts_with("SUCCESS"));
-    assert_eq!((rig.figure("members"), rig.figure("members_unavailable")), (3, 1));
+    assert_eq!(
+        (rig.figure("members"), rig.figure("members_unavailable")),
+        (3, 1)
+    );
     drop(idle);
 }
 
@@ -133,7 +213,9 @@
     let (first, second) = (put(&fresh(), "c=notice,d=8000,k=a,dest=7", "half"), fresh());
     within.to.write_all(&first[..30]).unwrap();
     // Written before the drain, and perhaps not read: it is answered all the same.
-    asks.to.write_all(&put(&second, "c=notice,d=8000,k=b,dest=7", "crossing")).unwrap();
+    asks.to
+        .write_all(&put(&second, "c=notice,d=8000,k=b,dest=7", "crossing"))
+        .unwrap();
     assert!(rig.call("drain")[0].starts_with("SUCCESS"));
     assert!(rig.call("drain")[0].starts_with("SUCCESS"), "twice is once");
     assert_eq!((asks.line().as_str(), asks.line().as_str()), ("+OK", ""));
@@ -148,10 +230,19 @@
     assert_eq!(late.line(), "");
     hung.does(OK);
     wait_for("the message held", || {
-        hung.calls().iter().filter(|c| c.header("X-Trace-Id") == held).count() == 2
+        hung.calls()
+            .iter()
+            .filter(|c| c.header("X-Trace-Id") == held)
+            .count()
+            == 2
     });
-    wait_for("all of them", || rig.figure("downstream_requests.notice.completed") == 5);
-    assert!(rig.child.as_mut().unwrap().try_wait().unwrap().is_none(), "it stays");
+    wait_for("all of them", || {
+        rig.figure("downstream_requests.notice.completed") == 5
+    });
+    assert!(
+        rig.child.as_mut().unwrap().try_wait().unwrap().is_none(),
+        "it stays"
+    );
     assert!(rig.call("resume")[0].starts_with("SUCCESS"));
     let mut after = rig.client();
     assert_eq!(after.says(b"PING\r\n"), "+PONG");
@@ -172,10 +263,16 @@
     let messages = |client: &mut Client, many: usize| {
         let before = a.calls().len() + b.calls().len();
         (0..many).for_each(|_| drop(client.message("notice", 7, 20_000, "x")));
-        wait_for("the messages", || a.calls().len() + b.calls().len() == before + many);
+        wait_for("the messages", || {
+            a.calls().len() + b.calls().len() == before + many
+        });
     };
     messages(&mut client, 10);
-    assert_eq!((a.calls().len(), b.calls().len()), (0, 10), "held out by the list left");
+    assert_eq!(
+        (a.calls().len(), b.calls().len()),
+        (0, 10),
+        "held out by the list left"
+    );
     assert!(rig.call("enable-server e0")[0].starts_with("SUCCESS"));
     for _ in 0..2 {
         assert!(rig.call("disable-server e1")[0].starts_with("SUCCESS"));
@@ -188,28 +285,45 @@
     messages(&mut client, 10);
     assert_eq!((a.calls().len(), b.calls().len()), (10, 10));
     // An end that the journal does not have yet would be owed again.
-    wait_for("their ends", || rig.figure("downstream_requests.notice.completed") == 20);
+    wait_for("their ends", || {
+        rig.figure("downstream_requests.notice.completed") == 20
+    });
     rig.kill();
     rig.start();
     client = rig.client();
     messages(&mut client, 10);
-    assert_eq!((a.calls().len(), b.calls().len()), (20, 10), "over a restart");
+    assert_eq!(
+        (a.calls().len(), b.calls().len()),
+        (20, 10),
+        "over a restart"
+    );
     // A new version beside it, then a call to the old one: the new one heeds it too.
     let mut old = rig.child.take().unwrap();
     rig.json["mgmt"] = rig.mgmt_at(1).into();
     rig.start_beside();
     assert!(call_at(&rig.mgmt_at(0), "enable-server e1")[0].starts_with("SUCCESS"));
-    wait_for("the call back at the new one", || rig.figure("members_unavailable") == 0);
+    wait_for("the call back at the new one", || {
+        rig.figure("members_unavailable") == 0
+    });
     assert!(call_at(&rig.mgmt_at(0), "disable-server e0")[0].starts_with("SUCCESS"));
     let out = || std::fs::read_to_string(rig.folder.join("state/held-out")).unwrap();
     assert_eq!(out(), "e0\n");
-    wait_for("the call out at the new one", || rig.figure("members_unavailable") == 1);
+    wait_for("the call out at the new one", || {
+        rig.figure("members_unavailable") == 1
+    });
     old.kill().unwrap();
     old.wait().unwrap();
     client = rig.client();
     messages(&mut client, 10);
-    assert_eq!((a.calls().len(), b.calls().len()), (20, 20), "over an upgrade");
-    assert!(rig.call("enable-server e0")[0].starts_with("SUCCESS"), "one call undoes two");
+    assert_eq!(
+        (a.calls().len(), b.calls().len()),
+        (20, 20),
+        "over an upgrade"
+    );
+    assert!(
+        rig.call("enable-server e0")[0].starts_with("SUCCESS"),
+        "one call undoes two"
+    );
     assert_eq!(rig.figure("members_unavailable"), 0);
 }
 
--- a/daemon/tests/parts.rs
+++ b/daemon/tests/parts.rs
@@ -7,7 +7,9 @@
 use bellsill_daemon::endpoint_list::ListedEndpoint;
 use bellsill_daemon::endpoints::Endpoints;
 use bellsill_daemon::http::{self, Body};
-use bellsill_daemon::message_journal::{Ending, Kept, KeptAttempt, KeptMessage, MessageJournal, NoRoom};
+use bellsill_daemon::message_journal::{
+    Ending, Kept, KeptAttempt, KeptMessage, MessageJournal, NoRoom,
+};
 use bellsill_daemon::resp;
 use bellsill_daemon::ring::Ring;
 use bellsill_daemon::slots::{SlotId, Slots};
@@ -16,7 +18,10 @@
 use std::path::PathBuf;
 
 fn check(tests: u64, property: impl Testable) {
-    QuickCheck::new().rng(Gen::from_size_and_seed(200, 20_261_201)).tests(tests).quickcheck(property);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(200, 20_261_201))
+        .tests(tests)
+        .quickcheck(property);
 }
 
 /// A folder that is gone when the test is over.
@@ -24,14 +29,17 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+        let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
     fn size(&self) -> u64 {
         let files = std::fs::read_dir(&self.0).unwrap().flatten();
-        files.map(|f| f.metadata().unwrap().len().div_ceil(512) * 512).sum()
+        files
+            .map(|f| f.metadata().unwrap().len().div_ceil(512) * 512)
+            .sum()
     }
 }
 
@@ -75,7 +83,8 @@
 #[test]
 fn a_number_of_a_slot_given_back_hits_nothing() {
     fn property(steps: Vec<(bool, usize)>) -> bool {
-        let (mut slots, mut open, mut stale) = (Slots::<Id, usize>::default(), Vec::new(), Vec::new());
+        let (mut slots, mut open, mut stale) =
+            (Slots::<Id, usize>::default(), Vec::new(), Vec::new());
         steps.into_iter().all(|(add, n)| {
             if add || open.is_empty() {
                 open.push((slots.add(|_| n), n));
@@ -104,7 +113,8 @@
                 model.remove(&what);
             }
         }
-        let mut expected: Vec<(Nanos, u8)> = model.into_iter().map(|(what, at)| (at, what)).collect();
+        let mut expected: Vec<(Nanos, u8)> =
+            model.into_iter().map(|(what, at)| (at, what)).collect();
         expected.sort();
         expected.into_iter().all(|(at, what)| {
             deadlines.next() == Some(at)
@@ -121,13 +131,22 @@
         let words = &words[..words.len().min(64)];
         let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
         for word in words {
-            bytes.extend(format!("${}\r\n", word.len()).bytes().chain(word.iter().copied()).chain(*b"\r\n"));
+            bytes.extend(
+                format!("${}\r\n", word.len())
+                    .bytes()
+                    .chain(word.iter().copied())
+                    .chain(*b"\r\n"),
+            );
         }
         let whole = bytes.len();
         assert_eq!(resp::command(&bytes[..cut % whole]), Ok(None));
         bytes.extend(behind);
         let (ranges, taken) = resp::command(&bytes).unwrap().unwrap();
-        taken == whole && ranges.iter().map(|r| &bytes[r.clone()]).eq(words.iter().map(Vec::as_slice))
+        taken == whole
+            && ranges
+                .iter()
+                .map(|r| &bytes[r.clone()])
+                .eq(words.iter().map(Vec::as_slice))
     }
     check(200, property as fn(Vec<Vec<u8>>, usize, Vec<u8>) -> bool);
 }
@@ -136,7 +155,12 @@
 fn no_bytes_at_all_upset_the_readers() {
     fn property(bytes: Vec<u8>, mut like: Vec<u8>) -> bool {
         // Alike but for a few bytes, so that the readers get past the beginning.
-        for (i, pattern) in b"*2\r\n$3\r\nabc\r\n$1\r\n".iter().cycle().take(like.len()).enumerate() {
+        for (i, pattern) in b"*2\r\n$3\r\nabc\r\n$1\r\n"
+            .iter()
+            .cycle()
+            .take(like.len())
+            .enumerate()
+        {
             if !like[i].is_multiple_of(8) {
                 like[i] = *pattern;
             }
@@ -167,7 +191,10 @@
             wire.extend(b"Transfer-Encoding: chunked\r\n\r\n");
             for part in parts.iter().filter(|p| !p.is_empty()) {
                 wire.extend(
-                    format!("{:x};x=y\r\n", part.len()).bytes().chain(part.iter().copied()).chain(*b"\r\n"),
+                    format!("{:x};x=y\r\n", part.len())
+                        .bytes()
+                        .chain(part.iter().copied())
+                        .chain(*b"\r\n"),
                 );
             }
             wire.extend(b"0\r\nTrailer: t\r\n\r\n");
@@ -180,14 +207,19 @@
         let mut sizes = pieces.iter().cycle();
         let mut rest = wire.as_slice();
         while !rest.is_empty() {
-            let n = sizes.next().map_or(1, |n| usize::from(*n) + 1).min(rest.len());
+            let n = sizes
+                .next()
+                .map_or(1, |n| usize::from(*n) + 1)
+                .min(rest.len());
             ring.push(&rest[..n]);
             rest = &rest[n..];
             if head.is_none() {
                 head = http::head(&mut ring).unwrap();
             }
             if let Some(head) = &mut head {
-                head.body.take(&mut ring, |bytes| read.extend(bytes)).unwrap();
+                head.body
+                    .take(&mut ring, |bytes| read.extend(bytes))
+                    .unwrap();
             }
         }
         let head = head.unwrap();
@@ -199,9 +231,14 @@
 #[test]
 fn a_retry_after_is_read_with_its_decimals() {
     let mut ring = Ring::new(1000);
-    ring.push(b"HTTP/1.1 429 Busy\r\nretry-after: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    ring.push(
+        b"HTTP/1.1 429 Busy\r\nretry-after: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+    );
     let head = http::head(&mut ring).unwrap().unwrap();
-    assert_eq!((head.status, head.wait, head.last, head.over_slots), (429, 250_000_000, true, false));
+    assert_eq!(
+        (head.status, head.wait, head.last, head.over_slots),
+        (429, 250_000_000, true, false)
+    );
 }
 
 #[test]
@@ -213,8 +250,13 @@
     };
     let named = |value: &str| report(&format!("endpoint-load-metrics: {value}\r\n"));
     assert_eq!(report(""), None);
-    assert_eq!((named("x0=0.4,x1=25"), named("x1=0")), (Some(Ok(25.0)), Some(Ok(0.0))));
-    for bad in ["", "x0=0.4", "x1=", "x1=-1", "x1=NaN", "x1=inf", "x1=2e9", "x11=3", "x1:25"] {
+    assert_eq!(
+        (named("x0=0.4,x1=25"), named("x1=0")),
+        (Some(Ok(25.0)), Some(Ok(0.0)))
+    );
+    for bad in [
+        "", "x0=0.4", "x1=", "x1=-1", "x1=NaN", "x1=inf", "x1=2e9", "x11=3", "x1:25",
+    ] {
         assert_eq!(named(bad), Some(Err(http::BadReport)), "{bad}");
     }
 }
@@ -244,16 +286,27 @@
         }
         (2, Some(place)) => {
             journal.attempt(id, Nanos::from(size), "north")?;
-            let attempt = KeptAttempt { at: Nanos::from(size), zone: "north".into(), may_have_run: None };
+            let attempt = KeptAttempt {
+                at: Nanos::from(size),
+                zone: "north".into(),
+                may_have_run: None,
+            };
             model.messages[place].attempts.push(attempt);
         }
         (3, Some(place)) if !model.messages[place].attempts.is_empty() => {
             journal.outcome(id, size % 2 == 0).map_err(|_| NoRoom)?;
-            model.messages[place].attempts.last_mut().unwrap().may_have_run = Some(size % 2 == 0);
+            model.messages[place]
+                .attempts
+                .last_mut()
+                .unwrap()
+                .may_have_run = Some(size % 2 == 0);
         }
         (4, Some(place)) => {
-            let ending =
-                [None, Some(Ending::Bounced), Some(Ending::Deferred(Nanos::from(size)))][size as usize % 3];
+            let ending = [
+                None,
+                Some(Ending::Bounced),
+                Some(Ending::Deferred(Nanos::from(size))),
+            ][size as usize % 3];
             journal.ended(id, ending).map_err(|_| NoRoom)?;
             model.messages.remove(place);
             model.owed.extend(ending.map(|e| (id, e)));
@@ -283,7 +336,12 @@
             if i % 50 == 49 {
                 drop(journal);
                 let path = folder.0.join("mails");
-                std::fs::OpenOptions::new().append(true).open(path).unwrap().write_all(&torn).unwrap();
+                std::fs::OpenOptions::new()
+                    .append(true)
+                    .open(path)
+                    .unwrap()
+                    .write_all(&torn)
+                    .unwrap();
                 let (opened, mut kept) = MessageJournal::open(&folder.0, ROOM).unwrap();
                 kept.owed.sort_by_key(|o| o.0);
                 model.owed.sort_by_key(|o| o.0);
@@ -311,7 +369,14 @@
 fn a_journal_beside_one_that_is_held_takes_its_messages_once_it_is_free() {
     let folder = Folder::new("adopt");
     let (mut old, mut model) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    for one in [(0, 1, 100), (0, 2, 50), (2, 1, 7), (3, 1, 1), (0, 3, 9), (4, 3, 1)] {
+    for one in [
+        (0, 1, 100),
+        (0, 2, 50),
+        (2, 1, 7),
+        (3, 1, 1),
+        (0, 3, 9),
+        (4, 3, 1),
+    ] {
         step(&mut old, &mut model, one).unwrap();
     }
     let (mut new, kept) = MessageJournal::open(&folder.0, 60_000).unwrap();
@@ -397,13 +462,30 @@
     let folder = Folder::new("older");
     let due = bellsill_daemon::clock::wall_now() + 60_000_000_000;
     let text = |bytes: &[u8]| [&(bytes.len() as u32).to_le_bytes()[..], bytes].concat();
-    let numbers = |numbers: &[u64]| numbers.iter().flat_map(|n| n.to_le_bytes()).collect::<Vec<u8>>();
-    let fields = [vec![b'M'], numbers(&[9, 5, 7, due]), text(b"notice"), text(b"t"), text(b"body")].concat();
+    let numbers = |numbers: &[u64]| {
+        numbers
+            .iter()
+            .flat_map(|n| n.to_le_bytes())
+            .collect::<Vec<u8>>()
+    };
+    let fields = [
+        vec![b'M'],
+        numbers(&[9, 5, 7, due]),
+        text(b"notice"),
+        text(b"t"),
+        text(b"body"),
+    ]
+    .concat();
     std::fs::write(folder.0.join("mails"), framed(&fields)).unwrap();
     for _ in 0..2 {
         let (_, kept) = MessageJournal::open(&folder.0, 60_000).unwrap();
-        let left = kept.messages[0].due.saturating_sub(bellsill_daemon::clock::now());
-        assert!((50_000_000_000..=60_000_000_000).contains(&left), "{left} ns left");
+        let left = kept.messages[0]
+            .due
+            .saturating_sub(bellsill_daemon::clock::now());
+        assert!(
+            (50_000_000_000..=60_000_000_000).contains(&left),
+            "{left} ns left"
+        );
         assert_eq!((kept.messages[0].id.0, kept.messages[0].key), (9, 5));
     }
 }
@@ -432,7 +514,9 @@
         assert_eq!(endpoints.know(&listed(&format!("e{n}"), 2), addr), id);
         assert!(id != stays && endpoints.ids().count() <= 2 && endpoints.serve(2));
         endpoints.forget(id);
-        assert!(endpoints.find(&format!("e{n}")).is_none() && !endpoints.serve(2) && endpoints.serve(1));
+        assert!(
+            endpoints.find(&format!("e{n}")).is_none() && !endpoints.serve(2) && endpoints.serve(1)
+        );
     }
 }
 
@@ -446,14 +530,22 @@
         for seed in 0..200 {
             let mut rests = Backoff::new(seed, dispatchers);
             assert!((0..40).all(|_| rests.rest(0) + UP_WITHIN + FIRST_LINE_WITHIN < 6 * S));
-            for spent in [0, FIRST_LINE_WITHIN, UP_WITHIN + FIRST_LINE_WITHIN, SILENT_FOR, 20 * S] {
+            for spent in [
+                0,
+                FIRST_LINE_WITHIN,
+                UP_WITHIN + FIRST_LINE_WITHIN,
+                SILENT_FOR,
+                20 * S,
+            ] {
                 rests.served();
                 let most = 6 * S - (UP_WITHIN + FIRST_LINE_WITHIN + spent).min(6 * S - 2);
                 assert!((0..40).all(|_| rests.rest(spent) < most));
             }
             // Messages go by a list that may be old until then.
             assert!(
-                rests.first_rest(0) == 0 && rests.first_rest(S / 4) <= S / 8 && rests.first_rest(60 * S) <= S
+                rests.first_rest(0) == 0
+                    && rests.first_rest(S / 4) <= S / 8
+                    && rests.first_rest(60 * S) <= S
             );
         }
     }
@@ -465,9 +557,11 @@
 #[test]
 fn a_fleet_that_starts_together_is_served_in_turn() {
     for dispatchers in [3, 30, 100, 300, 1000] {
-        let mut rests: Vec<Backoff> =
-            (0..dispatchers as u64).map(|n| Backoff::new(n, dispatchers as u32)).collect();
-        let mut due: std::collections::BTreeSet<(Nanos, usize)> = (0..dispatchers).map(|n| (0, n)).collect();
+        let mut rests: Vec<Backoff> = (0..dispatchers as u64)
+            .map(|n| Backoff::new(n, dispatchers as u32))
+            .collect();
+        let mut due: std::collections::BTreeSet<(Nanos, usize)> =
+            (0..dispatchers).map(|n| (0, n)).collect();
         // When the first of its calls that are kept is answered.
         let mut told: Vec<Option<Nanos>> = vec![None; dispatchers];
         let (mut free_at, mut calls) = (0, 0);
@@ -482,10 +576,20 @@
             if free_at > at + FIRST_LINE_WITHIN {
                 due.insert((at + FIRST_LINE_WITHIN + rests[n].rest(FIRST_LINE_WITHIN), n));
             }
-            assert!(calls < 50 * dispatchers, "{dispatchers} dispatchers ask on and on");
+            assert!(
+                calls < 50 * dispatchers,
+                "{dispatchers} dispatchers ask on and on"
+            );
         }
         let last = told.iter().map(|t| t.expect("each is told")).max().unwrap();
-        assert!(calls <= dispatchers * 4, "{calls} calls of {dispatchers} dispatchers");
-        assert!(last < 9 * S, "{dispatchers} dispatchers: the last was served after {} s", last / S);
+        assert!(
+            calls <= dispatchers * 4,
+            "{calls} calls of {dispatchers} dispatchers"
+        );
+        assert!(
+            last < 9 * S,
+            "{dispatchers} dispatchers: the last was served after {} s",
+            last / S
+        );
     }
 }
--- a/daemon/tests/preload/lib.rs
+++ b/daemon/tests/preload/lib.rs
@@ -28,12 +28,20 @@
             if path.is_null() {
                 return None;
             }
-            let file = libc::syscall(libc::SYS_open, path, libc::O_RDWR | libc::O_CLOEXEC, 0) as c_int;
+            let file =
+                libc::syscall(libc::SYS_open, path, libc::O_RDWR | libc::O_CLOEXEC, 0) as c_int;
             if file < 0 {
                 return None;
             }
             let protection = libc::PROT_READ | libc::PROT_WRITE;
-            let at = libc::mmap(std::ptr::null_mut(), PAGE_BYTES, protection, libc::MAP_SHARED, file, 0);
+            let at = libc::mmap(
+                std::ptr::null_mut(),
+                PAGE_BYTES,
+                protection,
+                libc::MAP_SHARED,
+                file,
+                0,
+            );
             libc::close(file);
             (at != libc::MAP_FAILED).then_some(Page(at.cast()))
         }
@@ -93,7 +101,10 @@
     // SAFETY: callers pass strings that end in a null byte; the variable's text is only read.
     unsafe {
         let folder = libc::getenv(c"BELLSILL_FAULT_FOLDER".as_ptr());
-        !folder.is_null() && CStr::from_ptr(path).to_bytes().starts_with(CStr::from_ptr(folder).to_bytes())
+        !folder.is_null()
+            && CStr::from_ptr(path)
+                .to_bytes()
+                .starts_with(CStr::from_ptr(folder).to_bytes())
     }
 }
 
@@ -103,7 +114,9 @@
     if share == 0 {
         return false;
     }
-    let Some(state) = word(RANDOM_STATE) else { return false };
+    let Some(state) = word(RANDOM_STATE) else {
+        return false;
+    };
     let drawn = state.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::SeqCst);
     let mut mixed = (drawn ^ (drawn >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -116,7 +129,11 @@
 }
 
 fn shortened(length: usize) -> usize {
-    if length > 1 && is_drawn(SHORT_PERMILLE) { length / 2 } else { length }
+    if length > 1 && is_drawn(SHORT_PERMILLE) {
+        length / 2
+    } else {
+        length
+    }
 }
 
 /// # Safety
@@ -144,12 +161,15 @@
     }
     let half = asked(WRITE_HALF) != 0;
     // A write that failed half way is continued by its caller, and fails then.
-    let continued = word(HALF_WRITTEN).is_some_and(|word| word.swap(u64::from(half), Ordering::SeqCst) == 1);
+    let continued =
+        word(HALF_WRITTEN).is_some_and(|word| word.swap(u64::from(half), Ordering::SeqCst) == 1);
     if half && !continued && length > 1 {
         // SAFETY: half of the caller's bytes.
         return unsafe { next(fd, bytes, length / 2) };
     }
-    word(HALF_WRITTEN).into_iter().for_each(|word| word.store(0, Ordering::SeqCst));
+    word(HALF_WRITTEN)
+        .into_iter()
+        .for_each(|word| word.store(0, Ordering::SeqCst));
     count(WRITE_FAULTS);
     fail(errno) as isize
 }
@@ -161,7 +181,8 @@
     let errno = asked(READ_ERRNO);
     // The configuration is a file too, but not one of the folder that lasts: those are opened for writing as well.
     // SAFETY: the call only reads the descriptor's flags.
-    if errno != 0 && is_file(fd) && unsafe { libc::fcntl(fd, libc::F_GETFL) } & libc::O_APPEND != 0 {
+    if errno != 0 && is_file(fd) && unsafe { libc::fcntl(fd, libc::F_GETFL) } & libc::O_APPEND != 0
+    {
         count(OPEN_FAULTS);
         return fail(errno) as isize;
     }
@@ -230,7 +251,10 @@
 /// As the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
-    let next = next!(c"clock_gettime", fn(libc::clockid_t, *mut libc::timespec) -> c_int);
+    let next = next!(
+        c"clock_gettime",
+        fn(libc::clockid_t, *mut libc::timespec) -> c_int
+    );
     // SAFETY: the caller's arguments; the time is read after the call has written it.
     unsafe {
         let result = next(clock, time);
@@ -263,8 +287,15 @@
 /// # Safety
 /// As the C library's function.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn connect(fd: c_int, to: *const libc::sockaddr, length: libc::socklen_t) -> c_int {
-    let next = next!(c"connect", fn(c_int, *const libc::sockaddr, libc::socklen_t) -> c_int);
+pub unsafe extern "C" fn connect(
+    fd: c_int,
+    to: *const libc::sockaddr,
+    length: libc::socklen_t,
+) -> c_int {
+    let next = next!(
+        c"connect",
+        fn(c_int, *const libc::sockaddr, libc::socklen_t) -> c_int
+    );
     let errno = asked(CONNECT_ERRNO);
     if errno != 0 {
         // SAFETY: the caller's arguments.
@@ -300,7 +331,10 @@
         count(SOCKET_FAULTS);
         return fail(errno);
     }
-    let next = next!(c"accept4", fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t, c_int) -> c_int);
+    let next = next!(
+        c"accept4",
+        fn(c_int, *mut libc::sockaddr, *mut libc::socklen_t, c_int) -> c_int
+    );
     // SAFETY: the caller's arguments.
     unsafe { next(fd, from, length, flags) }
 }
@@ -320,7 +354,12 @@
 /// # Safety
 /// As the C library's function.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, length: usize, flags: c_int) -> isize {
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    bytes: *const c_void,
+    length: usize,
+    flags: c_int,
+) -> isize {
     if is_drawn(SHORT_PERMILLE) {
         return fail(libc::EINTR as u64) as isize;
     }
