--- a/daemon/tests/scoped.rs
+++ b/daemon/tests/scoped.rs
@@ -54,11 +54,17 @@
 }
 
 fn bodies(endpoint: &Endpoint, body: &str) -> usize {
-    endpoint.calls().iter().filter(|call| call.body == body).count()
+    endpoint
+        .calls()
+        .iter()
+        .filter(|call| call.body == body)
+        .count()
 }
 
 fn delivered(endpoint: &Endpoint, body: &str) {
-    wait_for(&format!("the message {body:?}"), || bodies(endpoint, body) > 0);
+    wait_for(&format!("the message {body:?}"), || {
+        bodies(endpoint, body) > 0
+    });
 }
 
 /// Hands in one message after another until one has come to the endpoint, whatever the ones before are answered.
@@ -78,7 +84,9 @@
     control.write("e0", &first.addr, "north", 7, true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || dispatcher.scope("complete_buckets") == u64::from(BUCKETS));
+    wait_for("the buckets", || {
+        dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
+    });
     let mut client = dispatcher.rig.client();
     client.message("notice", 7, 8000, "held");
     delivered(&first, "held");
@@ -111,25 +119,52 @@
     let other = Endpoint::start(OK);
     control.write("e0", &other.addr, "south", 47, true);
     delivered_in_the_end(&dispatcher, &other, 47, "moved");
-    assert_eq!(control.lookup_queries().len(), lookups, "it is asked for once");
-    assert!(control.lookup_queries().iter().all(|query| query == "dispatcher=d1&cells=47"));
+    assert_eq!(
+        control.lookup_queries().len(),
+        lookups,
+        "it is asked for once"
+    );
+    assert!(
+        control
+            .lookup_queries()
+            .iter()
+            .all(|query| query == "dispatcher=d1&cells=47")
+    );
 }
 
 #[test]
 fn messages_that_wait_for_a_destination_whose_bucket_is_lost_are_delivered() {
-    let (endpoint, control) = (Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1")), Control::start());
+    let (endpoint, control) = (
+        Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1")),
+        Control::start(),
+    );
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || dispatcher.scope("complete_buckets") == u64::from(BUCKETS));
-    dispatcher.rig.client().message("notice", 7, 20_000, "waits");
+    wait_for("the buckets", || {
+        dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
+    });
+    dispatcher
+        .rig
+        .client()
+        .message("notice", 7, 20_000, "waits");
     wait_for("a first call", || !endpoint.calls().is_empty());
     control.take_buckets_away();
-    wait_for("the buckets to be lost", || dispatcher.scope("complete_buckets") == 0);
+    wait_for("the buckets to be lost", || {
+        dispatcher.scope("complete_buckets") == 0
+    });
     endpoint.does(OK);
-    wait_for("its delivery", || dispatcher.rig.figure("downstream_requests.notice.completed") == 1);
+    wait_for("its delivery", || {
+        dispatcher
+            .rig
+            .figure("downstream_requests.notice.completed")
+            == 1
+    });
     assert_eq!(control.lookup_queries(), ["dispatcher=d1&cells=7"]);
-    assert_eq!((dispatcher.scope("destinations"), dispatcher.scope("cached")), (1, 1));
+    assert_eq!(
+        (dispatcher.scope("destinations"), dispatcher.scope("cached")),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -159,7 +194,9 @@
     let mut client = dispatcher.rig.client();
     client.message("notice", 7, 8000, "before");
     client.message("notice", 47, 8000, "before");
-    [&held, &cached].into_iter().for_each(|endpoint| delivered(endpoint, "before"));
+    [&held, &cached]
+        .into_iter()
+        .for_each(|endpoint| delivered(endpoint, "before"));
     drop(client);
     dispatcher.stop();
     // Nobody listens there any more.
@@ -169,7 +206,9 @@
     let mut client = dispatcher.rig.client();
     client.message("notice", 7, 8000, "after");
     client.message("notice", 47, 8000, "after");
-    [&held, &cached].into_iter().for_each(|endpoint| delivered(endpoint, "after"));
+    [&held, &cached]
+        .into_iter()
+        .for_each(|endpoint| delivered(endpoint, "after"));
     // One that is not known is taken, and ends by its time.
     let id = client.message("payment", 48, 1000, "unknown");
     wait_for("its end", || dispatcher.rig.platform.notice(&id).is_some());
@@ -180,7 +219,10 @@
     std::fs::copy(&alive.installation, &dispatcher.installation).unwrap();
     dispatcher.start();
     let query = control.next_watch(1);
-    assert!(query.contains("since=2&log=c0ffee&dispatcher=d1&buckets=0,1,2,3&cells=47"), "{query}");
+    assert!(
+        query.contains("since=2&log=c0ffee&dispatcher=d1&buckets=0,1,2,3&cells=47"),
+        "{query}"
+    );
 }
 
 #[test]
@@ -189,7 +231,9 @@
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || dispatcher.scope("complete_buckets") == u64::from(BUCKETS));
+    wait_for("the buckets", || {
+        dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
+    });
     dispatcher.stop();
     let file = dispatcher.rig.folder.join("state/scope");
     let mut bytes = std::fs::read(&file).unwrap();
@@ -207,7 +251,13 @@
     let control = Control::start();
     let endpoints: Vec<Endpoint> = (0..3).map(|_| Endpoint::start(OK)).collect();
     for (n, endpoint) in endpoints.iter().enumerate() {
-        control.write(&format!("e{n}"), &endpoint.addr, "south", 40 + n as u64, true);
+        control.write(
+            &format!("e{n}"),
+            &endpoint.addr,
+            "south",
+            40 + n as u64,
+            true,
+        );
     }
     let mut dispatcher = ScopedRig::new(&[&control.addr], 2);
     dispatcher.start();
@@ -217,11 +267,21 @@
         delivered(endpoint, "each");
     }
     wait_for("the oldest to be forgotten", || {
-        control.lookup_queries().iter().any(|query| query.contains("cells=42&forget=40"))
+        control
+            .lookup_queries()
+            .iter()
+            .any(|query| query.contains("cells=42&forget=40"))
     });
-    assert_eq!((dispatcher.scope("cached"), dispatcher.scope("evicted")), (2, 1));
+    assert_eq!(
+        (dispatcher.scope("cached"), dispatcher.scope("evicted")),
+        (2, 1)
+    );
     control.end_watches();
-    assert!(control.next_watch(1).ends_with("buckets=0,1,2,3&cells=41,42"));
+    assert!(
+        control
+            .next_watch(1)
+            .ends_with("buckets=0,1,2,3&cells=41,42")
+    );
     // What gave way is asked for again when it is wanted.
     client.message("notice", 40, 8000, "again");
     delivered(&endpoints[0], "again");
@@ -234,7 +294,10 @@
     control.fail_lookups(true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
     dispatcher.start();
-    dispatcher.rig.client().message("notice", 47, 20_000, "waits");
+    dispatcher
+        .rig
+        .client()
+        .message("notice", 47, 20_000, "waits");
     wait_for("a lookup", || !control.lookup_queries().is_empty());
     dispatcher.rig.kill();
     control.fail_lookups(false);
@@ -256,7 +319,11 @@
     let mut client = dispatcher.rig.client();
     client.message("notice", 40, 20_000, "waits");
     wait_for("a first call", || !full.calls().is_empty());
-    let completed = || dispatcher.rig.figure("downstream_requests.notice.completed");
+    let completed = || {
+        dispatcher
+            .rig
+            .figure("downstream_requests.notice.completed")
+    };
     for (n, cell) in [41, 42, 41, 43, 44].into_iter().enumerate() {
         client.message("notice", cell, 8000, "is delivered");
         wait_for("its answer", || completed() == n as u64 + 1);
@@ -264,7 +331,10 @@
     // The second one was used longest ago, then the first one; the message for 40 still waits.
     let last = control.lookup_queries().last().unwrap().clone();
     assert!(last.contains("cells=44&forget=41"), "{last}");
-    let asked = control.lookup_queries().into_iter().filter(|query| query.contains("cells=40"));
+    let asked = control
+        .lookup_queries()
+        .into_iter()
+        .filter(|query| query.contains("cells=40"));
     assert_eq!(asked.count(), 1, "it never gave way");
     full.does(OK);
     wait_for("what waited", || completed() == 6);
@@ -276,10 +346,22 @@
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || dispatcher.scope("complete_buckets") == u64::from(BUCKETS));
+    wait_for("the buckets", || {
+        dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
+    });
     control.tell_whole_list();
-    assert!(control.next_watch(1).contains("since=1&log=c0ffee&dispatcher=d1&buckets=0,1,2,3"));
-    assert_eq!((dispatcher.scope("refused_lines"), dispatcher.scope("destinations")), (1, 1));
+    assert!(
+        control
+            .next_watch(1)
+            .contains("since=1&log=c0ffee&dispatcher=d1&buckets=0,1,2,3")
+    );
+    assert_eq!(
+        (
+            dispatcher.scope("refused_lines"),
+            dispatcher.scope("destinations")
+        ),
+        (1, 1)
+    );
     delivered_in_the_end(&dispatcher, &endpoint, 7, "as ever");
 }
 
@@ -289,7 +371,10 @@
     let mut dispatcher = ScopedRig::new(&["127.0.0.1:1"], 8);
     dispatcher.rig.json["known"]["servers"] = vec![endpoint.entry("e0", 7, "up")].into();
     dispatcher.start();
-    dispatcher.rig.client().message("notice", 7, 8000, "by the list of the start");
+    dispatcher
+        .rig
+        .client()
+        .message("notice", 7, 8000, "by the list of the start");
     delivered(&endpoint, "by the list of the start");
 }
 
@@ -300,26 +385,60 @@
     let check = |text: &str| {
         std::fs::write(&rig.installation, text).unwrap();
         let mut command = rig.rig.command("check");
-        let done = command.arg("--installation").arg(&rig.installation).output().unwrap();
-        (done.status.code().unwrap(), String::from_utf8(done.stderr).unwrap())
+        let done = command
+            .arg("--installation")
+            .arg(&rig.installation)
+            .output()
+            .unwrap();
+        (
+            done.status.code().unwrap(),
+            String::from_utf8(done.stderr).unwrap(),
+        )
     };
     assert_eq!(check(&good).0, 0);
     let cases = [
-        (good.replace("\"d1\"", "\"d 1\""), "field `dispatcher`: expected the name"),
-        (good.replace("zone = \"north\"", "zone = \"east\""), "field `zone`: expected one of the zones"),
-        (good.replace("[\"127.0.0.1:7400\"]", "[]"), "field `control`: expected 1 to 64 addresses"),
         (
-            good.replace("\"127.0.0.1:7400\"", "\"127.0.0.1:7400\", \"127.0.0.1:7400\""),
+            good.replace("\"d1\"", "\"d 1\""),
+            "field `dispatcher`: expected the name",
+        ),
+        (
+            good.replace("zone = \"north\"", "zone = \"east\""),
+            "field `zone`: expected one of the zones",
+        ),
+        (
+            good.replace("[\"127.0.0.1:7400\"]", "[]"),
+            "field `control`: expected 1 to 64 addresses",
+        ),
+        (
+            good.replace(
+                "\"127.0.0.1:7400\"",
+                "\"127.0.0.1:7400\", \"127.0.0.1:7400\"",
+            ),
             "field `control`: expected each address once",
         ),
-        (good.replace("= 8\n", "= 0\n"), "field `cache_destinations`: expected a whole number from 1"),
-        (good.replace("buckets_per_region = 4", "buckets_per_region = 0"), "`buckets_per_region`"),
-        (good.replace("region = \"b\"", "region = \"b 2\""), "field `zones`: expected names"),
+        (
+            good.replace("= 8\n", "= 0\n"),
+            "field `cache_destinations`: expected a whole number from 1",
+        ),
+        (
+            good.replace("buckets_per_region = 4", "buckets_per_region = 0"),
+            "`buckets_per_region`",
+        ),
+        (
+            good.replace("region = \"b\"", "region = \"b 2\""),
+            "field `zones`: expected names",
+        ),
         (format!("{good}colour = 3\n"), "unknown field `colour`"),
-        (good.replace("zone = \"north\"\n", ""), "missing field `zone`"),
+        (
+            good.replace("zone = \"north\"\n", ""),
+            "missing field `zone`",
+        ),
     ];
     for (text, says) in cases {
         let (status, said) = check(&text);
-        assert!(status == 2 && said.contains(says), "expected {says}, got {status} with {said}");
+        assert!(
+            status == 2 && said.contains(says),
+            "expected {says}, got {status} with {said}"
+        );
     }
 }
--- a/daemon/tests/scoped_processes.rs
+++ b/daemon/tests/scoped_processes.rs
@@ -16,7 +16,11 @@
     let installation = Installation::start();
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "as first written");
-    let looked_up: u64 = installation.dispatchers.iter().map(|d| d.scope("cached")).sum();
+    let looked_up: u64 = installation
+        .dispatchers
+        .iter()
+        .map(|d| d.scope("cached"))
+        .sum();
     assert!(looked_up > 0, "some are of buckets of others");
     installation.write(DESTINATIONS, &second);
     installation.all_reach(DESTINATIONS, &second, "as written anew");
@@ -91,12 +95,20 @@
     let mut installation = Installation::start();
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "before");
-    wait_for("the list to be saved", || installation.dispatchers[0].scope("unsaved") == 0);
-    installation.control.iter_mut().for_each(|process| process.kill());
+    wait_for("the list to be saved", || {
+        installation.dispatchers[0].scope("unsaved") == 0
+    });
+    installation
+        .control
+        .iter_mut()
+        .for_each(|process| process.kill());
     installation.dispatchers[0].rig.kill();
     installation.dispatchers[0].start();
     installation.all_reach(DESTINATIONS, &first, "with no control process");
-    installation.control.iter_mut().for_each(|process| process.start());
+    installation
+        .control
+        .iter_mut()
+        .for_each(|process| process.start());
     installation.write(DESTINATIONS, &second);
     installation.all_reach(DESTINATIONS, &second, "with all of them again");
 }
--- a/daemon/tests/soak.rs
+++ b/daemon/tests/soak.rs
@@ -19,7 +19,11 @@
 fn signals(random: &mut Pcg64) -> Vec<(Signal, Duration)> {
     let count = random.random_range(0..4);
     let mut one = || {
-        let signal = if random.random_range(0..2) == 0 { Signal::TERM } else { Signal::HUP };
+        let signal = if random.random_range(0..2) == 0 {
+            Signal::TERM
+        } else {
+            Signal::HUP
+        };
         (signal, Duration::from_millis(random.random_range(0..900)))
     };
     (0..count).map(|_| one()).collect()
@@ -47,8 +51,11 @@
     world.disturb_for(Duration::from_millis(random.random_range(300..1_000)));
     let verdict = world.finish();
     println!("seed {seed} {troubles:?}: {verdict}");
-    let broken: Vec<String> =
-        verdict.broken.iter().map(|what| format!("seed {seed} {troubles:?}: {what}")).collect();
+    let broken: Vec<String> = verdict
+        .broken
+        .iter()
+        .map(|what| format!("seed {seed} {troubles:?}: {what}"))
+        .collect();
     // At once: a run that is cut off later has said it.
     broken.iter().for_each(|what| println!("{what}"));
     broken
@@ -59,7 +66,10 @@
     let (first, last) = match &named {
         Some(range) => {
             let (first, last) = range.split_once('-').expect("FIRST-LAST");
-            (first.parse().expect("a seed"), last.parse().expect("a seed"))
+            (
+                first.parse().expect("a seed"),
+                last.parse().expect("a seed"),
+            )
         }
         None => CI_SEEDS,
     };
@@ -68,7 +78,9 @@
 
 #[test]
 fn under_two_troubles_at_once_every_rule_is_kept() {
-    let side_by_side = std::env::var("BELLSILL_SOAK_SIDE_BY_SIDE").ok().and_then(|n| n.parse().ok());
+    let side_by_side = std::env::var("BELLSILL_SOAK_SIDE_BY_SIDE")
+        .ok()
+        .and_then(|n| n.parse().ok());
     let (left, broken) = (Mutex::new(seeds()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..side_by_side.unwrap_or(SIDE_BY_SIDE) {
@@ -83,5 +95,10 @@
         }
     });
     let broken = broken.into_inner().unwrap();
-    assert!(broken.is_empty(), "{} broken: {:#?}", broken.len(), &broken[..broken.len().min(40)]);
+    assert!(
+        broken.is_empty(),
+        "{} broken: {:#?}",
+        broken.len(),
+        &broken[..broken.len().min(40)]
+    );
 }
--- a/daemon/tests/stepped_clock.rs
+++ b/daemon/tests/stepped_clock.rs
@@ -23,8 +23,12 @@
     let faults = Faults::new(&rig.folder, 1);
     rig.start_with(&faults);
     let mut client = rig.client();
-    let lasting: Vec<String> = (0..10).map(|_| client.message("payment", 7, 20_000, "lasting")).collect();
-    let short: Vec<String> = (0..10).map(|_| client.message("notice", 8, 3_000, "short")).collect();
+    let lasting: Vec<String> = (0..10)
+        .map(|_| client.message("payment", 7, 20_000, "lasting"))
+        .collect();
+    let short: Vec<String> = (0..10)
+        .map(|_| client.message("notice", 8, 3_000, "short"))
+        .collect();
     let short_due = Instant::now() + Duration::from_millis(3_000);
     let tagged = client.message("notice", 9, 19_000, "tagged");
     wait_for("the call that hangs", || hung.calls_of(&tagged) == 1);
@@ -37,16 +41,34 @@
     std::thread::sleep((WINDOW + END_SLACK).saturating_sub(tagged_at.elapsed()));
     rig.start_with(&faults);
     let ready = Instant::now();
-    wait_for("the short ones' notices", || short.iter().all(|id| rig.platform.notice(id).is_some()));
+    wait_for("the short ones' notices", || {
+        short.iter().all(|id| rig.platform.notice(id).is_some())
+    });
     let overdue = (short_due + END_SLACK).max(ready + READY_SLACK);
     let late = Instant::now().saturating_duration_since(overdue);
-    assert!(late.is_zero(), "{seconds} s: notices {} ms late", late.as_millis());
+    assert!(
+        late.is_zero(),
+        "{seconds} s: notices {} ms late",
+        late.as_millis()
+    );
     wait_for("the lasting ones' ends", || {
-        lasting.iter().all(|id| full.calls_of(id) >= 1 || rig.platform.notice(id).is_some())
+        lasting
+            .iter()
+            .all(|id| full.calls_of(id) >= 1 || rig.platform.notice(id).is_some())
     });
-    let noticed = lasting.iter().filter(|id| rig.platform.notice(id).is_some()).count();
-    assert_eq!(noticed, 0, "{seconds} s: given up with most of their time left");
-    assert_eq!(hung.calls_of(&tagged), 1, "{seconds} s: sent again after its window");
+    let noticed = lasting
+        .iter()
+        .filter(|id| rig.platform.notice(id).is_some())
+        .count();
+    assert_eq!(
+        noticed, 0,
+        "{seconds} s: given up with most of their time left"
+    );
+    assert_eq!(
+        hung.calls_of(&tagged),
+        1,
+        "{seconds} s: sent again after its window"
+    );
 }
 
 #[test]
@@ -74,8 +96,14 @@
     full.does(OK);
     rig.start_with(&faults);
     let began = Instant::now();
-    wait_for("the end of the short one", || rig.platform.notice(&short).is_some());
-    assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
+    wait_for("the end of the short one", || {
+        rig.platform.notice(&short).is_some()
+    });
+    assert!(
+        began.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        began.elapsed()
+    );
     wait_for("the lasting one", || full.calls_of(&lasting) >= 2);
     assert_eq!(rig.platform.notice(&lasting), None);
 }
--- a/daemon/tests/strict_terms.rs
+++ b/daemon/tests/strict_terms.rs
@@ -11,7 +11,10 @@
 use std::time::{Duration, Instant};
 
 fn change(rig: &Rig, version: u64, entries: Vec<Value>) {
-    rig.platform.tell(&format!("{}\n", json!({"version": version, "full": false, "servers": entries})));
+    rig.platform.tell(&format!(
+        "{}\n",
+        json!({"version": version, "full": false, "servers": entries})
+    ));
 }
 
 /// Row R1: a message goes to an endpoint whose cell is its destination, also after a change of that cell.
@@ -21,18 +24,37 @@
     let mut rig = Rig::new(&[(&moving, 7), (&staying, 7)]);
     rig.start();
     let before = rig.client().message("notice", 7, 8_000, "before");
-    wait_for("the first message", || moving.calls_of(&before) + staying.calls_of(&before) == 1);
+    wait_for("the first message", || {
+        moving.calls_of(&before) + staying.calls_of(&before) == 1
+    });
     change(&rig, 2, vec![moving.entry("e0", 8, "up")]);
-    wait_for("the news", || rig.client().says(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "news")) == "+OK");
+    wait_for("the news", || {
+        rig.client()
+            .says(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "news"))
+            == "+OK"
+    });
     let mut client = rig.client();
-    let old: Vec<String> = (0..20).map(|_| client.message("notice", 7, 8_000, "for 7")).collect();
-    let new: Vec<String> = (0..5).map(|_| client.message("notice", 8, 8_000, "for 8")).collect();
+    let old: Vec<String> = (0..20)
+        .map(|_| client.message("notice", 7, 8_000, "for 7"))
+        .collect();
+    let new: Vec<String> = (0..5)
+        .map(|_| client.message("notice", 8, 8_000, "for 8"))
+        .collect();
     wait_for("all of them", || {
-        old.iter().all(|id| moving.calls_of(id) + staying.calls_of(id) == 1)
-            && new.iter().all(|id| moving.calls_of(id) + staying.calls_of(id) == 1)
+        old.iter()
+            .all(|id| moving.calls_of(id) + staying.calls_of(id) == 1)
+            && new
+                .iter()
+                .all(|id| moving.calls_of(id) + staying.calls_of(id) == 1)
     });
-    assert!(old.iter().all(|id| moving.calls_of(id) == 0), "of another destination");
-    assert!(new.iter().all(|id| staying.calls_of(id) == 0), "of another destination");
+    assert!(
+        old.iter().all(|id| moving.calls_of(id) == 0),
+        "of another destination"
+    );
+    assert!(
+        new.iter().all(|id| staying.calls_of(id) == 0),
+        "of another destination"
+    );
 }
 
 /// Row R2: the fields of a request name each value once.
@@ -69,9 +91,17 @@
     let began = Instant::now();
     let mut told = Vec::new();
     half.from.read_to_end(&mut told).unwrap();
-    assert!(told.starts_with(b"-ERR"), "{:?}", String::from_utf8_lossy(&told));
+    assert!(
+        told.starts_with(b"-ERR"),
+        "{:?}",
+        String::from_utf8_lossy(&told)
+    );
     assert_eq!(silent.line(), "", "ended");
-    assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        began.elapsed()
+    );
     // Its request crosses the end. Read and thrown away it would be lost; unread, the connection is reset.
     let _ = silent.to.write_all(&request);
     let mut reset = false;
@@ -93,14 +123,24 @@
     wait_for("a refusal", || rig.never_ran(&held));
     rig.kill();
     e.does(OK);
-    for (word, errno) in [(words::OPEN_ERRNO, EIO), (words::UNLINK_ERRNO, EIO), (words::READ_ERRNO, EIO)] {
+    for (word, errno) in [
+        (words::OPEN_ERRNO, EIO),
+        (words::UNLINK_ERRNO, EIO),
+        (words::READ_ERRNO, EIO),
+    ] {
         faults.ask(word, errno);
     }
     rig.spawn_with(&faults);
     let began = Instant::now();
     while began.elapsed() < Duration::from_millis(1_500) {
-        assert!(rig.child.as_mut().unwrap().try_wait().unwrap().is_none(), "it has ended");
-        assert!(std::net::TcpStream::connect(&rig.listen).is_err(), "clients are let in");
+        assert!(
+            rig.child.as_mut().unwrap().try_wait().unwrap().is_none(),
+            "it has ended"
+        );
+        assert!(
+            std::net::TcpStream::connect(&rig.listen).is_err(),
+            "clients are let in"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     faults.heal_folder();
@@ -151,19 +191,30 @@
     rig.call("disable-server e0");
     std::thread::sleep(Duration::from_secs(1));
     let mut client = rig.client();
-    let ids: Vec<String> = (0..10).map(|_| client.message("notice", 7, 8_000, "x")).collect();
-    wait_for("all of them", || ids.iter().all(|id| other.calls_of(id) + out.calls_of(id) == 1));
+    let ids: Vec<String> = (0..10)
+        .map(|_| client.message("notice", 7, 8_000, "x"))
+        .collect();
+    wait_for("all of them", || {
+        ids.iter()
+            .all(|id| other.calls_of(id) + out.calls_of(id) == 1)
+    });
     assert!(out.calls().is_empty(), "taken out");
     // Once the folder is good again a restart knows it too.
     faults.heal_folder();
     wait_for("the list", || {
-        std::fs::read_to_string(rig.folder.join("state/held-out")).is_ok_and(|text| text.contains("e0"))
+        std::fs::read_to_string(rig.folder.join("state/held-out"))
+            .is_ok_and(|text| text.contains("e0"))
     });
     rig.kill();
     rig.start_with(&faults);
     let mut client = rig.client();
-    let ids: Vec<String> = (0..10).map(|_| client.message("notice", 7, 8_000, "x")).collect();
-    wait_for("all of them", || ids.iter().all(|id| other.calls_of(id) + out.calls_of(id) == 1));
+    let ids: Vec<String> = (0..10)
+        .map(|_| client.message("notice", 7, 8_000, "x"))
+        .collect();
+    wait_for("all of them", || {
+        ids.iter()
+            .all(|id| other.calls_of(id) + out.calls_of(id) == 1)
+    });
     assert!(out.calls().is_empty(), "taken out, also over the restart");
 }
 
@@ -177,9 +228,16 @@
     let entry = json!({"id": "e0", "state": "draining", "weight": "heavy"});
     let newcomer = Endpoint::start(OK);
     change(&rig, 2, vec![entry, newcomer.entry("e2", 8, "up")]);
-    wait_for("the news", || client.says(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "news")) == "+OK");
-    let ids: Vec<String> = (0..10).map(|_| client.message("notice", 7, 8_000, "x")).collect();
-    wait_for("all of them", || ids.iter().all(|id| other.calls_of(id) + draining.calls_of(id) == 1));
+    wait_for("the news", || {
+        client.says(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "news")) == "+OK"
+    });
+    let ids: Vec<String> = (0..10)
+        .map(|_| client.message("notice", 7, 8_000, "x"))
+        .collect();
+    wait_for("all of them", || {
+        ids.iter()
+            .all(|id| other.calls_of(id) + draining.calls_of(id) == 1)
+    });
     assert!(ids.iter().all(|id| draining.calls_of(id) == 0), "it drains");
 }
 
@@ -194,7 +252,10 @@
     rig.kill();
     e.does(OK);
     let before = e.calls_of(&held);
-    rig.json["settings"]["services"].as_array_mut().unwrap().pop();
+    rig.json["settings"]["services"]
+        .as_array_mut()
+        .unwrap()
+        .pop();
     rig.start();
     wait_for("its notice", || rig.platform.notice(&held).is_some());
     let last = rig.client().message("notice", 7, 8_000, "last");
@@ -216,7 +277,9 @@
     let state = rig.folder.join("state");
     let used = move || -> u64 {
         let files = std::fs::read_dir(&state).unwrap().flatten();
-        files.map(|file| file.metadata().map_or(0, |m| m.len().div_ceil(512) * 512)).sum()
+        files
+            .map(|file| file.metadata().map_or(0, |m| m.len().div_ceil(512) * 512))
+            .sum()
     };
     let accepted = AtomicUsize::new(0);
     let fill = |client: &mut Client| {
@@ -236,14 +299,25 @@
     for _ in 0..24 {
         fill(&mut rig.client());
     }
-    assert!(accepted.load(Ordering::SeqCst) > 60, "{accepted:?} accepted");
+    assert!(
+        accepted.load(Ordering::SeqCst) > 60,
+        "{accepted:?} accepted"
+    );
     old.kill();
     for _ in 0..40 {
-        assert!(used() <= LIMIT, "{} bytes of {LIMIT} while taken over", used());
+        assert!(
+            used() <= LIMIT,
+            "{} bytes of {LIMIT} while taken over",
+            used()
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     wait_for("the old journal taken over", || {
-        assert!(used() <= LIMIT, "{} bytes of {LIMIT} while taken over", used());
+        assert!(
+            used() <= LIMIT,
+            "{} bytes of {LIMIT} while taken over",
+            used()
+        );
         !rig.folder.join("state/mails").exists() || !rig.folder.join("state/mails.1").exists()
     });
 }
@@ -257,9 +331,14 @@
     rig.start_with(&faults);
     faults.ask(words::CONNECT_ERRNO, EINTR);
     let id = rig.client().message("payment", 7, 3_000, "x");
-    wait_for("its end", || e.calls_of(&id) > 0 || rig.platform.notice(&id).is_some());
+    wait_for("its end", || {
+        e.calls_of(&id) > 0 || rig.platform.notice(&id).is_some()
+    });
     assert_eq!((e.calls_of(&id), rig.platform.notice(&id)), (1, None));
-    assert!(faults.count(words::SOCKET_FAULTS) > 0, "no connect was interrupted");
+    assert!(
+        faults.count(words::SOCKET_FAULTS) > 0,
+        "no connect was interrupted"
+    );
 }
 
 /// Row R3: a client whose connection ended before it had read its answer sends the request once more, under the same id.
@@ -272,7 +351,9 @@
     let id = fresh();
     let request = put(&id, "c=payment,d=8000,dest=7", "once");
     assert_eq!(rig.client().says(&request), "+OK");
-    wait_for("its end", || e.calls_of(&id) == 1 && rig.kept() == Default::default());
+    wait_for("its end", || {
+        e.calls_of(&id) == 1 && rig.kept() == Default::default()
+    });
     assert_eq!(rig.client().says(&request), "+OK");
     rig.kill();
     rig.start();
@@ -285,7 +366,9 @@
 /// Row W1: a wait that a refusal tells binds, whatever else the answer says.
 #[test]
 fn a_told_wait_binds_though_the_answer_names_slots_too() {
-    let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1.5\r\nX-Over-Slots: 1"));
+    let e = Endpoint::start(Does::Says(
+        "429 Full\r\nRetry-After: 1.5\r\nX-Over-Slots: 1",
+    ));
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
@@ -295,7 +378,11 @@
     e.does(OK);
     client.message("notice", 7, 8_000, "second");
     wait_for("the next call", || e.calls().len() > 1);
-    assert!(told.elapsed() > Duration::from_millis(1_350), "called after {:?}", told.elapsed());
+    assert!(
+        told.elapsed() > Duration::from_millis(1_350),
+        "called after {:?}",
+        told.elapsed()
+    );
 }
 
 /// Row T5: a start waits for sockets that cannot be had for a moment.
@@ -307,8 +394,13 @@
     let faults = Faults::new(&rig.folder, 1);
     faults.ask(words::SOCKET_PERMILLE, 1_000);
     rig.spawn_with(&faults);
-    wait_for("sockets that fail", || faults.count(words::SOCKET_FAULTS) > 3);
-    assert!(rig.child.as_mut().unwrap().try_wait().unwrap().is_none(), "it has ended");
+    wait_for("sockets that fail", || {
+        faults.count(words::SOCKET_FAULTS) > 3
+    });
+    assert!(
+        rig.child.as_mut().unwrap().try_wait().unwrap().is_none(),
+        "it has ended"
+    );
     faults.ask(words::SOCKET_PERMILLE, 0);
     wait_for("a dispatcher that serves", || connect(&rig.listen).is_ok());
     let id = rig.client().message("payment", 7, 8_000, "x");
@@ -332,10 +424,18 @@
     let mut moved = e.entry("e0", 7, "up");
     (moved["kind"], moved["zone"]) = (json!("banks"), json!("south"));
     change(&rig, 2, vec![moved, other.entry("e1", 8, "up")]);
-    wait_for("the news", || rig.client().says(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "news")) == "+OK");
+    wait_for("the news", || {
+        rig.client()
+            .says(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "news"))
+            == "+OK"
+    });
     client.message("notice", 7, 8_000, "second");
     wait_for("the next call", || e.calls().len() > 1);
-    assert!(told.elapsed() > Duration::from_millis(1_850), "called after {:?}", told.elapsed());
+    assert!(
+        told.elapsed() > Duration::from_millis(1_850),
+        "called after {:?}",
+        told.elapsed()
+    );
 }
 
 /// Row D5: of new configurations in quick succession the last counts, for the list and for notices.
@@ -358,12 +458,21 @@
         "{}\n",
         json!({"version": 9, "full": false, "servers": [leaving.entry("e0", 7, "draining")]})
     ));
-    assert!(signalled.elapsed() < Duration::from_secs(4), "asked after {:?}", signalled.elapsed());
+    assert!(
+        signalled.elapsed() < Duration::from_secs(4),
+        "asked after {:?}",
+        signalled.elapsed()
+    );
     std::thread::sleep(Duration::from_secs(4).saturating_sub(signalled.elapsed()));
     let before = leaving.calls().len();
     let mut client = rig.client();
-    let ids: Vec<String> = (0..10).map(|_| client.message("notice", 7, 8_000, "x")).collect();
-    wait_for("all of them", || ids.iter().all(|id| staying.calls_of(id) + leaving.calls_of(id) == 1));
+    let ids: Vec<String> = (0..10)
+        .map(|_| client.message("notice", 7, 8_000, "x"))
+        .collect();
+    wait_for("all of them", || {
+        ids.iter()
+            .all(|id| staying.calls_of(id) + leaving.calls_of(id) == 1)
+    });
     assert_eq!(leaving.calls().len(), before, "it drains");
     staying.does(Does::Says("500 Oops"));
     let failed = client.message("payment", 7, 8_000, "fails");
@@ -380,7 +489,8 @@
     let mut client = rig.client();
     let ids: Vec<String> = (0..6).map(|_| fresh()).collect();
     for id in &ids {
-        let request = String::from_utf8(put(id, &format!("c=notice,d=15000,k={id},dest=7"), "x")).unwrap();
+        let request =
+            String::from_utf8(put(id, &format!("c=notice,d=15000,k={id},dest=7"), "x")).unwrap();
         // The key of the order is the first word.
         let request = request.replacen("0000000000000000", "00000000000000aa", 1);
         assert_eq!(client.says(request.as_bytes()), "+OK");
@@ -391,9 +501,16 @@
     let before = e.calls().len();
     rig.start();
     wait_for("all of them", || {
-        ids.iter().all(|id| e.calls()[before..].iter().any(|c| c.header("X-Trace-Id") == *id))
+        ids.iter().all(|id| {
+            e.calls()[before..]
+                .iter()
+                .any(|c| c.header("X-Trace-Id") == *id)
+        })
     });
-    let order: Vec<String> = e.calls()[before..].iter().map(|c| c.header("X-Trace-Id").to_string()).collect();
+    let order: Vec<String> = e.calls()[before..]
+        .iter()
+        .map(|c| c.header("X-Trace-Id").to_string())
+        .collect();
     assert_eq!(order, ids);
 }
 
@@ -407,8 +524,9 @@
     let mut huge = rig.client();
     let mut to = huge.to.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
-        let _ =
-            to.write_all(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$16\r\n00000000000000bb\r\n");
+        let _ = to.write_all(
+            b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$16\r\n00000000000000bb\r\n",
+        );
         let _ = to.write_all(b"$28\r\nc=notice,d=8000,k=a,dest=7  \r\n$60000000\r\n");
         let part = vec![b'x'; 1 << 20];
         (0..58).all(|_| to.write_all(&part).is_ok())
@@ -417,7 +535,11 @@
     wait_for("the usual one", || e.calls_of(&served) == 1);
     let mut told = Vec::new();
     let _ = huge.from.read_to_end(&mut told);
-    assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(6),
+        "{:?}",
+        began.elapsed()
+    );
     drop(huge);
     sender.join().unwrap();
     assert_eq!(e.calls().len(), 1);
--- a/directory/src/entries.rs
+++ b/directory/src/entries.rs
@@ -74,18 +74,27 @@
     /// Finds an endpoint by its name.
     pub fn find(&self, id: &str) -> Option<EntryIndex> {
         let hash = self.hasher.hash_one(id);
-        self.by_id.find(hash, |index| self.has_id(*index, id)).copied()
+        self.by_id
+            .find(hash, |index| self.has_id(*index, id))
+            .copied()
     }
 
     /// The endpoints of a bucket, in the order of their places.
     pub fn in_bucket(&self, bucket: BucketId) -> &[EntryIndex] {
-        self.by_bucket.get(bucket.0 as usize).map_or(&[], Vec::as_slice)
+        self.by_bucket
+            .get(bucket.0 as usize)
+            .map_or(&[], Vec::as_slice)
     }
 
     /// The endpoints at places after this one, or all of them.
     pub fn after(&self, place: Option<EntryIndex>) -> impl Iterator<Item = EntryIndex> {
         let first = place.map_or(0, |place| place.0 as usize + 1);
-        let used = self.rows.iter().enumerate().skip(first).filter(|(_, row)| row.is_some());
+        let used = self
+            .rows
+            .iter()
+            .enumerate()
+            .skip(first)
+            .filter(|(_, row)| row.is_some());
         used.map(|(index, _)| EntryIndex(index as u32))
     }
 
@@ -129,7 +138,9 @@
     /// Whether the table has room for this many more endpoints with these zones and kinds.
     pub fn has_room<'a>(&self, endpoints: &'a [Endpoint]) -> Result<(), TableFull> {
         let unknown = |name: &&'a str| !self.names.iter().any(|known| **known == **name);
-        let names = endpoints.iter().flat_map(|endpoint| [endpoint.zone.as_str(), endpoint.kind.as_str()]);
+        let names = endpoints
+            .iter()
+            .flat_map(|endpoint| [endpoint.zone.as_str(), endpoint.kind.as_str()]);
         let new_names: HashSet<&str> = names.filter(unknown).collect();
         if self.names.len() + new_names.len() > usize::from(NameIndex::MAX) {
             return Err(TableFull::Names);
@@ -168,7 +179,9 @@
 
     /// Takes an endpoint out.
     pub fn forget(&mut self, index: EntryIndex) {
-        let Some(row) = self.rows.get_mut(index.0 as usize).and_then(Option::take) else { return };
+        let Some(row) = self.rows.get_mut(index.0 as usize).and_then(Option::take) else {
+            return;
+        };
         let hash = self.hasher.hash_one(&*row.id);
         if let Ok(found) = self.by_id.find_entry(hash, |other| *other == index) {
             found.remove();
@@ -211,8 +224,11 @@
             }
         };
         let (rows, hasher) = (&self.rows, &self.hasher);
-        let hash_of =
-            |index: &EntryIndex| rows[index.0 as usize].as_ref().map_or(0, |row| hasher.hash_one(&*row.id));
+        let hash_of = |index: &EntryIndex| {
+            rows[index.0 as usize]
+                .as_ref()
+                .map_or(0, |row| hasher.hash_one(&*row.id))
+        };
         self.by_id.insert_unique(hash, index, hash_of);
         let in_bucket = &mut self.by_bucket[bucket.0 as usize];
         let place = in_bucket.partition_point(|other| *other < index);
--- a/directory/src/entry.rs
+++ b/directory/src/entry.rs
@@ -41,16 +41,25 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             InvalidEntry::Name(field) => {
-                write!(f, "{field}: expected 1 to {LONGEST_NAME} visible ASCII characters without quotes")
+                write!(
+                    f,
+                    "{field}: expected 1 to {LONGEST_NAME} visible ASCII characters without quotes"
+                )
             }
             InvalidEntry::Address(address) => {
-                write!(f, "addr: expected an address such as 10.0.0.1:9000, not {address:?}")
+                write!(
+                    f,
+                    "addr: expected an address such as 10.0.0.1:9000, not {address:?}"
+                )
             }
             InvalidEntry::AddressMissing => {
                 write!(f, "addr: expected an address, as the state is not removed")
             }
             InvalidEntry::Weight(weight) => {
-                write!(f, "weight: expected a number from 0 to {HEAVIEST_WEIGHT}, not {weight}")
+                write!(
+                    f,
+                    "weight: expected a number from 0 to {HEAVIEST_WEIGHT}, not {weight}"
+                )
             }
         }
     }
@@ -74,12 +83,19 @@
     type Error = InvalidEntry;
 
     fn try_from(entry: EndpointEntry) -> Result<Endpoint, InvalidEntry> {
-        for (field, name) in [("id", &entry.id), ("zone", &entry.zone), ("kind", &entry.kind)] {
+        for (field, name) in [
+            ("id", &entry.id),
+            ("zone", &entry.zone),
+            ("kind", &entry.kind),
+        ] {
             if !is_name(name) {
                 return Err(InvalidEntry::Name(field));
             }
         }
-        if let Some(weight) = entry.weight.filter(|weight| !(0.0..=HEAVIEST_WEIGHT).contains(weight)) {
+        if let Some(weight) = entry
+            .weight
+            .filter(|weight| !(0.0..=HEAVIEST_WEIGHT).contains(weight))
+        {
             return Err(InvalidEntry::Weight(weight));
         }
         let address = match entry.addr {
--- a/directory/src/feed.rs
+++ b/directory/src/feed.rs
@@ -13,10 +13,15 @@
 /// A watcher that nothing concerns is told the current version this often, so that its `since` stays in memory.
 pub const VERSION_TOLD_EVERY: Nanos = 5_000_000_000;
 /// What fillings take of a dispatcher's network, unless configured otherwise: its budget for configuration is 17 KB/s.
-pub const FILL_PACE: PaceLimits = PaceLimits { bytes_per_second: 8 * 1024, burst_bytes: 16 * 1024 };
+pub const FILL_PACE: PaceLimits = PaceLimits {
+    bytes_per_second: 8 * 1024,
+    burst_bytes: 16 * 1024,
+};
 /// What the transfer to another control process takes.
-pub const TRANSFER_PACE: PaceLimits =
-    PaceLimits { bytes_per_second: 8 * 1024 * 1024, burst_bytes: 1024 * 1024 };
+pub const TRANSFER_PACE: PaceLimits = PaceLimits {
+    bytes_per_second: 8 * 1024 * 1024,
+    burst_bytes: 1024 * 1024,
+};
 
 /// What a line is for; figures count them apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,13 +56,19 @@
 
 impl Feed {
     /// Begins with what the request says is known.
-    pub fn start(request: WatchRequest, directory: &Directory, fill_pace: PaceLimits, now: Nanos) -> Feed {
+    pub fn start(
+        request: WatchRequest,
+        directory: &Directory,
+        fill_pace: PaceLimits,
+        now: Nanos,
+    ) -> Feed {
         let scope = Scope::start(&request, directory);
         let limits = match scope {
             Scope::Member(_) => fill_pace,
             Scope::Whole(_) => TRANSFER_PACE,
         };
-        let ahead = request.log.as_ref() == Some(directory.log()) && request.since > directory.version();
+        let ahead =
+            request.log.as_ref() == Some(directory.log()) && request.since > directory.version();
         Feed {
             waiting: Some(request).filter(|_| ahead),
             scope,
@@ -76,7 +87,9 @@
     /// an empty line when there was nothing for a while.
     pub fn next_line(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
         self.end_waiting(directory);
-        let line = self.next_news(directory, now).or_else(|| self.empty_line(directory, now))?;
+        let line = self
+            .next_news(directory, now)
+            .or_else(|| self.empty_line(directory, now))?;
         self.last_line = now;
         Some(line)
     }
@@ -96,7 +109,10 @@
         }
         if let Some(bytes) = self.scope.next_changes(directory) {
             self.last_version_line = now;
-            return Some(FeedLine { kind: LineKind::Change, bytes });
+            return Some(FeedLine {
+                kind: LineKind::Change,
+                bytes,
+            });
         }
         if !self.pace.is_open(now) {
             return None;
@@ -104,7 +120,10 @@
         let bytes = self.scope.next_filling(directory)?;
         self.pace.take(bytes.len());
         self.last_version_line = now;
-        Some(FeedLine { kind: LineKind::Filling, bytes })
+        Some(FeedLine {
+            kind: LineKind::Filling,
+            bytes,
+        })
     }
 
     fn empty_line(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
@@ -114,25 +133,37 @@
         let version_due = now >= self.last_version_line + VERSION_TOLD_EVERY;
         if version_due && !self.is_waiting() && self.scope.told() < directory.version() {
             self.last_version_line = now;
-            return Some(FeedLine { kind: LineKind::Change, bytes: self.scope.version_line(directory) });
+            return Some(FeedLine {
+                kind: LineKind::Change,
+                bytes: self.scope.version_line(directory),
+            });
         }
-        Some(FeedLine { kind: LineKind::Empty, bytes: b"\n".to_vec() })
+        Some(FeedLine {
+            kind: LineKind::Empty,
+            bytes: b"\n".to_vec(),
+        })
     }
 }
 
 impl Scope {
     fn start(request: &WatchRequest, directory: &Directory) -> Scope {
         match &request.scope {
-            RequestedScope::Member { name, buckets, cells } => {
+            RequestedScope::Member {
+                name,
+                buckets,
+                cells,
+            } => {
                 let known = directory.remembers(request.log.as_ref(), request.since);
                 let same_log = request.log.as_ref() == Some(directory.log());
                 let since = if same_log { request.since } else { Version(0) };
                 let scope = MemberScope::start(name, since, known, buckets, cells, directory);
                 Scope::Member(Box::new(scope))
             }
-            RequestedScope::Whole => {
-                Scope::Whole(WholeScope::start(request.log.as_ref(), request.since, directory))
-            }
+            RequestedScope::Whole => Scope::Whole(WholeScope::start(
+                request.log.as_ref(),
+                request.since,
+                directory,
+            )),
         }
     }
 
--- a/directory/src/history.rs
+++ b/directory/src/history.rs
@@ -26,7 +26,12 @@
 impl History {
     /// A history that begins after this version.
     pub fn new(floor: Version, most_changes: usize) -> History {
-        History { kept: VecDeque::new(), changes: 0, most_changes, floor }
+        History {
+            kept: VecDeque::new(),
+            changes: 0,
+            most_changes,
+            floor,
+        }
     }
 
     /// Whether every record after this version is kept.
@@ -42,9 +47,15 @@
             Record::AssignmentChanged(_) => 1,
         };
         self.changes += changes;
-        self.kept.push_back(Kept { version: logged.version, changes, bytes: record::encode(logged) });
+        self.kept.push_back(Kept {
+            version: logged.version,
+            changes,
+            bytes: record::encode(logged),
+        });
         while self.changes > self.most_changes {
-            let Some(oldest) = self.kept.pop_front() else { break };
+            let Some(oldest) = self.kept.pop_front() else {
+                break;
+            };
             self.changes -= oldest.changes;
             self.floor = oldest.version;
         }
@@ -54,6 +65,9 @@
     pub fn after(&self, since: Version) -> impl Iterator<Item = LoggedRecord> {
         let first = self.kept.partition_point(|kept| kept.version <= since);
         // They were encoded here, so they are decoded.
-        self.kept.iter().skip(first).filter_map(|kept| record::decode(&kept.bytes).ok())
+        self.kept
+            .iter()
+            .skip(first)
+            .filter_map(|kept| record::decode(&kept.bytes).ok())
     }
 }
--- a/directory/src/line.rs
+++ b/directory/src/line.rs
@@ -4,7 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Counts the changes of the configuration, from 1 on; assigned by the writing control process alone.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(transparent)]
 pub struct Version(pub u64);
 
--- a/directory/src/member_scope.rs
+++ b/directory/src/member_scope.rs
@@ -73,9 +73,14 @@
             fill_order: VecDeque::new(),
             filled_to: None,
         };
-        gained.into_iter().for_each(|bucket| scope.gain(bucket, directory.version()));
+        gained
+            .into_iter()
+            .for_each(|bucket| scope.gain(bucket, directory.version()));
         if !known {
-            scope.pending = cells.iter().flat_map(|cell| directory.of_destination(*cell)).collect();
+            scope.pending = cells
+                .iter()
+                .flat_map(|cell| directory.of_destination(*cell))
+                .collect();
         }
         scope
     }
@@ -111,7 +116,9 @@
         let lost: Vec<BucketId> = self.held.difference(&held).copied().collect();
         self.held = held;
         lost.into_iter().for_each(|bucket| self.lose(bucket));
-        gained.into_iter().for_each(|bucket| self.gain(bucket, directory.version()));
+        gained
+            .into_iter()
+            .for_each(|bucket| self.gain(bucket, directory.version()));
     }
 
     /// Has the changes of these destinations told from now on, and no longer those of the others.
@@ -168,7 +175,10 @@
     /// A line that tells just the current version; call only when all changes have been told.
     pub fn version_line(&mut self, directory: &Directory) -> ScopedLine {
         self.told = directory.version();
-        ScopedLine { version: self.told, ..ScopedLine::default() }
+        ScopedLine {
+            version: self.told,
+            ..ScopedLine::default()
+        }
     }
 
     fn gain(&mut self, bucket: BucketId, version: Version) {
@@ -195,7 +205,11 @@
             return;
         }
         self.rescan = false;
-        self.pending = self.cells.iter().flat_map(|cell| directory.of_destination(*cell)).collect();
+        self.pending = self
+            .cells
+            .iter()
+            .flat_map(|cell| directory.of_destination(*cell))
+            .collect();
         self.told = directory.forgotten();
         for bucket in self.held.clone() {
             self.lose(bucket);
@@ -218,20 +232,34 @@
 
     fn later_than_told(&self, directory: &Directory) -> Vec<EntryIndex> {
         let entries = directory.entries();
-        let held = self.held.iter().flat_map(|bucket| entries.in_bucket(*bucket).iter().copied());
-        let kept = self.cells.iter().flat_map(|cell| directory.of_destination(*cell));
-        held.chain(kept).filter(|index| entries.version(*index) > Some(self.told)).collect()
+        let held = self
+            .held
+            .iter()
+            .flat_map(|bucket| entries.in_bucket(*bucket).iter().copied());
+        let kept = self
+            .cells
+            .iter()
+            .flat_map(|cell| directory.of_destination(*cell));
+        held.chain(kept)
+            .filter(|index| entries.version(*index) > Some(self.told))
+            .collect()
     }
 
     /// Whether a change of the entry is told: what a filling will tell is not told before.
     fn is_in_scope(&self, index: EntryIndex, directory: &Directory) -> bool {
         let entries = directory.entries();
-        if entries.destination(index).is_some_and(|destination| self.cells.contains(&destination)) {
+        if entries
+            .destination(index)
+            .is_some_and(|destination| self.cells.contains(&destination))
+        {
             return true;
         }
-        let Some(bucket) = entries.bucket(index) else { return false };
+        let Some(bucket) = entries.bucket(index) else {
+            return false;
+        };
         let gained_at = self.unfilled.get(&bucket);
-        self.held.contains(&bucket) && gained_at.is_none_or(|gained| entries.version(index) > Some(*gained))
+        self.held.contains(&bucket)
+            && gained_at.is_none_or(|gained| entries.version(index) > Some(*gained))
     }
 
     fn take_pending(&mut self, directory: &Directory) -> Vec<EndpointEntry> {
@@ -240,7 +268,9 @@
         let mut count = 0;
         for index in &self.pending {
             if let Some(entry) = directory.entries().entry(*index) {
-                let Some(left) = room.checked_sub(longest_on_line(&entry)) else { break };
+                let Some(left) = room.checked_sub(longest_on_line(&entry)) else {
+                    break;
+                };
                 room = left;
                 told.push(entry);
             }
@@ -252,7 +282,11 @@
 
     /// The version up to which all has been told, given what is still pending.
     fn version_after(&self, directory: &Directory) -> Version {
-        match self.pending.first().and_then(|index| directory.entries().version(*index)) {
+        match self
+            .pending
+            .first()
+            .and_then(|index| directory.entries().version(*index))
+        {
             Some(next) => self.told.max(Version(next.0 - 1)),
             None => directory.version(),
         }
@@ -275,8 +309,12 @@
             if changed_since || entries.state(*index) == Some(EndpointState::Removed) {
                 continue;
             }
-            let Some(entry) = entries.entry(*index) else { continue };
-            let Some(left) = room.checked_sub(longest_on_line(&entry)) else { return false };
+            let Some(entry) = entries.entry(*index) else {
+                continue;
+            };
+            let Some(left) = room.checked_sub(longest_on_line(&entry)) else {
+                return false;
+            };
             *room = left;
             servers.push(entry);
             self.filled_to = Some(*index);
@@ -285,12 +323,21 @@
     }
 
     fn new_line(&self, directory: &Directory) -> ScopedLine {
-        let log = if self.begun { String::new() } else { directory.log().0.clone() };
-        ScopedLine { log, ..ScopedLine::default() }
+        let log = if self.begun {
+            String::new()
+        } else {
+            directory.log().0.clone()
+        };
+        ScopedLine {
+            log,
+            ..ScopedLine::default()
+        }
     }
 }
 
 /// Takes out the first buckets, as many as a line may name.
 fn take_first(buckets: &mut BTreeSet<BucketId>) -> Vec<BucketId> {
-    std::iter::from_fn(|| buckets.pop_first()).take(MOST_BUCKETS_ON_LINE).collect()
+    std::iter::from_fn(|| buckets.pop_first())
+        .take(MOST_BUCKETS_ON_LINE)
+        .collect()
 }
--- a/directory/src/pace.rs
+++ b/directory/src/pace.rs
@@ -23,7 +23,11 @@
 impl TokenBucket {
     /// A full bucket.
     pub fn new(limits: PaceLimits, now: Nanos) -> TokenBucket {
-        TokenBucket { limits, tokens: limits.burst_bytes as f64, refilled: now }
+        TokenBucket {
+            limits,
+            tokens: limits.burst_bytes as f64,
+            refilled: now,
+        }
     }
 
     /// Whether something may be taken now.
--- a/directory/src/request.rs
+++ b/directory/src/request.rs
@@ -91,12 +91,18 @@
                 cells: fields.cells,
             },
         };
-        Ok(TargetsRequest::Watch(WatchRequest { since: fields.since, log: fields.log, scope }))
+        Ok(TargetsRequest::Watch(WatchRequest {
+            since: fields.since,
+            log: fields.log,
+            scope,
+        }))
     }
 }
 
-const DISPATCHER_MISSING: InvalidRequest =
-    InvalidRequest { field: "dispatcher", expected: "the name of a declared dispatcher" };
+const DISPATCHER_MISSING: InvalidRequest = InvalidRequest {
+    field: "dispatcher",
+    expected: "the name of a declared dispatcher",
+};
 
 impl Fields {
     fn parse(query: &str) -> Result<Fields, InvalidRequest> {
@@ -105,11 +111,20 @@
             match &*name {
                 "follow" => fields.follow = value == "1",
                 "scope" if value == "all" => fields.whole = true,
-                "scope" => return Err(InvalidRequest { field: "scope", expected: "all, or no such field" }),
+                "scope" => {
+                    return Err(InvalidRequest {
+                        field: "scope",
+                        expected: "all, or no such field",
+                    });
+                }
                 "since" => fields.since = Version(number("since", &value)?),
-                "log" => fields.log = Some(LogId(value.into_owned())).filter(|log| !log.0.is_empty()),
+                "log" => {
+                    fields.log = Some(LogId(value.into_owned())).filter(|log| !log.0.is_empty())
+                }
                 "dispatcher" => fields.dispatcher = Some(MemberName(value.into_owned())),
-                "buckets" => fields.buckets = list("buckets", &value)?.into_iter().map(BucketId).collect(),
+                "buckets" => {
+                    fields.buckets = list("buckets", &value)?.into_iter().map(BucketId).collect()
+                }
                 "cells" => fields.cells = list("cells", &value)?,
                 "forget" => fields.forget = list("forget", &value)?,
                 _ => {}
@@ -120,7 +135,10 @@
 }
 
 fn number<T: FromStr>(field: &'static str, text: &str) -> Result<T, InvalidRequest> {
-    text.parse().map_err(|_| InvalidRequest { field, expected: "whole numbers, separated by commas" })
+    text.parse().map_err(|_| InvalidRequest {
+        field,
+        expected: "whole numbers, separated by commas",
+    })
 }
 
 fn list<T: FromStr + Ord>(field: &'static str, text: &str) -> Result<BTreeSet<T>, InvalidRequest> {
--- a/directory/src/snapshot.rs
+++ b/directory/src/snapshot.rs
@@ -16,9 +16,16 @@
 #[serde(rename_all = "snake_case")]
 pub enum SnapshotPart {
     /// The first part.
-    Head { format: u32, point: RestorePoint, layout: Layout },
+    Head {
+        format: u32,
+        point: RestorePoint,
+        layout: Layout,
+    },
     /// All members, then the assignment of buckets to them.
-    Members { members: Vec<Member>, table: AssignmentTable },
+    Members {
+        members: Vec<Member>,
+        table: AssignmentTable,
+    },
     /// Some endpoints, with the versions that made them so.
     Endpoints(Vec<EndpointEntry>),
     /// The last part.
@@ -77,8 +84,13 @@
         members: directory.members().to_vec(),
         table: directory.assignment().to_table(),
     };
-    let end = SnapshotPart::End { endpoints: directory.entries().len() };
-    let parts = [head, members].into_iter().chain(endpoint_parts(directory)).chain([end]);
+    let end = SnapshotPart::End {
+        endpoints: directory.entries().len(),
+    };
+    let parts = [head, members]
+        .into_iter()
+        .chain(endpoint_parts(directory))
+        .chain([end]);
     parts.map(|part| record::encode(&part))
 }
 
@@ -104,7 +116,14 @@
 
 impl SnapshotReader {
     pub fn new(layout: Layout, keeping: Keeping) -> SnapshotReader {
-        SnapshotReader { layout, keeping, restore: None, has_members: false, endpoints: 0, ended: false }
+        SnapshotReader {
+            layout,
+            keeping,
+            restore: None,
+            has_members: false,
+            endpoints: 0,
+            ended: false,
+        }
     }
 
     /// Takes in the next part.
@@ -114,7 +133,14 @@
             return Err(SnapshotError::OutOfOrder);
         }
         match (part, &mut self.restore) {
-            (SnapshotPart::Head { format, point, layout }, None) => {
+            (
+                SnapshotPart::Head {
+                    format,
+                    point,
+                    layout,
+                },
+                None,
+            ) => {
                 if format != FORMAT {
                     return Err(SnapshotError::UnknownFormat(format));
                 }
@@ -138,7 +164,11 @@
             }
             (SnapshotPart::End { endpoints }, Some(_)) if self.has_members => {
                 self.ended = true;
-                if endpoints == self.endpoints { Ok(()) } else { Err(SnapshotError::Incomplete) }
+                if endpoints == self.endpoints {
+                    Ok(())
+                } else {
+                    Err(SnapshotError::Incomplete)
+                }
             }
             _ => Err(SnapshotError::OutOfOrder),
         }
@@ -147,6 +177,8 @@
     /// The directory, once the last part has been taken in.
     pub fn finish(self) -> Result<Directory, SnapshotError> {
         let restore = self.restore.filter(|_| self.ended);
-        restore.map(Restore::finish).ok_or(SnapshotError::Incomplete)
+        restore
+            .map(Restore::finish)
+            .ok_or(SnapshotError::Incomplete)
     }
 }
--- a/directory/src/state.rs
+++ b/directory/src/state.rs
@@ -12,7 +12,8 @@
 use crate::line::{EndpointEntry, EndpointState, Version};
 use crate::record::{LoggedRecord, Record};
 use bellsill_placement::{
-    Assignment, AssignmentChange, BucketId, Epoch, Layout, Member, MemberName, PlacementError, ZoneName,
+    Assignment, AssignmentChange, BucketId, Epoch, Layout, Member, MemberName, PlacementError,
+    ZoneName,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -39,7 +40,10 @@
 
 impl Default for Keeping {
     fn default() -> Self {
-        Keeping { changes: history::MOST_CHANGES, removed: MOST_REMOVED }
+        Keeping {
+            changes: history::MOST_CHANGES,
+            removed: MOST_REMOVED,
+        }
     }
 }
 
@@ -108,7 +112,9 @@
     }
 
     pub fn member(&self, name: &MemberName) -> Option<&Member> {
-        self.member_places.get(name).map(|place| &self.members[*place])
+        self.member_places
+            .get(name)
+            .map(|place| &self.members[*place])
     }
 
     pub fn assignment(&self) -> &Assignment {
@@ -140,24 +146,38 @@
 
     /// The endpoints of a destination, in any region, removed ones among them.
     pub fn of_destination(&self, destination: u64) -> Vec<EntryIndex> {
-        let buckets = self.layout.regions().map(|region| self.layout.bucket_of(region, destination));
+        let buckets = self
+            .layout
+            .regions()
+            .map(|region| self.layout.bucket_of(region, destination));
         let indexes = buckets.flat_map(|bucket| self.entries.in_bucket(bucket).iter().copied());
-        indexes.filter(|index| self.entries.destination(*index) == Some(destination)).collect()
+        indexes
+            .filter(|index| self.entries.destination(*index) == Some(destination))
+            .collect()
     }
 
     /// The entries of these destinations, without removed ones, as a lookup answers them.
     pub fn look_up(&self, destinations: &[u64]) -> Vec<EndpointEntry> {
-        let indexes = destinations.iter().flat_map(|destination| self.of_destination(*destination));
-        let present = indexes.filter(|index| self.entries.state(*index) != Some(EndpointState::Removed));
-        present.filter_map(|index| self.entries.entry(index)).collect()
+        let indexes = destinations
+            .iter()
+            .flat_map(|destination| self.of_destination(*destination));
+        let present =
+            indexes.filter(|index| self.entries.state(*index) != Some(EndpointState::Removed));
+        present
+            .filter_map(|index| self.entries.entry(index))
+            .collect()
     }
 
     /// Checks endpoints that are to be written together; the error names the first that is refused by its place.
     pub fn check_endpoints(&self, endpoints: &[Endpoint]) -> Result<(), (usize, EndpointRefused)> {
-        self.entries.has_room(endpoints).map_err(|full| (0, EndpointRefused::Full(full)))?;
+        self.entries
+            .has_room(endpoints)
+            .map_err(|full| (0, EndpointRefused::Full(full)))?;
         let mut named: HashMap<&str, (u64, BucketId)> = HashMap::new();
         for (place, endpoint) in endpoints.iter().enumerate() {
-            let bucket = self.bucket_for(endpoint).map_err(|refused| (place, refused))?;
+            let bucket = self
+                .bucket_for(endpoint)
+                .map_err(|refused| (place, refused))?;
             let home = (endpoint.destination, bucket);
             if *named.entry(&endpoint.id).or_insert(home) != home {
                 return Err((place, EndpointRefused::Moved(endpoint.id.clone())));
@@ -170,7 +190,8 @@
     pub fn check_members(&self, members: &[Member]) -> Result<(), (usize, MemberRefused)> {
         let mut new = HashSet::new();
         for (place, member) in members.iter().enumerate() {
-            self.check_member(member).map_err(|refused| (place, refused))?;
+            self.check_member(member)
+                .map_err(|refused| (place, refused))?;
             if !self.member_places.contains_key(&member.name) {
                 new.insert(&member.name);
             }
@@ -204,21 +225,30 @@
     pub fn apply(&mut self, logged: &LoggedRecord) -> Result<Applied, ApplyError> {
         let expected = Version(self.version.0 + 1);
         if logged.version != expected {
-            return Err(ApplyError::VersionOutOfOrder { expected, found: logged.version });
+            return Err(ApplyError::VersionOutOfOrder {
+                expected,
+                found: logged.version,
+            });
         }
         let applied = match &logged.record {
             Record::EndpointsChanged(endpoints) => {
-                self.check_endpoints(endpoints).map_err(|(_, refused)| ApplyError::Endpoint(refused))?;
+                self.check_endpoints(endpoints)
+                    .map_err(|(_, refused)| ApplyError::Endpoint(refused))?;
                 Applied::Endpoints(self.put_endpoints(endpoints, logged.version))
             }
             Record::MembersChanged(members) => {
-                self.check_members(members).map_err(|(_, refused)| ApplyError::Member(refused))?;
-                members.iter().for_each(|member| self.put_member(member.clone()));
+                self.check_members(members)
+                    .map_err(|(_, refused)| ApplyError::Member(refused))?;
+                members
+                    .iter()
+                    .for_each(|member| self.put_member(member.clone()));
                 Applied::Members
             }
             Record::AssignmentChanged(change) => {
                 let mut affected = self.holders_of(change);
-                self.assignment.apply(change).map_err(ApplyError::Placement)?;
+                self.assignment
+                    .apply(change)
+                    .map_err(ApplyError::Placement)?;
                 affected.extend(self.holders_of(change));
                 Applied::Assignment(affected)
             }
@@ -234,7 +264,9 @@
         let region = self.layout.region_of(&zone);
         let region = region.ok_or_else(|| EndpointRefused::UnknownZone(endpoint.zone.clone()))?;
         let bucket = self.layout.bucket_of(region, endpoint.destination);
-        let Some(known) = self.entries.find(&endpoint.id) else { return Ok(bucket) };
+        let Some(known) = self.entries.find(&endpoint.id) else {
+            return Ok(bucket);
+        };
         let same_destination = self.entries.destination(known) == Some(endpoint.destination);
         match same_destination && self.entries.bucket(known) == Some(bucket) {
             true => Ok(bucket),
@@ -243,10 +275,17 @@
     }
 
     fn put_endpoints(&mut self, endpoints: &[Endpoint], version: Version) -> Vec<EntryIndex> {
-        endpoints.iter().filter_map(|endpoint| self.put_endpoint(endpoint, version).ok()).collect()
+        endpoints
+            .iter()
+            .filter_map(|endpoint| self.put_endpoint(endpoint, version).ok())
+            .collect()
     }
 
-    fn put_endpoint(&mut self, endpoint: &Endpoint, version: Version) -> Result<EntryIndex, EndpointRefused> {
+    fn put_endpoint(
+        &mut self,
+        endpoint: &Endpoint,
+        version: Version,
+    ) -> Result<EntryIndex, EndpointRefused> {
         let bucket = self.bucket_for(endpoint)?;
         let index = self.entries.put(endpoint, bucket, version);
         if endpoint.state == EndpointState::Removed {
@@ -259,7 +298,8 @@
         match self.member_places.get(&member.name) {
             Some(place) => self.members[*place] = member,
             None => {
-                self.member_places.insert(member.name.clone(), self.members.len());
+                self.member_places
+                    .insert(member.name.clone(), self.members.len());
                 self.members.push(member);
             }
         }
@@ -268,12 +308,22 @@
     fn holders_of(&self, change: &AssignmentChange) -> BTreeSet<MemberName> {
         let buckets = change.moved.iter().map(|moved| moved.bucket);
         let known = buckets.filter(|bucket| bucket.0 < self.layout.buckets());
-        known.flat_map(|bucket| self.assignment.holders(bucket).into_iter().flatten().cloned()).collect()
+        known
+            .flat_map(|bucket| {
+                self.assignment
+                    .holders(bucket)
+                    .into_iter()
+                    .flatten()
+                    .cloned()
+            })
+            .collect()
     }
 
     fn forget_oldest_removed(&mut self) {
         while self.removed.len() > self.keeping.removed {
-            let Some((version, index)) = self.removed.pop_front() else { return };
+            let Some((version, index)) = self.removed.pop_front() else {
+                return;
+            };
             let still_removed = self.entries.state(index) == Some(EndpointState::Removed);
             if still_removed && self.entries.version(index) == Some(version) {
                 self.entries.forget(index);
--- a/directory/src/state/error.rs
+++ b/directory/src/state/error.rs
@@ -30,7 +30,9 @@
                     "cell, zone: {id} keeps its destination and region; remove it and declare another id"
                 )
             }
-            EndpointRefused::Full(TableFull::Endpoints) => write!(f, "there are too many endpoints"),
+            EndpointRefused::Full(TableFull::Endpoints) => {
+                write!(f, "there are too many endpoints")
+            }
             EndpointRefused::Full(TableFull::Names) => {
                 write!(f, "zone, kind: there are too many different ones")
             }
@@ -51,7 +53,10 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             MemberRefused::Name(name) => {
-                write!(f, "name: expected letters, digits and - _ . : alone, not {name:?}")
+                write!(
+                    f,
+                    "name: expected letters, digits and - _ . : alone, not {name:?}"
+                )
             }
             MemberRefused::UnknownZone(zone) => {
                 write!(
@@ -60,7 +65,10 @@
                 )
             }
             MemberRefused::Weight(weight) => {
-                write!(f, "weight: expected a number from 0 to {HEAVIEST_WEIGHT}, not {weight}")
+                write!(
+                    f,
+                    "weight: expected a number from 0 to {HEAVIEST_WEIGHT}, not {weight}"
+                )
             }
             MemberRefused::TooMany => write!(f, "there would be more than {MOST_MEMBERS} members"),
         }
@@ -89,7 +97,11 @@
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             ApplyError::VersionOutOfOrder { expected, found } => {
-                write!(f, "version {} came where {} was expected", found.0, expected.0)
+                write!(
+                    f,
+                    "version {} came where {} was expected",
+                    found.0, expected.0
+                )
             }
             ApplyError::Endpoint(refused) => write!(f, "an endpoint is refused: {refused}"),
             ApplyError::Member(refused) => write!(f, "a member is refused: {refused}"),
--- a/directory/src/state/restore.rs
+++ b/directory/src/state/restore.rs
@@ -37,8 +37,12 @@
 
     /// Takes in all members.
     pub fn members(&mut self, members: Vec<Member>) -> Result<(), ApplyError> {
-        self.directory.check_members(&members).map_err(|(_, refused)| ApplyError::Member(refused))?;
-        members.into_iter().for_each(|member| self.directory.put_member(member));
+        self.directory
+            .check_members(&members)
+            .map_err(|(_, refused)| ApplyError::Member(refused))?;
+        members
+            .into_iter()
+            .for_each(|member| self.directory.put_member(member));
         Ok(())
     }
 
@@ -47,7 +51,8 @@
         if table.layout != self.directory.layout {
             return Err(ApplyError::OtherLayout);
         }
-        let assignment = Assignment::from_table(table, &self.directory.members).map_err(ApplyError::Table)?;
+        let assignment =
+            Assignment::from_table(table, &self.directory.members).map_err(ApplyError::Table)?;
         self.directory.assignment = assignment;
         Ok(())
     }
@@ -56,18 +61,26 @@
     pub fn endpoint(&mut self, entry: EndpointEntry) -> Result<(), ApplyError> {
         let version = entry.version;
         if version > self.directory.version {
-            return Err(ApplyError::VersionOutOfOrder { expected: self.directory.version, found: version });
+            return Err(ApplyError::VersionOutOfOrder {
+                expected: self.directory.version,
+                found: version,
+            });
         }
-        let endpoint = Endpoint::try_from(entry).map_err(|error| ApplyError::Entry(error.to_string()))?;
+        let endpoint =
+            Endpoint::try_from(entry).map_err(|error| ApplyError::Entry(error.to_string()))?;
         let known = self.directory.entries.find(&endpoint.id);
-        if known.and_then(|index| self.directory.entries.version(index)).is_some_and(|known| known >= version)
+        if known
+            .and_then(|index| self.directory.entries.version(index))
+            .is_some_and(|known| known >= version)
         {
             return Ok(());
         }
         self.directory
             .check_endpoints(std::slice::from_ref(&endpoint))
             .map_err(|(_, e)| ApplyError::Endpoint(e))?;
-        self.directory.put_endpoint(&endpoint, version).map_err(ApplyError::Endpoint)?;
+        self.directory
+            .put_endpoint(&endpoint, version)
+            .map_err(ApplyError::Endpoint)?;
         Ok(())
     }
 
--- a/directory/src/watchers.rs
+++ b/directory/src/watchers.rs
@@ -125,24 +125,37 @@
 
     /// Ends a watch.
     pub fn close(&mut self, id: WatcherId) {
-        let Some(feed) = self.feeds.remove(&id) else { return };
+        let Some(feed) = self.feeds.remove(&id) else {
+            return;
+        };
         self.whole.remove(&id);
         self.ready.remove(&id);
-        let Scope::Member(scope) = feed.scope else { return };
+        let Scope::Member(scope) = feed.scope else {
+            return;
+        };
         if self.by_member.get(scope.name()) == Some(&id) {
             self.by_member.remove(scope.name());
         }
-        scope.cells().iter().for_each(|cell| self.forget_cell(*cell, id));
+        scope
+            .cells()
+            .iter()
+            .for_each(|cell| self.forget_cell(*cell, id));
     }
 
     /// Has the changes of destinations told to a dispatcher's watch from now on.
     pub fn change_cells(&mut self, request: &LookUpRequest) -> Result<(), WatchRefused> {
-        let id = *self.by_member.get(&request.dispatcher).ok_or(WatchRefused::NoWatch)?;
+        let id = *self
+            .by_member
+            .get(&request.dispatcher)
+            .ok_or(WatchRefused::NoWatch)?;
         if self.feeds.get(&id).is_some_and(Feed::is_waiting) {
             return Err(WatchRefused::Behind);
         }
         let scope = self.member_scope(id).ok_or(WatchRefused::NoWatch)?;
-        let kept = scope.cells().iter().filter(|cell| !request.forget.contains(cell));
+        let kept = scope
+            .cells()
+            .iter()
+            .filter(|cell| !request.forget.contains(cell));
         let added = request
             .cells
             .iter()
@@ -151,7 +164,10 @@
             return Err(WatchRefused::TooManyCells);
         }
         scope.change_cells(&request.cells, &request.forget);
-        request.forget.iter().for_each(|cell| self.forget_cell(*cell, id));
+        request
+            .forget
+            .iter()
+            .for_each(|cell| self.forget_cell(*cell, id));
         for cell in &request.cells {
             self.by_destination.entry(*cell).or_default().insert(id);
         }
@@ -162,11 +178,15 @@
     pub fn applied(&mut self, applied: &Applied, directory: &Directory) {
         match applied {
             Applied::Endpoints(indexes) => {
-                indexes.iter().for_each(|index| self.entry_changed(*index, directory));
+                indexes
+                    .iter()
+                    .for_each(|index| self.entry_changed(*index, directory));
             }
             Applied::Members => {}
             Applied::Assignment(affected) => {
-                affected.iter().for_each(|member| self.reassigned(member, directory));
+                affected
+                    .iter()
+                    .for_each(|member| self.reassigned(member, directory));
             }
         }
         self.ready.extend(&self.whole);
@@ -188,18 +208,25 @@
     }
 
     /// The next line for a watcher, where there is one now.
-    pub fn next_line(&mut self, id: WatcherId, directory: &Directory, now: Nanos) -> Option<FeedLine> {
+    pub fn next_line(
+        &mut self,
+        id: WatcherId,
+        directory: &Directory,
+        now: Nanos,
+    ) -> Option<FeedLine> {
         self.feeds.get_mut(&id)?.next_line(directory, now)
     }
 
     fn entry_changed(&mut self, index: EntryIndex, directory: &Directory) {
         let entries = directory.entries();
-        let (Some(bucket), Some(destination)) = (entries.bucket(index), entries.destination(index)) else {
+        let (Some(bucket), Some(destination)) = (entries.bucket(index), entries.destination(index))
+        else {
             return;
         };
         let holders = directory.assignment().holders(bucket).into_iter().flatten();
-        let mut concerned: BTreeSet<WatcherId> =
-            holders.filter_map(|member| self.by_member.get(member).copied()).collect();
+        let mut concerned: BTreeSet<WatcherId> = holders
+            .filter_map(|member| self.by_member.get(member).copied())
+            .collect();
         concerned.extend(self.by_destination.get(&destination).into_iter().flatten());
         for id in concerned {
             if let Some(scope) = self.member_scope(id) {
@@ -210,7 +237,9 @@
     }
 
     fn reassigned(&mut self, member: &MemberName, directory: &Directory) {
-        let Some(id) = self.by_member.get(member).copied() else { return };
+        let Some(id) = self.by_member.get(member).copied() else {
+            return;
+        };
         if let Some(scope) = self.member_scope(id) {
             scope.reassigned(directory);
             self.ready.insert(id);
@@ -219,13 +248,18 @@
 
     fn member_scope(&mut self, id: WatcherId) -> Option<&mut MemberScope> {
         match self.feeds.get_mut(&id)? {
-            Feed { scope: Scope::Member(scope), .. } => Some(scope),
+            Feed {
+                scope: Scope::Member(scope),
+                ..
+            } => Some(scope),
             _ => None,
         }
     }
 
     fn forget_cell(&mut self, cell: u64, id: WatcherId) {
-        let Some(ids) = self.by_destination.get_mut(&cell) else { return };
+        let Some(ids) = self.by_destination.get_mut(&cell) else {
+            return;
+        };
         ids.remove(&id);
         if ids.is_empty() {
             self.by_destination.remove(&cell);
--- a/directory/src/whole_line.rs
+++ b/directory/src/whole_line.rs
@@ -78,7 +78,11 @@
         match self {
             InvalidChanges::Entry(error) => write!(f, "an endpoint cannot be read: {error}"),
             InvalidChanges::MixedVersion(version) => {
-                write!(f, "version {} changes endpoints, members or the assignment at once", version.0)
+                write!(
+                    f,
+                    "version {} changes endpoints, members or the assignment at once",
+                    version.0
+                )
             }
         }
     }
@@ -92,12 +96,22 @@
         let version = logged.version;
         match logged.record {
             Record::EndpointsChanged(endpoints) => {
-                self.servers.extend(endpoints.into_iter().map(|endpoint| endpoint.into_entry(version)));
+                self.servers.extend(
+                    endpoints
+                        .into_iter()
+                        .map(|endpoint| endpoint.into_entry(version)),
+                );
             }
             Record::MembersChanged(members) => {
-                self.members.extend(members.into_iter().map(|member| MemberLine { member, version }));
+                self.members.extend(
+                    members
+                        .into_iter()
+                        .map(|member| MemberLine { member, version }),
+                );
+            }
+            Record::AssignmentChanged(change) => {
+                self.assignment.push(AssignmentLine { change, version })
             }
-            Record::AssignmentChanged(change) => self.assignment.push(AssignmentLine { change, version }),
         }
     }
 
@@ -107,22 +121,34 @@
         for entry in self.servers {
             let version = entry.version;
             let endpoint = Endpoint::try_from(entry).map_err(InvalidChanges::Entry)?;
-            match records.entry(version).or_insert_with(|| Record::EndpointsChanged(Vec::new())) {
+            match records
+                .entry(version)
+                .or_insert_with(|| Record::EndpointsChanged(Vec::new()))
+            {
                 Record::EndpointsChanged(endpoints) => endpoints.push(endpoint),
                 _ => return Err(InvalidChanges::MixedVersion(version)),
             }
         }
         for MemberLine { member, version } in self.members {
-            match records.entry(version).or_insert_with(|| Record::MembersChanged(Vec::new())) {
+            match records
+                .entry(version)
+                .or_insert_with(|| Record::MembersChanged(Vec::new()))
+            {
                 Record::MembersChanged(members) => members.push(member),
                 _ => return Err(InvalidChanges::MixedVersion(version)),
             }
         }
         for AssignmentLine { change, version } in self.assignment {
-            if records.insert(version, Record::AssignmentChanged(change)).is_some() {
+            if records
+                .insert(version, Record::AssignmentChanged(change))
+                .is_some()
+            {
                 return Err(InvalidChanges::MixedVersion(version));
             }
         }
-        Ok(records.into_iter().map(|(version, record)| LoggedRecord { version, record }).collect())
+        Ok(records
+            .into_iter()
+            .map(|(version, record)| LoggedRecord { version, record })
+            .collect())
     }
 }
--- a/directory/src/whole_scope.rs
+++ b/directory/src/whole_scope.rs
@@ -18,7 +18,10 @@
     Due,
     /// Endpoints at places after this one are still to come, but for those that changed after the transfer was begun: these
     /// are told as changes.
-    After { place: Option<EntryIndex>, begun: Version },
+    After {
+        place: Option<EntryIndex>,
+        begun: Version,
+    },
 }
 
 /// What one control process is told, and how far.
@@ -33,7 +36,11 @@
     /// Begins after a version where the records from there on are kept, else with a transfer.
     pub fn start(log: Option<&LogId>, since: Version, directory: &Directory) -> WholeScope {
         let known = log == Some(directory.log()) && directory.history().covers(since);
-        WholeScope { told: since, begun: false, transfer: (!known).then_some(Transfer::Due) }
+        WholeScope {
+            told: since,
+            begun: false,
+            transfer: (!known).then_some(Transfer::Due),
+        }
     }
 
     pub fn told(&self) -> Version {
@@ -46,7 +53,10 @@
         if behind || matches!(self.transfer, Some(Transfer::Due)) {
             return Some(self.begin_transfer(directory));
         }
-        let mut line = WholeLine { version: self.told, ..WholeLine::default() };
+        let mut line = WholeLine {
+            version: self.told,
+            ..WholeLine::default()
+        };
         let mut endpoints = 0;
         for logged in directory.history().after(self.told) {
             if let Record::EndpointsChanged(changed) = &logged.record {
@@ -76,20 +86,36 @@
 
     /// The next piece of a transfer, or its end; call only when all changes have been told.
     pub fn next_piece(&mut self, directory: &Directory) -> Option<WholeLine> {
-        let Some(Transfer::After { place, begun }) = self.transfer else { return None };
-        let mut line = WholeLine { version: self.told, ..WholeLine::default() };
+        let Some(Transfer::After { place, begun }) = self.transfer else {
+            return None;
+        };
+        let mut line = WholeLine {
+            version: self.told,
+            ..WholeLine::default()
+        };
         let mut room = LONGEST_LINE - BYTES_BESIDE_ENTRIES;
         let mut last = place;
         let entries = directory.entries();
-        for index in entries.after(place).filter(|index| entries.version(*index) <= Some(begun)) {
-            let Some(entry) = entries.entry(index) else { continue };
-            let Some(left) = room.checked_sub(longest_on_line(&entry)) else { break };
+        for index in entries
+            .after(place)
+            .filter(|index| entries.version(*index) <= Some(begun))
+        {
+            let Some(entry) = entries.entry(index) else {
+                continue;
+            };
+            let Some(left) = room.checked_sub(longest_on_line(&entry)) else {
+                break;
+            };
             room = left;
             line.servers.push(entry);
             last = Some(index);
         }
         let ended = line.servers.is_empty();
-        line.transfer = Some(if ended { TransferStep::End } else { TransferStep::Piece });
+        line.transfer = Some(if ended {
+            TransferStep::End
+        } else {
+            TransferStep::Piece
+        });
         self.transfer = (!ended).then_some(Transfer::After { place: last, begun });
         Some(line)
     }
@@ -97,13 +123,19 @@
     /// A line that tells just the current version; call only when all changes have been told.
     pub fn version_line(&mut self, directory: &Directory) -> WholeLine {
         self.told = directory.version();
-        WholeLine { version: self.told, ..WholeLine::default() }
+        WholeLine {
+            version: self.told,
+            ..WholeLine::default()
+        }
     }
 
     fn begin_transfer(&mut self, directory: &Directory) -> WholeLine {
         self.begun = true;
         self.told = directory.version();
-        self.transfer = Some(Transfer::After { place: None, begun: self.told });
+        self.transfer = Some(Transfer::After {
+            place: None,
+            begun: self.told,
+        });
         let version = directory.version();
         let members = directory.members().iter().cloned();
         WholeLine {
@@ -112,7 +144,9 @@
             transfer: Some(TransferStep::Begin),
             forgotten: Some(directory.forgotten()),
             table: Some(directory.assignment().to_table()),
-            members: members.map(|member| MemberLine { member, version }).collect(),
+            members: members
+                .map(|member| MemberLine { member, version })
+                .collect(),
             ..WholeLine::default()
         }
     }
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -16,13 +16,23 @@
 pub const SECOND: u64 = 1_000_000_000;
 
 pub fn layout() -> Layout {
-    let zones = [("north-1", "north"), ("north-2", "north"), ("south-1", "south"), ("south-2", "south")];
+    let zones = [
+        ("north-1", "north"),
+        ("north-2", "north"),
+        ("south-1", "south"),
+        ("south-2", "south"),
+    ];
     let zones = zones.map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region)));
     Layout::new(zones, BUCKETS_PER_REGION).expect("a layout")
 }
 
 pub fn member(name: &str, zone: &str) -> Member {
-    Member { name: name.into(), zone: zone.into(), weight: 1.0, present: true }
+    Member {
+        name: name.into(),
+        zone: zone.into(),
+        weight: 1.0,
+        present: true,
+    }
 }
 
 pub fn endpoint(number: u64, state: EndpointState) -> Endpoint {
@@ -50,7 +60,11 @@
     pub fn new(keeping: Keeping) -> Control {
         let log = LogId("feed".into());
         let directory = Directory::new(layout(), log, keeping);
-        let mut control = Control { directory, watchers: Watchers::new(FILL_PACE), now: 0 };
+        let mut control = Control {
+            directory,
+            watchers: Watchers::new(FILL_PACE),
+            now: 0,
+        };
         control.write(Record::MembersChanged(vec![
             member("north-a", "north-1"),
             member("north-b", "north-2"),
@@ -63,7 +77,10 @@
 
     pub fn write(&mut self, record: Record) -> Version {
         let version = Version(self.directory.version().0 + 1);
-        let applied = self.directory.apply(&LoggedRecord { version, record }).expect("a good record");
+        let applied = self
+            .directory
+            .apply(&LoggedRecord { version, record })
+            .expect("a good record");
         self.watchers.applied(&applied, &self.directory);
         version
     }
@@ -84,18 +101,33 @@
     }
 
     pub fn open(&mut self, query: &str) -> Watcher {
-        let opened = self.watchers.open(watch(query), &self.directory, self.now).expect("a watch");
-        Watcher { id: opened.id, version: Version(0), held: BTreeSet::new(), entries: BTreeMap::new() }
+        let opened = self
+            .watchers
+            .open(watch(query), &self.directory, self.now)
+            .expect("a watch");
+        Watcher {
+            id: opened.id,
+            version: Version(0),
+            held: BTreeSet::new(),
+            entries: BTreeMap::new(),
+        }
     }
 
     /// Has the watcher read all lines that it is told until nothing but an empty line comes.
     pub fn read(&mut self, watcher: &mut Watcher) -> Vec<ScopedLine> {
         let mut lines = Vec::new();
         loop {
-            match self.watchers.next_line(watcher.id, &self.directory, self.now) {
+            match self
+                .watchers
+                .next_line(watcher.id, &self.directory, self.now)
+            {
                 Some(line) if line.kind == LineKind::Empty => return lines,
                 Some(line) => {
-                    assert!(line.bytes.len() <= LONGEST_LINE, "a line of {} bytes", line.bytes.len());
+                    assert!(
+                        line.bytes.len() <= LONGEST_LINE,
+                        "a line of {} bytes",
+                        line.bytes.len()
+                    );
                     lines.push(watcher.read_line(&line.bytes));
                 }
                 None => self.now += SECOND / 10,
@@ -136,20 +168,34 @@
         });
         self.held.extend(&line.filled);
         for entry in &line.servers {
-            let known = self.entries.insert(entry.id.clone(), (entry.state, entry.version));
-            assert_ne!(known, Some((entry.state, entry.version)), "{} was told twice", entry.id);
+            let known = self
+                .entries
+                .insert(entry.id.clone(), (entry.state, entry.version));
+            assert_ne!(
+                known,
+                Some((entry.state, entry.version)),
+                "{} was told twice",
+                entry.id
+            );
         }
         line
     }
 
     /// The query by which the dispatcher asks again, with what it knows.
     pub fn again(&self, name: &str, log: &str) -> String {
-        let buckets: Vec<String> = self.held.iter().map(|bucket| bucket.0.to_string()).collect();
+        let buckets: Vec<String> = self
+            .held
+            .iter()
+            .map(|bucket| bucket.0.to_string())
+            .collect();
         let (since, buckets) = (self.version.0, buckets.join(","));
         format!("follow=1&since={since}&log={log}&dispatcher={name}&buckets={buckets}")
     }
 }
 
 pub fn entries_told(lines: &[ScopedLine]) -> Vec<String> {
-    lines.iter().flat_map(|line| line.servers.iter().map(|entry| entry.id.clone())).collect()
+    lines
+        .iter()
+        .flat_map(|line| line.servers.iter().map(|entry| entry.id.clone()))
+        .collect()
 }
--- a/directory/tests/feed.rs
+++ b/directory/tests/feed.rs
@@ -51,10 +51,16 @@
     let mut watcher = control.open(FIRST);
     control.write_endpoint(7, EndpointState::Draining);
     let lines = control.read(&mut watcher);
-    let change = lines.iter().position(|line| entries_told(std::slice::from_ref(line)) == ["endpoint-7"]);
+    let change = lines
+        .iter()
+        .position(|line| entries_told(std::slice::from_ref(line)) == ["endpoint-7"]);
     let filling = lines.iter().position(|line| !line.filled.is_empty());
     assert!(change < filling, "{change:?} {filling:?}");
-    assert_eq!(entries_told(&lines).len(), 40, "the filling leaves out what was told as a change");
+    assert_eq!(
+        entries_told(&lines).len(),
+        40,
+        "the filling leaves out what was told as a change"
+    );
     control.write_endpoint(8, EndpointState::Removed);
     assert_eq!(entries_told(&control.read(&mut watcher)), ["endpoint-8"]);
     assert!(control.read(&mut watcher).is_empty());
@@ -82,7 +88,9 @@
     control.write_endpoints(0..900, EndpointState::Up);
     let mut watcher = control.open(FIRST);
     while watcher.held.len() < 4 {
-        let line = control.watchers.next_line(watcher.id, &control.directory, control.now);
+        let line = control
+            .watchers
+            .next_line(watcher.id, &control.directory, control.now);
         match line.filter(|line| line.kind != LineKind::Empty) {
             Some(line) => drop(watcher.read_line(&line.bytes)),
             None => control.now += SECOND / 10,
@@ -99,14 +107,28 @@
 #[test]
 fn another_history_is_told_anew_and_foreign_buckets_are_lost() {
     let mut control = control();
-    let beside = Endpoint { zone: "south-1".into(), ..endpoint(70, EndpointState::Up) };
+    let beside = Endpoint {
+        zone: "south-1".into(),
+        ..endpoint(70, EndpointState::Up)
+    };
     control.write(Record::EndpointsChanged(vec![beside]));
     let mut watcher =
         control.open("follow=1&since=90000&log=another&dispatcher=north-a&buckets=0,1,15&cells=70");
     let lines = control.read(&mut watcher);
     assert_eq!(lines[0].gained.len(), BUCKETS_PER_REGION as usize);
-    assert_eq!(lines[0].lost.iter().map(|bucket| bucket.0).collect::<Vec<_>>(), [15]);
-    assert_eq!(entries_told(&lines[..1]), ["endpoint-70"], "the cell is told at once");
+    assert_eq!(
+        lines[0]
+            .lost
+            .iter()
+            .map(|bucket| bucket.0)
+            .collect::<Vec<_>>(),
+        [15]
+    );
+    assert_eq!(
+        entries_told(&lines[..1]),
+        ["endpoint-70"],
+        "the cell is told at once"
+    );
     assert_eq!(watcher.held.len(), BUCKETS_PER_REGION as usize);
 }
 
@@ -128,9 +150,16 @@
     assert_eq!(newcomer.held, lines[0].lost.iter().copied().collect());
     // The newcomer leaves: what it held comes back, and is filled with what changed meanwhile.
     let moved = control.directory.entries().in_bucket(lines[0].lost[0])[0];
-    let number = control.directory.entries().destination(moved).expect("an endpoint");
+    let number = control
+        .directory
+        .entries()
+        .destination(moved)
+        .expect("an endpoint");
     let changed = control.write_endpoint(number, EndpointState::Draining);
-    let gone = bellsill_placement::Member { present: false, ..member("north-c", "north-1") };
+    let gone = bellsill_placement::Member {
+        present: false,
+        ..member("north-c", "north-1")
+    };
     control.write(Record::MembersChanged(vec![gone]));
     control.assign();
     let id = format!("endpoint-{number}");
@@ -154,13 +183,19 @@
     assert!(!told.is_empty() && told.len() < 40);
     for id in told {
         let index = control.directory.entries().find(&id).expect("an endpoint");
-        assert!(held.contains(&control.directory.entries().bucket(index).expect("a bucket")), "{id}");
+        assert!(
+            held.contains(&control.directory.entries().bucket(index).expect("a bucket")),
+            "{id}"
+        );
     }
 }
 
 #[test]
 fn changes_that_are_no_longer_kept_are_told_anew() {
-    let mut control = Control::new(Keeping { changes: 10, removed: 5 });
+    let mut control = Control::new(Keeping {
+        changes: 10,
+        removed: 5,
+    });
     control.write_endpoints(0..40, EndpointState::Up);
     let mut watcher = control.open(FIRST);
     control.read(&mut watcher);
@@ -175,7 +210,10 @@
 
 #[test]
 fn a_slow_watcher_whose_removals_are_forgotten_is_told_anew() {
-    let mut control = Control::new(Keeping { changes: 10, removed: 5 });
+    let mut control = Control::new(Keeping {
+        changes: 10,
+        removed: 5,
+    });
     control.write_endpoints(0..40, EndpointState::Up);
     let mut watcher = control.open(FIRST);
     control.read(&mut watcher);
@@ -195,7 +233,11 @@
     let lines = control.read(&mut watcher);
     assert!(lines.len() > 10);
     assert_eq!(entries_told(&lines).len(), 6000);
-    assert!(lines.windows(2).all(|pair| pair[0].version < pair[1].version));
+    assert!(
+        lines
+            .windows(2)
+            .all(|pair| pair[0].version < pair[1].version)
+    );
     assert_eq!(watcher.version, control.directory.version());
 }
 
@@ -206,8 +248,16 @@
     let watcher = control.open(FIRST);
     let (mut bytes, start) = (0, control.now);
     while control.now < start + 10 * SECOND {
-        while let Some(line) = control.watchers.next_line(watcher.id, &control.directory, control.now) {
-            bytes += if line.kind == LineKind::Filling { line.bytes.len() as u64 } else { 0 };
+        while let Some(line) =
+            control
+                .watchers
+                .next_line(watcher.id, &control.directory, control.now)
+        {
+            bytes += if line.kind == LineKind::Filling {
+                line.bytes.len() as u64
+            } else {
+                0
+            };
         }
         control.now += SECOND / 10;
     }
@@ -228,11 +278,17 @@
         }
     };
     assert_eq!(control.directory.look_up(&[17]).len(), 1);
-    control.watchers.change_cells(&look_up("dispatcher=south-a&cells=17")).expect("a lookup");
+    control
+        .watchers
+        .change_cells(&look_up("dispatcher=south-a&cells=17"))
+        .expect("a lookup");
     control.write_endpoint(17, EndpointState::Draining);
     control.write_endpoint(18, EndpointState::Draining);
     assert_eq!(entries_told(&control.read(&mut watcher)), ["endpoint-17"]);
-    control.watchers.change_cells(&look_up("dispatcher=south-a&cells=18&forget=17")).expect("a lookup");
+    control
+        .watchers
+        .change_cells(&look_up("dispatcher=south-a&cells=18&forget=17"))
+        .expect("a lookup");
     control.write_endpoint(17, EndpointState::Up);
     control.write_endpoint(18, EndpointState::Up);
     assert_eq!(entries_told(&control.read(&mut watcher)), ["endpoint-18"]);
@@ -242,16 +298,24 @@
     let mut again = control.open(&query);
     assert_eq!(entries_told(&control.read(&mut again)), ["endpoint-18"]);
     let nobody = look_up("dispatcher=north-b&cells=17");
-    assert_eq!(control.watchers.change_cells(&nobody), Err(WatchRefused::NoWatch));
+    assert_eq!(
+        control.watchers.change_cells(&nobody),
+        Err(WatchRefused::NoWatch)
+    );
     let many: Vec<String> = (0..5000).map(|cell: u32| cell.to_string()).collect();
     let many = look_up(&format!("dispatcher=south-a&cells={}", many.join(",")));
-    assert_eq!(control.watchers.change_cells(&many), Err(WatchRefused::TooManyCells));
+    assert_eq!(
+        control.watchers.change_cells(&many),
+        Err(WatchRefused::TooManyCells)
+    );
 }
 
 #[test]
 fn who_is_no_member_has_no_watch() {
     let mut control = control();
-    let refused = control.watchers.open(watch("follow=1&dispatcher=nobody"), &control.directory, 0);
+    let refused = control
+        .watchers
+        .open(watch("follow=1&dispatcher=nobody"), &control.directory, 0);
     assert_eq!(refused, Err(WatchRefused::NotMember));
 }
 
@@ -259,7 +323,10 @@
 fn a_second_watch_of_a_dispatcher_replaces_the_first() {
     let mut control = control();
     let first = control.open(FIRST);
-    let opened = control.watchers.open(watch(FIRST), &control.directory, 0).expect("a watch");
+    let opened = control
+        .watchers
+        .open(watch(FIRST), &control.directory, 0)
+        .expect("a watch");
     assert_eq!(opened.replaced, Some(first.id));
     assert_eq!(control.watchers.len(), 1);
 }
@@ -268,7 +335,10 @@
 fn a_process_that_is_behind_says_empty_lines_until_it_has_caught_up() {
     let mut control = control();
     let behind = control.directory.version();
-    let query = format!("follow=1&since={}&log=feed&dispatcher=north-a", behind.0 + 2);
+    let query = format!(
+        "follow=1&since={}&log=feed&dispatcher=north-a",
+        behind.0 + 2
+    );
     let mut watcher = control.open(&query);
     watcher.version = Version(behind.0 + 2);
     assert!(control.read(&mut watcher).is_empty());
@@ -281,24 +351,49 @@
 
 #[test]
 fn a_follower_is_told_every_record_or_all_anew() {
-    let mut control = Control::new(Keeping { changes: 100, removed: 5 });
+    let mut control = Control::new(Keeping {
+        changes: 100,
+        removed: 5,
+    });
     control.write_endpoints(0..40, EndpointState::Up);
     let lines = |control: &mut Control, query: &str| -> Vec<WholeLine> {
-        let opened = control.watchers.open(watch(query), &control.directory, control.now).expect("a watch");
-        let all =
-            std::iter::from_fn(|| control.watchers.next_line(opened.id, &control.directory, control.now));
-        all.map(|line| serde_json::from_slice(&line.bytes).expect("a line")).collect()
+        let opened = control
+            .watchers
+            .open(watch(query), &control.directory, control.now)
+            .expect("a watch");
+        let all = std::iter::from_fn(|| {
+            control
+                .watchers
+                .next_line(opened.id, &control.directory, control.now)
+        });
+        all.map(|line| serde_json::from_slice(&line.bytes).expect("a line"))
+            .collect()
     };
     let told = lines(&mut control, "follow=1&since=20&log=feed&scope=all");
-    let records: Vec<_> = told.into_iter().flat_map(|line| line.into_records().expect("records")).collect();
+    let records: Vec<_> = told
+        .into_iter()
+        .flat_map(|line| line.into_records().expect("records"))
+        .collect();
     let versions: Vec<u64> = records.iter().map(|logged| logged.version.0).collect();
-    assert_eq!(versions, (21..=control.directory.version().0).collect::<Vec<_>>());
-    for query in ["follow=1&since=0&scope=all", "follow=1&since=20&log=other&scope=all"] {
+    assert_eq!(
+        versions,
+        (21..=control.directory.version().0).collect::<Vec<_>>()
+    );
+    for query in [
+        "follow=1&since=0&scope=all",
+        "follow=1&since=20&log=other&scope=all",
+    ] {
         let told = lines(&mut control, query);
         assert_eq!(told[0].transfer, Some(TransferStep::Begin));
         assert_eq!(told[0].members.len(), 4);
-        assert_eq!(told.last().and_then(|line| line.transfer), Some(TransferStep::End));
-        assert_eq!(told.iter().map(|line| line.servers.len()).sum::<usize>(), 40);
+        assert_eq!(
+            told.last().and_then(|line| line.transfer),
+            Some(TransferStep::End)
+        );
+        assert_eq!(
+            told.iter().map(|line| line.servers.len()).sum::<usize>(),
+            40
+        );
     }
 }
 
@@ -306,23 +401,32 @@
 fn a_transfer_with_changes_between_its_pieces_gives_the_same_directory() {
     let mut control = Control::new(Keeping::default());
     control.write_endpoints(0..2000, EndpointState::Up);
-    let opened =
-        control.watchers.open(watch("follow=1&since=0&scope=all"), &control.directory, 0).expect("a watch");
+    let opened = control
+        .watchers
+        .open(watch("follow=1&since=0&scope=all"), &control.directory, 0)
+        .expect("a watch");
     let mut restore = None;
     let mut pieces = 0;
     let copy = loop {
-        let line = control.watchers.next_line(opened.id, &control.directory, control.now).expect("a line");
+        let line = control
+            .watchers
+            .next_line(opened.id, &control.directory, control.now)
+            .expect("a line");
         let line: WholeLine = serde_json::from_slice(&line.bytes).expect("a line");
         match (line.transfer, &mut restore) {
             (Some(TransferStep::Begin), _) => restore = Some(begin(line)),
             (Some(TransferStep::Piece), Some(restore)) => {
                 pieces += 1;
-                line.servers.into_iter().for_each(|entry| restore.endpoint(entry).expect("an endpoint"));
+                line.servers
+                    .into_iter()
+                    .for_each(|entry| restore.endpoint(entry).expect("an endpoint"));
             }
             (Some(TransferStep::End), _) => break restore.expect("a beginning").finish(),
             (None, Some(restore)) => {
                 let records = line.into_records().expect("records");
-                records.iter().for_each(|logged| restore.apply(logged).expect("a record"));
+                records
+                    .iter()
+                    .for_each(|logged| restore.apply(logged).expect("a record"));
                 continue;
             }
             _ => panic!("out of order"),
@@ -335,8 +439,15 @@
     assert_eq!(copy.version(), control.directory.version());
     assert_eq!(copy.entries().len(), control.directory.entries().len());
     let differing = control.directory.entries().after(None).filter(|index| {
-        let entry = control.directory.entries().entry(*index).expect("an endpoint");
-        let copied = copy.entries().find(&entry.id).and_then(|index| copy.entries().entry(index));
+        let entry = control
+            .directory
+            .entries()
+            .entry(*index)
+            .expect("an endpoint");
+        let copied = copy
+            .entries()
+            .find(&entry.id)
+            .and_then(|index| copy.entries().entry(index));
         copied.as_ref() != Some(&entry)
     });
     assert_eq!(differing.count(), 0);
@@ -350,8 +461,12 @@
         forgotten: line.forgotten.expect("a version"),
     };
     let mut restore = Restore::begin(layout(), point, Keeping::default());
-    restore.members(line.members.into_iter().map(|line| line.member).collect()).expect("members");
-    restore.assignment(&line.table.expect("a table")).expect("an assignment");
+    restore
+        .members(line.members.into_iter().map(|line| line.member).collect())
+        .expect("members");
+    restore
+        .assignment(&line.table.expect("a table"))
+        .expect("an assignment");
     restore
 }
 
--- a/directory/tests/state.rs
+++ b/directory/tests/state.rs
@@ -28,7 +28,10 @@
 
 fn all_entries(directory: &Directory) -> Vec<EndpointEntry> {
     let entries = directory.entries();
-    let mut all: Vec<_> = entries.after(None).filter_map(|index| entries.entry(index)).collect();
+    let mut all: Vec<_> = entries
+        .after(None)
+        .filter_map(|index| entries.entry(index))
+        .collect();
     all.sort_by(|left, right| left.id.cmp(&right.id));
     all
 }
@@ -37,14 +40,24 @@
 fn records_are_read_as_they_were_written() {
     let members = vec![member("north-a", "north-1")];
     let records = [
-        Record::EndpointsChanged(vec![endpoint(1, EndpointState::Up), endpoint(2, EndpointState::Removed)]),
+        Record::EndpointsChanged(vec![
+            endpoint(1, EndpointState::Up),
+            endpoint(2, EndpointState::Removed),
+        ]),
         Record::MembersChanged(members),
         Record::AssignmentChanged(
-            Control::new(Keeping::default()).directory.assignment().plan(&[]).expect("a plan"),
+            Control::new(Keeping::default())
+                .directory
+                .assignment()
+                .plan(&[])
+                .expect("a plan"),
         ),
     ];
     for record in records {
-        let logged = LoggedRecord { version: Version(9), record };
+        let logged = LoggedRecord {
+            version: Version(9),
+            record,
+        };
         let bytes = record::encode(&logged);
         assert_eq!(record::decode(&bytes), Ok(logged));
         assert!(record::decode::<LoggedRecord>(&bytes[..bytes.len() - 1]).is_err());
@@ -58,54 +71,142 @@
     let (version, before) = (control.directory.version(), all_entries(&control.directory));
     let next = Version(version.0 + 1);
     let mut refusal = |version: Version, record: Record| {
-        control.directory.apply(&LoggedRecord { version, record }).expect_err("a refusal")
+        control
+            .directory
+            .apply(&LoggedRecord { version, record })
+            .expect_err("a refusal")
     };
     let fine = endpoint(60, EndpointState::Up);
-    let expected = ApplyError::VersionOutOfOrder { expected: next, found: Version(next.0 + 1) };
-    assert_eq!(refusal(Version(next.0 + 1), Record::EndpointsChanged(vec![fine.clone()])), expected);
-    let elsewhere = Endpoint { zone: "west-1".into(), ..endpoint(61, EndpointState::Up) };
-    let error = refusal(next, Record::EndpointsChanged(vec![fine.clone(), elsewhere]));
-    assert_eq!(error, ApplyError::Endpoint(EndpointRefused::UnknownZone("west-1".into())));
+    let expected = ApplyError::VersionOutOfOrder {
+        expected: next,
+        found: Version(next.0 + 1),
+    };
+    assert_eq!(
+        refusal(
+            Version(next.0 + 1),
+            Record::EndpointsChanged(vec![fine.clone()])
+        ),
+        expected
+    );
+    let elsewhere = Endpoint {
+        zone: "west-1".into(),
+        ..endpoint(61, EndpointState::Up)
+    };
+    let error = refusal(
+        next,
+        Record::EndpointsChanged(vec![fine.clone(), elsewhere]),
+    );
+    assert_eq!(
+        error,
+        ApplyError::Endpoint(EndpointRefused::UnknownZone("west-1".into()))
+    );
     for moved in [
-        Endpoint { destination: 99, ..endpoint(20, EndpointState::Up) },
-        Endpoint { zone: "south-1".into(), ..endpoint(20, EndpointState::Up) },
+        Endpoint {
+            destination: 99,
+            ..endpoint(20, EndpointState::Up)
+        },
+        Endpoint {
+            zone: "south-1".into(),
+            ..endpoint(20, EndpointState::Up)
+        },
     ] {
         let error = refusal(next, Record::EndpointsChanged(vec![fine.clone(), moved]));
-        assert_eq!(error, ApplyError::Endpoint(EndpointRefused::Moved("endpoint-20".into())));
+        assert_eq!(
+            error,
+            ApplyError::Endpoint(EndpointRefused::Moved("endpoint-20".into()))
+        );
     }
-    let error = refusal(next, Record::MembersChanged(vec![member("north-z", "west-1")]));
+    let error = refusal(
+        next,
+        Record::MembersChanged(vec![member("north-z", "west-1")]),
+    );
     assert!(matches!(error, ApplyError::Member(_)), "{error}");
     let change = control.directory.assignment().plan(&[]).expect("a plan");
-    let skipped = bellsill_placement::AssignmentChange { epoch: bellsill_placement::Epoch(7), ..change };
-    let skipped = LoggedRecord { version: next, record: Record::AssignmentChanged(skipped) };
-    assert!(matches!(control.directory.apply(&skipped), Err(ApplyError::Placement(_))));
-    assert_eq!((control.directory.version(), all_entries(&control.directory)), (version, before));
+    let skipped = bellsill_placement::AssignmentChange {
+        epoch: bellsill_placement::Epoch(7),
+        ..change
+    };
+    let skipped = LoggedRecord {
+        version: next,
+        record: Record::AssignmentChanged(skipped),
+    };
+    assert!(matches!(
+        control.directory.apply(&skipped),
+        Err(ApplyError::Placement(_))
+    ));
+    assert_eq!(
+        (control.directory.version(), all_entries(&control.directory)),
+        (version, before)
+    );
 }
 
 #[test]
 fn entries_that_make_no_sense_are_refused() {
     let good = endpoint(1, EndpointState::Up).into_entry(Version(0));
     let refusal = |entry: EndpointEntry| Endpoint::try_from(entry).expect_err("a refusal");
-    assert_eq!(refusal(EndpointEntry { id: "two words".into(), ..good.clone() }), InvalidEntry::Name("id"));
-    assert_eq!(refusal(EndpointEntry { kind: "\"".into(), ..good.clone() }), InvalidEntry::Name("kind"));
-    assert_eq!(refusal(EndpointEntry { zone: "z".repeat(129), ..good.clone() }), InvalidEntry::Name("zone"));
-    assert_eq!(refusal(EndpointEntry { addr: None, ..good.clone() }), InvalidEntry::AddressMissing);
-    assert_eq!(refusal(EndpointEntry { weight: Some(-1.0), ..good.clone() }), InvalidEntry::Weight(-1.0));
-    let bad_address = EndpointEntry { addr: Some("nowhere".into()), ..good };
-    assert_eq!(refusal(bad_address), InvalidEntry::Address("nowhere".into()));
+    assert_eq!(
+        refusal(EndpointEntry {
+            id: "two words".into(),
+            ..good.clone()
+        }),
+        InvalidEntry::Name("id")
+    );
+    assert_eq!(
+        refusal(EndpointEntry {
+            kind: "\"".into(),
+            ..good.clone()
+        }),
+        InvalidEntry::Name("kind")
+    );
+    assert_eq!(
+        refusal(EndpointEntry {
+            zone: "z".repeat(129),
+            ..good.clone()
+        }),
+        InvalidEntry::Name("zone")
+    );
+    assert_eq!(
+        refusal(EndpointEntry {
+            addr: None,
+            ..good.clone()
+        }),
+        InvalidEntry::AddressMissing
+    );
+    assert_eq!(
+        refusal(EndpointEntry {
+            weight: Some(-1.0),
+            ..good.clone()
+        }),
+        InvalidEntry::Weight(-1.0)
+    );
+    let bad_address = EndpointEntry {
+        addr: Some("nowhere".into()),
+        ..good
+    };
+    assert_eq!(
+        refusal(bad_address),
+        InvalidEntry::Address("nowhere".into())
+    );
 }
 
 #[test]
 fn a_snapshot_restores_all_and_goes_on() {
-    let mut control = filled(Keeping { changes: 100, removed: 5 });
+    let mut control = filled(Keeping {
+        changes: 100,
+        removed: 5,
+    });
     let mut copy = restored(encoded_parts(&control.directory)).expect("a snapshot");
-    assert_eq!((copy.log(), copy.version()), (control.directory.log(), control.directory.version()));
+    assert_eq!(
+        (copy.log(), copy.version()),
+        (control.directory.log(), control.directory.version())
+    );
     assert_eq!(copy.forgotten(), control.directory.forgotten());
     assert_eq!(copy.assignment(), control.directory.assignment());
     assert_eq!(all_entries(&copy), all_entries(&control.directory));
     let version = control.write_endpoint(5, EndpointState::Up);
     let record = Record::EndpointsChanged(vec![endpoint(5, EndpointState::Up)]);
-    copy.apply(&LoggedRecord { version, record }).expect("the next record");
+    copy.apply(&LoggedRecord { version, record })
+        .expect("the next record");
     assert_eq!(all_entries(&copy), all_entries(&control.directory));
 }
 
@@ -114,7 +215,10 @@
     let control = filled(Keeping::default());
     let parts: Vec<Vec<u8>> = encoded_parts(&control.directory).collect();
     let without = |place: usize| {
-        let kept = parts.iter().enumerate().filter(move |(index, _)| *index != place);
+        let kept = parts
+            .iter()
+            .enumerate()
+            .filter(move |(index, _)| *index != place);
         restored(kept.map(|(_, part)| part.clone())).err()
     };
     assert_eq!(without(0), Some(SnapshotError::OutOfOrder));
@@ -131,12 +235,18 @@
 
 #[test]
 fn a_removed_endpoint_is_forgotten_with_its_place_and_can_come_again() {
-    let mut control = filled(Keeping { changes: 100, removed: 5 });
+    let mut control = filled(Keeping {
+        changes: 100,
+        removed: 5,
+    });
     assert_eq!(control.directory.entries().len(), 37);
     assert_eq!(control.directory.entries().find("endpoint-0"), None);
     control.write_endpoint(0, EndpointState::Up);
     assert_eq!(control.directory.look_up(&[0]).len(), 1);
-    assert!(control.directory.look_up(&[7]).is_empty(), "removed ones are in no lookup");
+    assert!(
+        control.directory.look_up(&[7]).is_empty(),
+        "removed ones are in no lookup"
+    );
     // One that serves again is not forgotten when its removal has its turn.
     control.write_endpoint(7, EndpointState::Up);
     control.write_endpoints(10..20, EndpointState::Removed);
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -29,9 +29,16 @@
             text => lines.push(text.to_string()),
         }
     }
-    let length =
-        |l: &String| l.to_ascii_lowercase().strip_prefix("content-length:").map(|n| n.trim().parse());
-    let length = lines.iter().find_map(length).and_then(Result::ok).unwrap_or(0);
+    let length = |l: &String| {
+        l.to_ascii_lowercase()
+            .strip_prefix("content-length:")
+            .map(|n| n.trim().parse())
+    };
+    let length = lines
+        .iter()
+        .find_map(length)
+        .and_then(Result::ok)
+        .unwrap_or(0);
     let mut body = vec![0; length];
     from.read_exact(&mut body)?;
     Ok(Some((lines.remove(0), lines, body)))
@@ -86,11 +93,22 @@
 }
 
 fn put(class: &str, destination: &str, body: &str) -> std::io::Result<()> {
-    let id = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+    let id = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos() as u64;
     let fields = format!("c={class},d=8000,k={id:016x},dest={destination}");
-    let words = ["MSG.PUT", "0000000000000000", &format!("{id:016x}"), &fields, body];
+    let words = [
+        "MSG.PUT",
+        "0000000000000000",
+        &format!("{id:016x}"),
+        &fields,
+        body,
+    ];
     let mut command = format!("*{}\r\n", words.len());
-    words.iter().for_each(|word| command += &format!("${}\r\n{word}\r\n", word.len()));
+    words
+        .iter()
+        .for_each(|word| command += &format!("${}\r\n{word}\r\n", word.len()));
     let mut stream = TcpStream::connect(DISPATCHER)?;
     stream.write_all(command.as_bytes())?;
     let mut answer = String::new();
@@ -105,8 +123,12 @@
     match args[..] {
         [] => {
             listen(PLATFORM, platform);
-            ENDPOINTS.iter().for_each(|at| listen(at, move |stream| endpoint(at, stream)));
-            println!("the toy world stands; hand in mails with: cargo run --example toy put notice 7 hello");
+            ENDPOINTS
+                .iter()
+                .for_each(|at| listen(at, move |stream| endpoint(at, stream)));
+            println!(
+                "the toy world stands; hand in mails with: cargo run --example toy put notice 7 hello"
+            );
             loop {
                 std::thread::park();
             }
--- a/lab/examples/scripted_peer.rs
+++ b/lab/examples/scripted_peer.rs
@@ -57,13 +57,19 @@
     fn list(&self, json: &Value) {
         let mut endpoints = self.endpoints.lock().unwrap();
         for server in json["servers"].as_array().into_iter().flatten() {
-            let of = endpoints.entry(server["cell"].as_u64().unwrap()).or_default();
+            let of = endpoints
+                .entry(server["cell"].as_u64().unwrap())
+                .or_default();
             let (id, serving) = (server["id"].as_str().unwrap(), server["state"] == "up");
             match of.iter_mut().find(|e| e.id == id) {
                 Some(known) => known.serving = serving || self.has("drained"),
                 None => {
                     let addr = server["addr"].as_str().unwrap().parse().unwrap();
-                    of.push(Endpoint { id: id.into(), addr, serving });
+                    of.push(Endpoint {
+                        id: id.into(),
+                        addr,
+                        serving,
+                    });
                 }
             }
         }
@@ -84,23 +90,37 @@
 
     fn notice(&self, mail: &Mail, result: &str) {
         let body = json!({"ref": mail.id, "result": result}).to_string() + "\n";
-        let text = format!("POST /v2/finals HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let Ok(mut stream) = TcpStream::connect(&self.platform) else { return };
+        let text = format!(
+            "POST /v2/finals HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        let Ok(mut stream) = TcpStream::connect(&self.platform) else {
+            return;
+        };
         let _ = stream.write_all(text.as_bytes());
         let _ = BufReader::new(stream).read_line(&mut String::new());
     }
 
     fn call(&self, mail: &Mail, endpoint: &Endpoint) -> Outcome {
-        let Ok(mut stream) = TcpStream::connect(endpoint.addr) else { return Outcome::Unconnected };
+        let Ok(mut stream) = TcpStream::connect(endpoint.addr) else {
+            return Outcome::Unconnected;
+        };
         let head = format!(
             "POST /events HTTP/1.1\r\nX-Trace-Id: {}\r\nIdempotency-Key: {}\r\nContent-Length: {}\r\n\r\n",
             mail.id,
             mail.tag,
             mail.body.len()
         );
-        let left = mail.due.saturating_duration_since(Instant::now()).min(CALL_TIME).max(STEP);
+        let left = mail
+            .due
+            .saturating_duration_since(Instant::now())
+            .min(CALL_TIME)
+            .max(STEP);
         stream.set_read_timeout(Some(left)).unwrap();
-        if stream.write_all(&[head.as_bytes(), &mail.body].concat()).is_err() {
+        if stream
+            .write_all(&[head.as_bytes(), &mail.body].concat())
+            .is_err()
+        {
             return Outcome::MayHaveRun;
         }
         let mut from = BufReader::new(stream);
@@ -113,7 +133,10 @@
                 _ => return Outcome::MayHaveRun,
             }
         }
-        let wait = lines.iter().find_map(|l| l.strip_prefix("Retry-After: ")).and_then(|s| s.parse().ok());
+        let wait = lines
+            .iter()
+            .find_map(|l| l.strip_prefix("Retry-After: "))
+            .and_then(|s| s.parse().ok());
         match lines[0].split(' ').nth(1) {
             Some("200") => Outcome::Relayed,
             Some("429" | "503") => Outcome::Refused(Duration::from_secs_f64(wait.unwrap_or(0.05))),
@@ -123,7 +146,11 @@
 
     fn pick(&self, mail: &Mail, n: usize) -> Option<Endpoint> {
         let endpoints = self.endpoints.lock().unwrap();
-        let open: Vec<&Endpoint> = endpoints.get(&mail.destination)?.iter().filter(|e| e.serving).collect();
+        let open: Vec<&Endpoint> = endpoints
+            .get(&mail.destination)?
+            .iter()
+            .filter(|e| e.serving)
+            .collect();
         open.get(n % open.len().max(1)).map(|e| (*e).clone())
     }
 
@@ -134,7 +161,10 @@
             let mut lines = self.lines.lock().unwrap();
             while lines[&mail.key].front() != Some(&mail.id) {
                 if mail.due < Instant::now() + Duration::from_millis(150) {
-                    lines.get_mut(&mail.key).unwrap().retain(|id| *id != mail.id);
+                    lines
+                        .get_mut(&mail.key)
+                        .unwrap()
+                        .retain(|id| *id != mail.id);
                     drop(lines);
                     return self.give_up(mail);
                 }
@@ -145,7 +175,12 @@
         if ordered {
             // The key's rest, whatever the end was.
             thread::sleep(Duration::from_millis(150));
-            self.lines.lock().unwrap().get_mut(&mail.key).unwrap().pop_front();
+            self.lines
+                .lock()
+                .unwrap()
+                .get_mut(&mail.key)
+                .unwrap()
+                .pop_front();
             self.moved.notify_all();
         }
     }
@@ -161,15 +196,22 @@
             loop {
                 let until = self.waits.lock().unwrap().get(&mail.destination).copied();
                 match until {
-                    Some(until) if Instant::now() < until && !self.has("told-wait") => thread::sleep(STEP),
+                    Some(until) if Instant::now() < until && !self.has("told-wait") => {
+                        thread::sleep(STEP)
+                    }
                     _ => break,
                 }
             }
             if mail.due < Instant::now() + Duration::from_millis(150) {
                 return self.give_up(mail);
             }
-            let Some(endpoint) = self.pick(mail, seed + n) else { return self.give_up(mail) };
-            let twin = self.has("two-at-once").then(|| self.pick(mail, seed + n + 1)).flatten();
+            let Some(endpoint) = self.pick(mail, seed + n) else {
+                return self.give_up(mail);
+            };
+            let twin = self
+                .has("two-at-once")
+                .then(|| self.pick(mail, seed + n + 1))
+                .flatten();
             let outcome = thread::scope(|s| {
                 twin.as_ref().map(|twin| s.spawn(|| self.call(mail, twin)));
                 self.call(mail, &endpoint)
@@ -177,7 +219,8 @@
             match outcome {
                 Outcome::Relayed if self.has("effect-twice") && once => {
                     // As if its answer had been lost, and to another hall.
-                    self.pick(mail, seed + n + 1).map(|other| self.call(mail, &other));
+                    self.pick(mail, seed + n + 1)
+                        .map(|other| self.call(mail, &other));
                     return;
                 }
                 Outcome::Relayed => return,
@@ -199,7 +242,10 @@
             return;
         }
         if self.has("held-back") {
-            thread::sleep(mail.due.saturating_duration_since(Instant::now() + Duration::from_millis(50)));
+            thread::sleep(
+                mail.due
+                    .saturating_duration_since(Instant::now() + Duration::from_millis(50)),
+            );
         }
         self.notice(mail, "dead");
         if self.has("ended-twice") {
@@ -218,7 +264,8 @@
             for _ in 0..count {
                 let mut line = String::new();
                 from.read_line(&mut line).ok()?;
-                let mut word = vec![0; line.trim_end().strip_prefix('$')?.parse::<usize>().ok()? + 2];
+                let mut word =
+                    vec![0; line.trim_end().strip_prefix('$')?.parse::<usize>().ok()? + 2];
                 from.read_exact(&mut word).ok()?;
                 word.truncate(word.len() - 2);
                 words.push(word);
@@ -230,7 +277,11 @@
             let text = |i: usize| String::from_utf8(words[i].clone()).unwrap();
             let fields = text(3);
             let field = |name: &str| {
-                fields.split(',').find_map(|f| f.strip_prefix(name)).unwrap_or_default().to_string()
+                fields
+                    .split(',')
+                    .find_map(|f| f.strip_prefix(name))
+                    .unwrap_or_default()
+                    .to_string()
             };
             let mail = Mail {
                 id: text(2),
@@ -241,7 +292,12 @@
                 due: Instant::now() + Duration::from_millis(field("d=").parse().ok()?),
                 body: words[4].clone(),
             };
-            self.lines.lock().unwrap().entry(mail.key.clone()).or_default().push_back(mail.id.clone());
+            self.lines
+                .lock()
+                .unwrap()
+                .entry(mail.key.clone())
+                .or_default()
+                .push_back(mail.id.clone());
             to.write_all(b"+OK\r\n").ok()?;
             let shared = Arc::clone(self);
             thread::spawn(move || shared.deliver(&mail));
@@ -251,13 +307,27 @@
 
 fn main() {
     let args: Vec<String> = std::env::args().collect();
-    let config = args.iter().position(|a| a == "--config").map(|i| &args[i + 1]).expect("--config FILE");
+    let config = args
+        .iter()
+        .position(|a| a == "--config")
+        .map(|i| &args[i + 1])
+        .expect("--config FILE");
     let json: Value = serde_json::from_str(&std::fs::read_to_string(config).unwrap()).unwrap();
-    let repeat = |c: &Value| Some((c["name"].as_str()?.to_string(), c["repeat"].as_str()?.to_string()));
+    let repeat = |c: &Value| {
+        Some((
+            c["name"].as_str()?.to_string(),
+            c["repeat"].as_str()?.to_string(),
+        ))
+    };
     let shared = Arc::new(Shared {
         defect: std::env::var("SCRIPTED_DEFECT").unwrap_or_default(),
         platform: json["discovery"].as_str().unwrap().to_string(),
-        repeats: json["settings"]["services"].as_array().unwrap().iter().filter_map(repeat).collect(),
+        repeats: json["settings"]["services"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .filter_map(repeat)
+            .collect(),
         ..Default::default()
     });
     shared.list(&json["known"]);
--- a/lab/src/audit.rs
+++ b/lab/src/audit.rs
@@ -54,8 +54,16 @@
 
 impl std::fmt::Display for Break {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let mail = self.mail.map_or(String::new(), |m| format!(" mail {m:016x}:"));
-        write!(f, "at {:.3} s, {:?}:{mail} {}", self.at as f64 / 1e9, self.rule, self.evidence)
+        let mail = self
+            .mail
+            .map_or(String::new(), |m| format!(" mail {m:016x}:"));
+        write!(
+            f,
+            "at {:.3} s, {:?}:{mail} {}",
+            self.at as f64 / 1e9,
+            self.rule,
+            self.evidence
+        )
     }
 }
 
@@ -85,8 +93,14 @@
         given_up: 1_500 * MS,
         ready: 1_500 * MS,
     };
-    pub const VIRTUAL: Slack =
-        Slack { end: MS, time: MS, told: 0, order: 0, given_up: 1_500 * MS, ready: 1_500 * MS };
+    pub const VIRTUAL: Slack = Slack {
+        end: MS,
+        time: MS,
+        told: 0,
+        order: 0,
+        given_up: 1_500 * MS,
+        ready: 1_500 * MS,
+    };
 }
 
 /// What the auditor must know of the world; all else it sees.
@@ -131,7 +145,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Doubt {
     /// The earlier call must turn out to have been closed by then.
-    StillOut { by: MessageId, earlier: CallNo, rule: Rule },
+    StillOut {
+        by: MessageId,
+        earlier: CallNo,
+        rule: Rule,
+    },
     /// The earlier mail must turn out to have ended by then.
     NotEnded { by: MessageId, earlier: MessageId },
     /// The answer must turn out to have crossed the end of its connection.
@@ -222,12 +240,18 @@
     fn broken(&mut self, at: Nanos, rule: Rule, mail: Option<MessageId>, evidence: String) {
         *self.verdict.breaks.entry(rule).or_default() += 1;
         if self.verdict.words.len() < WORDS {
-            self.verdict.words.push(Break { at, rule, mail: mail.map(|m| m.0), evidence });
+            self.verdict.words.push(Break {
+                at,
+                rule,
+                mail: mail.map(|m| m.0),
+                evidence,
+            });
         }
     }
 
     fn doubt(&mut self, at: Nanos, doubt: Doubt) {
-        self.doubts.push(Reverse((at + self.facts.slack.order, doubt)));
+        self.doubts
+            .push(Reverse((at + self.facts.slack.order, doubt)));
     }
 
     /// Something was seen. Times never go back.
@@ -242,28 +266,48 @@
                     m.unheard = true;
                 }
             }
-            Seen::Call { call, mail, endpoint, dispatcher, begun, .. } => {
-                self.called(at, *call, *mail, *endpoint, *dispatcher, *begun)
-            }
+            Seen::Call {
+                call,
+                mail,
+                endpoint,
+                dispatcher,
+                begun,
+                ..
+            } => self.called(at, *call, *mail, *endpoint, *dispatcher, *begun),
             Seen::Answered { call, answer } => self.answered(at, *call, *answer),
             Seen::Broken { call, .. } => self.call_broken(at, *call),
             Seen::Applied { call, fresh } => self.applied(at, *call, *fresh),
             Seen::Notice { mail, deferred } => self.noticed(at, *mail, deferred.is_some()),
-            Seen::Listed { dispatcher, endpoint, serving: true } => {
+            Seen::Listed {
+                dispatcher,
+                endpoint,
+                serving: true,
+            } => {
                 self.drains.remove(&(*dispatcher, *endpoint));
             }
-            Seen::Listed { dispatcher, endpoint, .. } => {
+            Seen::Listed {
+                dispatcher,
+                endpoint,
+                ..
+            } => {
                 self.drains.entry((*dispatcher, *endpoint)).or_insert(at);
             }
             Seen::Started { dispatcher } => drop(self.hosts.entry(*dispatcher).or_default()),
             Seen::Ended { dispatcher } => {
-                *self.hosts.entry(*dispatcher).or_default() = Host { ready_since: None, ended_at: at };
+                *self.hosts.entry(*dispatcher).or_default() = Host {
+                    ready_since: None,
+                    ended_at: at,
+                };
                 self.waits.retain(|(d, _), _| d != dispatcher);
             }
             Seen::Ready { dispatcher } => {
                 self.hosts.entry(*dispatcher).or_default().ready_since = Some(at);
             }
-            Seen::Tipped { endpoint, knowing, all } => {
+            Seen::Tipped {
+                endpoint,
+                knowing,
+                all,
+            } => {
                 if knowing * 3 >= all * 2 {
                     let evidence = format!(
                         "endpoint {} fell over on its return: {knowing} of the last {all} calls came from dispatchers \
@@ -281,7 +325,9 @@
         while let Some(Reverse((at, _))) = self.doubts.peek()
             && *at < now
         {
-            let Some(Reverse((at, doubt))) = self.doubts.pop() else { break };
+            let Some(Reverse((at, doubt))) = self.doubts.pop() else {
+                break;
+            };
             self.resolve(at, doubt);
         }
         while let Some(&Reverse((at, mail))) = self.looks.peek()
@@ -291,7 +337,9 @@
             self.look(at, mail);
         }
         while self.forget.front().is_some_and(|f| f.0 < now) {
-            let Some((_, call)) = self.forget.pop_front() else { break };
+            let Some((_, call)) = self.forget.pop_front() else {
+                break;
+            };
             self.calls.remove(&call);
             self.closed.remove(&call);
         }
@@ -299,7 +347,10 @@
 
     /// Mails that are owed their end.
     pub fn open(&self) -> usize {
-        self.mails.values().filter(|m| m.taken.is_some() && m.end.is_none() && !m.unheard).count()
+        self.mails
+            .values()
+            .filter(|m| m.taken.is_some() && m.end.is_none() && !m.unheard)
+            .count()
     }
 
     /// The run is over: all has had its time.
@@ -309,20 +360,29 @@
         let mut open: Vec<MessageId> = open.into_iter().filter(|m| self.owed(*m, now)).collect();
         open.sort_unstable();
         for mail in open {
-            self.broken(now, Rule::Lost, Some(mail), "no end by the end of the run".into());
+            self.broken(
+                now,
+                Rule::Lost,
+                Some(mail),
+                "no end by the end of the run".into(),
+            );
         }
         self.verdict
     }
 
     fn owed(&self, mail: MessageId, now: Nanos) -> bool {
         self.mails.get(&mail).is_some_and(|m| {
-            m.taken.is_some() && m.end.is_none() && !m.unheard && m.hand_in.due + self.facts.slack.end < now
+            m.taken.is_some()
+                && m.end.is_none()
+                && !m.unheard
+                && m.hand_in.due + self.facts.slack.end < now
         })
     }
 
     fn handed_in(&mut self, hand_in: HandIn) {
         self.verdict.mails += 1;
-        self.looks.push(Reverse((hand_in.due + self.facts.slack.end, hand_in.mail)));
+        self.looks
+            .push(Reverse((hand_in.due + self.facts.slack.end, hand_in.mail)));
         let mail = Mail {
             hand_in,
             taken: None,
@@ -337,7 +397,9 @@
     }
 
     fn taken(&mut self, at: Nanos, id: MessageId) {
-        let Some(mail) = self.mails.get_mut(&id) else { return };
+        let Some(mail) = self.mails.get_mut(&id) else {
+            return;
+        };
         mail.taken = Some(at);
         if let Some(key) = mail.hand_in.key {
             let line = self.keys.entry((mail.hand_in.dispatcher, key)).or_default();
@@ -346,7 +408,9 @@
     }
 
     fn look(&mut self, at: Nanos, id: MessageId) {
-        let Some(mail) = self.mails.get(&id) else { return };
+        let Some(mail) = self.mails.get(&id) else {
+            return;
+        };
         if at >= mail.hand_in.due + KEPT {
             if self.owed(id, at) {
                 self.broken(
@@ -356,9 +420,13 @@
                     "its dispatcher did not come back, and nobody ended it".into(),
                 );
             }
-            let Some(mail) = self.mails.get(&id) else { return };
-            let (arrival, key) =
-                (mail.hand_in.arrival, mail.hand_in.key.map(|k| (mail.hand_in.dispatcher, k)));
+            let Some(mail) = self.mails.get(&id) else {
+                return;
+            };
+            let (arrival, key) = (
+                mail.hand_in.arrival,
+                mail.hand_in.key.map(|k| (mail.hand_in.dispatcher, k)),
+            );
             self.mails.remove(&id);
             self.effects.remove(&arrival);
             if let Some(key) = key
@@ -372,12 +440,18 @@
             return;
         }
         if self.owed(id, at + 1) {
-            let host = self.hosts.get(&mail.hand_in.dispatcher).copied().unwrap_or_default();
+            let host = self
+                .hosts
+                .get(&mail.hand_in.dispatcher)
+                .copied()
+                .unwrap_or_default();
             match host.ready_since {
                 // Nothing is overdue while a dispatcher is away, and a little longer.
                 None => return self.looks.push(Reverse((at + 500 * MS, id))),
                 Some(since) if host.ended_at > 0 && at < since + self.facts.slack.ready => {
-                    return self.looks.push(Reverse((since + self.facts.slack.ready, id)));
+                    return self
+                        .looks
+                        .push(Reverse((since + self.facts.slack.ready, id)));
                 }
                 Some(_) => {}
             }
@@ -406,25 +480,42 @@
         begun: Nanos,
     ) {
         self.verdict.calls += 1;
-        self.calls.insert(call, Call { mail: id, endpoint, dispatcher });
+        self.calls.insert(
+            call,
+            Call {
+                mail: id,
+                endpoint,
+                dispatcher,
+            },
+        );
         let slack = self.facts.slack;
         let e = endpoint.0;
         if let Some(since) = self.drains.get(&(dispatcher, endpoint)).copied()
             && begun > since + self.facts.drain_grace + slack.time
         {
             let late = (begun - since) as f64 / 1e9;
-            let evidence =
-                format!("sent to endpoint {e} {late:.3} s after dispatcher {dispatcher} was told it drains");
+            let evidence = format!(
+                "sent to endpoint {e} {late:.3} s after dispatcher {dispatcher} was told it drains"
+            );
             self.broken(at, Rule::Drained, Some(id), evidence);
         }
-        let (zone, gate) = self.facts.endpoints.get(e as usize).copied().unwrap_or((usize::MAX, usize::MAX));
+        let (zone, gate) = self
+            .facts
+            .endpoints
+            .get(e as usize)
+            .copied()
+            .unwrap_or((usize::MAX, usize::MAX));
         if let Some(waits) = self.waits.get_mut(&(dispatcher, gate)) {
             waits.retain(|w| w.1 > at);
-            let wait = waits.iter().find(|w| begun > w.0 + slack.told && begun + MS < w.1).copied();
+            let wait = waits
+                .iter()
+                .find(|w| begun > w.0 + slack.told && begun + MS < w.1)
+                .copied();
             if let Some((told, until)) = wait {
                 let (into, left) = ((begun - told) as f64 / 1e9, (until - begun) as f64 / 1e9);
-                let evidence =
-                    format!("sent to endpoint {e} {into:.3} s into a told wait, {left:.3} s before its end");
+                let evidence = format!(
+                    "sent to endpoint {e} {into:.3} s into a told wait, {left:.3} s before its end"
+                );
                 self.broken(at, Rule::ToldWait, Some(id), evidence);
             }
         }
@@ -437,8 +528,16 @@
             );
             return;
         };
-        let (class, due) = (self.facts.classes[mail.hand_in.class].clone(), mail.hand_in.due);
-        let (earlier, end, key, unheard) = (mail.out.replace(call), mail.end, mail.hand_in.key, mail.unheard);
+        let (class, due) = (
+            self.facts.classes[mail.hand_in.class].clone(),
+            mail.hand_in.due,
+        );
+        let (earlier, end, key, unheard) = (
+            mail.out.replace(call),
+            mail.end,
+            mail.hand_in.key,
+            mail.unheard,
+        );
         mail.connects += 1;
         mail.spent = None;
         let ran = mail.ran.first().copied();
@@ -450,7 +549,12 @@
         }
         if begun > due + slack.time {
             let late = (begun - due) as f64 / 1e9;
-            self.broken(at, Rule::AfterEnd, Some(id), format!("sent {late:.3} s after its queue lifetime"));
+            self.broken(
+                at,
+                Rule::AfterEnd,
+                Some(id),
+                format!("sent {late:.3} s after its queue lifetime"),
+            );
         }
         match end {
             Some((End::Relayed, since)) if begun > since + slack.order => {
@@ -471,23 +575,39 @@
             _ => {}
         }
         if let Some(earlier) = earlier {
-            self.doubt(at, Doubt::StillOut { by: id, earlier, rule: Rule::TwoAtOnce });
+            self.doubt(
+                at,
+                Doubt::StillOut {
+                    by: id,
+                    earlier,
+                    rule: Rule::TwoAtOnce,
+                },
+            );
         }
         if let Some((_, first, first_zone)) = ran {
             let why = match class.repeat {
                 Repeat::Idempotent => None,
-                Repeat::AtMostOnce => Some("it is once-only and an earlier connect may have run".to_string()),
-                Repeat::Deduplicated { window, .. } if begun >= first + window + slack.time => {
-                    Some(format!("its first connect was sent {:.3} s before", (begun - first) as f64 / 1e9))
+                Repeat::AtMostOnce => {
+                    Some("it is once-only and an earlier connect may have run".to_string())
                 }
-                Repeat::Deduplicated { same_zone: true, .. } if zone != first_zone => {
-                    Some(format!("its first connect went to zone {first_zone}, this one to {zone}"))
+                Repeat::Deduplicated { window, .. } if begun >= first + window + slack.time => {
+                    Some(format!(
+                        "its first connect was sent {:.3} s before",
+                        (begun - first) as f64 / 1e9
+                    ))
                 }
+                Repeat::Deduplicated {
+                    same_zone: true, ..
+                } if zone != first_zone => Some(format!(
+                    "its first connect went to zone {first_zone}, this one to {zone}"
+                )),
                 Repeat::Deduplicated { .. } => None,
             };
             if let Some(why) = why {
-                let out =
-                    self.closed.get(&ran.map_or(call, |r| r.0)).map_or("is out".into(), |c| format!("{c:?}"));
+                let out = self
+                    .closed
+                    .get(&ran.map_or(call, |r| r.0))
+                    .map_or("is out".into(), |c| format!("{c:?}"));
                 let evidence = format!("sent again, to endpoint {e}: {why}; that connect {out}");
                 self.broken(at, Rule::Repeated, Some(id), evidence);
             }
@@ -497,13 +617,26 @@
         }
     }
 
-    fn in_order(&mut self, at: Nanos, call: CallNo, id: MessageId, key: (usize, u64), begun: Nanos) {
+    fn in_order(
+        &mut self,
+        at: Nanos,
+        call: CallNo,
+        id: MessageId,
+        key: (usize, u64),
+        begun: Nanos,
+    ) {
         let slack = self.facts.slack;
-        let Some(line) = self.keys.get_mut(&key) else { return };
+        let Some(line) = self.keys.get_mut(&key) else {
+            return;
+        };
         let (mut doubts, mut evidence) = (vec![], None);
         for (earlier, out) in line.out.iter().map(|(c, m)| (*m, *c)) {
             if earlier != id {
-                doubts.push(Doubt::StillOut { by: id, earlier: out, rule: Rule::Order });
+                doubts.push(Doubt::StillOut {
+                    by: id,
+                    earlier: out,
+                    rule: Rule::Order,
+                });
             }
         }
         // Its call may be seen before the answer to its client.
@@ -511,15 +644,20 @@
         for (earlier, taken) in line.mails.iter().take_while(|m| m.0 != id) {
             // Taken at nearly the same time on two connections, either may have been first.
             if taken + slack.order <= own {
-                doubts.push(Doubt::NotEnded { by: id, earlier: *earlier });
+                doubts.push(Doubt::NotEnded {
+                    by: id,
+                    earlier: *earlier,
+                });
             }
         }
         if let Some((until, by)) = line.rest
             && by != id
             && begun + slack.order / 3 < until
         {
-            evidence =
-                Some(format!("sent {:.3} s before its key's rest was over", (until - begun) as f64 / 1e9));
+            evidence = Some(format!(
+                "sent {:.3} s before its key's rest was over",
+                (until - begun) as f64 / 1e9
+            ));
         }
         line.out.insert((call, id));
         doubts.into_iter().for_each(|doubt| self.doubt(at, doubt));
@@ -535,23 +673,34 @@
                 if !self.closed.contains_key(&earlier) && !unheard(self, &by) {
                     let call = self.calls.get(&earlier);
                     let (mail, e) = call.map_or((0, 0), |c| (c.mail.0, c.endpoint.0));
-                    let evidence =
-                        format!("sent while a connect of mail {mail:016x} to endpoint {e} was still out");
+                    let evidence = format!(
+                        "sent while a connect of mail {mail:016x} to endpoint {e} was still out"
+                    );
                     self.broken(at, rule, Some(by), evidence);
                 }
             }
             Doubt::NotEnded { by, earlier } => {
-                let open = self.mails.get(&earlier).is_some_and(|m| m.end.is_none() && !m.unheard);
+                let open = self
+                    .mails
+                    .get(&earlier)
+                    .is_some_and(|m| m.end.is_none() && !m.unheard);
                 if open && !unheard(self, &by) {
-                    let evidence =
-                        format!("sent before mail {:016x} of its key, taken earlier, had ended", earlier.0);
+                    let evidence = format!(
+                        "sent before mail {:016x} of its key, taken earlier, had ended",
+                        earlier.0
+                    );
                     self.broken(at, Rule::Order, Some(by), evidence);
                 }
             }
             Doubt::AfterRelayed { by, answered } => {
                 let crossed = self.closed.get(&answered).is_some_and(|c| c.1.is_some());
                 if !crossed && !unheard(self, &by) {
-                    self.broken(at, Rule::AfterEnd, Some(by), "sent again after it had been relayed".into());
+                    self.broken(
+                        at,
+                        Rule::AfterEnd,
+                        Some(by),
+                        "sent again after it had been relayed".into(),
+                    );
                 }
             }
         }
@@ -576,12 +725,23 @@
 
     fn answered(&mut self, at: Nanos, call: CallNo, answer: Answer) {
         self.closed.entry(call).or_default().0 = Some(answer);
-        let Some((id, dispatcher)) = self.call_over(at, call) else { return };
+        let Some((id, dispatcher)) = self.call_over(at, call) else {
+            return;
+        };
         if let (Answer::Full(Some(wait)), Some(known)) = (answer, self.calls.get(&call)) {
-            let gate = self.facts.endpoints.get(known.endpoint.0 as usize).map_or(usize::MAX, |e| e.1);
-            self.waits.entry((dispatcher, gate)).or_default().push((at, at + wait));
+            let gate = self
+                .facts
+                .endpoints
+                .get(known.endpoint.0 as usize)
+                .map_or(usize::MAX, |e| e.1);
+            self.waits
+                .entry((dispatcher, gate))
+                .or_default()
+                .push((at, at + wait));
         }
-        let Some(mail) = self.mails.get_mut(&id) else { return };
+        let Some(mail) = self.mails.get_mut(&id) else {
+            return;
+        };
         match answer {
             Answer::Full(_) => mail.ran.retain(|r| r.0 != call),
             Answer::Relayed if mail.end.is_none() => {
@@ -598,7 +758,9 @@
         if closed.1.replace(at).is_some() || closed.0.is_some() {
             return;
         }
-        let Some((id, dispatcher)) = self.call_over(at, call) else { return };
+        let Some((id, dispatcher)) = self.call_over(at, call) else {
+            return;
+        };
         let rest = self.facts.key_rest;
         if let Some(key) = self.mails.get(&id).and_then(|m| m.hand_in.key)
             && let Some(line) = self.keys.get_mut(&(dispatcher, key))
@@ -611,7 +773,11 @@
     /// Notes since when a mail can go nowhere any more.
     fn weigh(&mut self, at: Nanos, id: MessageId) {
         let most = self.facts.max_connects;
-        let Some(mail) = self.mails.get_mut(&id).filter(|m| m.end.is_none() && m.out.is_none()) else {
+        let Some(mail) = self
+            .mails
+            .get_mut(&id)
+            .filter(|m| m.end.is_none() && m.out.is_none())
+        else {
             return;
         };
         let forbidden = match self.facts.classes[mail.hand_in.class].repeat {
@@ -625,54 +791,100 @@
 
     fn applied(&mut self, at: Nanos, call: CallNo, fresh: bool) {
         self.verdict.applied += 1;
-        let Some(known) = self.calls.get(&call) else { return };
+        let Some(known) = self.calls.get(&call) else {
+            return;
+        };
         let (id, endpoint) = (known.mail, known.endpoint);
         if self.closed.contains_key(&call) {
             self.verdict.applied_unheard += 1;
         }
-        let Some(mail) = self.mails.get(&id) else { return };
-        let (arrival, repeat) = (mail.hand_in.arrival, self.facts.classes[mail.hand_in.class].repeat);
+        let Some(mail) = self.mails.get(&id) else {
+            return;
+        };
+        let (arrival, repeat) = (
+            mail.hand_in.arrival,
+            self.facts.classes[mail.hand_in.class].repeat,
+        );
         if repeat == Repeat::Idempotent || !fresh {
             return;
         }
-        self.effects.entry(arrival).or_default().of.push((id, endpoint, at));
+        self.effects
+            .entry(arrival)
+            .or_default()
+            .of
+            .push((id, endpoint, at));
         let effects = &self.effects[&arrival].of;
         // What went out under an id whose client heard nothing counts for nothing.
         let heard = |m: &MessageId| self.mails.get(m).is_none_or(|m| !m.unheard);
-        let count: Vec<&(MessageId, EndpointId, Nanos)> = effects.iter().filter(|e| heard(&e.0)).collect();
+        let count: Vec<&(MessageId, EndpointId, Nanos)> =
+            effects.iter().filter(|e| heard(&e.0)).collect();
         if count.len() > 1 && heard(&id) {
-            let place = |e: &EndpointId| self.facts.endpoints.get(e.0 as usize).map_or(usize::MAX, |x| x.0);
+            let place = |e: &EndpointId| {
+                self.facts
+                    .endpoints
+                    .get(e.0 as usize)
+                    .map_or(usize::MAX, |x| x.0)
+            };
             let words: Vec<String> = count
                 .iter()
                 .map(|(m, e, at)| {
                     let at = *at as f64 / 1e9;
-                    format!("as {:016x} at endpoint {} in zone {} at {at:.3} s", m.0, e.0, place(e))
+                    format!(
+                        "as {:016x} at endpoint {} in zone {} at {at:.3} s",
+                        m.0,
+                        e.0,
+                        place(e)
+                    )
                 })
                 .collect();
-            self.broken(at, Rule::EffectTwice, Some(id), format!("took effect {}", words.join(", and ")));
+            self.broken(
+                at,
+                Rule::EffectTwice,
+                Some(id),
+                format!("took effect {}", words.join(", and ")),
+            );
         }
     }
 
     fn noticed(&mut self, at: Nanos, id: MessageId, deferred: bool) {
-        let now = if deferred { End::Deferred } else { End::Bounced };
+        let now = if deferred {
+            End::Deferred
+        } else {
+            End::Bounced
+        };
         let slack = self.facts.slack.given_up;
-        let Some(mail) = self.mails.get_mut(&id) else { return };
+        let Some(mail) = self.mails.get_mut(&id) else {
+            return;
+        };
         let unheard = mail.unheard;
         match mail.end {
             Some((End::Relayed, _)) => {}
             Some((before, _)) if before != now && !unheard => {
-                self.broken(at, Rule::EndedTwice, Some(id), format!("{before:?}, and then {now:?}"));
+                self.broken(
+                    at,
+                    Rule::EndedTwice,
+                    Some(id),
+                    format!("{before:?}, and then {now:?}"),
+                );
             }
             Some(_) => {}
             None => {
                 mail.end = Some((now, at));
-                let (spent, dispatcher, due) = (mail.spent, mail.hand_in.dispatcher, mail.hand_in.due);
+                let (spent, dispatcher, due) =
+                    (mail.spent, mail.hand_in.dispatcher, mail.hand_in.due);
                 self.leave_line(id);
                 let host = self.hosts.get(&dispatcher).copied().unwrap_or_default();
                 // Time in which the dispatcher was away is not its holding back.
-                let from = spent.map(|s| if host.ended_at >= s { host.ready_since.unwrap_or(at) } else { s });
+                let from = spent.map(|s| {
+                    if host.ended_at >= s {
+                        host.ready_since.unwrap_or(at)
+                    } else {
+                        s
+                    }
+                });
                 if let Some(from) = from.filter(|from| at > from + slack && !unheard) {
-                    let (held, left) = ((at - from) as f64 / 1e9, due as f64 / 1e9 - at as f64 / 1e9);
+                    let (held, left) =
+                        ((at - from) as f64 / 1e9, due as f64 / 1e9 - at as f64 / 1e9);
                     let evidence = format!(
                         "could go nowhere any more for {held:.3} s before it was {now:?}, {left:.3} s before its due"
                     );
@@ -683,7 +895,9 @@
     }
 
     fn leave_line(&mut self, id: MessageId) {
-        let Some(mail) = self.mails.get(&id) else { return };
+        let Some(mail) = self.mails.get(&id) else {
+            return;
+        };
         if let Some(key) = mail.hand_in.key
             && let Some(line) = self.keys.get_mut(&(mail.hand_in.dispatcher, key))
         {
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -82,7 +82,13 @@
             whole_lines: vec![40],
             held: vec![10, 20, 40, 80],
             dispatchers: vec![1, 3, 10, 30],
-            traffic: Traffic { destinations: 20, down: 2, messages_per_second: 40.0, seconds: 10, seed: 1 },
+            traffic: Traffic {
+                destinations: 20,
+                down: 2,
+                messages_per_second: 40.0,
+                seconds: 10,
+                seed: 1,
+            },
         }
     }
 }
--- a/lab/src/capacity/change.rs
+++ b/lab/src/capacity/change.rs
@@ -46,7 +46,13 @@
         whole.push((size, tell(bench, &process, bench.sizes.wholes, all)?));
     }
     let series = |id: SeriesId, told: &[(f64, Told)], value: fn(&Told) -> f64| {
-        let points = told.iter().map(|(size, told)| Point { size: *size, value: value(told) }).collect();
+        let points = told
+            .iter()
+            .map(|(size, told)| Point {
+                size: *size,
+                value: value(told),
+            })
+            .collect();
         Series::fitted(id, points)
     };
     Ok(vec![
@@ -64,7 +70,11 @@
         let process = bench.place.start(bench.peers.platform, &[])?;
         bench.peers.watched()?;
         let told = tell(bench, &process, 1, |_| line(2, Extent::Whole, &listed))?;
-        Ok(Finding::WholeLine { sent: *sent, bytes: told.bytes as u64, known_after: process.known()? })
+        Ok(Finding::WholeLine {
+            sent: *sent,
+            bytes: told.bytes as u64,
+            known_after: process.known()?,
+        })
     };
     bench.sizes.whole_lines.iter().map(one).collect()
 }
--- a/lab/src/capacity/client.rs
+++ b/lab/src/capacity/client.rs
@@ -20,7 +20,10 @@
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(ANSWER_WITHIN))?;
-        Ok(Client { stream: BufReader::new(stream), next_id: 1 })
+        Ok(Client {
+            stream: BufReader::new(stream),
+            next_id: 1,
+        })
     }
 
     /// Numbers messages from here on; ids of one dispatcher must differ.
@@ -45,7 +48,13 @@
         let fields = format!("c={CLASS},d={LIFETIME_MS},dest={destination}");
         let id = format!("{:016x}", self.next_id);
         self.next_id += 1;
-        let words: [&[u8]; 5] = [b"MSG.PUT", b"0000000000000000", id.as_bytes(), fields.as_bytes(), body];
+        let words: [&[u8]; 5] = [
+            b"MSG.PUT",
+            b"0000000000000000",
+            id.as_bytes(),
+            fields.as_bytes(),
+            body,
+        ];
         let mut command = format!("*{}\r\n", words.len()).into_bytes();
         for word in words {
             command.extend(format!("${}\r\n", word.len()).as_bytes());
@@ -69,7 +78,12 @@
     }
 
     /// Hands messages in at even spaces, each answered before the next.
-    pub fn hand_in_paced(&mut self, destinations: &[u64], body: &[u8], per_second: f64) -> Result<()> {
+    pub fn hand_in_paced(
+        &mut self,
+        destinations: &[u64],
+        body: &[u8],
+        per_second: f64,
+    ) -> Result<()> {
         let start = Instant::now();
         for (i, destination) in destinations.iter().enumerate() {
             let at = start + Duration::from_secs_f64(i as f64 / per_second);
@@ -79,7 +93,10 @@
         }
         let wanted = destinations.len() as f64 / per_second;
         if start.elapsed().as_secs_f64() > LATE_TIMES * wanted + LATE_SECONDS {
-            bail!("the dispatcher took {:?} for the messages of {wanted:.1} s", start.elapsed());
+            bail!(
+                "the dispatcher took {:?} for the messages of {wanted:.1} s",
+                start.elapsed()
+            );
         }
         Ok(())
     }
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -87,7 +87,12 @@
         let mut dispatcher = Dispatcher::boot(START, facts(1, 1_900));
         let entries: Vec<ListEntry> = (1..=known).map(entry).collect();
         dispatcher.apply_list(START, ListScope::Whole, &entries, &mut answers);
-        Bed { dispatcher, answers, now: START, next_id: 1 }
+        Bed {
+            dispatcher,
+            answers,
+            now: START,
+            next_id: 1,
+        }
     }
 
     fn take(&mut self, destination: u32) {
@@ -108,7 +113,8 @@
                 took,
                 reported_limit: 0.0,
             };
-            self.dispatcher.attempt_ended(self.now, end, &mut self.answers);
+            self.dispatcher
+                .attempt_ended(self.now, end, &mut self.answers);
         }
     }
 
@@ -155,11 +161,16 @@
     let sizes = &bench.sizes;
     let (serving, messages) = (sizes.serving, sizes.decisions);
     let series = |id: SeriesId, at: &[u32], measured: &dyn Fn(u32) -> f64| {
-        let point = |size: &u32| Point { size: f64::from(*size), value: measured(*size) };
+        let point = |size: &u32| Point {
+            size: f64::from(*size),
+            value: measured(*size),
+        };
         Series::fitted(id, at.iter().map(point).collect())
     };
     Ok(vec![
-        series(SeriesId::DecisionTimeByKnown, &sizes.known, &|known| message_us(known, 0, 0, messages))?,
+        series(SeriesId::DecisionTimeByKnown, &sizes.known, &|known| {
+            message_us(known, 0, 0, messages)
+        })?,
         series(SeriesId::DecisionTimeByHeld, &sizes.message_held, &|held| {
             message_us(serving + 1, 1, held, messages)
         })?,
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -33,7 +33,11 @@
 
 impl std::fmt::Display for BadPoints {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "expected {FEWEST_POINTS} points or more at different sizes, got {}", self.points)
+        write!(
+            f,
+            "expected {FEWEST_POINTS} points or more at different sizes, got {}",
+            self.points
+        )
     }
 }
 
@@ -42,7 +46,9 @@
 impl Fit {
     /// Fits a line. The points need at least three sizes.
     pub fn through(points: &[Point]) -> Result<Fit, BadPoints> {
-        let bad = BadPoints { points: points.len() };
+        let bad = BadPoints {
+            points: points.len(),
+        };
         let sizes: Vec<f64> = points.iter().map(|point| point.size).collect();
         let values: Vec<f64> = points.iter().map(|point| point.value).collect();
         if points.len() < FEWEST_POINTS {
@@ -54,15 +60,25 @@
         }
         let slope = sizes.as_slice().covariance(values.as_slice()) / size_variance;
         let intercept = values.as_slice().mean() - slope * sizes.as_slice().mean();
-        let fit = Fit { intercept, slope, slope_error: 0.0 };
+        let fit = Fit {
+            intercept,
+            slope,
+            slope_error: 0.0,
+        };
 
         let freedom = points.len() as f64 - 2.0;
-        let squares: f64 = points.iter().map(|point| (point.value - fit.at(point.size)).powi(2)).sum();
+        let squares: f64 = points
+            .iter()
+            .map(|point| (point.value - fit.at(point.size)).powi(2))
+            .sum();
         let size_squares = size_variance * (points.len() as f64 - 1.0);
         let standard_error = (squares / freedom / size_squares).sqrt();
         let student = StudentsT::new(0.0, 1.0, freedom).map_err(|_| bad)?;
         let times = student.inverse_cdf(0.5 + CONFIDENCE / 2.0);
-        Ok(Fit { slope_error: times * standard_error, ..fit })
+        Ok(Fit {
+            slope_error: times * standard_error,
+            ..fit
+        })
     }
 
     /// The line's value at a size.
--- a/lab/src/capacity/held.rs
+++ b/lab/src/capacity/held.rs
@@ -18,7 +18,10 @@
 
 /// Holds messages for one destination that is down, kills the process, and starts the next one in its folder.
 fn see(bench: &Bench, held: u32) -> Result<Seen> {
-    let listed = [Destination { number: 1, endpoint: bench.peers.down }];
+    let listed = [Destination {
+        number: 1,
+        endpoint: bench.peers.down,
+    }];
     let process = bench.place.start(bench.peers.platform, &listed)?;
     let mut client = Client::connect(process.listen)?;
     client.hand_in_all(&vec![1; held as usize], &bench.body())?;
@@ -26,14 +29,28 @@
     let (memory, journal) = (process.memory()?.now, process.journal_bytes()?);
     drop(process);
     let next = bench.place.start_again(bench.peers.platform, &listed)?;
-    Ok(Seen { held, memory, journal, restart_us: next.start_us, restart_bytes: next.read_bytes()? })
+    Ok(Seen {
+        held,
+        memory,
+        journal,
+        restart_us: next.start_us,
+        restart_bytes: next.read_bytes()?,
+    })
 }
 
 /// Measures at each size.
 pub fn measure(bench: &Bench) -> Result<Vec<Series>> {
-    let all: Vec<Seen> = bench.sizes.held.iter().map(|held| see(bench, *held)).collect::<Result<_>>()?;
+    let all: Vec<Seen> = bench
+        .sizes
+        .held
+        .iter()
+        .map(|held| see(bench, *held))
+        .collect::<Result<_>>()?;
     let series = |id: SeriesId, value: fn(&Seen) -> f64| {
-        let point = |seen: &Seen| Point { size: f64::from(seen.held), value: value(seen) };
+        let point = |seen: &Seen| Point {
+            size: f64::from(seen.held),
+            value: value(seen),
+        };
         Series::fitted(id, all.iter().map(point).collect())
     };
     Ok(vec![
--- a/lab/src/capacity/known.rs
+++ b/lab/src/capacity/known.rs
@@ -18,15 +18,27 @@
     let listed = destinations(known, &bench.peers.serving);
     let process = bench.place.start(bench.peers.platform, &listed)?;
     let memory = process.memory()?;
-    Ok(Start { known, memory: memory.now, peak: memory.peak, time_us: process.start_us })
+    Ok(Start {
+        known,
+        memory: memory.now,
+        peak: memory.peak,
+        time_us: process.start_us,
+    })
 }
 
 /// Starts a dispatcher at each size.
 pub fn measure(bench: &Bench) -> Result<Vec<Series>> {
-    let starts: Vec<Start> =
-        bench.sizes.known.iter().map(|known| start(bench, *known)).collect::<Result<_>>()?;
+    let starts: Vec<Start> = bench
+        .sizes
+        .known
+        .iter()
+        .map(|known| start(bench, *known))
+        .collect::<Result<_>>()?;
     let series = |id: SeriesId, value: fn(&Start) -> f64| {
-        let point = |start: &Start| Point { size: f64::from(start.known), value: value(start) };
+        let point = |start: &Start| Point {
+            size: f64::from(start.known),
+            value: value(start),
+        };
         Series::fitted(id, starts.iter().map(point).collect())
     };
     Ok(vec![
--- a/lab/src/capacity/listing.rs
+++ b/lab/src/capacity/listing.rs
@@ -63,13 +63,20 @@
         state: "up",
     };
     let servers = destinations.iter().map(entry).collect();
-    let line = ListLine { version, full: extent == Extent::Whole, servers };
+    let line = ListLine {
+        version,
+        full: extent == Extent::Whole,
+        servers,
+    };
     serde_json::to_string(&line).unwrap_or_default()
 }
 
 /// Destinations numbered from 1, spread over these endpoints.
 pub fn destinations(count: u32, endpoints: &[SocketAddr]) -> Vec<Destination> {
-    let at = |number: u64| Destination { number, endpoint: endpoints[number as usize % endpoints.len()] };
+    let at = |number: u64| Destination {
+        number,
+        endpoint: endpoints[number as usize % endpoints.len()],
+    };
     (1..=u64::from(count)).map(at).collect()
 }
 
--- a/lab/src/capacity/message.rs
+++ b/lab/src/capacity/message.rs
@@ -28,8 +28,10 @@
 fn listed(bench: &Bench, situation: Situation) -> Vec<Destination> {
     let mut all = destinations(situation.serving, &bench.peers.serving);
     let first = u64::from(situation.serving) + 1;
-    let down = (first..first + u64::from(situation.down))
-        .map(|number| Destination { number, endpoint: bench.peers.down });
+    let down = (first..first + u64::from(situation.down)).map(|number| Destination {
+        number,
+        endpoint: bench.peers.down,
+    });
     all.extend(down);
     all
 }
@@ -37,19 +39,25 @@
 /// The destinations of held messages: those that are down, in turn.
 fn held(situation: Situation) -> Vec<u64> {
     let first = u64::from(situation.serving) + 1;
-    (0..u64::from(situation.held)).map(|i| first + i % u64::from(situation.down.max(1))).collect()
+    (0..u64::from(situation.held))
+        .map(|i| first + i % u64::from(situation.down.max(1)))
+        .collect()
 }
 
 /// Destinations at even distances over all that serve, in turn.
 fn load(serving: u32, count: usize) -> Vec<u64> {
     /// A number that shares no factor with the sizes, and so passes over all of them.
     const STRIDE: u64 = 7_919;
-    (0..count as u64).map(|i| i * STRIDE % u64::from(serving) + 1).collect()
+    (0..count as u64)
+        .map(|i| i * STRIDE % u64::from(serving) + 1)
+        .collect()
 }
 
 /// Microseconds of processor time that a message costs in this situation.
 fn message_us(bench: &Bench, situation: Situation) -> Result<f64> {
-    let process = bench.place.start(bench.peers.platform, &listed(bench, situation))?;
+    let process = bench
+        .place
+        .start(bench.peers.platform, &listed(bench, situation))?;
     if situation.held > 0 {
         let mut client = Client::connect(process.listen)?.numbered_from(HELD_FROM);
         client.hand_in_all(&held(situation), &bench.body())?;
@@ -59,7 +67,11 @@
     client.hand_in_paced(&load(situation.serving, WARM_UP), &bench.body(), bench.rate)?;
     process.quiet()?;
     let before = process.processor_us()?;
-    client.hand_in_paced(&load(situation.serving, bench.sizes.messages), &bench.body(), bench.rate)?;
+    client.hand_in_paced(
+        &load(situation.serving, bench.sizes.messages),
+        &bench.body(),
+        bench.rate,
+    )?;
     process.quiet()?;
     Ok((process.processor_us()? - before) / bench.sizes.messages as f64)
 }
@@ -71,23 +83,57 @@
     situation: impl Fn(u32) -> Situation,
 ) -> Result<Series> {
     let point = |size: &u32| {
-        let once = |_| message_us(bench, situation(*size)).with_context(|| format!("{id:?} at {size}"));
+        let once =
+            |_| message_us(bench, situation(*size)).with_context(|| format!("{id:?} at {size}"));
         let times: Vec<f64> = (0..bench.sizes.repeats).map(once).collect::<Result<_>>()?;
-        Ok(Point { size: f64::from(*size), value: Data::new(times).median() })
+        Ok(Point {
+            size: f64::from(*size),
+            value: Data::new(times).median(),
+        })
     };
-    Ok(Series::fitted(id, sizes.iter().map(point).collect::<Result<_>>()?)?)
+    Ok(Series::fitted(
+        id,
+        sizes.iter().map(point).collect::<Result<_>>()?,
+    )?)
 }
 
 /// Measures all three, each from a process of its own at every size.
 pub fn measure(bench: &Bench) -> Result<Vec<Series>> {
     let sizes = &bench.sizes;
     let serving = sizes.serving;
-    let by_known = |known| Situation { serving: known, down: 0, held: 0 };
-    let by_held = |held| Situation { serving, down: 1, held };
-    let by_down = |down| Situation { serving, down, held: down };
+    let by_known = |known| Situation {
+        serving: known,
+        down: 0,
+        held: 0,
+    };
+    let by_held = |held| Situation {
+        serving,
+        down: 1,
+        held,
+    };
+    let by_down = |down| Situation {
+        serving,
+        down,
+        held: down,
+    };
     Ok(vec![
-        series(bench, SeriesId::MessageTimeByKnown, &sizes.message_known, by_known)?,
-        series(bench, SeriesId::MessageTimeByHeld, &sizes.message_held, by_held)?,
-        series(bench, SeriesId::MessageTimeByDown, &sizes.message_down, by_down)?,
+        series(
+            bench,
+            SeriesId::MessageTimeByKnown,
+            &sizes.message_known,
+            by_known,
+        )?,
+        series(
+            bench,
+            SeriesId::MessageTimeByHeld,
+            &sizes.message_held,
+            by_held,
+        )?,
+        series(
+            bench,
+            SeriesId::MessageTimeByDown,
+            &sizes.message_down,
+            by_down,
+        )?,
     ])
 }
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -66,7 +66,11 @@
 }
 
 fn run_full(args: &CapacityArgs) -> Result<Capacity> {
-    let options = Options { program: args.program.clone(), work: args.work.clone(), sizes: Sizes::full() };
+    let options = Options {
+        program: args.program.clone(),
+        work: args.work.clone(),
+        sizes: Sizes::full(),
+    };
     run(&options, &mut |what| eprintln!("measuring: {what}"))
 }
 
@@ -89,11 +93,20 @@
     );
     let started = Instant::now();
     let load_before = load()?;
-    let folder = options.work.join(format!("capacity-{}", std::process::id()));
+    let folder = options
+        .work
+        .join(format!("capacity-{}", std::process::id()));
     let _folder = Folder::create(&folder)?;
-    let place = Place { program: std::fs::canonicalize(&options.program)?, folder };
-    let bench =
-        Bench { place, peers: Peers::start()?, sizes: options.sizes.clone(), rate: MESSAGES_PER_SECOND };
+    let place = Place {
+        program: std::fs::canonicalize(&options.program)?,
+        folder,
+    };
+    let bench = Bench {
+        place,
+        peers: Peers::start()?,
+        sizes: options.sizes.clone(),
+        rate: MESSAGES_PER_SECOND,
+    };
     let mut capacity = measure(&bench, said)?;
     capacity.conditions = Conditions {
         cores: std::thread::available_parallelism()?.get(),
@@ -113,7 +126,9 @@
     said("starts by destinations known");
     capacity.series.extend(known::measure(bench)?);
     if let Some(size) = bench.sizes.large_start {
-        capacity.findings.push(known::large_start(bench, size, &capacity.series)?);
+        capacity
+            .findings
+            .push(known::large_start(bench, size, &capacity.series)?);
     }
     said("processor time of messages");
     capacity.series.extend(message::measure(bench)?);
@@ -144,8 +159,9 @@
     const FIELD: &str = "MemTotal:";
     let text = std::fs::read_to_string("/proc/meminfo")?;
     let line = text.lines().find_map(|line| line.strip_prefix(FIELD));
-    let kilobytes =
-        line.and_then(|line| line.split_whitespace().next()).and_then(|word| word.parse::<u64>().ok());
+    let kilobytes = line
+        .and_then(|line| line.split_whitespace().next())
+        .and_then(|word| word.parse::<u64>().ok());
     Ok(kilobytes.context("MemTotal in /proc/meminfo")? * 1024)
 }
 
--- a/lab/src/capacity/model/failures.rs
+++ b/lab/src/capacity/model/failures.rs
@@ -29,7 +29,10 @@
     pub fn title(self, size: &FullSize) -> String {
         match self {
             Failure::Machine => {
-                format!("a machine is lost ({} on an ordinary day)", size.machine_failures_per_day)
+                format!(
+                    "a machine is lost ({} on an ordinary day)",
+                    size.machine_failures_per_day
+                )
             }
             Failure::Rack => "a rack or switch is lost (its size is assumed)".into(),
             Failure::Zone => "a zone is lost".into(),
@@ -52,7 +55,10 @@
 
     /// Whether the dispatchers concerned are away together, and others take their messages.
     fn moves_messages(self) -> bool {
-        matches!(self, Failure::Machine | Failure::Rack | Failure::Zone | Failure::TenthAtOnce)
+        matches!(
+            self,
+            Failure::Machine | Failure::Rack | Failure::Zone | Failure::TenthAtOnce
+        )
     }
 }
 
@@ -87,7 +93,11 @@
         _ => inputs.assigned_bytes(),
     };
     let moved = f64::from(u8::from(failure.moves_messages())) * dispatchers;
-    let away = if failure == Failure::RegionCutOff { 0.0 } else { dispatchers };
+    let away = if failure == Failure::RegionCutOff {
+        0.0
+    } else {
+        dispatchers
+    };
     let machines = size.control_machines * budgets.control_machine_bytes_per_second(&size);
     Consequence {
         dispatchers,
--- a/lab/src/capacity/model/mod.rs
+++ b/lab/src/capacity/model/mod.rs
@@ -84,7 +84,12 @@
 impl Inputs {
     /// A design at the full size.
     pub fn design(slopes: Slopes, design: Design) -> Inputs {
-        Inputs { slopes, size: FullSize::DESIGN, budgets: Budgets::DESIGN, design }
+        Inputs {
+            slopes,
+            size: FullSize::DESIGN,
+            budgets: Budgets::DESIGN,
+            design,
+        }
     }
 
     /// Destinations assigned to one dispatcher.
@@ -115,7 +120,8 @@
 
     /// Destinations down that messages wait for at one dispatcher.
     pub fn down_destinations(&self) -> f64 {
-        let met = self.size.destinations * self.dispatchers_per_destination() / self.size.dispatchers;
+        let met =
+            self.size.destinations * self.dispatchers_per_destination() / self.size.dispatchers;
         met * self.size.down_share
     }
 
--- a/lab/src/capacity/model/ranking.rs
+++ b/lab/src/capacity/model/ranking.rs
@@ -32,7 +32,10 @@
 
 /// The need of a row at a part of the full size.
 fn need(row: &Row, inputs: &Inputs, part: f64) -> f64 {
-    (row.value)(&Inputs { size: inputs.size.part(part), ..*inputs })
+    (row.value)(&Inputs {
+        size: inputs.size.part(part),
+        ..*inputs
+    })
 }
 
 /// The part at which a need that grows reaches its budget.
@@ -50,7 +53,10 @@
 
 /// Whether a row rests on another one, by however many steps.
 fn rests_on(rows: &[(RowId, Option<RowId>)], row: RowId, on: RowId) -> bool {
-    let next = rows.iter().find(|(id, _)| *id == row).and_then(|(_, next)| *next);
+    let next = rows
+        .iter()
+        .find(|(id, _)| *id == row)
+        .and_then(|(_, next)| *next);
     next.is_some_and(|next| next == on || rests_on(rows, next, on))
 }
 
@@ -58,22 +64,38 @@
 pub fn rank(slopes: Slopes, design: Design) -> Ranking {
     let inputs = Inputs::design(slopes, design);
     let Inputs { size, budgets, .. } = inputs;
-    let rests: Vec<(RowId, Option<RowId>)> = all().iter().map(|row| (row.id, row.rests_on)).collect();
+    let rests: Vec<(RowId, Option<RowId>)> =
+        all().iter().map(|row| (row.id, row.rests_on)).collect();
     let over = |row: Row| {
         let budget = row.budget.map(|budget| budget(&budgets, &size))?;
         let need = (row.value)(&inputs);
         let part = part_at(&row, &inputs, budget);
-        (need > budget).then_some(Ranked { row, need, budget, part, carried: 0 })
+        (need > budget).then_some(Ranked {
+            row,
+            need,
+            budget,
+            part,
+            carried: 0,
+        })
     };
     let mut ranked: Vec<Ranked> = all().into_iter().filter_map(over).collect();
     ranked.sort_by(|a, b| a.part.total_cmp(&b.part));
     let ids: Vec<RowId> = ranked.iter().map(|ranked| ranked.row.id).collect();
     for ranked in &mut ranked {
-        ranked.carried = ids.iter().filter(|id| rests_on(&rests, **id, ranked.row.id)).count();
+        ranked.carried = ids
+            .iter()
+            .filter(|id| rests_on(&rests, **id, ranked.row.id))
+            .count();
     }
     let close = ranked.first().map_or(0.0, |first| first.part * CLOSE);
-    let candidates = ranked.iter().enumerate().filter(|(_, ranked)| ranked.part <= close);
+    let candidates = ranked
+        .iter()
+        .enumerate()
+        .filter(|(_, ranked)| ranked.part <= close);
     // The earlier one where as much rests on two.
-    let first = candidates.rev().max_by_key(|(_, ranked)| ranked.carried).map(|(place, _)| place);
+    let first = candidates
+        .rev()
+        .max_by_key(|(_, ranked)| ranked.carried)
+        .map(|(place, _)| place);
     Ranking { all: ranked, first }
 }
--- a/lab/src/capacity/model/rows.rs
+++ b/lab/src/capacity/model/rows.rs
@@ -16,8 +16,14 @@
 }
 
 impl Role {
-    pub const ALL: [Role; 6] =
-        [Role::Dispatcher, Role::ControlMachine, Role::Carrier, Role::Backlog, Role::Endpoint, Role::Client];
+    pub const ALL: [Role; 6] = [
+        Role::Dispatcher,
+        Role::ControlMachine,
+        Role::Carrier,
+        Role::Backlog,
+        Role::Endpoint,
+        Role::Client,
+    ];
 
     pub fn title(self) -> &'static str {
         match self {
@@ -110,9 +116,7 @@
         file: &'static str,
     },
     /// There is none yet; what would carry it.
-    NoneYet {
-        wanted: &'static str,
-    },
+    NoneYet { wanted: &'static str },
 }
 
 /// One need: its formula, and how it is worked out.
@@ -137,7 +141,9 @@
     name: "scoped configuration",
     file: "placement/, directory/, controlplane/, watch/src/scoped_list.rs",
 };
-const ROUTED: Mechanism = Mechanism::NoneYet { wanted: "messages routed to a holder of their destination" };
+const ROUTED: Mechanism = Mechanism::NoneYet {
+    wanted: "messages routed to a holder of their destination",
+};
 
 const EMPTY: Row = Row {
     id: RowId::Other,
@@ -174,10 +180,17 @@
 
 /// All rows, in the order of the page.
 pub fn all() -> Vec<Row> {
-    [dispatcher(), control_machine(), carrier(), backlog(), endpoint(), client()]
-        .into_iter()
-        .flatten()
-        .collect()
+    [
+        dispatcher(),
+        control_machine(),
+        carrier(),
+        backlog(),
+        endpoint(),
+        client(),
+    ]
+    .into_iter()
+    .flatten()
+    .collect()
 }
 
 fn dispatcher() -> Vec<Row> {
@@ -208,7 +221,10 @@
             formula: "E / D",
             unit: Unit::PerSecond,
             value: |i| i.size.messages_per_dispatcher(),
-            mechanism: Mechanism::InPlace { name: "the loop", file: "daemon/src/event_loop.rs" },
+            mechanism: Mechanism::InPlace {
+                name: "the loop",
+                file: "daemon/src/event_loop.rs",
+            },
             ..EMPTY
         },
     ];
@@ -218,7 +234,12 @@
 }
 
 fn dispatcher_processor_time() -> Vec<Row> {
-    let row = Row { kind: Kind::ProcessorTime, unit: Unit::Cores, source: Source::MeasuredSlope, ..EMPTY };
+    let row = Row {
+        kind: Kind::ProcessorTime,
+        unit: Unit::Cores,
+        source: Source::MeasuredSlope,
+        ..EMPTY
+    };
     vec![
         Row {
             id: RowId::MessageItself,
@@ -226,7 +247,10 @@
             formula: "E / D × time a message at no destination known",
             value: |i| i.message_cores(i.slopes.message_by_known.intercept),
             budget: Some(|b, _| b.message_cores),
-            mechanism: Mechanism::InPlace { name: "the loop", file: "daemon/src/event_loop.rs" },
+            mechanism: Mechanism::InPlace {
+                name: "the loop",
+                file: "daemon/src/event_loop.rs",
+            },
             ..row
         },
         Row {
@@ -248,7 +272,9 @@
             what: "passes over all messages held",
             formula: "E / D × time a message a held one × B / D",
             slope: Some(|s| s.message_by_held),
-            value: |i| i.message_cores(i.slopes.message_by_held.slope * i.size.backlog_per_dispatcher()),
+            value: |i| {
+                i.message_cores(i.slopes.message_by_held.slope * i.size.backlog_per_dispatcher())
+            },
             budget: Some(|b, _| b.message_cores),
             mechanism: Mechanism::InPlace {
                 name: "messages are looked through on the way out alone",
@@ -273,7 +299,10 @@
 }
 
 fn dispatcher_control() -> Vec<Row> {
-    let row = Row { source: Source::MeasuredSlope, ..EMPTY };
+    let row = Row {
+        source: Source::MeasuredSlope,
+        ..EMPTY
+    };
     vec![
         Row {
             id: RowId::ChangeWire,
@@ -297,9 +326,14 @@
             formula: "C × destinations known / N × time a change a destination × destinations known",
             unit: Unit::Cores,
             slope: Some(|s| s.change_time),
-            value: |i| i.slopes.change_time.slope * i.known() * MICROSECOND * i.changes_told_per_second(),
+            value: |i| {
+                i.slopes.change_time.slope * i.known() * MICROSECOND * i.changes_told_per_second()
+            },
             budget: Some(|b, _| b.control_cores),
-            mechanism: Mechanism::InPlace { name: "Daemon::list", file: "daemon/src/event_loop.rs" },
+            mechanism: Mechanism::InPlace {
+                name: "Daemon::list",
+                file: "daemon/src/event_loop.rs",
+            },
             ..row
         },
         Row {
@@ -335,14 +369,21 @@
             unit: Unit::Seconds,
             slope: Some(|s| s.start_by_known),
             value: |i| i.slopes.start_by_known.slope * MICROSECOND * i.assigned(),
-            mechanism: Mechanism::InPlace { name: "`known`", file: "daemon/src/start.rs" },
+            mechanism: Mechanism::InPlace {
+                name: "`known`",
+                file: "daemon/src/start.rs",
+            },
             ..row
         },
     ]
 }
 
 fn control_machine() -> Vec<Row> {
-    let row = Row { role: Role::ControlMachine, mechanism: SCOPED, ..EMPTY };
+    let row = Row {
+        role: Role::ControlMachine,
+        mechanism: SCOPED,
+        ..EMPTY
+    };
     vec![
         Row {
             what: "dispatchers that watch",
@@ -413,7 +454,11 @@
 }
 
 fn carrier() -> Vec<Row> {
-    let row = Row { role: Role::Carrier, source: Source::MeasuredSlope, ..EMPTY };
+    let row = Row {
+        role: Role::Carrier,
+        source: Source::MeasuredSlope,
+        ..EMPTY
+    };
     vec![
         Row {
             id: RowId::LongestLine,
@@ -424,7 +469,9 @@
             slope: Some(|s| s.whole_bytes),
             value: |i| match i.design {
                 super::Design::Unscoped => i.assigned_bytes(),
-                super::Design::Scoped | super::Design::Routed => i.assigned_bytes().min(LONGEST_LINE as f64),
+                super::Design::Scoped | super::Design::Routed => {
+                    i.assigned_bytes().min(LONGEST_LINE as f64)
+                }
             },
             budget: Some(|b, _| b.line_bytes),
             mechanism: Mechanism::InPlace {
@@ -461,7 +508,11 @@
 }
 
 fn backlog() -> Vec<Row> {
-    let row = Row { role: Role::Backlog, source: Source::MeasuredSlope, ..EMPTY };
+    let row = Row {
+        role: Role::Backlog,
+        source: Source::MeasuredSlope,
+        ..EMPTY
+    };
     vec![
         Row {
             what: "messages held",
@@ -481,7 +532,9 @@
             unit: Unit::Bytes,
             slope: Some(|s| s.memory_by_held),
             value: |i| i.slopes.memory_by_held.slope * i.size.backlog_per_dispatcher(),
-            mechanism: Mechanism::NoneYet { wanted: "bodies that stay on disk while a message waits" },
+            mechanism: Mechanism::NoneYet {
+                wanted: "bodies that stay on disk while a message waits",
+            },
             ..row
         },
         Row {
@@ -503,7 +556,9 @@
             formula: "time a message in the journal × B / D",
             unit: Unit::Seconds,
             slope: Some(|s| s.restart_by_held),
-            value: |i| i.slopes.restart_by_held.slope * MICROSECOND * i.size.backlog_per_dispatcher(),
+            value: |i| {
+                i.slopes.restart_by_held.slope * MICROSECOND * i.size.backlog_per_dispatcher()
+            },
             mechanism: Mechanism::InPlace {
                 name: "MessageJournal::open",
                 file: "daemon/src/message_journal/",
@@ -514,7 +569,10 @@
 }
 
 fn endpoint() -> Vec<Row> {
-    let row = Row { role: Role::Endpoint, ..EMPTY };
+    let row = Row {
+        role: Role::Endpoint,
+        ..EMPTY
+    };
     vec![
         Row {
             what: "dispatchers that call it",
@@ -529,7 +587,10 @@
             formula: "E / N",
             unit: Unit::PerSecond,
             value: |i| i.size.messages_per_second / i.size.destinations,
-            mechanism: Mechanism::InPlace { name: "calls", file: "daemon/src/endpoints.rs" },
+            mechanism: Mechanism::InPlace {
+                name: "calls",
+                file: "daemon/src/endpoints.rs",
+            },
             ..row
         },
         Row {
@@ -579,7 +640,10 @@
 }
 
 fn client() -> Vec<Row> {
-    let row = Row { role: Role::Client, ..EMPTY };
+    let row = Row {
+        role: Role::Client,
+        ..EMPTY
+    };
     vec![
         Row {
             kind: Kind::Messages,
@@ -587,7 +651,10 @@
             formula: "E / D",
             unit: Unit::PerSecond,
             value: |i| i.size.messages_per_dispatcher(),
-            mechanism: Mechanism::InPlace { name: "clients", file: "daemon/src/clients.rs" },
+            mechanism: Mechanism::InPlace {
+                name: "clients",
+                file: "daemon/src/clients.rs",
+            },
             ..row
         },
         Row {
