--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -36,7 +36,9 @@
 fn bytes(value: f64) -> String {
     const STEPS: [(f64, &str); 4] = [(1e12, "TB"), (1e9, "GB"), (1e6, "MB"), (1e3, "KB")];
     let step = STEPS.iter().find(|(least, _)| value >= *least);
-    step.map_or(format!("{} B", figure(value)), |(least, name)| format!("{} {name}", figure(value / least)))
+    step.map_or(format!("{} B", figure(value)), |(least, name)| {
+        format!("{} {name}", figure(value / least))
+    })
 }
 
 fn slope(fit: &Fit) -> String {
@@ -73,8 +75,11 @@
 }
 
 fn role_table(role: Role, slopes: Slopes) -> String {
-    let rows: Vec<Vec<String>> =
-        all().iter().filter(|row| row.role == role).map(|row| row_cells(row, slopes)).collect();
+    let rows: Vec<Vec<String>> = all()
+        .iter()
+        .filter(|row| row.role == role)
+        .map(|row| row_cells(row, slopes))
+        .collect();
     let [unscoped, scoped, routed] = Design::ALL.map(Design::title);
     let head = [
         "what",
@@ -88,7 +93,12 @@
         "mechanism and file",
         "the value is",
     ];
-    format!("### {}\n\n{}{}\n", role.title(), table(&head, &rows), note(role))
+    format!(
+        "### {}\n\n{}{}\n",
+        role.title(),
+        table(&head, &rows),
+        note(role)
+    )
 }
 
 /// What a role's table does not have.
@@ -112,48 +122,110 @@
     let given = "given";
     let rows = vec![
         row("D", "dispatchers", count(size.dispatchers), given),
-        row("E", "messages a second", count(size.messages_per_second), given),
+        row(
+            "E",
+            "messages a second",
+            count(size.messages_per_second),
+            given,
+        ),
         row("N", "destinations", count(size.destinations), given),
-        row("u", "part of them that is down", value(Unit::Share, size.down_share), given),
+        row(
+            "u",
+            "part of them that is down",
+            value(Unit::Share, size.down_share),
+            given,
+        ),
         row("B", "messages that wait", count(size.backlog), given),
         row(
             "C",
             "changes a second",
-            format!("{} ({} a day)", figure(size.changes_per_second()), count(size.changes_per_day)),
+            format!(
+                "{} ({} a day)",
+                figure(size.changes_per_second()),
+                count(size.changes_per_day)
+            ),
+            given,
+        ),
+        row(
+            "",
+            "regions, zones",
+            format!("{}, {}", size.regions, size.zones),
             given,
         ),
-        row("", "regions, zones", format!("{}, {}", size.regions, size.zones), given),
         row("", "control machines", count(size.control_machines), given),
-        row("", "dispatchers that hold a destination", count(size.replicas), "design"),
-        row("", "dispatchers of a rack", count(size.dispatchers_per_rack), "assumed"),
-        row("", "bytes of asking for a destination, with the answer", bytes(size.look_up_bytes), "assumed"),
+        row(
+            "",
+            "dispatchers that hold a destination",
+            count(size.replicas),
+            "design",
+        ),
+        row(
+            "",
+            "dispatchers of a rack",
+            count(size.dispatchers_per_rack),
+            "assumed",
+        ),
+        row(
+            "",
+            "bytes of asking for a destination, with the answer",
+            bytes(size.look_up_bytes),
+            "assumed",
+        ),
         row(
             "",
             "destinations in a dispatcher's cache",
             count(size.cached_destinations),
             "docs/configuration.md",
         ),
-        row("", "an idle connection is kept for", format!("{} s", count(size.keep_alive_seconds)), "assumed"),
-        row("", "budget: processor for control", value(Unit::Cores, budgets.control_cores), given),
-        row("", "budget: memory for control", bytes(budgets.control_memory), given),
+        row(
+            "",
+            "an idle connection is kept for",
+            format!("{} s", count(size.keep_alive_seconds)),
+            "assumed",
+        ),
+        row(
+            "",
+            "budget: processor for control",
+            value(Unit::Cores, budgets.control_cores),
+            given,
+        ),
+        row(
+            "",
+            "budget: memory for control",
+            bytes(budgets.control_memory),
+            given,
+        ),
         row(
             "",
             "budget: wire for control",
             value(Unit::BytesPerSecond, budgets.control_bytes_per_second),
             given,
         ),
-        row("", "budget: a change is in force within", value(Unit::Seconds, budgets.change_seconds), given),
+        row(
+            "",
+            "budget: a change is in force within",
+            value(Unit::Seconds, budgets.change_seconds),
+            given,
+        ),
         row(
             "",
             "budget: processor for messages",
             value(Unit::Cores, budgets.message_cores),
             "assumed: the daemon is one thread",
         ),
-        row("", "budget: the longest line", bytes(budgets.line_bytes), "watch/src/watch.rs"),
+        row(
+            "",
+            "budget: the longest line",
+            bytes(budgets.line_bytes),
+            "watch/src/watch.rs",
+        ),
         row(
             "",
             "budget: wire of a control machine",
-            value(Unit::BytesPerSecond, budgets.control_machine_bytes_per_second(&size)),
+            value(
+                Unit::BytesPerSecond,
+                budgets.control_machine_bytes_per_second(&size),
+            ),
             "worked out: what its dispatchers may take",
         ),
     ];
@@ -162,14 +234,25 @@
 
 fn finding(finding: &Finding) -> String {
     match finding {
-        Finding::WholeLine { sent, bytes: length, known_after } => format!(
+        Finding::WholeLine {
+            sent,
+            bytes: length,
+            known_after,
+        } => format!(
             "- A whole list of {} destinations, sent as one line of {} over the watch: the dispatcher knew {} \
              destinations then.\n",
             count(f64::from(*sent)),
             bytes(*length as f64),
             count(*known_after as f64),
         ),
-        Finding::LargeStart { known, memory_bytes, memory_fitted, peak_bytes, start_us, start_fitted } => {
+        Finding::LargeStart {
+            known,
+            memory_bytes,
+            memory_fitted,
+            peak_bytes,
+            start_us,
+            start_fitted,
+        } => {
             format!(
                 "- A start with {} destinations known: {} after it, {} at most, first answer after {} s. The lines \
              fitted to the smaller sizes say {} and {} s.\n",
@@ -208,7 +291,8 @@
 fn failure_table(slopes: Slopes) -> String {
     let size = FullSize::DESIGN;
     let cells = |failure: &Failure| {
-        let [unscoped, scoped, routed] = Design::ALL.map(|design| consequence(slopes, design, *failure));
+        let [unscoped, scoped, routed] =
+            Design::ALL.map(|design| consequence(slopes, design, *failure));
         let both = |unit: Unit, of: fn(&super::model::failures::Consequence) -> f64| {
             [unscoped, scoped].map(|consequence| value(unit, of(&consequence)))
         };
@@ -246,7 +330,12 @@
     let cells = |(place, ranked): (usize, &Ranked)| {
         vec![
             (place + 1).to_string(),
-            format!("{}, {}: {}", ranked.row.role.title(), ranked.row.kind.title(), ranked.row.what),
+            format!(
+                "{}, {}: {}",
+                ranked.row.role.title(),
+                ranked.row.kind.title(),
+                ranked.row.what
+            ),
             value(ranked.row.unit, ranked.need),
             value(ranked.row.unit, ranked.budget),
             figure(ranked.need / ranked.budget),
@@ -281,12 +370,18 @@
             ranked.carried,
         ),
     };
-    format!("### {}\n\n{said}\n\n{}\n", capital(design.title()), table(&head, &rows))
+    format!(
+        "### {}\n\n{said}\n\n{}\n",
+        capital(design.title()),
+        table(&head, &rows)
+    )
 }
 
 fn capital(text: &str) -> String {
     let mut letters = text.chars();
-    letters.next().map_or(String::new(), |first| first.to_uppercase().chain(letters).collect())
+    letters.next().map_or(String::new(), |first| {
+        first.to_uppercase().chain(letters).collect()
+    })
 }
 
 /// Which values lie far beyond the sizes measured.
@@ -312,8 +407,14 @@
 /// The page.
 pub fn page(capacity: &Capacity) -> Result<String, MissingSeries> {
     let slopes = Slopes::of(capacity)?;
-    let roles: String = Role::ALL.iter().map(|role| role_table(*role, slopes)).collect();
-    let rankings: String = Design::ALL.iter().map(|design| ranking_text(*design, slopes)).collect();
+    let roles: String = Role::ALL
+        .iter()
+        .map(|role| role_table(*role, slopes))
+        .collect();
+    let rankings: String = Design::ALL
+        .iter()
+        .map(|design| ranking_text(*design, slopes))
+        .collect();
     let findings: String = capacity.findings.iter().map(finding).collect();
     Ok(format!(
         "\
--- a/lab/src/capacity/peers.rs
+++ b/lab/src/capacity/peers.rs
@@ -29,7 +29,12 @@
     const FIRST_NET: u32 = 225;
     const NETS: u32 = 25;
     let id = std::process::id();
-    Ipv4Addr::new(127, (FIRST_NET + (id >> 16) % NETS) as u8, (id >> 8) as u8, id as u8)
+    Ipv4Addr::new(
+        127,
+        (FIRST_NET + (id >> 16) % NETS) as u8,
+        (id >> 8) as u8,
+        id as u8,
+    )
 }
 
 #[derive(Default)]
@@ -55,11 +60,16 @@
 impl Peers {
     /// Starts the stand-ins.
     pub fn start() -> Result<Peers> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let listeners: Vec<TcpListener> =
-            (0..SERVING + 2).map(|_| listener(&runtime)).collect::<Result<_>>()?;
-        let addresses: Vec<SocketAddr> =
-            listeners.iter().map(|l| l.local_addr().context("a bound address")).collect::<Result<_>>()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let listeners: Vec<TcpListener> = (0..SERVING + 2)
+            .map(|_| listener(&runtime))
+            .collect::<Result<_>>()?;
+        let addresses: Vec<SocketAddr> = listeners
+            .iter()
+            .map(|l| l.local_addr().context("a bound address"))
+            .collect::<Result<_>>()?;
         let counters = Arc::new(Counters::default());
         let (lines, _) = broadcast::channel(LINES_MOST);
         let (stop, stopped) = oneshot::channel();
@@ -96,7 +106,10 @@
     pub fn watched(&self) -> Result<()> {
         let until = Instant::now() + WATCH_WITHIN;
         while self.counters.watches.load(Ordering::SeqCst) == 0 {
-            ensure!(Instant::now() < until, "no dispatcher asked for the watch within {WATCH_WITHIN:?}");
+            ensure!(
+                Instant::now() < until,
+                "no dispatcher asked for the watch within {WATCH_WITHIN:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         Ok(())
@@ -142,8 +155,12 @@
 fn request(bytes: &[u8]) -> Result<Option<Request>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Request::new(&mut headers);
-    let httparse::Status::Complete(length) = head.parse(bytes)? else { return Ok(None) };
-    let body = header(&head, "content-length").and_then(|_| content_length(&head)).unwrap_or(0);
+    let httparse::Status::Complete(length) = head.parse(bytes)? else {
+        return Ok(None);
+    };
+    let body = header(&head, "content-length")
+        .and_then(|_| content_length(&head))
+        .unwrap_or(0);
     let path = head.path.unwrap_or_default().to_string();
     let length = length + body;
     Ok((bytes.len() >= length).then_some(Request { path, length }))
@@ -176,7 +193,11 @@
     Ok(())
 }
 
-async fn platform(listener: TcpListener, lines: broadcast::Sender<Arc<str>>, counters: Arc<Counters>) {
+async fn platform(
+    listener: TcpListener,
+    lines: broadcast::Sender<Arc<str>>,
+    counters: Arc<Counters>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
         let (lines, counters) = (lines.clone(), Arc::clone(&counters));
         tokio::spawn(async move { drop(serve(stream, lines, counters).await) });
@@ -196,7 +217,9 @@
             counters.watches.fetch_sub(1, Ordering::SeqCst);
             return watched;
         }
-        stream.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").await?;
+        stream
+            .write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
+            .await?;
     }
     Ok(())
 }
@@ -207,7 +230,9 @@
     counters: &Counters,
 ) -> Result<()> {
     counters.watches.fetch_add(1, Ordering::SeqCst);
-    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await?;
     chunk(stream, "\n").await?;
     let mut unasked = [0; 64];
     loop {
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -71,11 +71,18 @@
     pub fn start_again(&self, platform: SocketAddr, known: &[Destination]) -> Result<Process> {
         let state = self.state();
         std::fs::create_dir_all(&state).with_context(|| state.display().to_string())?;
-        let addresses = Addresses { listen: next_address(), operators: next_address(), platform };
+        let addresses = Addresses {
+            listen: next_address(),
+            operators: next_address(),
+            platform,
+        };
         let file = self.folder.join("config.json");
         std::fs::write(&file, listing::configuration(addresses, known))?;
         let log_path = self.folder.join("log");
-        let log = OpenOptions::new().create(true).append(true).open(&log_path)?;
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&log_path)?;
         let spawned = Instant::now();
         let child = Command::new(&self.program)
             .args(["serve", "--log", "warn", "--config"])
@@ -89,8 +96,16 @@
             .with_context(|| self.program.display().to_string())?;
         let journal = state.join("mails");
         let (listen, operators) = (addresses.listen, addresses.operators);
-        let mut process = Process { child, listen, operators, journal, start_us: 0.0 };
-        process.ready(spawned).with_context(|| std::fs::read_to_string(&log_path).unwrap_or_default())?;
+        let mut process = Process {
+            child,
+            listen,
+            operators,
+            journal,
+            start_us: 0.0,
+        };
+        process
+            .ready(spawned)
+            .with_context(|| std::fs::read_to_string(&log_path).unwrap_or_default())?;
         process.start_us = spawned.elapsed().as_secs_f64() * 1e6;
         Ok(process)
     }
@@ -128,19 +143,25 @@
 
     pub fn memory(&self) -> Result<Memory> {
         let status = self.proc_text("status")?;
-        Ok(Memory { now: kilobytes(&status, "VmRSS:")?, peak: kilobytes(&status, "VmHWM:")? })
+        Ok(Memory {
+            now: kilobytes(&status, "VmRSS:")?,
+            peak: kilobytes(&status, "VmHWM:")?,
+        })
     }
 
     /// The bytes that it has read from files until now.
     pub fn read_bytes(&self) -> Result<f64> {
         let text = self.proc_text("io")?;
         let line = text.lines().find_map(|line| line.strip_prefix("rchar:"));
-        line.and_then(|value| value.trim().parse().ok()).context("rchar in /proc/PID/io")
+        line.and_then(|value| value.trim().parse().ok())
+            .context("rchar in /proc/PID/io")
     }
 
     /// The length of its journal.
     pub fn journal_bytes(&self) -> Result<f64> {
-        Ok(std::fs::metadata(&self.journal).with_context(|| self.journal.display().to_string())?.len() as f64)
+        Ok(std::fs::metadata(&self.journal)
+            .with_context(|| self.journal.display().to_string())?
+            .len() as f64)
     }
 
     /// Waits until it has worked through what it was sent.
@@ -148,7 +169,10 @@
         let until = Instant::now() + QUIET_WITHIN;
         let (mut since, mut last) = (Instant::now(), self.processor_us()?);
         while since.elapsed() < QUIET_FOR {
-            anyhow::ensure!(Instant::now() < until, "the dispatcher did not come to rest");
+            anyhow::ensure!(
+                Instant::now() < until,
+                "the dispatcher did not come to rest"
+            );
             std::thread::sleep(QUIET_POLL);
             let now = self.processor_us()?;
             if now - last > QUIET_SHARE * QUIET_POLL.as_secs_f64() * 1e6 {
@@ -190,7 +214,10 @@
 
 /// The processor time in a `schedstat` file, in microseconds.
 fn processor_us(schedstat: &str) -> Result<f64> {
-    let nanoseconds = schedstat.split_whitespace().next().and_then(|word| word.parse::<f64>().ok());
+    let nanoseconds = schedstat
+        .split_whitespace()
+        .next()
+        .and_then(|word| word.parse::<f64>().ok());
     Ok(nanoseconds.context("nanoseconds in schedstat")? / 1e3)
 }
 
@@ -201,8 +228,9 @@
 
 fn kilobytes(status: &str, field: &str) -> Result<f64> {
     let line = status.lines().find_map(|line| line.strip_prefix(field));
-    let value =
-        line.and_then(|line| line.split_whitespace().next()).and_then(|word| word.parse::<f64>().ok());
+    let value = line
+        .and_then(|line| line.split_whitespace().next())
+        .and_then(|word| word.parse::<f64>().ok());
     Ok(value.with_context(|| format!("{field} in /proc/PID/status"))? * 1024.0)
 }
 
--- a/lab/src/capacity/report.rs
+++ b/lab/src/capacity/report.rs
@@ -40,40 +40,76 @@
     /// How the series is named and what its units are.
     pub fn text(self) -> SeriesText {
         let (title, size, value) = match self {
-            SeriesId::MemoryByKnown => ("memory of a process after its start", "destinations known", "bytes"),
-            SeriesId::PeakMemoryByKnown => ("largest memory during the start", "destinations known", "bytes"),
-            SeriesId::StartTimeByKnown => ("time from spawn to the first answer", "destinations known", "us"),
-            SeriesId::MessageTimeByKnown => ("processor time a message", "destinations known", "us"),
-            SeriesId::MessageTimeByHeld => {
-                ("processor time a message", "messages held for one destination", "us")
+            SeriesId::MemoryByKnown => (
+                "memory of a process after its start",
+                "destinations known",
+                "bytes",
+            ),
+            SeriesId::PeakMemoryByKnown => (
+                "largest memory during the start",
+                "destinations known",
+                "bytes",
+            ),
+            SeriesId::StartTimeByKnown => (
+                "time from spawn to the first answer",
+                "destinations known",
+                "us",
+            ),
+            SeriesId::MessageTimeByKnown => {
+                ("processor time a message", "destinations known", "us")
             }
-            SeriesId::MessageTimeByDown => {
-                ("processor time a message", "destinations down, a message held for each", "us")
+            SeriesId::MessageTimeByHeld => (
+                "processor time a message",
+                "messages held for one destination",
+                "us",
+            ),
+            SeriesId::MessageTimeByDown => (
+                "processor time a message",
+                "destinations down, a message held for each",
+                "us",
+            ),
+            SeriesId::DecisionTimeByKnown => {
+                ("decisions alone, a message", "destinations known", "us")
             }
-            SeriesId::DecisionTimeByKnown => ("decisions alone, a message", "destinations known", "us"),
-            SeriesId::DecisionTimeByHeld => {
-                ("decisions alone, a message", "messages held for one destination", "us")
-            }
-            SeriesId::DecisionTimeByDown => {
-                ("decisions alone, a message", "destinations down, a message held for each", "us")
-            }
-            SeriesId::WholeBytesByKnown => ("whole list on the wire", "destinations known", "bytes"),
-            SeriesId::WholeTimeByKnown => {
-                ("processor time of a whole list that changes nothing", "destinations known", "us")
-            }
-            SeriesId::ChangeBytesByKnown => {
-                ("change of one destination on the wire", "destinations known", "bytes")
-            }
-            SeriesId::ChangeTimeByKnown => {
-                ("processor time of a change of one destination", "destinations known", "us")
+            SeriesId::DecisionTimeByHeld => (
+                "decisions alone, a message",
+                "messages held for one destination",
+                "us",
+            ),
+            SeriesId::DecisionTimeByDown => (
+                "decisions alone, a message",
+                "destinations down, a message held for each",
+                "us",
+            ),
+            SeriesId::WholeBytesByKnown => {
+                ("whole list on the wire", "destinations known", "bytes")
             }
+            SeriesId::WholeTimeByKnown => (
+                "processor time of a whole list that changes nothing",
+                "destinations known",
+                "us",
+            ),
+            SeriesId::ChangeBytesByKnown => (
+                "change of one destination on the wire",
+                "destinations known",
+                "bytes",
+            ),
+            SeriesId::ChangeTimeByKnown => (
+                "processor time of a change of one destination",
+                "destinations known",
+                "us",
+            ),
             SeriesId::MemoryByHeld => ("memory of a process", "messages held", "bytes"),
             SeriesId::JournalByHeld => ("length of the journal", "messages held", "bytes"),
-            SeriesId::RestartTimeByHeld => ("time from spawn to the first answer", "messages held", "us"),
-            SeriesId::RestartBytesByHeld => ("bytes read at a restart", "messages held", "bytes"),
-            SeriesId::WastedByDispatchers => {
-                ("first attempts made at destinations that are down", "log10 of the dispatchers", "share")
+            SeriesId::RestartTimeByHeld => {
+                ("time from spawn to the first answer", "messages held", "us")
             }
+            SeriesId::RestartBytesByHeld => ("bytes read at a restart", "messages held", "bytes"),
+            SeriesId::WastedByDispatchers => (
+                "first attempts made at destinations that are down",
+                "log10 of the dispatchers",
+                "share",
+            ),
         };
         SeriesText { title, size, value }
     }
@@ -115,7 +151,11 @@
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Finding {
     /// A whole list came as one line over the watch; how many destinations the dispatcher then knew.
-    WholeLine { sent: u32, bytes: u64, known_after: u64 },
+    WholeLine {
+        sent: u32,
+        bytes: u64,
+        known_after: u64,
+    },
     /// One start far beyond the fitted sizes, and what the fits say of it.
     LargeStart {
         known: u32,
@@ -152,14 +192,21 @@
 impl Capacity {
     /// The line through a series.
     pub fn fit(&self, id: SeriesId) -> Result<Fit, MissingSeries> {
-        self.series.iter().find(|series| series.id == id).map(|series| series.fit).ok_or(MissingSeries(id))
+        self.series
+            .iter()
+            .find(|series| series.id == id)
+            .map(|series| series.fit)
+            .ok_or(MissingSeries(id))
     }
 
     /// The value measured at the largest size of a series.
     pub fn largest(&self, id: SeriesId) -> Result<Point, MissingSeries> {
         let series = self.series.iter().find(|series| series.id == id);
         let points = series.iter().flat_map(|series| &series.points);
-        points.copied().max_by(|a, b| a.size.total_cmp(&b.size)).ok_or(MissingSeries(id))
+        points
+            .copied()
+            .max_by(|a, b| a.size.total_cmp(&b.size))
+            .ok_or(MissingSeries(id))
     }
 
     /// The measured series as a Markdown table.
@@ -201,8 +248,11 @@
     if places > 6 {
         return format!("{value:.2e}");
     }
-    let rounded =
-        if places < 0 { (value / 10f64.powi(-places)).round() * 10f64.powi(-places) } else { value };
+    let rounded = if places < 0 {
+        (value / 10f64.powi(-places)).round() * 10f64.powi(-places)
+    } else {
+        value
+    };
     let text = format!("{rounded:.*}", places.max(0) as usize);
     grouped(&text)
 }
@@ -216,10 +266,18 @@
 }
 
 fn grouped(text: &str) -> String {
-    let (whole, rest) = text.split_once('.').map_or((text, None), |(whole, rest)| (whole, Some(rest)));
-    let (sign, digits) = whole.strip_prefix('-').map_or(("", whole), |digits| ("-", digits));
-    let groups: Vec<&str> =
-        digits.as_bytes().rchunks(3).rev().filter_map(|group| std::str::from_utf8(group).ok()).collect();
+    let (whole, rest) = text
+        .split_once('.')
+        .map_or((text, None), |(whole, rest)| (whole, Some(rest)));
+    let (sign, digits) = whole
+        .strip_prefix('-')
+        .map_or(("", whole), |digits| ("-", digits));
+    let groups: Vec<&str> = digits
+        .as_bytes()
+        .rchunks(3)
+        .rev()
+        .filter_map(|group| std::str::from_utf8(group).ok())
+        .collect();
     let rest = rest.map_or(String::new(), |rest| format!(".{rest}"));
     format!("{sign}{}{rest}", groups.join(","))
 }
--- a/lab/src/capacity/wasted.rs
+++ b/lab/src/capacity/wasted.rs
@@ -57,8 +57,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    Wake { dispatcher: usize },
-    Answer { dispatcher: usize, mail: MessageId, attempt: u32, relayed: bool },
+    Wake {
+        dispatcher: usize,
+    },
+    Answer {
+        dispatcher: usize,
+        mail: MessageId,
+        attempt: u32,
+        relayed: bool,
+    },
 }
 
 struct Fleet {
@@ -100,9 +107,17 @@
     fn new(traffic: Traffic, dispatchers: u32) -> Fleet {
         let entries: Vec<ListEntry> = (1..=traffic.destinations).map(entry).collect();
         let boot = |i: u32| {
-            let facts = BootFacts { own_admission: false, ..facts(traffic.seed + u64::from(i), dispatchers) };
+            let facts = BootFacts {
+                own_admission: false,
+                ..facts(traffic.seed + u64::from(i), dispatchers)
+            };
             let mut dispatcher = Dispatcher::boot(START, facts);
-            dispatcher.apply_list(START, ListScope::Whole, &entries, &mut RecordingOutlet::default());
+            dispatcher.apply_list(
+                START,
+                ListScope::Whole,
+                &entries,
+                &mut RecordingOutlet::default(),
+            );
             dispatcher
         };
         Fleet {
@@ -136,7 +151,12 @@
                 self.ask(dispatcher, |d, out| d.accept(now, [new], out));
             }
             Event::Wake { dispatcher } => self.ask(dispatcher, |d, out| d.woken(now, out)),
-            Event::Answer { dispatcher, mail, attempt, relayed } => {
+            Event::Answer {
+                dispatcher,
+                mail,
+                attempt,
+                relayed,
+            } => {
                 let (outcome, took) = match relayed {
                     true => (Outcome::Relayed, ANSWER_AFTER),
                     false => (Outcome::Unconnected, 0),
@@ -167,8 +187,20 @@
                 self.wasted.first_attempts += 1;
                 self.wasted.at_down += u64::from(!relayed);
             }
-            let at = if relayed { self.now + ANSWER_AFTER } else { self.now };
-            self.later(at, Event::Answer { dispatcher, mail, attempt, relayed });
+            let at = if relayed {
+                self.now + ANSWER_AFTER
+            } else {
+                self.now
+            };
+            self.later(
+                at,
+                Event::Answer {
+                    dispatcher,
+                    mail,
+                    attempt,
+                    relayed,
+                },
+            );
         }
         if let Some(after) = answers.wake_after {
             self.later(self.now + after, Event::Wake { dispatcher });
@@ -181,8 +213,17 @@
     let (mut points, mut findings) = (vec![], vec![]);
     for dispatchers in &bench.sizes.dispatchers {
         let wasted = play(bench.sizes.traffic, *dispatchers)?;
-        points.push(Point { size: f64::from(*dispatchers).log10(), value: wasted.share() });
-        findings.push(Finding::WastedOfDown { dispatchers: *dispatchers, share: wasted.share_of_down() });
+        points.push(Point {
+            size: f64::from(*dispatchers).log10(),
+            value: wasted.share(),
+        });
+        findings.push(Finding::WastedOfDown {
+            dispatchers: *dispatchers,
+            share: wasted.share_of_down(),
+        });
     }
-    Ok((Series::fitted(SeriesId::WastedByDispatchers, points)?, findings))
+    Ok((
+        Series::fitted(SeriesId::WastedByDispatchers, points)?,
+        findings,
+    ))
 }
--- a/lab/src/command_line.rs
+++ b/lab/src/command_line.rs
@@ -111,7 +111,10 @@
             return ExitCode::from(2);
         }
     };
-    tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
+    tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
     match act(line.what) {
         Ok(good) => ExitCode::from(u8::from(!good)),
         Err(e) => {
@@ -136,18 +139,23 @@
 
 /// All experiments are read before the first is played.
 fn read(files: &[PathBuf], long: bool) -> Result<Vec<Experiment>, BadExperiment> {
-    files.iter().map(|file| experiment::read(file, long)).collect()
+    files
+        .iter()
+        .map(|file| experiment::read(file, long))
+        .collect()
 }
 
 fn good(runs: &[RunLine]) -> bool {
-    runs.iter().all(|r| r.valid() && r.verdict.kept() && r.faults.is_empty())
+    runs.iter()
+        .all(|r| r.valid() && r.verdict.kept() && r.faults.is_empty())
 }
 
 /// Plays an experiment, says what came of it and writes the report.
 fn play(experiment: &Experiment, args: &RunArgs) -> Result<(Vec<RunLine>, PathBuf)> {
     let folder = args.out.join(&experiment.name);
     let runs = run::all(experiment, &how(args), &folder.join("runs.jsonl"))?;
-    runs.iter().for_each(|run| println!("{}", run::summary(run)));
+    runs.iter()
+        .for_each(|run| println!("{}", run::summary(run)));
     let report = folder.join("report.html");
     write_report(&runs, &report)?;
     Ok((runs, report))
@@ -169,7 +177,12 @@
             for file in &files {
                 match experiment::read(file, false).and_then(|_| experiment::read(file, true)) {
                     Ok(e) => {
-                        println!("{}: {} variants, {} seeds", file.display(), e.variants.len(), e.seeds.len())
+                        println!(
+                            "{}: {} variants, {} seeds",
+                            file.display(),
+                            e.variants.len(),
+                            e.seeds.len()
+                        )
                     }
                     Err(e) => {
                         eprintln!("{e}");
@@ -193,7 +206,10 @@
                 [one, two] if jsonl(one) && jsonl(two) => {
                     let of = |path: &Path| -> Result<Vec<RunLine>> {
                         let name = path.display().to_string();
-                        let named = |r: RunLine| RunLine { variant: format!("{name}: {}", r.variant), ..r };
+                        let named = |r: RunLine| RunLine {
+                            variant: format!("{name}: {}", r.variant),
+                            ..r
+                        };
                         Ok(run::lines(path)?.into_iter().map(named).collect())
                     };
                     let (one, two) = (of(one)?, of(two)?);
@@ -203,20 +219,33 @@
                     let experiment = experiment::read(one, args.long)?;
                     (play(&experiment, &args)?.0, "variants")
                 }
-                _ => anyhow::bail!("compare takes one experiment, or two files of runs that end in .jsonl"),
+                _ => anyhow::bail!(
+                    "compare takes one experiment, or two files of runs that end in .jsonl"
+                ),
             };
             let table = crate::compare::table(&runs);
-            anyhow::ensure!(!table.is_empty(), "there are no two {names} with a seed in common");
+            anyhow::ensure!(
+                !table.is_empty(),
+                "there are no two {names} with a seed in common"
+            );
             print!("{table}");
             Ok(good(&runs))
         }
-        What::Sweep { file, field, values, args } => {
+        What::Sweep {
+            file,
+            field,
+            values,
+            args,
+        } => {
             let value = |v: &String| match toml::from_str::<toml::Table>(&format!("v = {v}")) {
                 Ok(mut table) => table.remove("v").unwrap_or(toml::Value::String(v.clone())),
                 Err(_) => toml::Value::String(v.clone()),
             };
-            let vary =
-                Vary { field: Some(field), values: values.iter().map(value).collect(), ..Default::default() };
+            let vary = Vary {
+                field: Some(field),
+                values: values.iter().map(value).collect(),
+                ..Default::default()
+            };
             let experiment = experiment::read_varied(&file, args.long, Some(vary))?;
             let (runs, _) = play(&experiment, &args)?;
             print!("{}", crate::compare::curve(&runs));
--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -11,13 +11,33 @@
     ("delivered importance, share", |r| r.results.share, true),
     ("of the worst 10 s", |r| r.results.worst_span, true),
     ("of the worst class", |r| r.results.worst_class, true),
-    ("calls a mail", |r| r.results.calls as f64 / (r.results.arrivals as f64).max(1.0), false),
-    ("refused calls a mail", |r| r.results.refused as f64 / (r.results.arrivals as f64).max(1.0), false),
-    ("connections opened a mail", |r| r.results.opened as f64 / (r.results.arrivals as f64).max(1.0), false),
+    (
+        "calls a mail",
+        |r| r.results.calls as f64 / (r.results.arrivals as f64).max(1.0),
+        false,
+    ),
+    (
+        "refused calls a mail",
+        |r| r.results.refused as f64 / (r.results.arrivals as f64).max(1.0),
+        false,
+    ),
+    (
+        "connections opened a mail",
+        |r| r.results.opened as f64 / (r.results.arrivals as f64).max(1.0),
+        false,
+    ),
     ("CPU of dispatchers, us a mail", cpu_us, false),
     ("mails held", open, false),
-    ("hand-in answered, p50 ms", |r| r.results.hand_in.p50_us as f64 / 1e3, false),
-    ("hand-in answered, p99 ms", |r| r.results.hand_in.p99_us as f64 / 1e3, false),
+    (
+        "hand-in answered, p50 ms",
+        |r| r.results.hand_in.p50_us as f64 / 1e3,
+        false,
+    ),
+    (
+        "hand-in answered, p99 ms",
+        |r| r.results.hand_in.p99_us as f64 / 1e3,
+        false,
+    ),
     (
         "memory of the largest dispatcher, MB",
         |r| r.cost.usage.iter().map(|u| u.peak_mb).fold(0.0, f64::max),
@@ -32,10 +52,18 @@
     for usage in &run.cost.usage {
         // Each sample speaks of the span since the one before.
         let spans = usage.samples.windows(2).map(|p| (p[1].0 - p[0].0, &p[1]));
-        cpu += spans.filter(|(_, s)| within(s.0)).map(|(span, s)| span * s.1).sum::<f64>();
+        cpu += spans
+            .filter(|(_, s)| within(s.0))
+            .map(|(span, s)| span * s.1)
+            .sum::<f64>();
     }
     let bucket = crate::measure::BUCKET as f64 / 1e9;
-    let points = run.results.points.iter().enumerate().filter(|(i, _)| within((*i as f64 + 0.5) * bucket));
+    let points = run
+        .results
+        .points
+        .iter()
+        .enumerate()
+        .filter(|(i, _)| within((*i as f64 + 0.5) * bucket));
     let mails: u64 = points.map(|(_, p)| p.arrivals).sum();
     cpu * 1e6 / (mails as f64).max(1.0)
 }
@@ -68,21 +96,36 @@
         let mean = pairs.iter().map(|p| p.1 - p.0).sum::<f64>() / n;
         let before = pairs.iter().map(|p| p.0).sum::<f64>() / n;
         let within = (pairs.len() > 1).then(|| {
-            let variance = pairs.iter().map(|p| (p.1 - p.0 - mean).powi(2)).sum::<f64>() / (n - 1.0);
+            let variance = pairs
+                .iter()
+                .map(|p| (p.1 - p.0 - mean).powi(2))
+                .sum::<f64>()
+                / (n - 1.0);
             // More than nought degrees of freedom.
-            let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
+            let t =
+                StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
             t * (variance / n).sqrt()
         });
-        Difference { pairs: pairs.len(), before, mean, within }
+        Difference {
+            pairs: pairs.len(),
+            before,
+            mean,
+            within,
+        }
     }
 
     /// More than what chance alone gives in 19 of 20 cases.
     pub fn real(&self) -> bool {
-        self.within.is_some_and(|w| self.mean.abs() > w && self.mean != 0.0)
+        self.within
+            .is_some_and(|w| self.mean.abs() > w && self.mean != 0.0)
     }
 
     pub fn words(&self, more_is_better: bool) -> &'static str {
-        match (self.within, self.real(), (self.mean > 0.0) == more_is_better) {
+        match (
+            self.within,
+            self.real(),
+            (self.mean > 0.0) == more_is_better,
+        ) {
             (None, ..) if self.mean == 0.0 => "the same",
             (None, ..) => "one pair: nothing to judge by",
             (_, false, _) => "within noise",
@@ -110,11 +153,15 @@
 /// Each variant against the first one.
 pub fn differences(runs: &[RunLine]) -> Vec<Against> {
     let groups = groups(runs);
-    let Some((first, base)) = groups.first() else { return vec![] };
+    let Some((first, base)) = groups.first() else {
+        return vec![];
+    };
     let mut all = vec![];
     for (name, group) in &groups[1..] {
-        let pairs: Vec<(&RunLine, &RunLine)> =
-            base.iter().filter_map(|(seed, run)| Some((*run, *group.get(seed)?))).collect();
+        let pairs: Vec<(&RunLine, &RunLine)> = base
+            .iter()
+            .filter_map(|(seed, run)| Some((*run, *group.get(seed)?)))
+            .collect();
         if pairs.is_empty() {
             continue;
         }
@@ -122,7 +169,11 @@
             let values: Vec<(f64, f64)> = pairs.iter().map(|(a, b)| ((f.1)(a), (f.1)(b))).collect();
             (*f, Difference::of(&values))
         };
-        all.push((first.clone(), name.clone(), FIGURES.iter().map(figure).collect()));
+        all.push((
+            first.clone(),
+            name.clone(),
+            FIGURES.iter().map(figure).collect(),
+        ));
     }
     all
 }
@@ -131,7 +182,10 @@
     let mut text = String::new();
     for (first, name, figures) in differences(runs) {
         text += &format!("{name}, against {first}:\n");
-        for ((what, _, more), d) in figures.iter().filter(|f| f.1.before != 0.0 || f.1.mean != 0.0) {
+        for ((what, _, more), d) in figures
+            .iter()
+            .filter(|f| f.1.before != 0.0 || f.1.mean != 0.0)
+        {
             let within = d.within.map_or(String::new(), |w| format!(" +- {w:.4}"));
             let words = d.words(*more);
             text += &format!(
@@ -151,7 +205,8 @@
 pub fn curve(runs: &[RunLine]) -> String {
     let mut text = String::new();
     for (name, group) in groups(runs) {
-        let mean = |f: fn(&RunLine) -> f64| group.values().map(|r| f(r)).sum::<f64>() / group.len() as f64;
+        let mean =
+            |f: fn(&RunLine) -> f64| group.values().map(|r| f(r)).sum::<f64>() / group.len() as f64;
         let row: Vec<String> = FIGURES
             .iter()
             .map(|f| (f.0, mean(f.1)))
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -18,7 +18,11 @@
 impl std::fmt::Display for Fault {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self.line {
-            Some(line) => write!(f, "line {line}, field {}: expected {}", self.field, self.expected),
+            Some(line) => write!(
+                f,
+                "line {line}, field {}: expected {}",
+                self.field, self.expected
+            ),
             None => write!(f, "field {}: expected {}", self.field, self.expected),
         }
     }
@@ -39,8 +43,10 @@
             BadExperiment::Unread(path, e) => write!(f, "{}: {e}", path.display()),
             BadExperiment::Form(path, e) => write!(f, "{}: {}", path.display(), e.trim_end()),
             BadExperiment::Faults(path, faults) => {
-                let lines: Vec<String> =
-                    faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect();
+                let lines: Vec<String> = faults
+                    .iter()
+                    .map(|fault| format!("{}: {fault}", path.display()))
+                    .collect();
                 f.write_str(&lines.join("\n"))
             }
         }
@@ -93,7 +99,9 @@
 
 /// Sets a field such as `load.rate` or `troubles[0].share`. False: its place does not exist.
 fn set(table: &mut Table, field: &str, value: &Value) -> bool {
-    let (head, rest) = field.split_once('.').map_or((field, None), |(h, r)| (h, Some(r)));
+    let (head, rest) = field
+        .split_once('.')
+        .map_or((field, None), |(h, r)| (h, Some(r)));
     let (name, index) = match head.split_once('[') {
         Some((name, index)) => (name, index.trim_end_matches(']').parse::<usize>().ok()),
         None => (head, None),
@@ -124,12 +132,19 @@
     let whole = DeTable::parse(text).ok()?;
     let (mut at, mut table) = (None, whole.get_ref());
     for part in field.split('.') {
-        let (name, index) = part.split_once('[').map_or((part, None), |(n, i)| (n, Some(i)));
+        let (name, index) = part
+            .split_once('[')
+            .map_or((part, None), |(n, i)| (n, Some(i)));
         let Some(inner) = table.get(name) else { break };
         at = Some(inner.span().start);
         let mut value = inner.get_ref();
         if let (Some(i), DeValue::Array(list)) = (index, value) {
-            let Some(inner) = i.trim_end_matches(']').parse().ok().and_then(|i: usize| list.get(i)) else {
+            let Some(inner) = i
+                .trim_end_matches(']')
+                .parse()
+                .ok()
+                .and_then(|i: usize| list.get(i))
+            else {
                 break;
             };
             at = Some(inner.span().start);
@@ -154,19 +169,24 @@
     /// Where a field stands: in the nearest text that has it.
     fn place(&self, field: &str) -> Option<(PathBuf, usize)> {
         // The longest part of the field that is written somewhere counts.
-        let whole = |(path, text): &(PathBuf, String)| line_of(text, field).map(|l| (path.clone(), l));
+        let whole =
+            |(path, text): &(PathBuf, String)| line_of(text, field).map(|l| (path.clone(), l));
         self.0.iter().find_map(whole)
     }
     /// The first line that sets a key of this name, for what the reader of TOML says of a merged table.
     fn key_line(&self, key: &str) -> Option<(PathBuf, usize)> {
         let sets = |line: &str| {
             let line = line.trim_start().trim_start_matches('[');
-            line.strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with(['=', '.', ']']))
+            line.strip_prefix(key)
+                .is_some_and(|rest| rest.trim_start().starts_with(['=', '.', ']']))
         };
-        self.0.iter().find_map(|(path, text)| Some((path.clone(), text.lines().position(sets)? + 1)))
+        self.0
+            .iter()
+            .find_map(|(path, text)| Some((path.clone(), text.lines().position(sets)? + 1)))
     }
     fn read(path: &Path) -> Result<(Texts, Table), BadExperiment> {
-        let text = std::fs::read_to_string(path).map_err(|e| BadExperiment::Unread(path.into(), e))?;
+        let text =
+            std::fs::read_to_string(path).map_err(|e| BadExperiment::Unread(path.into(), e))?;
         Texts::layer(path, text, 0)
     }
     /// The text over what it builds on.
@@ -175,16 +195,23 @@
         let mut own: Table = toml::from_str(&text).map_err(form)?;
         let base = own.remove("base");
         let mut texts = vec![(path.to_path_buf(), text)];
-        let Some(base) = base else { return Ok((Texts(texts), own)) };
+        let Some(base) = base else {
+            return Ok((Texts(texts), own));
+        };
         let expected = "the name of another experiment's file, beside this one, four deep at most";
         let fault = || {
             let line = line_of(&texts[0].1, "base");
-            let fault = Fault { field: "base".into(), line, expected: expected.into() };
+            let fault = Fault {
+                field: "base".into(),
+                line,
+                expected: expected.into(),
+            };
             BadExperiment::Faults(path.into(), vec![fault])
         };
         let name = base.as_str().filter(|_| depth < DEPTH).ok_or_else(fault)?;
         let under = path.parent().unwrap_or(Path::new("")).join(name);
-        let text = std::fs::read_to_string(&under).map_err(|e| BadExperiment::Unread(under.clone(), e))?;
+        let text =
+            std::fs::read_to_string(&under).map_err(|e| BadExperiment::Unread(under.clone(), e))?;
         let (below, mut table) = Texts::layer(&under, text, depth + 1)?;
         overlay(&mut table, own);
         texts.extend(below.0);
@@ -198,8 +225,14 @@
 }
 
 /// The same, with something else that varies than the file says.
-pub fn read_varied(path: &Path, long: bool, vary: Option<Vary>) -> Result<Experiment, BadExperiment> {
-    let name = path.file_stem().map_or_else(String::new, |n| n.to_string_lossy().into_owned());
+pub fn read_varied(
+    path: &Path,
+    long: bool,
+    vary: Option<Vary>,
+) -> Result<Experiment, BadExperiment> {
+    let name = path
+        .file_stem()
+        .map_or_else(String::new, |n| n.to_string_lossy().into_owned());
     let (texts, table) = Texts::read(path)?;
     build(texts, table, &name, path, long, vary)
 }
@@ -219,7 +252,9 @@
         Some((path, line)) => BadExperiment::Form(path, format!("line {line}, {said}")),
         None => {
             // In a single text the reader knows the place.
-            let placed = (texts.0.len() == 1).then(|| toml::from_str::<File>(&texts.0[0].1).err()).flatten();
+            let placed = (texts.0.len() == 1)
+                .then(|| toml::from_str::<File>(&texts.0[0].1).err())
+                .flatten();
             BadExperiment::Form(path.into(), placed.as_ref().unwrap_or(e).to_string())
         }
     }
@@ -235,7 +270,10 @@
 ) -> Result<Experiment, BadExperiment> {
     // The whole file first: what it says is wrong whatever varies.
     let whole = |table: &Table| -> Result<File, BadExperiment> {
-        table.clone().try_into().map_err(|e: toml::de::Error| misread(&texts, path, &e))
+        table
+            .clone()
+            .try_into()
+            .map_err(|e: toml::de::Error| misread(&texts, path, &e))
     };
     let mut file = whole(&table)?;
     if let (true, Some(Value::Table(over))) = (long, table.get("long").cloned()) {
@@ -248,23 +286,37 @@
     let mut fault = |field: &str, expected: &str| {
         let place = texts.place(field);
         let line = place.as_ref().map(|p| p.1);
-        let in_other = place.filter(|p| p.0 != path).map(|p| format!(" (in {})", p.0.display()));
+        let in_other = place
+            .filter(|p| p.0 != path)
+            .map(|p| format!(" (in {})", p.0.display()));
         let expected = format!("{expected}{}", in_other.unwrap_or_default());
-        faults.push(Fault { field: field.into(), line, expected })
+        faults.push(Fault {
+            field: field.into(),
+            line,
+            expected,
+        })
     };
     if file.seeds.is_empty() {
         fault("seeds", "at least one whole number");
     }
     let mut variants = Vec::new();
-    let mut add = |name: String, table: Table, program, fault: &mut dyn FnMut(&str, &str)| match table
-        .try_into::<Spec>()
-    {
-        Ok(spec) => {
-            check(&spec, fault);
-            variants.push(Variant { name, spec, program });
-        }
-        Err(e) => fault("vary.values", &format!("values that its field can take ({})", e.message())),
-    };
+    let mut add =
+        |name: String, table: Table, program, fault: &mut dyn FnMut(&str, &str)| match table
+            .try_into::<Spec>()
+        {
+            Ok(spec) => {
+                check(&spec, fault);
+                variants.push(Variant {
+                    name,
+                    spec,
+                    program,
+                });
+            }
+            Err(e) => fault(
+                "vary.values",
+                &format!("values that its field can take ({})", e.message()),
+            ),
+        };
     match &file.vary {
         None => add("as written".into(), table, None, &mut fault),
         Some(vary) => {
@@ -283,7 +335,12 @@
                 }
             }
             for (name, program) in &vary.programs {
-                add(name.clone(), table.clone(), Some(program.clone()), &mut fault);
+                add(
+                    name.clone(),
+                    table.clone(),
+                    Some(program.clone()),
+                    &mut fault,
+                );
             }
         }
     }
@@ -295,7 +352,12 @@
         }
     });
     if said.is_empty() {
-        Ok(Experiment { name: name.into(), title: file.title, seeds: file.seeds, variants })
+        Ok(Experiment {
+            name: name.into(),
+            title: file.title,
+            seeds: file.seeds,
+            variants,
+        })
     } else {
         Err(BadExperiment::Faults(path.into(), said))
     }
--- a/lab/src/hollow/bad_server.rs
+++ b/lab/src/hollow/bad_server.rs
@@ -8,7 +8,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread::JoinHandle;
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// What is wrong with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +38,8 @@
     fn body(self) -> Vec<u8> {
         let server = r#"{"id":"endpoint-0000000","addr":"10.9.9.9:9","zone":"r1-z1","kind":"shop","cell":0,"state":"up","v":99999999}"#;
         let line = |version: u64, full: bool| {
-            format!("{{\"version\":{version},\"full\":{full},\"servers\":[{server}]}}\n").into_bytes()
+            format!("{{\"version\":{version},\"full\":{full},\"servers\":[{server}]}}\n")
+                .into_bytes()
         };
         match self {
             BadAnswer::OverlongLine => {
@@ -86,7 +88,12 @@
                 count.fetch_add(1, Ordering::Relaxed);
             }
         });
-        Ok(BadServer { address, answered, over, thread: Some(thread) })
+        Ok(BadServer {
+            address,
+            answered,
+            over,
+            thread: Some(thread),
+        })
     }
 
     /// How many connections have been answered.
--- a/lab/src/hollow/churn.rs
+++ b/lab/src/hollow/churn.rs
@@ -33,7 +33,10 @@
 
 impl ChangeDrawer {
     pub fn new(seed: u64) -> Self {
-        ChangeDrawer { random: Pcg64::seed_from_u64(seed), drawn: BTreeSet::new() }
+        ChangeDrawer {
+            random: Pcg64::seed_from_u64(seed),
+            drawn: BTreeSet::new(),
+        }
     }
 
     /// The destination's endpoint moves to another port.
@@ -47,7 +50,13 @@
     }
 
     /// Changes that come at random, at `rate` a second on average, for a time from `from` on.
-    pub fn at_random(&mut self, plan: &Plan, from: Nanos, rate: f64, span: Nanos) -> Vec<PlannedChange> {
+    pub fn at_random(
+        &mut self,
+        plan: &Plan,
+        from: Nanos,
+        rate: f64,
+        span: Nanos,
+    ) -> Vec<PlannedChange> {
         let rests = Exp::new(rate).expect("the rate is positive");
         let mut at = from;
         let mut changes = vec![];
@@ -56,14 +65,22 @@
             if at >= from + span {
                 return changes;
             }
-            changes.push(PlannedChange { at, entry: self.draw(plan) });
+            changes.push(PlannedChange {
+                at,
+                entry: self.draw(plan),
+            });
         }
     }
 
     /// Changes that come evenly within one second.
     pub fn clump(&mut self, plan: &Plan, from: Nanos, count: usize) -> Vec<PlannedChange> {
         let at = |n: usize| from + SECOND * n as Nanos / count as Nanos;
-        (0..count).map(|n| PlannedChange { at: at(n), entry: self.draw(plan) }).collect()
+        (0..count)
+            .map(|n| PlannedChange {
+                at: at(n),
+                entry: self.draw(plan),
+            })
+            .collect()
     }
 }
 
@@ -80,7 +97,11 @@
     }
     let start = |share: Vec<PlannedChange>| {
         let (plan, writer, events) = (plan.clone(), writer.clone(), events.clone());
-        std::thread::spawn(move || share.iter().for_each(|change| write(&plan, change, &writer, &events)))
+        std::thread::spawn(move || {
+            share
+                .iter()
+                .for_each(|change| write(&plan, change, &writer, &events))
+        })
     };
     shares.into_iter().map(start).collect()
 }
@@ -91,12 +112,27 @@
     let endpoint = endpoint_name(planned.entry.destination);
     let bucket = plan.bucket_of(planned.entry.destination);
     let started = clock::now();
-    let change = Change { endpoint: endpoint.clone(), bucket, started };
+    let change = Change {
+        endpoint: endpoint.clone(),
+        bucket,
+        started,
+    };
     // The fleet ends before its events are all read when a scenario fails.
-    let _ = events.send(Event::Writing { change, entry: planned.entry.clone() });
+    let _ = events.send(Event::Writing {
+        change,
+        entry: planned.entry.clone(),
+    });
     let event = match writer.write_entries(std::slice::from_ref(&planned.entry)) {
-        Ok(version) => Event::Written { endpoint, version, started, answered: clock::now() },
-        Err(e) => Event::WriteRefused { endpoint, what: format!("{e:#}") },
+        Ok(version) => Event::Written {
+            endpoint,
+            version,
+            started,
+            answered: clock::now(),
+        },
+        Err(e) => Event::WriteRefused {
+            endpoint,
+            what: format!("{e:#}"),
+        },
     };
     let _ = events.send(event);
 }
--- a/lab/src/hollow/control_process.rs
+++ b/lab/src/hollow/control_process.rs
@@ -65,12 +65,28 @@
 
 impl ControlProcess {
     /// Writes the configuration; nothing is started yet.
-    pub fn prepare(options: &HollowOptions, plan: &Plan, place: ControlPlace) -> Result<ControlProcess> {
-        let ControlPlace { name, listen, writer } = place;
+    pub fn prepare(
+        options: &HollowOptions,
+        plan: &Plan,
+        place: ControlPlace,
+    ) -> Result<ControlProcess> {
+        let ControlPlace {
+            name,
+            listen,
+            writer,
+        } = place;
         let directory = options.work.join(&name);
-        std::fs::create_dir_all(directory.join("state")).with_context(|| directory.display().to_string())?;
-        let role = if writer.is_none() { Role::Writer } else { Role::Follower };
-        let zone = |z: &super::plan::Zone| ZoneRow { name: z.name.clone(), region: region_name(z.region) };
+        std::fs::create_dir_all(directory.join("state"))
+            .with_context(|| directory.display().to_string())?;
+        let role = if writer.is_none() {
+            Role::Writer
+        } else {
+            Role::Follower
+        };
+        let zone = |z: &super::plan::Zone| ZoneRow {
+            name: z.name.clone(),
+            region: region_name(z.region),
+        };
         let configuration = Configuration {
             name: name.clone(),
             listen,
@@ -82,14 +98,27 @@
             fill_bytes_per_second: options.fill_bytes_per_second,
             zones: plan.zones.iter().map(zone).collect(),
         };
-        std::fs::write(directory.join("control.toml"), toml::to_string(&configuration)?)?;
+        std::fs::write(
+            directory.join("control.toml"),
+            toml::to_string(&configuration)?,
+        )?;
         let program = std::fs::canonicalize(&options.program)
             .with_context(|| format!("the program {}", options.program.display()))?;
-        Ok(ControlProcess { name, address: listen, role, program, directory, child: None })
+        Ok(ControlProcess {
+            name,
+            address: listen,
+            role,
+            program,
+            directory,
+            child: None,
+        })
     }
 
     pub fn start(&mut self) -> Result<u32> {
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log_file())?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log_file())?;
         let child = Command::new(&self.program)
             .arg("control")
             .arg("--config")
@@ -108,9 +137,21 @@
     pub fn wait_until_ready(&mut self, version: Version) -> Result<()> {
         let until = Instant::now() + READY_WITHIN;
         let client = self.client();
-        while !client.figures().is_ok_and(|figures| figures.version >= version) {
-            if let Some(status) = self.child.as_mut().and_then(|child| child.try_wait().ok()).flatten() {
-                bail!("{} ended with {status}: {}", self.name, self.last_log_lines());
+        while !client
+            .figures()
+            .is_ok_and(|figures| figures.version >= version)
+        {
+            if let Some(status) = self
+                .child
+                .as_mut()
+                .and_then(|child| child.try_wait().ok())
+                .flatten()
+            {
+                bail!(
+                    "{} ended with {status}: {}",
+                    self.name,
+                    self.last_log_lines()
+                );
             }
             if Instant::now() > until {
                 bail!(
@@ -170,7 +211,10 @@
     pub fn ends_within(&mut self, span: Duration) -> bool {
         let until = Instant::now() + span;
         while Instant::now() < until {
-            let ended = self.child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|s| s.is_some()));
+            let ended = self
+                .child
+                .as_mut()
+                .is_some_and(|child| child.try_wait().is_ok_and(|s| s.is_some()));
             if ended {
                 self.child = None;
                 return true;
@@ -229,7 +273,10 @@
             .timeout_global(Some(REQUEST_WITHIN))
             .http_status_as_error(false)
             .build();
-        ControlClient { agent: ureq::Agent::new_with_config(configuration), address }
+        ControlClient {
+            agent: ureq::Agent::new_with_config(configuration),
+            address,
+        }
     }
 
     /// Declares all dispatchers of the plan.
@@ -250,7 +297,10 @@
     }
 
     pub fn figures(&self) -> Result<ControlFigures> {
-        let mut answer = self.agent.get(format!("http://{}/v2/figures", self.address)).call()?;
+        let mut answer = self
+            .agent
+            .get(format!("http://{}/v2/figures", self.address))
+            .call()?;
         let said = answer.body_mut().read_to_string()?;
         if answer.status() != 200 {
             bail!("/v2/figures was answered {}: {said}", answer.status());
@@ -268,7 +318,10 @@
     }
 
     pub fn post_bytes(&self, path: &str, body: &[u8]) -> Result<String> {
-        let mut answer = self.agent.post(format!("http://{}{path}", self.address)).send(body)?;
+        let mut answer = self
+            .agent
+            .post(format!("http://{}{path}", self.address))
+            .send(body)?;
         let said = answer.body_mut().read_to_string()?;
         if answer.status() != 200 {
             bail!("{path} was answered {}: {said}", answer.status());
@@ -279,9 +332,13 @@
 
 /// Loopback addresses that nobody listens on now.
 pub fn free_addresses(count: usize) -> Result<Vec<SocketAddr>> {
-    let listeners: std::io::Result<Vec<std::net::TcpListener>> =
-        (0..count).map(|_| std::net::TcpListener::bind("127.0.0.1:0")).collect();
-    Ok(listeners?.iter().map(|listener| listener.local_addr()).collect::<std::io::Result<_>>()?)
+    let listeners: std::io::Result<Vec<std::net::TcpListener>> = (0..count)
+        .map(|_| std::net::TcpListener::bind("127.0.0.1:0"))
+        .collect();
+    Ok(listeners?
+        .iter()
+        .map(|listener| listener.local_addr())
+        .collect::<std::io::Result<_>>()?)
 }
 
 /// The state file of a dispatcher.
--- a/lab/src/hollow/corruption.rs
+++ b/lab/src/hollow/corruption.rs
@@ -1,7 +1,9 @@
 //! What is torn, flipped or too long is refused with an error, counted, and changes nothing that is in force.
 
 use super::bad_server::{BAD_ANSWERS, BadServer};
-use super::control_process::{ControlPlace, ControlProcess, RefusedRequests, free_addresses, state_file};
+use super::control_process::{
+    ControlPlace, ControlProcess, RefusedRequests, free_addresses, state_file,
+};
 use super::fleet::{Event, Fleet};
 use super::messages::{BucketDigest, Order, Report, StartFrom, Status};
 use super::plan::DispatcherIndex;
@@ -81,7 +83,12 @@
         options.state_directory = state_directory.to_path_buf();
         let log = fleet.options.work.join("worker-lone.log");
         let process = WorkerProcess::start(&std::env::current_exe()?, 0, &options, &log, sender)?;
-        Ok(LoneWorker { process, events, status: Status::default(), faults: vec![] })
+        Ok(LoneWorker {
+            process,
+            events,
+            status: Status::default(),
+            faults: vec![],
+        })
     }
 
     /// Takes reports until there is one that the caller wants.
@@ -115,7 +122,13 @@
 /// Stops a dispatcher of the fleet, takes a copy of its state file, and starts it again.
 fn copy_state(fleet: &mut Fleet, dispatcher: DispatcherIndex, to: &Path) -> Result<PathBuf> {
     let name = fleet.plan.dispatcher_name(dispatcher);
-    let holds = move |fleet: &Fleet| fleet.holders.replicas().iter().any(|r| r.dispatcher == dispatcher);
+    let holds = move |fleet: &Fleet| {
+        fleet
+            .holders
+            .replicas()
+            .iter()
+            .any(|r| r.dispatcher == dispatcher)
+    };
     fleet.stop_dispatchers(&[dispatcher])?;
     fleet.wait(WITHIN, |fleet| !holds(fleet))?;
     std::fs::create_dir_all(to)?;
@@ -133,7 +146,10 @@
     copy_state(fleet, dispatcher, &directory)?;
     let server = BadServer::start()?;
     let mut worker = LoneWorker::start(fleet, &server, &directory)?;
-    worker.process.order(&Order::Start { dispatchers: vec![dispatcher], from: StartFrom::StateFile })?;
+    worker.process.order(&Order::Start {
+        dispatchers: vec![dispatcher],
+        from: StartFrom::StateFile,
+    })?;
     let before = worker.digests()?;
     let rounds = BAD_ANSWERS.len() * ROUNDS;
     worker.until(|_, report| {
@@ -144,11 +160,21 @@
     // A torn line is never whole, so there is nothing to refuse.
     let refusals = (rounds - ROUNDS) as u64;
     let refused = worker.status.faults.refused_lines;
-    outcome.check("bad lines: refused and counted", refused, format!(">= {refusals}"), refused >= refusals);
+    outcome.check(
+        "bad lines: refused and counted",
+        refused,
+        format!(">= {refusals}"),
+        refused >= refusals,
+    );
     outcome.tell("bad lines: as they were told", worker.faults.join("; "));
     let same = before == after && !before.is_empty();
     let text = if same { "the same" } else { "another" };
-    outcome.check(format!("bad lines: what is in force of {} buckets", before.len()), text, "the same", same);
+    outcome.check(
+        format!("bad lines: what is in force of {} buckets", before.len()),
+        text,
+        "the same",
+        same,
+    );
     Ok(())
 }
 
@@ -162,7 +188,12 @@
 }
 
 fn held_buckets(fleet: &Fleet, dispatcher: DispatcherIndex) -> usize {
-    fleet.holders.replicas().iter().filter(|replica| replica.dispatcher == dispatcher).count()
+    fleet
+        .holders
+        .replicas()
+        .iter()
+        .filter(|replica| replica.dispatcher == dispatcher)
+        .count()
 }
 
 fn bad_state_file(
@@ -179,11 +210,20 @@
     damage.apply(&state_file(&fleet.state_directory(), &name))?;
     fleet.faults.clear();
     fleet.start_dispatchers(&[dispatcher], StartFrom::StateFile)?;
-    let filled = fleet.wait(WITHIN, |fleet| held_buckets(fleet, dispatcher) == held_before)?;
-    fleet.wait(WITHIN, |fleet| fleet.fault_counts().refused_state_files > refused_before)?;
+    let filled = fleet.wait(WITHIN, |fleet| {
+        held_buckets(fleet, dispatcher) == held_before
+    })?;
+    fleet.wait(WITHIN, |fleet| {
+        fleet.fault_counts().refused_state_files > refused_before
+    })?;
     let refused = fleet.fault_counts().refused_state_files - refused_before;
     let label = format!("state file, {damage:?}");
-    outcome.check(format!("{label}: refused and counted"), refused, "1", refused == 1);
+    outcome.check(
+        format!("{label}: refused and counted"),
+        refused,
+        "1",
+        refused == 1,
+    );
     outcome.tell(format!("{label}: as it was told"), fleet.faults.join("; "));
     outcome.check(
         format!("{label}: {held_before} buckets filled anew after"),
@@ -202,16 +242,31 @@
 
 fn bad_requests(fleet: &Fleet) -> Result<Vec<BadWrite>> {
     let good = serde_json::to_vec(&fleet.plan.replaced_entry(0, 2))?;
-    let overlong = EndpointEntry { id: "x".repeat(OVERLONG_NAME), ..fleet.plan.entry(0) };
+    let overlong = EndpointEntry {
+        id: "x".repeat(OVERLONG_NAME),
+        ..fleet.plan.entry(0)
+    };
     let mut flipped = good.clone();
     flipped[0] ^= 1;
     let torn = good[..good.len() / 2].to_vec();
     let second_bad = [good.as_slice(), b"\n{\"id\":1}"].concat();
     Ok(vec![
-        BadWrite { what: "too long", body: serde_json::to_vec(&overlong)? },
-        BadWrite { what: "flipped bit", body: flipped },
-        BadWrite { what: "torn", body: torn },
-        BadWrite { what: "good line, then a bad one", body: second_bad },
+        BadWrite {
+            what: "too long",
+            body: serde_json::to_vec(&overlong)?,
+        },
+        BadWrite {
+            what: "flipped bit",
+            body: flipped,
+        },
+        BadWrite {
+            what: "torn",
+            body: torn,
+        },
+        BadWrite {
+            what: "good line, then a bad one",
+            body: second_bad,
+        },
     ])
 }
 
@@ -223,27 +278,50 @@
         let answer = writer.post_bytes("/api/targets", body);
         let held = answer.is_err();
         let said = answer.map_or_else(|e| format!("{e:#}"), |said| format!("taken: {said}"));
-        outcome.check(format!("bad write, {what}"), first_line(&said), "refused", held);
+        outcome.check(
+            format!("bad write, {what}"),
+            first_line(&said),
+            "refused",
+            held,
+        );
     }
     let after = writer.figures()?;
     let count = |refused: RefusedRequests| refused.malformed + refused.too_large;
     let counted = count(after.refused) - count(before.refused);
     let sent = requests.len() as u64;
-    outcome.check("bad writes: counted", counted, sent.to_string(), counted == sent);
+    outcome.check(
+        "bad writes: counted",
+        counted,
+        sent.to_string(),
+        counted == sent,
+    );
     let kept = before.version == after.version;
-    outcome.check("bad writes: version", format!("{:?}", after.version), "as before", kept);
+    outcome.check(
+        "bad writes: version",
+        format!("{:?}", after.version),
+        "as before",
+        kept,
+    );
     fleet.run_for(SEEN_WITHIN)?;
     tell_wrong_buckets(fleet, outcome, "bad writes")
 }
 
 fn tell_wrong_buckets(fleet: &mut Fleet, outcome: &mut Outcome, label: &str) -> Result<()> {
     let wrong = fleet.wrong_buckets()?.len() as u64;
-    outcome.none(format!("{label}: buckets in force that are not as written"), wrong);
+    outcome.none(
+        format!("{label}: buckets in force that are not as written"),
+        wrong,
+    );
     Ok(())
 }
 
 fn first_line(text: &str) -> String {
-    text.lines().next().unwrap_or_default().chars().take(160).collect()
+    text.lines()
+        .next()
+        .unwrap_or_default()
+        .chars()
+        .take(160)
+        .collect()
 }
 
 /// A follower starts from damaged files: it must say so, or miss nothing; nothing in force changes.
@@ -289,7 +367,10 @@
     let kept = directory.with_extension("kept");
     copy_files(&directory, &kept)?;
     damage.apply(file)?;
-    let whole = format!("at version {} with {} endpoints", version.0, fleet.plan.options.destinations);
+    let whole = format!(
+        "at version {} with {} endpoints",
+        version.0, fleet.plan.options.destinations
+    );
     let control = &mut fleet.controls[number];
     let logged = control.log().len();
     control.start()?;
@@ -297,8 +378,15 @@
     let lines = control.log().split_off(logged);
     control.kill();
     let state = directory.display().to_string();
-    let said: Vec<String> = lines.lines().filter(|line| line.contains(&state)).map(first_line).collect();
-    let name = file.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+    let said: Vec<String> = lines
+        .lines()
+        .filter(|line| line.contains(&state))
+        .map(first_line)
+        .collect();
+    let name = file
+        .file_name()
+        .map(|name| name.to_string_lossy().into_owned())
+        .unwrap_or_default();
     let label = format!("control, {name}, {damage:?}");
     let did = match (ended, lines.contains(&whole)) {
         (true, _) => "ended",
@@ -318,7 +406,11 @@
 fn bad_writer_lines(fleet: &mut Fleet, outcome: &mut Outcome, state: &Path) -> Result<()> {
     let server = BadServer::start()?;
     let listen = free_addresses(1)?[0];
-    let place = ControlPlace { name: "control-lone".to_string(), listen, writer: Some(server.address) };
+    let place = ControlPlace {
+        name: "control-lone".to_string(),
+        listen,
+        writer: Some(server.address),
+    };
     let mut follower = ControlProcess::prepare(&fleet.options, &fleet.plan, place)?;
     copy_files(state, &follower.state_directory())?;
     follower.start()?;
@@ -329,20 +421,30 @@
     let refusals = (rounds - ROUNDS) as u64;
     let enough = |_: &Fleet| {
         server.answered() > rounds
-            && client.figures().is_ok_and(|figures| figures.writer_lines_refused >= refusals)
+            && client
+                .figures()
+                .is_ok_and(|figures| figures.writer_lines_refused >= refusals)
     };
     fleet.wait(WITHIN, enough)?;
     let after = client.figures()?;
     let refused = after.writer_lines_refused;
     let label = "bad lines to a follower";
     outcome.check(
-        format!("{label}: refused and counted, of {} connections", server.answered()),
+        format!(
+            "{label}: refused and counted, of {} connections",
+            server.answered()
+        ),
         refused,
         format!(">= {refusals}"),
         refused >= refusals,
     );
     let kept = before.version == after.version;
-    outcome.check(format!("{label}: version"), format!("{:?}", after.version), "as before", kept);
+    outcome.check(
+        format!("{label}: version"),
+        format!("{:?}", after.version),
+        "as before",
+        kept,
+    );
     Ok(())
 }
 
--- a/lab/src/hollow/dispatcher.rs
+++ b/lab/src/hollow/dispatcher.rs
@@ -9,7 +9,9 @@
 use bellsill_directory::line::{EndpointEntry, Version};
 use bellsill_net::ring::Ring;
 use bellsill_watch::scoped_list::CACHE_DESTINATIONS;
-use bellsill_watch::{Applied, BucketMap, CallId, Command, ScopedList, ScopedOptions, Timer, Watch};
+use bellsill_watch::{
+    Applied, BucketMap, CallId, Command, ScopedList, ScopedOptions, Timer, Watch,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +31,11 @@
 
 /// What the owner of the sockets is to do.
 pub enum Action {
-    Connect { call: CallId, address: SocketAddr, request: Vec<u8> },
+    Connect {
+        call: CallId,
+        address: SocketAddr,
+        request: Vec<u8>,
+    },
     Close(CallId),
 }
 
@@ -67,13 +73,20 @@
         let plan = &surroundings.plan;
         let name = plan.dispatcher_name(index);
         let layout: Arc<dyn BucketMap> = Arc::clone(plan) as Arc<dyn BucketMap>;
-        let restored =
-            saved.map(|bytes| ScopedList::from_bytes(bytes, &name, Arc::clone(&layout), CACHE_DESTINATIONS));
-        let refused = restored.as_ref().and_then(|list| list.as_ref().err().map(ToString::to_string));
+        let restored = saved.map(|bytes| {
+            ScopedList::from_bytes(bytes, &name, Arc::clone(&layout), CACHE_DESTINATIONS)
+        });
+        let refused = restored
+            .as_ref()
+            .and_then(|list| list.as_ref().err().map(ToString::to_string));
         let list = restored.and_then(Result::ok);
         let known = list.is_some();
         let list = list.unwrap_or_else(|| ScopedList::new(layout, CACHE_DESTINATIONS));
-        let options = ScopedOptions { dispatcher: name.clone(), servers: surroundings.servers.clone(), seed };
+        let options = ScopedOptions {
+            dispatcher: name.clone(),
+            servers: surroundings.servers.clone(),
+            seed,
+        };
         let mut dispatcher = HollowDispatcher {
             index,
             name,
@@ -99,11 +112,17 @@
 
     /// Puts in force what the state file has, before anything is heard.
     fn serve_restored(&mut self, now: Nanos, plan: &Plan) {
-        let Some(list) = self.watch.list() else { return };
+        let Some(list) = self.watch.list() else {
+            return;
+        };
         let entries: Vec<EndpointEntry> = list.entries().cloned().collect();
         let buckets = list.complete_buckets().collect();
         self.routes.apply(now, plan, &entries, &[]);
-        self.reports.push(Report::Restored { dispatcher: self.index, at: super::clock::now(), buckets });
+        self.reports.push(Report::Restored {
+            dispatcher: self.index,
+            at: super::clock::now(),
+            buckets,
+        });
     }
 
     pub fn start(&mut self, now: Nanos) {
@@ -155,12 +174,17 @@
     fn put_in_force(&mut self, now: Nanos, surroundings: &Surroundings, applied: Applied) {
         let dropped: Vec<String> = applied.dropped.into_iter().map(|entry| entry.id).collect();
         if !applied.changed.is_empty() || !dropped.is_empty() {
-            self.routes.apply(now, &surroundings.plan, &applied.changed, &dropped);
+            self.routes
+                .apply(now, &surroundings.plan, &applied.changed, &dropped);
         }
         for name in &dropped {
             self.versions.remove(name);
         }
-        for entry in applied.changed.iter().filter(|entry| entry.version > surroundings.report_above) {
+        for entry in applied
+            .changed
+            .iter()
+            .filter(|entry| entry.version > surroundings.report_above)
+        {
             self.report_change(entry);
         }
         if !(applied.gained.is_empty() && applied.lost.is_empty() && applied.filled.is_empty()) {
@@ -191,13 +215,21 @@
     fn tell_fault(&mut self, what: String) {
         self.faults.told += 1;
         if self.faults.told <= FAULTS_TOLD {
-            self.reports.push(Report::Fault { dispatcher: self.index, what });
+            self.reports.push(Report::Fault {
+                dispatcher: self.index,
+                what,
+            });
         }
     }
 
     /// Fires all timers that are due.
     pub fn fire(&mut self, now: Nanos) {
-        while let Some(timer) = self.timers.iter().find(|&(_, &at)| at <= now).map(|(&timer, _)| timer) {
+        while let Some(timer) = self
+            .timers
+            .iter()
+            .find(|&(_, &at)| at <= now)
+            .map(|(&timer, _)| timer)
+        {
             self.timers.remove(&timer);
             let commands = self.watch.timer_fired(now, timer);
             self.take(commands);
@@ -208,15 +240,25 @@
     }
 
     pub fn next_due(&self) -> Option<Nanos> {
-        self.timers.values().copied().chain(self.routes.wake_at()).min()
+        self.timers
+            .values()
+            .copied()
+            .chain(self.routes.wake_at())
+            .min()
     }
 
     fn take(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Connect { call, address, request } => {
-                    self.actions.push_back(Action::Connect { call, address, request })
-                }
+                Command::Connect {
+                    call,
+                    address,
+                    request,
+                } => self.actions.push_back(Action::Connect {
+                    call,
+                    address,
+                    request,
+                }),
                 Command::Close(call) => self.actions.push_back(Action::Close(call)),
                 Command::SetTimer(timer, at) => drop(self.timers.insert(timer, at)),
                 Command::ClearTimer(timer) => drop(self.timers.remove(&timer)),
@@ -234,11 +276,18 @@
 
     /// What its state file has.
     pub fn state(&self) -> Vec<u8> {
-        self.watch.list().map(|list| list.to_bytes(&self.name)).unwrap_or_default()
+        self.watch
+            .list()
+            .map(|list| list.to_bytes(&self.name))
+            .unwrap_or_default()
     }
 
     pub fn faults(&self) -> FaultCounts {
-        let list = self.watch.list().map(ScopedList::counters).unwrap_or_default();
+        let list = self
+            .watch
+            .list()
+            .map(ScopedList::counters)
+            .unwrap_or_default();
         FaultCounts {
             refused_lines: list.refused_lines + self.watch.counters().overlong_lines,
             entries_not_taken: list.stale_entries + list.duplicate_entries,
--- a/lab/src/hollow/fleet.rs
+++ b/lab/src/hollow/fleet.rs
@@ -33,12 +33,31 @@
 
 /// What happens in the parent's threads.
 pub enum Event {
-    Report { worker: usize, report: Report },
-    BadReport { worker: usize, what: String },
-    WorkerEnded { worker: usize },
-    Writing { change: Change, entry: EndpointEntry },
-    Written { endpoint: String, version: Version, started: Nanos, answered: Nanos },
-    WriteRefused { endpoint: String, what: String },
+    Report {
+        worker: usize,
+        report: Report,
+    },
+    BadReport {
+        worker: usize,
+        what: String,
+    },
+    WorkerEnded {
+        worker: usize,
+    },
+    Writing {
+        change: Change,
+        entry: EndpointEntry,
+    },
+    Written {
+        endpoint: String,
+        version: Version,
+        started: Nanos,
+        answered: Nanos,
+    },
+    WriteRefused {
+        endpoint: String,
+        what: String,
+    },
 }
 
 /// A worker and what it has told.
@@ -130,18 +149,33 @@
 impl Fleet {
     /// Starts all processes, writes the configuration, and waits until every bucket has all its holders.
     pub fn start(options: HollowOptions) -> Result<Fleet> {
-        ensure!(options.control > 0, "--control: expected one process at least");
-        ensure!(options.dispatchers > 0, "--dispatchers: expected one at least");
-        ensure!(options.per_worker > 0, "--per-worker: expected one at least");
+        ensure!(
+            options.control > 0,
+            "--control: expected one process at least"
+        );
+        ensure!(
+            options.dispatchers > 0,
+            "--dispatchers: expected one at least"
+        );
+        ensure!(
+            options.per_worker > 0,
+            "--per-worker: expected one at least"
+        );
         let plan = Plan::new(options.plan())?;
         renew_directory(&options.work)?;
         let addresses = free_addresses(options.control)?;
         let prepare = |n: usize| {
             let writer = (n > 0).then_some(addresses[0]);
-            let place = ControlPlace { name: format!("control-{}", n + 1), listen: addresses[n], writer };
+            let place = ControlPlace {
+                name: format!("control-{}", n + 1),
+                listen: addresses[n],
+                writer,
+            };
             ControlProcess::prepare(&options, &plan, place)
         };
-        let controls = (0..options.control).map(prepare).collect::<Result<Vec<_>>>()?;
+        let controls = (0..options.control)
+            .map(prepare)
+            .collect::<Result<Vec<_>>>()?;
         let (sender, events) = channel();
         let mut fleet = Fleet {
             options,
@@ -175,9 +209,15 @@
         let destinations: Vec<u64> = (0..self.plan.options.destinations).collect();
         for batch in destinations.chunks(SEED_BATCH) {
             let entries: Vec<EndpointEntry> = batch.iter().map(|&d| self.plan.entry(d)).collect();
-            self.last_version = writer.write_entries(&entries).context("writing the configuration")?;
+            self.last_version = writer
+                .write_entries(&entries)
+                .context("writing the configuration")?;
         }
-        tracing::info!("{} entries written, version {}", self.plan.options.destinations, self.last_version.0);
+        tracing::info!(
+            "{} entries written, version {}",
+            self.plan.options.destinations,
+            self.last_version.0
+        );
         let followers: Vec<usize> = (1..self.controls.len()).collect();
         // Dispatchers that met followers without a configuration would all stay at the writer.
         self.start_control_processes(&followers)?;
@@ -191,24 +231,36 @@
             let pid = self.controls[number].start()?;
             self.sampler.add(pid);
         }
-        numbers.iter().try_for_each(|&number| self.controls[number].wait_until_ready(self.last_version))
+        numbers
+            .iter()
+            .try_for_each(|&number| self.controls[number].wait_until_ready(self.last_version))
     }
 
     fn start_workers(&mut self, addresses: &[SocketAddr]) -> Result<()> {
         let program = std::env::current_exe()?;
         let options = self.worker_options(addresses.to_vec())?;
         let all: Vec<DispatcherIndex> = self.plan.dispatchers().collect();
-        let shares: Vec<Vec<DispatcherIndex>> =
-            all.chunks(self.options.per_worker).map(<[DispatcherIndex]>::to_vec).collect();
+        let shares: Vec<Vec<DispatcherIndex>> = all
+            .chunks(self.options.per_worker)
+            .map(<[DispatcherIndex]>::to_vec)
+            .collect();
         for (number, dispatchers) in shares.into_iter().enumerate() {
             let process = self.spawn_worker(&program, number, &options)?;
             let status = Status::default();
-            self.workers.push(Worker { process, dispatchers, status, empty_bytes: 0 });
+            self.workers.push(Worker {
+                process,
+                dispatchers,
+                status,
+                empty_bytes: 0,
+            });
         }
         let count = self.workers.len();
-        self.expect("all workers are ready", WORKERS_READY_WITHIN, |fleet| fleet.answers.ready == count)?;
+        self.expect("all workers are ready", WORKERS_READY_WITHIN, |fleet| {
+            fleet.answers.ready == count
+        })?;
         for worker in &mut self.workers {
-            worker.empty_bytes = sample(worker.process.pid()).map_or(0, |sample| sample.resident_bytes);
+            worker.empty_bytes =
+                sample(worker.process.pid()).map_or(0, |sample| sample.resident_bytes);
         }
         Ok(())
     }
@@ -217,14 +269,24 @@
     pub fn worker_options(&self, servers: Vec<SocketAddr>) -> Result<WorkerOptions> {
         let state_directory = self.state_directory();
         std::fs::create_dir_all(&state_directory)?;
-        Ok(WorkerOptions { plan: self.plan.options, servers, state_directory, seed: self.options.seed })
+        Ok(WorkerOptions {
+            plan: self.plan.options,
+            servers,
+            state_directory,
+            seed: self.options.seed,
+        })
     }
 
     pub fn state_directory(&self) -> PathBuf {
         self.options.work.join("dispatchers")
     }
 
-    fn spawn_worker(&self, program: &Path, number: usize, options: &WorkerOptions) -> Result<WorkerProcess> {
+    fn spawn_worker(
+        &self,
+        program: &Path,
+        number: usize,
+        options: &WorkerOptions,
+    ) -> Result<WorkerProcess> {
         let log = self.options.work.join(format!("worker-{number}.log"));
         let process = WorkerProcess::start(program, number, options, &log, self.sender.clone())?;
         self.sampler.add(process.pid());
@@ -233,12 +295,19 @@
 
     /// Declares and starts all dispatchers.
     fn fill(&mut self) -> Result<()> {
-        self.controls[0].client().declare_members(&self.plan).context("declaring the dispatchers")?;
+        self.controls[0]
+            .client()
+            .declare_members(&self.plan)
+            .context("declaring the dispatchers")?;
         let window = self.begin_window()?;
         let began = Instant::now();
         let all: Vec<DispatcherIndex> = self.plan.dispatchers().collect();
         self.start_dispatchers(&all, StartFrom::Nothing)?;
-        self.expect("every bucket has all its holders", FILLED_WITHIN, Fleet::settled)?;
+        self.expect(
+            "every bucket has all its holders",
+            FILLED_WITHIN,
+            Fleet::settled,
+        )?;
         self.start_figures.filled = began.elapsed();
         let traffic = self.end_window(&window)?.traffic;
         self.start_figures.filled_bytes = traffic.bytes;
@@ -257,7 +326,9 @@
     }
 
     fn order_all(&mut self, order: &Order) -> Result<()> {
-        self.workers.iter_mut().try_for_each(|worker| worker.process.order(order))
+        self.workers
+            .iter_mut()
+            .try_for_each(|worker| worker.process.order(order))
     }
 
     /// Orders each worker what concerns its own dispatchers of these.
@@ -267,8 +338,11 @@
         order: impl Fn(Vec<DispatcherIndex>) -> Order,
     ) -> Result<()> {
         for worker in &mut self.workers {
-            let own: Vec<DispatcherIndex> =
-                dispatchers.iter().copied().filter(|d| worker.dispatchers.contains(d)).collect();
+            let own: Vec<DispatcherIndex> = dispatchers
+                .iter()
+                .copied()
+                .filter(|d| worker.dispatchers.contains(d))
+                .collect();
             if !own.is_empty() {
                 worker.process.order(&order(own))?;
             }
@@ -276,9 +350,16 @@
         Ok(())
     }
 
-    pub fn start_dispatchers(&mut self, dispatchers: &[DispatcherIndex], from: StartFrom) -> Result<()> {
+    pub fn start_dispatchers(
+        &mut self,
+        dispatchers: &[DispatcherIndex],
+        from: StartFrom,
+    ) -> Result<()> {
         self.running.extend(dispatchers);
-        self.order_each(dispatchers, |dispatchers| Order::Start { dispatchers, from })
+        self.order_each(dispatchers, |dispatchers| Order::Start {
+            dispatchers,
+            from,
+        })
     }
 
     pub fn stop_dispatchers(&mut self, dispatchers: &[DispatcherIndex]) -> Result<()> {
@@ -345,15 +426,25 @@
     fn handle(&mut self, event: Event) -> Result<()> {
         match event {
             Event::Report { worker, report } => self.take_report(worker, report),
-            Event::BadReport { worker, what } => bail!("worker {worker} reports what cannot be read: {what}"),
-            Event::WorkerEnded { worker } => bail!("worker {worker} has ended; its log is beside its state"),
+            Event::BadReport { worker, what } => {
+                bail!("worker {worker} reports what cannot be read: {what}")
+            }
+            Event::WorkerEnded { worker } => {
+                bail!("worker {worker} has ended; its log is beside its state")
+            }
             Event::Writing { change, entry } => {
                 self.written.insert(entry.destination, entry);
                 self.propagation.writing(change, &self.holders);
             }
-            Event::Written { endpoint, version, started, answered } => {
+            Event::Written {
+                endpoint,
+                version,
+                started,
+                answered,
+            } => {
                 self.last_version = self.last_version.max(version);
-                self.propagation.written(&endpoint, version, started, answered);
+                self.propagation
+                    .written(&endpoint, version, started, answered);
             }
             Event::WriteRefused { endpoint, what } => {
                 self.written.retain(|_, entry| entry.id != endpoint);
@@ -366,18 +457,32 @@
     fn take_report(&mut self, worker: usize, report: Report) {
         match report {
             Report::Ready => self.answers.ready += 1,
-            Report::Applied { dispatcher, endpoint, version, at } => {
-                self.propagation.applied(dispatcher, &endpoint, version, at)
-            }
-            Report::Restored { dispatcher, at, buckets } => self.holders.filled(dispatcher, &buckets, at),
-            Report::Held { dispatcher, at, gained, lost, filled } => {
+            Report::Applied {
+                dispatcher,
+                endpoint,
+                version,
+                at,
+            } => self.propagation.applied(dispatcher, &endpoint, version, at),
+            Report::Restored {
+                dispatcher,
+                at,
+                buckets,
+            } => self.holders.filled(dispatcher, &buckets, at),
+            Report::Held {
+                dispatcher,
+                at,
+                gained,
+                lost,
+                filled,
+            } => {
                 self.holders.gained(dispatcher, &gained);
                 self.holders.lost(dispatcher, &lost, at);
                 self.holders.filled(dispatcher, &filled, at);
             }
             Report::Stopped { dispatcher, at } => self.holders.stopped(dispatcher, at),
             Report::Fault { dispatcher, what } => {
-                self.faults.push(format!("{}: {what}", self.plan.dispatcher_name(dispatcher)));
+                self.faults
+                    .push(format!("{}: {what}", self.plan.dispatcher_name(dispatcher)));
             }
             Report::Status(status) => {
                 if let Some(worker) = self.workers.get_mut(worker) {
@@ -402,13 +507,23 @@
     /// has told none since then.
     pub fn served_by(&self, controls: &[usize], since: Nanos) -> Option<usize> {
         let told = self.workers.iter().all(|worker| worker.status.at >= since);
-        let by = |worker: &Worker| controls.iter().map(|&n| worker.status.by_server[n]).sum::<usize>();
+        let by = |worker: &Worker| {
+            controls
+                .iter()
+                .map(|&n| worker.status.by_server[n])
+                .sum::<usize>()
+        };
         told.then(|| self.workers.iter().map(by).sum())
     }
 
     /// How many dispatchers each control process serves.
     pub fn served_by_each(&self) -> Vec<usize> {
-        let by = |n: usize| self.workers.iter().filter_map(|worker| worker.status.by_server.get(n)).sum();
+        let by = |n: usize| {
+            self.workers
+                .iter()
+                .filter_map(|worker| worker.status.by_server.get(n))
+                .sum()
+        };
         (0..self.controls.len()).map(by).collect()
     }
 
@@ -418,12 +533,17 @@
     }
 
     pub fn connects(&self) -> u64 {
-        self.workers.iter().map(|worker| worker.status.connects).sum()
+        self.workers
+            .iter()
+            .map(|worker| worker.status.connects)
+            .sum()
     }
 
     pub fn fault_counts(&self) -> FaultCounts {
         let mut counts = FaultCounts::default();
-        self.workers.iter().for_each(|worker| counts.add(&worker.status.faults));
+        self.workers
+            .iter()
+            .for_each(|worker| counts.add(&worker.status.faults));
         counts
     }
 
@@ -445,16 +565,28 @@
         self.answers.traffic.clear();
         self.order_all(&Order::EndTraffic)?;
         let count = self.workers.len();
-        self.expect("all workers tell their traffic", ANSWERS_WITHIN, |f| f.answers.traffic.len() == count)?;
+        self.expect("all workers tell their traffic", ANSWERS_WITHIN, |f| {
+            f.answers.traffic.len() == count
+        })?;
         let mut traffic = Traffic::default();
-        self.answers.traffic.drain(..).for_each(|of_worker| traffic.add(&of_worker));
+        self.answers
+            .traffic
+            .drain(..)
+            .for_each(|of_worker| traffic.add(&of_worker));
         let control = |process: &ControlProcess| {
-            process.pid().map(|pid| self.sampler.usage(pid, start.at, to)).unwrap_or_default()
+            process
+                .pid()
+                .map(|pid| self.sampler.usage(pid, start.at, to))
+                .unwrap_or_default()
         };
         Ok(Window {
             seconds: (to - start.at) as f64 / clock::SECOND as f64,
             traffic,
-            dispatchers: self.workers.iter().map(|w| self.dispatcher_usage(w, start.at, to)).collect(),
+            dispatchers: self
+                .workers
+                .iter()
+                .map(|w| self.dispatcher_usage(w, start.at, to))
+                .collect(),
             writer: control(&self.controls[0]),
             followers: self.controls[1..].iter().map(control).collect(),
         })
@@ -463,8 +595,13 @@
     fn dispatcher_usage(&self, worker: &Worker, from: Nanos, to: Nanos) -> DispatcherUsage {
         let usage = self.sampler.usage(worker.process.pid(), from, to);
         let count = worker.dispatchers.len();
-        let grown = usage.largest_resident_bytes.saturating_sub(worker.empty_bytes);
-        DispatcherUsage { cores: usage.cores / count as f64, resident_bytes: grown / count as u64 }
+        let grown = usage
+            .largest_resident_bytes
+            .saturating_sub(worker.empty_bytes);
+        DispatcherUsage {
+            cores: usage.cores / count as f64,
+            resident_bytes: grown / count as u64,
+        }
     }
 
     /// The processes of all roles, and the parent.
@@ -477,7 +614,9 @@
         self.answers.digests.clear();
         self.order_all(&Order::Digest)?;
         let count = self.workers.len();
-        self.expect("all workers tell their digests", ANSWERS_WITHIN, |f| f.answers.digests.len() == count)?;
+        self.expect("all workers tell their digests", ANSWERS_WITHIN, |f| {
+            f.answers.digests.len() == count
+        })?;
         let digests: Vec<BucketDigest> = self.answers.digests.drain(..).flatten().collect();
         Ok(self.compare(&digests))
     }
@@ -486,12 +625,17 @@
         let expected = self.expected();
         let mut found: BTreeMap<(DispatcherIndex, BucketId), Expected> = BTreeMap::new();
         for digest in digests {
-            let told = Expected { entries: digest.entries, digest: digest.digest };
+            let told = Expected {
+                entries: digest.entries,
+                digest: digest.digest,
+            };
             found.insert((digest.dispatcher, digest.bucket), told);
         }
         let mut wrong = vec![];
         for replica in self.holders.replicas() {
-            let told = found.remove(&(replica.dispatcher, replica.bucket)).unwrap_or_default();
+            let told = found
+                .remove(&(replica.dispatcher, replica.bucket))
+                .unwrap_or_default();
             let expected = expected.get(&replica.bucket).copied().unwrap_or_default();
             if told != expected {
                 wrong.push(WrongBucket {
@@ -503,12 +647,14 @@
             }
         }
         // What is left is in force without being held.
-        let kept = found.into_iter().map(|((dispatcher, bucket), told)| WrongBucket {
-            dispatcher,
-            bucket,
-            entries: told.entries,
-            expected_entries: 0,
-        });
+        let kept = found
+            .into_iter()
+            .map(|((dispatcher, bucket), told)| WrongBucket {
+                dispatcher,
+                bucket,
+                entries: told.entries,
+                expected_entries: 0,
+            });
         wrong.extend(kept);
         wrong
     }
@@ -520,8 +666,12 @@
                 Some(entry) => entry.clone(),
                 None => self.plan.entry(destination),
             };
-            let Some(address) = entry.addr.and_then(|address| address.parse().ok()) else { continue };
-            let of_bucket = expected.entry(self.plan.bucket_of(destination)).or_default();
+            let Some(address) = entry.addr.and_then(|address| address.parse().ok()) else {
+                continue;
+            };
+            let of_bucket = expected
+                .entry(self.plan.bucket_of(destination))
+                .or_default();
             of_bucket.entries += 1;
             of_bucket.digest ^= fingerprint(&entry.id, address);
         }
--- a/lab/src/hollow/holders.rs
+++ b/lab/src/hollow/holders.rs
@@ -43,7 +43,9 @@
     }
 
     fn holds(&self, dispatcher: DispatcherIndex, bucket: BucketId) -> bool {
-        self.live.get(&bucket).is_some_and(|holders| holders.contains(&dispatcher))
+        self.live
+            .get(&bucket)
+            .is_some_and(|holders| holders.contains(&dispatcher))
     }
 
     pub fn filled(&mut self, dispatcher: DispatcherIndex, buckets: &[BucketId], at: Nanos) {
@@ -57,7 +59,9 @@
 
     pub fn lost(&mut self, dispatcher: DispatcherIndex, buckets: &[BucketId], at: Nanos) {
         for &bucket in buckets {
-            let Some(holders) = self.live.get_mut(&bucket) else { continue };
+            let Some(holders) = self.live.get_mut(&bucket) else {
+                continue;
+            };
             if holders.remove(&dispatcher) && holders.is_empty() {
                 self.bare.insert(bucket, at);
             }
@@ -65,7 +69,10 @@
     }
 
     pub fn stopped(&mut self, dispatcher: DispatcherIndex, at: Nanos) {
-        let held = self.live.iter().filter(|(_, holders)| holders.contains(&dispatcher));
+        let held = self
+            .live
+            .iter()
+            .filter(|(_, holders)| holders.contains(&dispatcher));
         let buckets: Vec<BucketId> = held.map(|(&bucket, _)| bucket).collect();
         self.lost(dispatcher, &buckets, at);
     }
@@ -76,15 +83,22 @@
 
     /// All live replicas.
     pub fn replicas(&self) -> BTreeSet<Replica> {
-        let of_bucket = |(&bucket, holders): (&BucketId, &BTreeSet<DispatcherIndex>)| -> Vec<Replica> {
-            holders.iter().map(|&dispatcher| Replica { bucket, dispatcher }).collect()
-        };
+        let of_bucket =
+            |(&bucket, holders): (&BucketId, &BTreeSet<DispatcherIndex>)| -> Vec<Replica> {
+                holders
+                    .iter()
+                    .map(|&dispatcher| Replica { bucket, dispatcher })
+                    .collect()
+            };
         self.live.iter().flat_map(of_bucket).collect()
     }
 
     /// How many buckets have at least so many live holders.
     pub fn with_holders(&self, least: usize) -> usize {
-        self.live.values().filter(|holders| holders.len() >= least).count()
+        self.live
+            .values()
+            .filter(|holders| holders.len() >= least)
+            .count()
     }
 
     /// How many buckets had a live holder once and have none.
--- a/lab/src/hollow/measure.rs
+++ b/lab/src/hollow/measure.rs
@@ -33,7 +33,11 @@
     let ticks = (stat.utime + stat.stime) as f64;
     let processor_seconds = ticks / procfs::ticks_per_second() as f64;
     let resident_bytes = stat.rss * procfs::page_size();
-    Some(Sample { at: clock::now(), processor_seconds, resident_bytes })
+    Some(Sample {
+        at: clock::now(),
+        processor_seconds,
+        resident_bytes,
+    })
 }
 
 /// The samples of all processes that were named.
@@ -66,7 +70,11 @@
                 std::thread::sleep(SAMPLE_EVERY);
             }
         });
-        Sampler { samples, over, thread: Some(thread) }
+        Sampler {
+            samples,
+            over,
+            thread: Some(thread),
+        }
     }
 
     pub fn add(&self, pid: u32) {
@@ -80,9 +88,13 @@
     /// What a process used between two moments, by the samples between them.
     pub fn usage(&self, pid: u32, from: Nanos, to: Nanos) -> Usage {
         let samples = locked(&self.samples);
-        let Some(all) = samples.by_process.get(&pid) else { return Usage::default() };
+        let Some(all) = samples.by_process.get(&pid) else {
+            return Usage::default();
+        };
         let within: Vec<&Sample> = all.iter().filter(|s| (from..=to).contains(&s.at)).collect();
-        let (Some(first), Some(last)) = (within.first(), within.last()) else { return Usage::default() };
+        let (Some(first), Some(last)) = (within.first(), within.last()) else {
+            return Usage::default();
+        };
         let span = (last.at - first.at) as f64 / clock::SECOND as f64;
         let used = last.processor_seconds - first.processor_seconds;
         Usage {
@@ -98,7 +110,10 @@
 
 fn sample_all(samples: &Mutex<Samples>) {
     let pids: Vec<u32> = locked(samples).by_process.keys().copied().collect();
-    let seen: Vec<(u32, Sample)> = pids.into_iter().filter_map(|pid| Some((pid, sample(pid)?))).collect();
+    let seen: Vec<(u32, Sample)> = pids
+        .into_iter()
+        .filter_map(|pid| Some((pid, sample(pid)?)))
+        .collect();
     let mut samples = locked(samples);
     let total = seen.iter().map(|(_, sample)| sample.resident_bytes).sum();
     samples.largest_total_bytes = samples.largest_total_bytes.max(total);
--- a/lab/src/hollow/messages.rs
+++ b/lab/src/hollow/messages.rs
@@ -23,9 +23,7 @@
         from: StartFrom,
     },
     /// The dispatchers end, and their state files are written.
-    Stop {
-        dispatchers: Vec<DispatcherIndex>,
-    },
+    Stop { dispatchers: Vec<DispatcherIndex> },
     /// Entries above this version are reported when they are in force; none before the first such order.
     ReportAbove(Version),
     /// Traffic is counted anew.
--- a/lab/src/hollow/plan.rs
+++ b/lab/src/hollow/plan.rs
@@ -45,14 +45,26 @@
 
 impl Plan {
     pub fn new(options: PlanOptions) -> Result<Self, LayoutError> {
-        let zone =
-            |region: usize, zone: usize| Zone { name: format!("r{}-z{}", region + 1, zone + 1), region };
+        let zone = |region: usize, zone: usize| Zone {
+            name: format!("r{}-z{}", region + 1, zone + 1),
+            region,
+        };
         let regions = ZONES_OF_REGIONS.iter().enumerate();
-        let zones: Vec<Zone> =
-            regions.flat_map(|(region, &count)| (0..count).map(move |z| zone(region, z))).collect();
-        let declared = |zone: &Zone| (ZoneName(zone.name.clone()), RegionName(region_name(zone.region)));
+        let zones: Vec<Zone> = regions
+            .flat_map(|(region, &count)| (0..count).map(move |z| zone(region, z)))
+            .collect();
+        let declared = |zone: &Zone| {
+            (
+                ZoneName(zone.name.clone()),
+                RegionName(region_name(zone.region)),
+            )
+        };
         let layout = Layout::new(zones.iter().map(declared), options.buckets_per_region)?;
-        Ok(Plan { options, zones, layout })
+        Ok(Plan {
+            options,
+            zones,
+            layout,
+        })
     }
 
     pub fn dispatchers(&self) -> impl Iterator<Item = DispatcherIndex> + use<> {
@@ -69,7 +81,9 @@
     }
 
     pub fn dispatchers_in_zone(&self, zone: &str) -> Vec<DispatcherIndex> {
-        self.dispatchers().filter(|&d| self.zone_of(d).name == zone).collect()
+        self.dispatchers()
+            .filter(|&d| self.zone_of(d).name == zone)
+            .collect()
     }
 
     pub fn region_of_destination(&self, destination: u64) -> usize {
--- a/lab/src/hollow/propagation.rs
+++ b/lab/src/hollow/propagation.rs
@@ -70,9 +70,15 @@
     pub fn writing(&mut self, change: Change, holders: &Holders) {
         let waits_for = holders.of(change.bucket);
         self.without_holder += u64::from(waits_for.is_empty());
-        let followed =
-            Followed { version: None, waits_for, versions: BTreeMap::new(), last: change.started, change };
-        self.followed.insert(followed.change.endpoint.clone(), followed);
+        let followed = Followed {
+            version: None,
+            waits_for,
+            versions: BTreeMap::new(),
+            last: change.started,
+            change,
+        };
+        self.followed
+            .insert(followed.change.endpoint.clone(), followed);
     }
 
     pub fn written(&mut self, endpoint: &str, version: Version, started: Nanos, answered: Nanos) {
@@ -88,8 +94,16 @@
         self.refused_writes.push(what);
     }
 
-    pub fn applied(&mut self, dispatcher: DispatcherIndex, endpoint: &str, version: Version, at: Nanos) {
-        let Some(followed) = self.followed.get_mut(endpoint) else { return };
+    pub fn applied(
+        &mut self,
+        dispatcher: DispatcherIndex,
+        endpoint: &str,
+        version: Version,
+        at: Nanos,
+    ) {
+        let Some(followed) = self.followed.get_mut(endpoint) else {
+            return;
+        };
         // An entry of before, told again with a filling, is not the change.
         if at < followed.change.started || followed.versions.contains_key(&dispatcher) {
             return;
@@ -116,13 +130,18 @@
 
     /// Changes that some holder does not have in force.
     pub fn pending(&self) -> usize {
-        self.followed.values().filter(|followed| !followed.waits_for.is_empty()).count()
+        self.followed
+            .values()
+            .filter(|followed| !followed.waits_for.is_empty())
+            .count()
     }
 
     /// Changes that were told to a dispatcher as another version than the write was answered with.
     pub fn wrong_versions(&self) -> usize {
         let wrong = |followed: &&Followed| {
-            followed.version.is_some_and(|written| followed.versions.values().any(|&told| told != written))
+            followed
+                .version
+                .is_some_and(|written| followed.versions.values().any(|&told| told != written))
         };
         self.followed.values().filter(wrong).count()
     }
--- a/lab/src/hollow/report.rs
+++ b/lab/src/hollow/report.rs
@@ -40,11 +40,18 @@
 
 impl Outcome {
     pub fn new(scenario: &str) -> Self {
-        Outcome { scenario: scenario.to_string(), figures: vec![] }
+        Outcome {
+            scenario: scenario.to_string(),
+            figures: vec![],
+        }
     }
 
     pub fn tell(&mut self, name: impl Into<String>, value: impl ToString) {
-        self.figures.push(Figure { name: name.into(), value: value.to_string(), bound: None });
+        self.figures.push(Figure {
+            name: name.into(),
+            value: value.to_string(),
+            bound: None,
+        });
     }
 
     /// A figure that has a bound.
@@ -55,8 +62,15 @@
         bound: impl Into<String>,
         held: bool,
     ) {
-        let bound = Some(Bound { text: bound.into(), held });
-        self.figures.push(Figure { name: name.into(), value: value.to_string(), bound });
+        let bound = Some(Bound {
+            text: bound.into(),
+            held,
+        });
+        self.figures.push(Figure {
+            name: name.into(),
+            value: value.to_string(),
+            bound,
+        });
     }
 
     /// A count that is to be nought.
@@ -65,7 +79,9 @@
     }
 
     pub fn held(&self) -> bool {
-        self.figures.iter().all(|figure| figure.bound.as_ref().is_none_or(|bound| bound.held))
+        self.figures
+            .iter()
+            .all(|figure| figure.bound.as_ref().is_none_or(|bound| bound.held))
     }
 
     pub fn markdown(&self) -> String {
@@ -75,7 +91,10 @@
         );
         for figure in &self.figures {
             let (bound, held) = match &figure.bound {
-                Some(bound) => (bound.text.as_str(), if bound.held { "yes" } else { "**no**" }),
+                Some(bound) => (
+                    bound.text.as_str(),
+                    if bound.held { "yes" } else { "**no**" },
+                ),
                 None => ("", ""),
             };
             // A string takes what is written to it.
@@ -119,9 +138,18 @@
     if let Some(what) = propagation.refused_writes.first() {
         outcome.tell("the first refusal", what);
     }
-    outcome.tell(format!("write answered: {quantiles}"), milliseconds(&propagation.writes));
-    outcome.tell(format!("in force at each holder: {quantiles}"), milliseconds(&propagation.to_each));
-    outcome.tell(format!("in force at the last holder: {quantiles}"), milliseconds(&propagation.to_last));
+    outcome.tell(
+        format!("write answered: {quantiles}"),
+        milliseconds(&propagation.writes),
+    );
+    outcome.tell(
+        format!("in force at each holder: {quantiles}"),
+        milliseconds(&propagation.to_each),
+    );
+    outcome.tell(
+        format!("in force at the last holder: {quantiles}"),
+        milliseconds(&propagation.to_last),
+    );
     let share = propagation.share_in_time();
     let within = Duration::from_nanos(IN_FORCE_WITHIN).as_secs();
     outcome.check(
@@ -130,9 +158,15 @@
         format!(">= {IN_TIME_SHARE}"),
         share >= IN_TIME_SHARE,
     );
-    outcome.none("lost: not in force at some holder in the end", propagation.pending() as u64);
+    outcome.none(
+        "lost: not in force at some holder in the end",
+        propagation.pending() as u64,
+    );
     outcome.none("without a holder when written", propagation.without_holder);
-    outcome.none("told under another version than the write's", propagation.wrong_versions() as u64);
+    outcome.none(
+        "told under another version than the write's",
+        propagation.wrong_versions() as u64,
+    );
 }
 
 /// What the processes of each role used.
@@ -149,7 +183,11 @@
     let most_cores = all.iter().map(|usage| usage.cores).fold(0.0, f64::max);
     outcome.check(
         "processor of a dispatcher: mean, mean of the busiest worker",
-        format!("{:.3}%, {:.3}% of a core", mean_cores * 100.0, most_cores * 100.0),
+        format!(
+            "{:.3}%, {:.3}% of a core",
+            mean_cores * 100.0,
+            most_cores * 100.0
+        ),
         format!("<= {:.1}%", CORE_SHARE * 100.0),
         most_cores <= CORE_SHARE,
     );
@@ -170,7 +208,10 @@
         traffic.mean() / KILOBYTE <= KILOBYTES_A_SECOND,
     );
     let p99 = traffic.quantile(0.99) as f64 / KILOBYTE;
-    outcome.tell("bytes to a dispatcher in a second: p99", format!("{p99:.3} KB"));
+    outcome.tell(
+        "bytes to a dispatcher in a second: p99",
+        format!("{p99:.3} KB"),
+    );
     let largest = traffic.largest_three_seconds as f64 / KILOBYTE;
     outcome.check(
         "bytes to a dispatcher: largest 3 s of any, and a second of it",
@@ -186,9 +227,18 @@
     }
     let mean = usages.iter().map(|usage| usage.cores).sum::<f64>() / usages.len() as f64;
     let most = usages.iter().map(|usage| usage.cores).fold(0.0, f64::max);
-    let resident = usages.iter().map(|usage| usage.largest_resident_bytes).max().unwrap_or(0);
+    let resident = usages
+        .iter()
+        .map(|usage| usage.largest_resident_bytes)
+        .max()
+        .unwrap_or(0);
     outcome.tell(
         format!("{role}: processor mean, most; memory of the largest"),
-        format!("{:.1}%, {:.1}% of a core; {}", mean * 100.0, most * 100.0, megabytes(resident)),
+        format!(
+            "{:.1}%, {:.1}% of a core; {}",
+            mean * 100.0,
+            most * 100.0,
+            megabytes(resident)
+        ),
     );
 }
--- a/lab/src/hollow/routes.rs
+++ b/lab/src/hollow/routes.rs
@@ -51,7 +51,13 @@
             ..BootFacts::default()
         };
         let decisions = Dispatcher::boot(now, facts);
-        RouteTable { decisions, routes: BTreeMap::new(), free: vec![], next: 0, wake_at: None }
+        RouteTable {
+            decisions,
+            routes: BTreeMap::new(),
+            free: vec![],
+            next: 0,
+            wake_at: None,
+        }
     }
 
     pub fn wake_at(&self) -> Option<Nanos> {
@@ -73,10 +79,16 @@
         changed: impl IntoIterator<Item = &'a EndpointEntry>,
         dropped: &[String],
     ) {
-        let mut entries: Vec<ListEntry> = dropped.iter().filter_map(|name| self.gone(name)).collect();
-        entries.extend(changed.into_iter().filter_map(|entry| self.listed(plan, entry)));
+        let mut entries: Vec<ListEntry> =
+            dropped.iter().filter_map(|name| self.gone(name)).collect();
+        entries.extend(
+            changed
+                .into_iter()
+                .filter_map(|entry| self.listed(plan, entry)),
+        );
         let mut outlet = RecordingOutlet::default();
-        self.decisions.apply_list(now, ListScope::Update, &entries, &mut outlet);
+        self.decisions
+            .apply_list(now, ListScope::Update, &entries, &mut outlet);
         self.follow(now, outlet);
     }
 
@@ -87,7 +99,8 @@
         if outlet.forgotten.is_empty() {
             return;
         }
-        self.routes.retain(|_, route| !outlet.forgotten.contains(&route.endpoint));
+        self.routes
+            .retain(|_, route| !outlet.forgotten.contains(&route.endpoint));
         self.free.extend(outlet.forgotten);
     }
 
@@ -134,7 +147,12 @@
         let mut buckets: BTreeMap<BucketId, BucketDigest> = BTreeMap::new();
         for (name, route) in self.routes.iter().filter(|(_, route)| route.serving) {
             let bucket = plan.bucket_of(route.destination);
-            let empty = BucketDigest { dispatcher, bucket, entries: 0, digest: 0 };
+            let empty = BucketDigest {
+                dispatcher,
+                bucket,
+                entries: 0,
+                digest: 0,
+            };
             let digest = buckets.entry(bucket).or_insert(empty);
             digest.entries += 1;
             digest.digest ^= fingerprint(name, route.address);
--- a/lab/src/hollow/scenario.rs
+++ b/lab/src/hollow/scenario.rs
@@ -50,7 +50,9 @@
     let mut outcomes = vec![player.start_outcome()];
     print!("{}", outcomes[0].markdown());
     for name in names {
-        let mut outcome = player.play(name).with_context(|| format!("the scenario {name:?}"))?;
+        let mut outcome = player
+            .play(name)
+            .with_context(|| format!("the scenario {name:?}"))?;
         outcome.tell("the machine's load in the last minute", load_of_machine());
         println!("\n{}", outcome.markdown());
         outcomes.push(outcome);
@@ -73,7 +75,16 @@
 fn named(scenarios: &[ScenarioName]) -> Vec<ScenarioName> {
     use ScenarioName::*;
     match scenarios.contains(&All) {
-        true => vec![Steady, Clump, KillControl, StopControl, ZoneLost, RestartMany, AllControlDead, Corrupt],
+        true => vec![
+            Steady,
+            Clump,
+            KillControl,
+            StopControl,
+            ZoneLost,
+            RestartMany,
+            AllControlDead,
+            Corrupt,
+        ],
         false => scenarios.to_vec(),
     }
 }
@@ -91,7 +102,11 @@
     pub fn start(options: HollowOptions) -> Result<Player> {
         let seed = options.seed;
         let fleet = Fleet::start(options)?;
-        Ok(Player { fleet, drawer: ChangeDrawer::new(seed), random: Pcg64::seed_from_u64(seed) })
+        Ok(Player {
+            fleet,
+            drawer: ChangeDrawer::new(seed),
+            random: Pcg64::seed_from_u64(seed),
+        })
     }
 
     fn play(&mut self, name: ScenarioName) -> Result<Outcome> {
@@ -111,18 +126,32 @@
 
     fn start_outcome(&self) -> Outcome {
         let options = &self.fleet.options;
-        let StartFigures { seeded, filled, filled_bytes, largest_three_seconds } = self.fleet.start_figures;
+        let StartFigures {
+            seeded,
+            filled,
+            filled_bytes,
+            largest_three_seconds,
+        } = self.fleet.start_figures;
         let mut outcome = Outcome::new("start");
         outcome.tell("dispatchers, destinations, control", {
-            format!("{}, {}, {}", options.dispatchers, options.destinations, options.control)
+            format!(
+                "{}, {}, {}",
+                options.dispatchers, options.destinations, options.control
+            )
         });
         outcome.tell("processes", self.fleet.process_count());
         outcome.tell("buckets of all regions", self.fleet.plan.buckets());
         outcome.tell("configuration written, followers up", seconds(seeded));
         outcome.tell("all dispatchers filled, from nothing", seconds(filled));
         outcome.tell("bytes of that", report::megabytes(filled_bytes));
-        outcome.tell("largest 3 s of a dispatcher meanwhile", report::kilobytes(largest_three_seconds));
-        outcome.tell("dispatchers at each control process", format!("{:?}", self.fleet.served_by_each()));
+        outcome.tell(
+            "largest 3 s of a dispatcher meanwhile",
+            report::kilobytes(largest_three_seconds),
+        );
+        outcome.tell(
+            "dispatchers at each control process",
+            format!("{:?}", self.fleet.served_by_each()),
+        );
         outcome.tell("the machine's load in the last minute", load_of_machine());
         outcome
     }
@@ -137,10 +166,17 @@
             "<= 12000 MB",
             largest as f64 <= bound,
         );
-        let FaultCounts { out_of_order, twice, .. } = self.fleet.fault_counts();
+        let FaultCounts {
+            out_of_order,
+            twice,
+            ..
+        } = self.fleet.fault_counts();
         outcome.none("changes applied out of order", out_of_order);
         outcome.none("changes applied twice", twice);
-        outcome.tell("entries that lists had already", self.fleet.fault_counts().entries_not_taken);
+        outcome.tell(
+            "entries that lists had already",
+            self.fleet.fault_counts().entries_not_taken,
+        );
         outcome
     }
 
@@ -148,9 +184,13 @@
         let options = &self.fleet.options;
         let rate = options.changes_a_day * options.speed_up / SECONDS_A_DAY;
         let span = options.steady_seconds * SECOND;
-        let mut outcome =
-            Outcome::new(&format!("steady: {rate:.3} changes a second for {} s", options.steady_seconds));
-        let changes = self.drawer.at_random(&self.fleet.plan, clock::now() + CHURN_LEAD, rate, span);
+        let mut outcome = Outcome::new(&format!(
+            "steady: {rate:.3} changes a second for {} s",
+            options.steady_seconds
+        ));
+        let changes =
+            self.drawer
+                .at_random(&self.fleet.plan, clock::now() + CHURN_LEAD, rate, span);
         self.churn(&mut outcome, changes, Duration::from_nanos(span))?;
         Ok(outcome)
     }
@@ -158,13 +198,20 @@
     fn clump(&mut self) -> Result<Outcome> {
         let count = self.fleet.options.clump;
         let mut outcome = Outcome::new(&format!("clump: {count} changes within one second"));
-        let changes = self.drawer.clump(&self.fleet.plan, clock::now() + CHURN_LEAD, count);
+        let changes = self
+            .drawer
+            .clump(&self.fleet.plan, clock::now() + CHURN_LEAD, count);
         self.churn(&mut outcome, changes, self.fleet.options.watched_after())?;
         Ok(outcome)
     }
 
     /// Writes changes, measures for the span at least, and tells what came of them.
-    fn churn(&mut self, outcome: &mut Outcome, changes: Vec<PlannedChange>, span: Duration) -> Result<()> {
+    fn churn(
+        &mut self,
+        outcome: &mut Outcome,
+        changes: Vec<PlannedChange>,
+        span: Duration,
+    ) -> Result<()> {
         self.fleet.follow_changes()?;
         let window = self.fleet.begin_window()?;
         self.write(changes, span)?;
@@ -182,7 +229,8 @@
         self.fleet.run_for(span)?;
         let all_written = |fleet: &Fleet| fleet.propagation.answered() == count;
         self.fleet.wait(LOST_AFTER, all_written)?;
-        self.fleet.wait(LOST_AFTER, |fleet| fleet.propagation.pending() == 0)?;
+        self.fleet
+            .wait(LOST_AFTER, |fleet| fleet.propagation.pending() == 0)?;
         // A writer that panicked has left writes without an answer, which the wait above has seen.
         threads.into_iter().for_each(|thread| drop(thread.join()));
         Ok(())
@@ -190,11 +238,16 @@
 
     /// Writes a few changes and checks that they come through.
     pub fn prove_writes(&mut self, outcome: &mut Outcome) -> Result<()> {
-        let changes = self.drawer.clump(&self.fleet.plan, clock::now() + CHURN_LEAD, PROOF_CHANGES);
+        let changes = self
+            .drawer
+            .clump(&self.fleet.plan, clock::now() + CHURN_LEAD, PROOF_CHANGES);
         self.fleet.follow_changes()?;
         self.write(changes, Duration::from_secs(1))?;
         let propagation = &self.fleet.propagation;
-        outcome.none("writes refused afterwards", propagation.refused_writes.len() as u64);
+        outcome.none(
+            "writes refused afterwards",
+            propagation.refused_writes.len() as u64,
+        );
         outcome.none("changes lost afterwards", propagation.pending() as u64);
         self.tell_state(outcome)
     }
@@ -202,14 +255,20 @@
     /// Whether what is in force is what was written, and in order.
     pub fn tell_state(&mut self, outcome: &mut Outcome) -> Result<()> {
         let wrong = self.fleet.wrong_buckets()?;
-        outcome.none("buckets in force at a dispatcher that are not as written", wrong.len() as u64);
+        outcome.none(
+            "buckets in force at a dispatcher that are not as written",
+            wrong.len() as u64,
+        );
         if let Some(first) = wrong.first() {
             outcome.tell("the first of them", format!("{first:?}"));
         }
         let faults = self.fleet.fault_counts();
         outcome.none("changes applied out of order", faults.out_of_order);
         outcome.none("changes applied twice", faults.twice);
-        outcome.none("lines refused by dispatchers of the fleet", faults.refused_lines);
+        outcome.none(
+            "lines refused by dispatchers of the fleet",
+            faults.refused_lines,
+        );
         Ok(())
     }
 
@@ -227,14 +286,21 @@
     /// Waits until all running dispatchers are served by one of the control processes named.
     fn wait_until_served(&mut self, by: &[usize], since: Nanos) -> Result<Option<Duration>> {
         let served = |fleet: &Fleet| {
-            fleet.served_by(by, since + STATUS_LAG).is_some_and(|count| count == fleet.running().len())
+            fleet
+                .served_by(by, since + STATUS_LAG)
+                .is_some_and(|count| count == fleet.running().len())
         };
         let waited = self.fleet.wait(SETTLED_WITHIN, served)?;
         Ok(waited.map(|_| Duration::from_nanos(clock::now() - since)))
     }
 
     /// Tells what was said to the dispatchers since then, and what has moved.
-    pub fn tell_since(&mut self, outcome: &mut Outcome, before: &Before, label: &str) -> Result<()> {
+    pub fn tell_since(
+        &mut self,
+        outcome: &mut Outcome,
+        before: &Before,
+        label: &str,
+    ) -> Result<()> {
         self.tell_told(outcome, before, label)?;
         self.tell_bare(outcome, label);
         Ok(())
@@ -246,15 +312,36 @@
         let each = bytes as f64 / self.fleet.running().len().max(1) as f64 / span / 1e3;
         outcome.tell(
             format!("{label}: bytes told, to a dispatcher a second"),
-            format!("{} in {span:.1} s, {each:.3} KB/s", report::megabytes(bytes)),
+            format!(
+                "{} in {span:.1} s, {each:.3} KB/s",
+                report::megabytes(bytes)
+            ),
+        );
+        let largest = self
+            .fleet
+            .end_window(&before.window)?
+            .traffic
+            .largest_three_seconds;
+        outcome.tell(
+            format!("{label}: largest 3 s of a dispatcher"),
+            report::kilobytes(largest),
         );
-        let largest = self.fleet.end_window(&before.window)?.traffic.largest_three_seconds;
-        outcome.tell(format!("{label}: largest 3 s of a dispatcher"), report::kilobytes(largest));
         let spread = format!("{:?}", self.fleet.served_by_each());
-        outcome.tell(format!("{label}: dispatchers at each control process"), spread);
-        outcome.tell(format!("{label}: connections opened"), self.fleet.connects() - before.connects);
-        let HolderEvents { gained, told_anew, .. } = self.fleet.holders.events();
-        outcome.none(format!("{label}: buckets told anew that were held"), *told_anew);
+        outcome.tell(
+            format!("{label}: dispatchers at each control process"),
+            spread,
+        );
+        outcome.tell(
+            format!("{label}: connections opened"),
+            self.fleet.connects() - before.connects,
+        );
+        let HolderEvents {
+            gained, told_anew, ..
+        } = self.fleet.holders.events();
+        outcome.none(
+            format!("{label}: buckets told anew that were held"),
+            *told_anew,
+        );
         outcome.tell(format!("{label}: buckets gained"), *gained);
         Ok(())
     }
@@ -264,16 +351,25 @@
         let longest = bare_spans.iter().max().copied().unwrap_or(0);
         outcome.check(
             format!("{label}: buckets that had no live holder for a time, the longest"),
-            format!("{}, {:.0} ms", bare_spans.len(), longest as f64 / MILLISECOND as f64),
+            format!(
+                "{}, {:.0} ms",
+                bare_spans.len(),
+                longest as f64 / MILLISECOND as f64
+            ),
             "0",
             bare_spans.is_empty(),
         );
-        outcome.none(format!("{label}: buckets without a live holder now"), self.fleet.holders.bare() as u64);
+        outcome.none(
+            format!("{label}: buckets without a live holder now"),
+            self.fleet.holders.bare() as u64,
+        );
     }
 
     /// Control processes but these.
     fn others(&self, numbers: &[usize]) -> Vec<usize> {
-        (0..self.fleet.controls.len()).filter(|n| !numbers.contains(n)).collect()
+        (0..self.fleet.controls.len())
+            .filter(|n| !numbers.contains(n))
+            .collect()
     }
 
     fn kill_control(&mut self) -> Result<Outcome> {
@@ -288,7 +384,12 @@
         Ok(outcome)
     }
 
-    fn kill_and_restart(&mut self, outcome: &mut Outcome, label: &str, numbers: &[usize]) -> Result<()> {
+    fn kill_and_restart(
+        &mut self,
+        outcome: &mut Outcome,
+        label: &str,
+        numbers: &[usize],
+    ) -> Result<()> {
         let others = self.others(numbers);
         if others.is_empty() {
             return Ok(());
@@ -301,7 +402,10 @@
         self.tell_since(outcome, &before, label)?;
         let again = clock::now();
         self.fleet.start_control_processes(numbers)?;
-        outcome.tell(format!("{label}: started again"), seconds(Duration::from_nanos(clock::now() - again)));
+        outcome.tell(
+            format!("{label}: started again"),
+            seconds(Duration::from_nanos(clock::now() - again)),
+        );
         self.settle(outcome, label)
     }
 
@@ -320,7 +424,11 @@
         let full = self.fleet.holders.with_holders(REPLICAS);
         outcome.check(
             format!("{label}: every bucket has {REPLICAS} live holders after"),
-            format!("{} ({full} of {})", seconds_or_never(settled), self.fleet.plan.buckets()),
+            format!(
+                "{} ({full} of {})",
+                seconds_or_never(settled),
+                self.fleet.plan.buckets()
+            ),
             "all have",
             settled.is_some(),
         );
@@ -329,7 +437,10 @@
 
     fn stop_control(&mut self) -> Result<Outcome> {
         let span = Duration::from_secs(self.fleet.options.stop_seconds);
-        let mut outcome = Outcome::new(&format!("a control process stopped for {} s", span.as_secs()));
+        let mut outcome = Outcome::new(&format!(
+            "a control process stopped for {} s",
+            span.as_secs()
+        ));
         let number = self.fleet.controls.len() - 1;
         let label = "a follower stopped";
         let others = self.others(&[number]);
@@ -367,16 +478,24 @@
     fn zone_lost(&mut self) -> Result<Outcome> {
         let zone = self.fleet.plan.zones[0].name.clone();
         let lost = self.fleet.plan.dispatchers_in_zone(&zone);
-        let mut outcome = Outcome::new(&format!("a zone's {} dispatchers gone at once", lost.len()));
+        let mut outcome =
+            Outcome::new(&format!("a zone's {} dispatchers gone at once", lost.len()));
         let before = self.before()?;
-        let least =
-            before.replicas.iter().filter(|replica| lost.contains(&replica.dispatcher)).count() as u64;
+        let least = before
+            .replicas
+            .iter()
+            .filter(|replica| lost.contains(&replica.dispatcher))
+            .count() as u64;
         self.fleet.stop_dispatchers(&lost)?;
         // Within the grace nothing may move.
         let grace = Duration::from_secs(self.fleet.options.restart_grace);
         self.fleet.run_for(grace / 2)?;
-        outcome.none("gone: buckets moved within half of the grace", self.moved_since(&before.replicas));
-        let whole = |fleet: &Fleet| fleet.holders.with_holders(REPLICAS) == fleet.plan.buckets() as usize;
+        outcome.none(
+            "gone: buckets moved within half of the grace",
+            self.moved_since(&before.replicas),
+        );
+        let whole =
+            |fleet: &Fleet| fleet.holders.with_holders(REPLICAS) == fleet.plan.buckets() as usize;
         let waited = self.fleet.wait(grace + SETTLED_WITHIN, whole)?;
         let after = waited.map(|_| Duration::from_nanos(clock::now() - before.at));
         self.fleet.run_for(self.fleet.options.watched_after())?;
@@ -386,7 +505,12 @@
             "all have",
             after.is_some(),
         );
-        self.tell_moved(&mut outcome, "gone", self.moved_since(&before.replicas), least);
+        self.tell_moved(
+            &mut outcome,
+            "gone",
+            self.moved_since(&before.replicas),
+            least,
+        );
         self.tell_since(&mut outcome, &before, "gone")?;
         self.zone_back(&mut outcome, &lost)?;
         self.tell_state(&mut outcome)?;
@@ -400,8 +524,16 @@
         self.settle(outcome, "returned")?;
         // What the returned ones hold must have moved to them; more than that need not.
         let back: BTreeSet<Replica> = self.fleet.holders.replicas();
-        let least = back.iter().filter(|replica| lost.contains(&replica.dispatcher)).count() as u64;
-        self.tell_moved(outcome, "returned", self.moved_since(&before.replicas), least);
+        let least = back
+            .iter()
+            .filter(|replica| lost.contains(&replica.dispatcher))
+            .count() as u64;
+        self.tell_moved(
+            outcome,
+            "returned",
+            self.moved_since(&before.replicas),
+            least,
+        );
         self.tell_since(outcome, &before, "returned")?;
         Ok(())
     }
@@ -421,7 +553,11 @@
     }
 
     fn restart_many(&mut self) -> Result<Outcome> {
-        let count = self.fleet.options.restarts.min(self.fleet.options.dispatchers);
+        let count = self
+            .fleet
+            .options
+            .restarts
+            .min(self.fleet.options.dispatchers);
         let mut outcome = Outcome::new(&format!("{count} dispatchers restarted at once"));
         let mut all: Vec<DispatcherIndex> = self.fleet.plan.dispatchers().collect();
         all.shuffle(&mut self.random);
@@ -435,9 +571,17 @@
         self.tell_served(&mut outcome, "restarted", served);
         self.fleet.run_for(self.fleet.options.watched_after())?;
         self.settle(&mut outcome, "restarted")?;
-        self.tell_moved(&mut outcome, "restarted", self.moved_since(&before.replicas), 0);
+        self.tell_moved(
+            &mut outcome,
+            "restarted",
+            self.moved_since(&before.replicas),
+            0,
+        );
         self.tell_told(&mut outcome, &before, "restarted")?;
-        outcome.tell("restarted: buckets of which all holders were restarted", all_restarted);
+        outcome.tell(
+            "restarted: buckets of which all holders were restarted",
+            all_restarted,
+        );
         self.tell_bare(&mut outcome, "restarted");
         self.prove_writes(&mut outcome)?;
         Ok(outcome)
@@ -445,11 +589,18 @@
 
     fn all_control_dead(&mut self) -> Result<Outcome> {
         let span = Duration::from_secs(self.fleet.options.dead_seconds);
-        let mut outcome = Outcome::new(&format!("all control processes dead for {} s", span.as_secs()));
+        let mut outcome = Outcome::new(&format!(
+            "all control processes dead for {} s",
+            span.as_secs()
+        ));
         let before = self.before()?;
-        self.fleet.controls.iter_mut().for_each(|control| control.kill());
+        self.fleet
+            .controls
+            .iter_mut()
+            .for_each(|control| control.kill());
         self.fleet.run_for(span / 2)?;
-        let restarted = DispatcherIndex(self.random.random_range(0..self.fleet.options.dispatchers));
+        let restarted =
+            DispatcherIndex(self.random.random_range(0..self.fleet.options.dispatchers));
         self.restart_without_control(&mut outcome, restarted)?;
         self.fleet.run_for(span / 2)?;
         self.tell_state(&mut outcome)?;
@@ -460,22 +611,38 @@
         self.tell_served(&mut outcome, "control back", served);
         self.fleet.run_for(self.fleet.options.watched_after())?;
         self.settle(&mut outcome, "control back")?;
-        self.tell_moved(&mut outcome, "control back", self.moved_since(&before.replicas), 0);
+        self.tell_moved(
+            &mut outcome,
+            "control back",
+            self.moved_since(&before.replicas),
+            0,
+        );
         self.tell_since(&mut outcome, &before, "control dead and back")?;
         self.prove_writes(&mut outcome)?;
         Ok(outcome)
     }
 
     /// A dispatcher that starts from its state file alone serves what it served.
-    fn restart_without_control(&mut self, outcome: &mut Outcome, dispatcher: DispatcherIndex) -> Result<()> {
+    fn restart_without_control(
+        &mut self,
+        outcome: &mut Outcome,
+        dispatcher: DispatcherIndex,
+    ) -> Result<()> {
         let held = |fleet: &Fleet| {
-            fleet.holders.replicas().into_iter().filter(|replica| replica.dispatcher == dispatcher).count()
+            fleet
+                .holders
+                .replicas()
+                .into_iter()
+                .filter(|replica| replica.dispatcher == dispatcher)
+                .count()
         };
         let before = held(&self.fleet);
         self.fleet.stop_dispatchers(&[dispatcher])?;
         self.fleet.wait(SETTLED_WITHIN, |fleet| held(fleet) == 0)?;
-        self.fleet.start_dispatchers(&[dispatcher], StartFrom::StateFile)?;
-        self.fleet.wait(SETTLED_WITHIN, |fleet| held(fleet) >= before)?;
+        self.fleet
+            .start_dispatchers(&[dispatcher], StartFrom::StateFile)?;
+        self.fleet
+            .wait(SETTLED_WITHIN, |fleet| held(fleet) >= before)?;
         let after = held(&self.fleet);
         outcome.check(
             "restarted meanwhile: buckets served before, after",
--- a/lab/src/hollow/worker.rs
+++ b/lab/src/hollow/worker.rs
@@ -109,9 +109,13 @@
     /// Waits for the next events and handles them.
     fn turn(&mut self, events: &mut Events) -> Result<()> {
         let now = clock::now();
-        let next = self.due.first().map_or(self.status_at, |&(at, _)| at.min(self.status_at));
+        let next = self
+            .due
+            .first()
+            .map_or(self.status_at, |&(at, _)| at.min(self.status_at));
         events.clear();
-        self.poller.wait(events, Some(Duration::from_nanos(next.saturating_sub(now))))?;
+        self.poller
+            .wait(events, Some(Duration::from_nanos(next.saturating_sub(now))))?;
         for event in events.iter() {
             match event.key {
                 ORDERS_KEY => self.read_orders()?,
@@ -153,9 +157,9 @@
 
     fn obey(&mut self, order: Order) -> Result<()> {
         match order {
-            Order::Start { dispatchers, from } => {
-                dispatchers.into_iter().try_for_each(|d| self.start(d, from))
-            }
+            Order::Start { dispatchers, from } => dispatchers
+                .into_iter()
+                .try_for_each(|d| self.start(d, from)),
             Order::Stop { dispatchers } => dispatchers.into_iter().try_for_each(|d| self.stop(d)),
             Order::ReportAbove(version) => {
                 self.surroundings.report_above = version;
@@ -164,18 +168,26 @@
             Order::BeginTraffic => {
                 let now = clock::now();
                 self.former_traffic = Traffic::default();
-                self.dispatchers.values_mut().for_each(|dispatcher| dispatcher.begin_traffic(now));
+                self.dispatchers
+                    .values_mut()
+                    .for_each(|dispatcher| dispatcher.begin_traffic(now));
                 Ok(())
             }
             Order::EndTraffic => {
                 let now = clock::now();
                 let mut traffic = std::mem::take(&mut self.former_traffic);
-                self.dispatchers.values_mut().for_each(|d| traffic.add(&d.end_traffic(now)));
+                self.dispatchers
+                    .values_mut()
+                    .for_each(|d| traffic.add(&d.end_traffic(now)));
                 self.report(&Report::Traffic(traffic))
             }
             Order::Digest => {
                 let plan = &self.surroundings.plan;
-                let digests = self.dispatchers.values().flat_map(|d| d.digests(plan)).collect();
+                let digests = self
+                    .dispatchers
+                    .values()
+                    .flat_map(|d| d.digests(plan))
+                    .collect();
                 self.report(&Report::Digests(digests))
             }
         }
@@ -186,25 +198,40 @@
         let saved = from.read(&state_file(&self.options.state_directory, &name));
         let seed = self.options.seed + index.0 as u64;
         let saved = saved.as_deref();
-        let mut dispatcher = HollowDispatcher::new(clock::now(), &self.surroundings, index, seed, saved);
+        let mut dispatcher =
+            HollowDispatcher::new(clock::now(), &self.surroundings, index, seed, saved);
         dispatcher.start(clock::now());
         self.dispatchers.insert(index, dispatcher);
         self.follow(index)
     }
 
     fn stop(&mut self, index: DispatcherIndex) -> Result<()> {
-        let Some(mut dispatcher) = self.dispatchers.remove(&index) else { return Ok(()) };
+        let Some(mut dispatcher) = self.dispatchers.remove(&index) else {
+            return Ok(());
+        };
         let of_it = |(_, c): &(DefaultKey, &Connection)| c.dispatcher == index;
-        let keys: Vec<DefaultKey> = self.connections.iter().filter(of_it).map(|(key, _)| key).collect();
+        let keys: Vec<DefaultKey> = self
+            .connections
+            .iter()
+            .filter(of_it)
+            .map(|(key, _)| key)
+            .collect();
         keys.into_iter().for_each(|key| self.close(key));
         if let Some(at) = self.due_at.remove(&index) {
             self.due.remove(&(at, index));
         }
         self.former_faults.add(&dispatcher.faults());
-        self.former_traffic.add(&dispatcher.end_traffic(clock::now()));
+        self.former_traffic
+            .add(&dispatcher.end_traffic(clock::now()));
         let name = self.surroundings.plan.dispatcher_name(index);
-        std::fs::write(state_file(&self.options.state_directory, &name), dispatcher.state())?;
-        self.report(&Report::Stopped { dispatcher: index, at: clock::now() })
+        std::fs::write(
+            state_file(&self.options.state_directory, &name),
+            dispatcher.state(),
+        )?;
+        self.report(&Report::Stopped {
+            dispatcher: index,
+            at: clock::now(),
+        })
     }
 
     fn close(&mut self, key: DefaultKey) {
@@ -216,7 +243,9 @@
 
     /// Something happened on a connection.
     fn ready(&mut self, key: DefaultKey, event: Event) -> Result<()> {
-        let Some(connection) = self.connections.get_mut(key) else { return Ok(()) };
+        let Some(connection) = self.connections.get_mut(key) else {
+            return Ok(());
+        };
         if connection.rising {
             if !event.writable && !event.readable {
                 return Ok(());
@@ -226,12 +255,18 @@
         if !connection.output.is_empty() && event.writable && self.write(key).is_err() {
             return self.broke(key);
         }
-        if event.readable { self.read(key) } else { Ok(()) }
+        if event.readable {
+            self.read(key)
+        } else {
+            Ok(())
+        }
     }
 
     fn risen(&mut self, key: DefaultKey) -> Result<()> {
         let connection = &mut self.connections[key];
-        if !matches!(connection.socket.take_error(), Ok(None)) || connection.socket.peer_addr().is_err() {
+        if !matches!(connection.socket.take_error(), Ok(None))
+            || connection.socket.peer_addr().is_err()
+        {
             return self.broke(key);
         }
         connection.rising = false;
@@ -257,7 +292,8 @@
             }
         }
         let interest = Event::new(key_of(key), true, !connection.output.is_empty());
-        self.poller.modify_with_mode(&connection.socket, interest, PollMode::Level)
+        self.poller
+            .modify_with_mode(&connection.socket, interest, PollMode::Level)
     }
 
     fn read(&mut self, key: DefaultKey) -> Result<()> {
@@ -268,11 +304,15 @@
         let now = clock::now();
         let (index, call, server) = (connection.dispatcher, connection.call, connection.server);
         self.bytes += count as u64;
-        let Some(dispatcher) = self.dispatchers.get_mut(&index) else { return Ok(()) };
+        let Some(dispatcher) = self.dispatchers.get_mut(&index) else {
+            return Ok(());
+        };
         if count > 0 {
             dispatcher.heard(now, server, count);
         }
-        let Ok(ended) = filled else { return self.broke(key) };
+        let Ok(ended) = filled else {
+            return self.broke(key);
+        };
         dispatcher.received(now, &self.surroundings, call, &mut connection.input, ended);
         if ended && self.connections.contains_key(key) {
             self.close(key);
@@ -281,7 +321,9 @@
     }
 
     fn broke(&mut self, key: DefaultKey) -> Result<()> {
-        let Some(connection) = self.connections.get(key) else { return Ok(()) };
+        let Some(connection) = self.connections.get(key) else {
+            return Ok(());
+        };
         let (index, call) = (connection.dispatcher, connection.call);
         self.close(key);
         if let Some(dispatcher) = self.dispatchers.get_mut(&index) {
@@ -306,19 +348,31 @@
 
     /// Carries out what a dispatcher wants done, tells what it reports, and notes when it is due next.
     fn follow(&mut self, index: DispatcherIndex) -> Result<()> {
-        while let Some(action) = self.dispatchers.get_mut(&index).and_then(HollowDispatcher::next_action) {
+        while let Some(action) = self
+            .dispatchers
+            .get_mut(&index)
+            .and_then(HollowDispatcher::next_action)
+        {
             match action {
-                Action::Connect { call, address, request } => self.connect(index, call, address, request)?,
+                Action::Connect {
+                    call,
+                    address,
+                    request,
+                } => self.connect(index, call, address, request)?,
                 Action::Close(call) => {
-                    let found =
-                        self.connections.iter().find(|(_, c)| c.dispatcher == index && c.call == call);
+                    let found = self
+                        .connections
+                        .iter()
+                        .find(|(_, c)| c.dispatcher == index && c.call == call);
                     if let Some(key) = found.map(|(key, _)| key) {
                         self.close(key);
                     }
                 }
             }
         }
-        let Some(dispatcher) = self.dispatchers.get_mut(&index) else { return Ok(()) };
+        let Some(dispatcher) = self.dispatchers.get_mut(&index) else {
+            return Ok(());
+        };
         let (reports, due) = (dispatcher.take_reports(), dispatcher.next_due());
         reports.iter().try_for_each(|report| self.report(report))?;
         self.set_due(index, due);
@@ -346,13 +400,17 @@
         request: Vec<u8>,
     ) -> Result<()> {
         self.connects += 1;
-        let socket = Socket::new(Domain::for_address(server), Type::STREAM, Some(Protocol::TCP))?;
+        let socket = Socket::new(
+            Domain::for_address(server),
+            Type::STREAM,
+            Some(Protocol::TCP),
+        )?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         let begun = socket.connect(&server.into());
         let rising = begun.is_err();
-        let failed =
-            begun.is_err_and(|e| e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()));
+        let failed = begun
+            .is_err_and(|e| e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()));
         if failed {
             if let Some(dispatcher) = self.dispatchers.get_mut(&dispatcher) {
                 dispatcher.broken(clock::now(), call);
@@ -360,11 +418,22 @@
             return Ok(());
         }
         let input = Ring::new(INPUT_ROOM);
-        let connection = Connection { socket, dispatcher, call, server, rising, input, output: request };
+        let connection = Connection {
+            socket,
+            dispatcher,
+            call,
+            server,
+            rising,
+            input,
+            output: request,
+        };
         let key = self.connections.insert(connection);
         let socket = &self.connections[key].socket;
         // `close` takes it out before the socket is closed.
-        unsafe { self.poller.add_with_mode(socket, Event::all(key_of(key)), PollMode::Level)? };
+        unsafe {
+            self.poller
+                .add_with_mode(socket, Event::all(key_of(key)), PollMode::Level)?
+        };
         if rising { Ok(()) } else { self.risen(key) }
     }
 
@@ -382,12 +451,19 @@
         };
         for dispatcher in self.dispatchers.values() {
             status.faults.add(&dispatcher.faults());
-            let Some(heard) = dispatcher.heard_last() else { continue };
+            let Some(heard) = dispatcher.heard_last() else {
+                continue;
+            };
             if heard.at + SERVED_WITHIN < now {
                 continue;
             }
             status.served += 1;
-            if let Some(n) = self.options.servers.iter().position(|&address| address == heard.server) {
+            if let Some(n) = self
+                .options
+                .servers
+                .iter()
+                .position(|&address| address == heard.server)
+            {
                 status.by_server[n] += 1;
             }
         }
--- a/lab/src/hollow/worker_process.rs
+++ b/lab/src/hollow/worker_process.rs
@@ -32,8 +32,14 @@
             .stderr(log)
             .spawn()
             .with_context(|| program.display().to_string())?;
-        let orders = child.stdin.take().context("the worker has no standard input")?;
-        let reports = child.stdout.take().context("the worker has no standard output")?;
+        let orders = child
+            .stdin
+            .take()
+            .context("the worker has no standard input")?;
+        let reports = child
+            .stdout
+            .take()
+            .context("the worker has no standard output")?;
         std::thread::spawn(move || read_reports(number, reports, &events));
         Ok(WorkerProcess { child, orders })
     }
@@ -63,7 +69,10 @@
         let Ok(line) = line else { break };
         let event = match serde_json::from_str::<Report>(&line) {
             Ok(report) => Event::Report { worker, report },
-            Err(e) => Event::BadReport { worker, what: e.to_string() },
+            Err(e) => Event::BadReport {
+                worker,
+                what: e.to_string(),
+            },
         };
         if events.send(event).is_err() {
             return; // The fleet has ended.
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -29,7 +29,12 @@
 
 impl Ledger {
     pub fn new(plan: &Plan, slack: Slack) -> Ledger {
-        Ledger { audit: Auditor::new(facts(plan, slack)), measure: Measure::new(plan), calls: 0, at: 0 }
+        Ledger {
+            audit: Auditor::new(facts(plan, slack)),
+            measure: Measure::new(plan),
+            calls: 0,
+            at: 0,
+        }
     }
 
     pub fn call_no(&mut self) -> CallNo {
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -54,16 +54,25 @@
         let index = |w: Vec<f64>| WeightedIndex::new(w).expect("shares that are not all nought");
         let clump = |c: &crate::spec::Clump| {
             let (at, space, to) = (c.at_s, c.over_s / c.mails.max(1) as f64, c.destination);
-            (0..c.mails).map(move |i| (START + secs(at + space * i as f64), to)).collect::<Vec<_>>()
+            (0..c.mails)
+                .map(move |i| (START + secs(at + space * i as f64), to))
+                .collect::<Vec<_>>()
         };
-        let mut clumps: Vec<(Nanos, usize)> = plan.spec.load.clumps.iter().flat_map(clump).collect();
+        let mut clumps: Vec<(Nanos, usize)> =
+            plan.spec.load.clumps.iter().flat_map(clump).collect();
         clumps.retain(|c| c.0 < plan.load_until);
         clumps.sort_by_key(|c| std::cmp::Reverse(*c));
         Arrivals {
             rng: Pcg64Mcg::seed_from_u64(plan.seed ^ 0x6c6f_6164),
             classes: index(shares.collect()),
             destinations: index(plan.parts.clone()),
-            peak: plan.spec.load.steps.iter().map(|s| s.times).fold(1.0, f64::max),
+            peak: plan
+                .spec
+                .load
+                .steps
+                .iter()
+                .map(|s| s.times)
+                .fold(1.0, f64::max),
             at: START as f64,
             burst: (0, 0),
             ahead: None,
@@ -76,19 +85,35 @@
     /// By how much the rate is multiplied at a moment.
     fn times(&self, at: f64) -> f64 {
         let s = (at - START as f64) / 1e9;
-        self.plan.spec.load.steps.iter().filter(|step| step.at_s <= s).fold(1.0, |before, step| {
-            let reached = if step.over_s > 0.0 { ((s - step.at_s) / step.over_s).min(1.0) } else { 1.0 };
-            before + (step.times - before) * reached
-        })
+        self.plan
+            .spec
+            .load
+            .steps
+            .iter()
+            .filter(|step| step.at_s <= s)
+            .fold(1.0, |before, step| {
+                let reached = if step.over_s > 0.0 {
+                    ((s - step.at_s) / step.over_s).min(1.0)
+                } else {
+                    1.0
+                };
+                before + (step.times - before) * reached
+            })
     }
 
     fn arrival(&mut self, at: Nanos, destination: usize) -> Arrival {
         let (plan, rng) = (&self.plan, &mut self.rng);
         let (no, class) = (self.next, self.classes.sample(rng));
         self.next += 1;
-        let (keys, count) = (plan.spec.classes[class].ordered_keys, plan.spec.dispatchers.count);
+        let (keys, count) = (
+            plan.spec.classes[class].ordered_keys,
+            plan.spec.dispatchers.count,
+        );
         let key = (keys > 0).then(|| 1 + ((class as u64) << 40) + rng.random_range(0..keys as u64));
-        let hot = plan.hot.iter().find(|(from, to, _, _)| (*from..*to).contains(&at));
+        let hot = plan
+            .hot
+            .iter()
+            .find(|(from, to, _, _)| (*from..*to).contains(&at));
         let drawn: f64 = rng.random();
         let any = rng.random_range(0..count);
         let dispatcher = match (key, hot) {
@@ -97,7 +122,14 @@
             (None, Some((_, _, part, whom))) if drawn < *part => whom[any % whom.len()],
             _ => any,
         };
-        Arrival { no, at, class, destination, key, dispatcher }
+        Arrival {
+            no,
+            at,
+            class,
+            destination,
+            key,
+            dispatcher,
+        }
     }
 
     /// The next moment of the Poisson stream, and the destination it is for.
@@ -106,7 +138,10 @@
             self.burst.0 -= 1;
             return Some((self.at as Nanos, self.burst.1));
         }
-        let (share, size) = (self.plan.spec.load.burst_share, self.plan.spec.load.burst_size);
+        let (share, size) = (
+            self.plan.spec.load.burst_share,
+            self.plan.spec.load.burst_size,
+        );
         let bursts = share / size as f64;
         let events = self.plan.spec.load.rate * (1.0 - share + bursts);
         loop {
@@ -163,15 +198,25 @@
 }
 
 /// When a client hands a mail in again and at which dispatcher, if it still may.
-pub fn again(plan: &Plan, arrival: &Arrival, tries: u32, back: Back, now: Nanos) -> Option<(Nanos, usize)> {
+pub fn again(
+    plan: &Plan,
+    arrival: &Arrival,
+    tries: u32,
+    back: Back,
+    now: Nanos,
+) -> Option<(Nanos, usize)> {
     let load = &plan.spec.load;
     let drawn = draw(plan.seed, arrival.no, u64::from(tries), 11);
     let pause = ms(between(load.retry_ms, drawn));
     let (wait, dispatcher) = match back {
         Back::Refused(told) => (told.unwrap_or(pause).max(MS), arrival.dispatcher),
-        Back::NoAnswer => (pause, (arrival.dispatcher + tries as usize + 1) % plan.spec.dispatchers.count),
+        Back::NoAnswer => (
+            pause,
+            (arrival.dispatcher + tries as usize + 1) % plan.spec.dispatchers.count,
+        ),
     };
-    (tries < load.retries && now + wait + 50 * MS < due(plan, arrival)).then_some((now + wait, dispatcher))
+    (tries < load.retries && now + wait + 50 * MS < due(plan, arrival))
+        .then_some((now + wait, dispatcher))
 }
 
 /// What a mail that is relayed so long after its intended hand-in is worth; 1 is in time.
--- a/lab/src/measure.rs
+++ b/lab/src/measure.rs
@@ -46,7 +46,10 @@
             p99_us: h.value_at_quantile(0.99),
             p999_us: h.value_at_quantile(0.999),
             max_us: h.max(),
-            steps: h.iter_recorded().map(|v| (v.value_iterated_to(), v.count_at_value())).collect(),
+            steps: h
+                .iter_recorded()
+                .map(|v| (v.value_iterated_to(), v.count_at_value()))
+                .collect(),
         }
     }
     /// The value under which this share of all lies, in milliseconds.
@@ -149,7 +152,10 @@
     pub fn new(plan: &Plan) -> Measure {
         let classes = plan.spec.classes.clone();
         let points = ((plan.over_at - START) / BUCKET + 2) as usize;
-        let row = |c: &Class| ClassResult { name: c.name.clone(), ..Default::default() };
+        let row = |c: &Class| ClassResult {
+            name: c.name.clone(),
+            ..Default::default()
+        };
         Measure {
             latency: classes.iter().map(|_| histogram()).collect(),
             hand_in: histogram(),
@@ -157,7 +163,11 @@
             calls: HashMap::new(),
             unheard: HashSet::new(),
             calls_by_endpoint: vec![0; plan.endpoints.len()],
-            destinations: plan.endpoints.iter().map(|endpoint| endpoint.destination).collect(),
+            destinations: plan
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.destination)
+                .collect(),
             results: Results {
                 classes: classes.iter().map(row).collect(),
                 points: vec![Point::default(); points],
@@ -175,7 +185,11 @@
     /// Arrivals come in their order, each once, whatever becomes of it.
     pub fn arrived(&mut self, arrival: &Arrival) {
         let importance = self.classes[arrival.class].importance;
-        self.arrivals.push(State { at: arrival.at, class: arrival.class as u16, relayed: false });
+        self.arrivals.push(State {
+            at: arrival.at,
+            class: arrival.class as u16,
+            relayed: false,
+        });
         self.results.arrivals += 1;
         self.results.classes[arrival.class].asked += importance;
         let point = self.point(arrival.at);
@@ -190,7 +204,9 @@
     }
 
     fn meant_at(&self, mail: MessageId) -> Option<(Nanos, usize)> {
-        self.arrivals.get(arrival_of(mail).0 as usize).map(|a| (a.at, a.class as usize))
+        self.arrivals
+            .get(arrival_of(mail).0 as usize)
+            .map(|a| (a.at, a.class as usize))
     }
 
     /// An answer to a hand-in has come, so long after it was meant to be made.
@@ -209,7 +225,12 @@
                 self.results.no_answer += 1;
                 self.unheard.insert(*mail);
             }
-            Seen::Call { call, mail, endpoint, .. } => {
+            Seen::Call {
+                call,
+                mail,
+                endpoint,
+                ..
+            } => {
                 self.calls.insert(*call, *mail);
                 // Endpoints that come later in a run are not compared: they had less time.
                 if let Some(calls) = self.calls_by_endpoint.get_mut(endpoint.0 as usize) {
@@ -229,9 +250,13 @@
                     Answer::Relayed => mail.into_iter().for_each(|mail| self.relayed(at, mail)),
                 }
             }
-            Seen::Broken { call, .. } if self.calls.remove(call).is_some() => self.point(at).unanswered += 1,
+            Seen::Broken { call, .. } if self.calls.remove(call).is_some() => {
+                self.point(at).unanswered += 1
+            }
             Seen::Notice { mail, deferred } => {
-                let Some((_, class)) = self.meant_at(*mail) else { return };
+                let Some((_, class)) = self.meant_at(*mail) else {
+                    return;
+                };
                 match deferred {
                     Some(_) => {
                         self.results.classes[class].deferred += 1;
@@ -248,7 +273,9 @@
     }
 
     fn relayed(&mut self, at: Nanos, mail: MessageId) {
-        let Some(state) = self.arrivals.get_mut(arrival_of(mail).0 as usize) else { return };
+        let Some(state) = self.arrivals.get_mut(arrival_of(mail).0 as usize) else {
+            return;
+        };
         if self.unheard.contains(&mail) || std::mem::replace(&mut state.relayed, true) {
             return;
         }
@@ -271,7 +298,11 @@
         }
         let of = |calls: &Vec<u64>| {
             let mean = calls.iter().sum::<u64>() as f64 / calls.len() as f64;
-            if mean > 0.0 { calls.iter().copied().max().unwrap_or(0) as f64 / mean } else { 0.0 }
+            if mean > 0.0 {
+                calls.iter().copied().max().unwrap_or(0) as f64 / mean
+            } else {
+                0.0
+            }
         };
         by_destination.values().map(of).fold(0.0, f64::max)
     }
@@ -283,17 +314,34 @@
             row.latency = Spread::of(h);
         }
         r.hand_in = Spread::of(&self.hand_in);
-        (r.asked, r.delivered) = r.points.iter().fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
+        (r.asked, r.delivered) = r
+            .points
+            .iter()
+            .fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
         r.share = part(r.delivered, r.asked);
         let span = (10 * S / BUCKET) as usize;
-        let loaded = r.points.iter().rposition(|p| p.asked > 0.0).map_or(0, |i| i + 1);
+        let loaded = r
+            .points
+            .iter()
+            .rposition(|p| p.asked > 0.0)
+            .map_or(0, |i| i + 1);
         let of = |points: &[Point]| {
-            let sums = points.iter().fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
+            let sums = points
+                .iter()
+                .fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
             part(sums.1, sums.0)
         };
-        r.worst_span = r.points[..loaded].windows(span.min(loaded.max(1))).map(of).fold(1.0, f64::min);
+        r.worst_span = r.points[..loaded]
+            .windows(span.min(loaded.max(1)))
+            .map(of)
+            .fold(1.0, f64::min);
         r.worst_class = r.classes.iter().map(ClassResult::share).fold(1.0, f64::min);
-        r.points.truncate(r.points.iter().rposition(|p| *p != Point::default()).map_or(0, |i| i + 1));
+        r.points.truncate(
+            r.points
+                .iter()
+                .rposition(|p| *p != Point::default())
+                .map_or(0, |i| i + 1),
+        );
         self.results
     }
 }
--- a/lab/src/report/mod.rs
+++ b/lab/src/report/mod.rs
@@ -15,7 +15,10 @@
 const SMOOTH: usize = 2;
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 fn time(point: usize) -> f64 {
@@ -24,21 +27,33 @@
 
 /// A curve over time from the points of a run, some points at a time.
 fn curve(points: &[Point], of: impl Fn(&[Point]) -> f64) -> Vec<(f64, f64)> {
-    points.chunks(SMOOTH).enumerate().map(|(i, c)| (time(i * SMOOTH), of(c))).collect()
+    points
+        .chunks(SMOOTH)
+        .enumerate()
+        .map(|(i, c)| (time(i * SMOOTH), of(c)))
+        .collect()
 }
 
 fn a_second(of: impl Fn(&Point) -> u64) -> impl Fn(&[Point]) -> f64 {
-    move |points| points.iter().map(&of).sum::<u64>() as f64 * 1e9 / (points.len() as f64 * BUCKET as f64)
+    move |points| {
+        points.iter().map(&of).sum::<u64>() as f64 * 1e9 / (points.len() as f64 * BUCKET as f64)
+    }
 }
 
 /// The mean of the curves of several seeds, as long as any goes on.
 fn mean(curves: &[Vec<(f64, f64)>]) -> Vec<(f64, f64)> {
     let longest = curves.iter().max_by_key(|c| c.len());
-    let Some(longest) = longest else { return vec![] };
+    let Some(longest) = longest else {
+        return vec![];
+    };
     (0..longest.len())
         .map(|i| {
-            let at: Vec<f64> =
-                curves.iter().filter_map(|c| c.get(i)).map(|p| p.1).filter(|y| y.is_finite()).collect();
+            let at: Vec<f64> = curves
+                .iter()
+                .filter_map(|c| c.get(i))
+                .map(|p| p.1)
+                .filter(|y| y.is_finite())
+                .collect();
             (longest[i].0, at.iter().sum::<f64>() / at.len() as f64)
         })
         .collect()
@@ -60,13 +75,27 @@
     let names = distinct(runs.iter().map(|r| r.variant.as_str()));
     let mut lines = vec![];
     for (colour, name) in names.iter().enumerate() {
-        let curves: Vec<_> = runs.iter().filter(|r| r.variant == *name).map(|r| of(r)).collect();
+        let curves: Vec<_> = runs
+            .iter()
+            .filter(|r| r.variant == *name)
+            .map(|r| of(r))
+            .collect();
         let (thin, name) = (true, name.to_string());
         if curves.len() > 1 {
-            let one = |points: &Vec<_>| Line { name: String::new(), colour, thin, points: points.clone() };
+            let one = |points: &Vec<_>| Line {
+                name: String::new(),
+                colour,
+                thin,
+                points: points.clone(),
+            };
             lines.extend(curves.iter().map(one));
         }
-        lines.push(Line { name, colour, thin: false, points: mean(&curves) });
+        lines.push(Line {
+            name,
+            colour,
+            thin: false,
+            points: mean(&curves),
+        });
     }
     lines
 }
@@ -106,7 +135,12 @@
     let mut lines: Vec<Line> = ["least", "middle", "most"]
         .iter()
         .enumerate()
-        .map(|(colour, name)| Line { name: name.to_string(), colour, thin: false, points: vec![] })
+        .map(|(colour, name)| Line {
+            name: name.to_string(),
+            colour,
+            thin: false,
+            points: vec![],
+        })
         .collect();
     for i in 0..longest {
         let mut at: Vec<(f64, f64)> = curves.iter().filter_map(|c| c.get(i).copied()).collect();
@@ -120,10 +154,15 @@
 
 fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let cells = |tag: &str, row: &[String]| -> String {
-        row.iter().map(|c| format!("<{tag}>{}</{tag}>", escape(c))).collect::<String>()
+        row.iter()
+            .map(|c| format!("<{tag}>{}</{tag}>", escape(c)))
+            .collect::<String>()
     };
     let head: Vec<String> = head.iter().map(|h| h.to_string()).collect();
-    let body: String = rows.iter().map(|row| format!("<tr>{}</tr>", cells("td", row))).collect();
+    let body: String = rows
+        .iter()
+        .map(|row| format!("<tr>{}</tr>", cells("td", row)))
+        .collect();
     format!("<table><tr>{}</tr>{body}</table>", cells("th", &head))
 }
 
@@ -136,7 +175,11 @@
     let names = distinct(runs.iter().map(|r| r.experiment.as_str()));
     let mut body = String::new();
     for name in &names {
-        let of: Vec<RunLine> = runs.iter().filter(|r| r.experiment == *name).cloned().collect();
+        let of: Vec<RunLine> = runs
+            .iter()
+            .filter(|r| r.experiment == *name)
+            .cloned()
+            .collect();
         body += &section(&of)?;
     }
     let title = names.join(", ");
@@ -150,7 +193,9 @@
 /// All that the runs of one experiment say.
 fn section(runs: &[RunLine]) -> Result<String> {
     let valid: Vec<&RunLine> = runs.iter().filter(|r| r.valid()).collect();
-    let Some(first) = runs.first() else { return Ok(String::new()) };
+    let Some(first) = runs.first() else {
+        return Ok(String::new());
+    };
     let mut text = format!("<h1>{}</h1>", escape(&first.title));
     text += &format!(
         "<p class=\"note\">{}: {} dispatchers, {} endpoints, {} mails a second for {} s; {}. Shaded: troubles. Where an \
@@ -168,14 +213,27 @@
     let marks: Vec<String> = first
         .troubles
         .iter()
-        .map(|m| format!("{:?} on {} from {} to {} s", m.what, m.whom, m.from_s, m.to_s))
+        .map(|m| {
+            format!(
+                "{:?} on {} from {} to {} s",
+                m.what, m.whom, m.from_s, m.to_s
+            )
+        })
         .collect();
     if !marks.is_empty() {
         text += &format!("<p>Troubles: {}.</p>", escape(&marks.join("; ")));
     }
     for run in runs.iter().filter(|r| !r.valid()) {
-        let whose = format!("{}, seed {}: {}", run.variant, run.seed, run.not_valid.join("; "));
-        text += &format!("<p class=\"bad\">Not valid, and left out below: {}</p>", escape(&whose));
+        let whose = format!(
+            "{}, seed {}: {}",
+            run.variant,
+            run.seed,
+            run.not_valid.join("; ")
+        );
+        text += &format!(
+            "<p class=\"bad\">Not valid, and left out below: {}</p>",
+            escape(&whose)
+        );
     }
     text += &verdicts(runs);
     if valid.is_empty() {
@@ -184,13 +242,20 @@
     text += &figures(&valid);
     let compared = compare::table(runs);
     if !compared.is_empty() {
-        text += &format!("<h2>Variants, paired by seed</h2><pre>{}</pre>", escape(&compared));
+        text += &format!(
+            "<h2>Variants, paired by seed</h2><pre>{}</pre>",
+            escape(&compared)
+        );
     }
     text += &sweeps(&valid)?;
     let spans: Vec<Span> = first
         .troubles
         .iter()
-        .map(|m| Span { name: format!("{:?}", m.what), from: m.from_s, to: m.to_s })
+        .map(|m| Span {
+            name: format!("{:?}", m.what),
+            from: m.from_s,
+            to: m.to_s,
+        })
         .collect();
     for chart in charts(&valid, &spans) {
         text += &chart.svg()?;
@@ -201,15 +266,21 @@
 fn verdicts(runs: &[RunLine]) -> String {
     let broken: Vec<&RunLine> = runs.iter().filter(|r| !r.verdict.kept()).collect();
     if broken.is_empty() {
-        let (mails, calls) = runs.iter().fold((0, 0), |s, r| (s.0 + r.verdict.mails, s.1 + r.verdict.calls));
+        let (mails, calls) = runs.iter().fold((0, 0), |s, r| {
+            (s.0 + r.verdict.mails, s.1 + r.verdict.calls)
+        });
         return format!(
             "<p class=\"good\">The six rules were kept, over {mails} mails handed in and {calls} calls.</p>"
         );
     }
     let mut text = String::new();
     for run in broken {
-        let counts: Vec<String> =
-            run.verdict.breaks.iter().map(|(rule, n)| format!("{rule:?} {n} times")).collect();
+        let counts: Vec<String> = run
+            .verdict
+            .breaks
+            .iter()
+            .map(|(rule, n)| format!("{rule:?} {n} times"))
+            .collect();
         text += &format!(
             "<div class=\"bad\">Rules broken by {}, seed {}: {}<ul>",
             escape(&run.variant),
@@ -237,7 +308,11 @@
             d.refused.to_string(),
             d.opened.to_string(),
             d.turned_away.to_string(),
-            if r.cost.usage.is_empty() { "-".into() } else { format!("{:.0}", compare::cpu_us(r)) },
+            if r.cost.usage.is_empty() {
+                "-".into()
+            } else {
+                format!("{:.0}", compare::cpu_us(r))
+            },
         ]
     };
     let head = [
@@ -267,14 +342,29 @@
             rows.push(row);
         }
     }
-    let head = ["class", "delivered", "p50 ms", "p90", "p99", "p99.9", "max", "late", "bounced", "deferred"];
+    let head = [
+        "class",
+        "delivered",
+        "p50 ms",
+        "p90",
+        "p99",
+        "p99.9",
+        "max",
+        "late",
+        "bounced",
+        "deferred",
+    ];
     text += &table(&head, &rows);
     text
 }
 
 /// Where one field varies over numbers: some figures against it.
 fn sweeps(runs: &[&RunLine]) -> Result<String> {
-    let value = |r: &RunLine| r.variant.split_once(" = ").and_then(|(_, v)| v.parse::<f64>().ok());
+    let value = |r: &RunLine| {
+        r.variant
+            .split_once(" = ")
+            .and_then(|(_, v)| v.parse::<f64>().ok())
+    };
     let mut values: Vec<f64> = runs.iter().filter_map(|r| value(r)).collect();
     values.sort_by(f64::total_cmp);
     values.dedup();
@@ -285,14 +375,23 @@
     let mut text = format!("<h2>Over {}</h2>", escape(field));
     for (what, figure, _) in compare::FIGURES {
         let at = |v: f64| {
-            let of: Vec<f64> = runs.iter().filter(|r| value(r) == Some(v)).map(|r| figure(r)).collect();
+            let of: Vec<f64> = runs
+                .iter()
+                .filter(|r| value(r) == Some(v))
+                .map(|r| figure(r))
+                .collect();
             (v, of.iter().sum::<f64>() / of.len() as f64)
         };
         let points: Vec<(f64, f64)> = values.iter().map(|v| at(*v)).collect();
         if points.iter().all(|p| p.1 == 0.0) {
             continue;
         }
-        let lines = vec![Line { name: String::new(), colour: 0, thin: false, points }];
+        let lines = vec![Line {
+            name: String::new(),
+            colour: 0,
+            thin: false,
+            points,
+        }];
         let chart = Chart {
             title: what,
             x: field,
@@ -311,7 +410,10 @@
 }
 
 fn charts<'a>(runs: &[&RunLine], spans: &'a [Span]) -> Vec<Chart<'a>> {
-    let x_to = runs.iter().map(|r| time(r.results.points.len())).fold(0.0, f64::max);
+    let x_to = runs
+        .iter()
+        .map(|r| time(r.results.points.len()))
+        .fold(0.0, f64::max);
     let chart = |title, y, lines: Vec<Line>, y_top| Chart {
         title,
         x: "seconds",
@@ -325,7 +427,9 @@
         x_words: None,
     };
     let share = |p: &[Point]| {
-        let (asked, got) = p.iter().fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
+        let (asked, got) = p
+            .iter()
+            .fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
         got / asked
     };
     let mut charts = vec![
@@ -335,7 +439,12 @@
             over_time(runs, |r| curve(&r.results.points, share)),
             1.0,
         ),
-        chart("Calls", "a second", over_time(runs, |r| curve(&r.results.points, a_second(|p| p.calls))), 1.0),
+        chart(
+            "Calls",
+            "a second",
+            over_time(runs, |r| curve(&r.results.points, a_second(|p| p.calls))),
+            1.0,
+        ),
         chart(
             "Refused calls",
             "a second",
@@ -345,14 +454,19 @@
         chart(
             "Calls broken off, errors and answers that cannot be read",
             "a second",
-            over_time(runs, |r| curve(&r.results.points, a_second(|p| p.unanswered + p.errors))),
+            over_time(runs, |r| {
+                curve(&r.results.points, a_second(|p| p.unanswered + p.errors))
+            }),
             1.0,
         ),
         chart(
             "Mails turned away, deferred and bounced",
             "a second",
             over_time(runs, |r| {
-                curve(&r.results.points, a_second(|p| p.turned_away + p.deferred + p.bounced))
+                curve(
+                    &r.results.points,
+                    a_second(|p| p.turned_away + p.deferred + p.bounced),
+                )
             }),
             1.0,
         ),
@@ -365,7 +479,10 @@
     ];
     if runs.iter().any(|r| !r.returns.is_empty()) {
         let load = |r: &RunLine| {
-            r.returns.iter().map(|l| ((l.at - START) as f64 / 1e9, l.calls / l.capacity)).collect::<Vec<_>>()
+            r.returns
+                .iter()
+                .map(|l| ((l.at - START) as f64 / 1e9, l.calls / l.capacity))
+                .collect::<Vec<_>>()
         };
         charts.push(Chart {
             levels: vec![(1.0, "all that they can do")],
@@ -378,22 +495,46 @@
         });
     }
     if runs.iter().any(|r| !r.cost.open.is_empty()) {
-        let open = |r: &RunLine| r.cost.open.iter().map(|o| (o.0, o.1 as f64)).collect::<Vec<_>>();
+        let open = |r: &RunLine| {
+            r.cost
+                .open
+                .iter()
+                .map(|o| (o.0, o.1 as f64))
+                .collect::<Vec<_>>()
+        };
         charts.push(chart("Mails held", "mails", over_time(runs, open), 1.0));
     }
     let mut lines = vec![];
     let first = runs[0];
     for (colour, class) in first.results.classes.iter().enumerate() {
-        for (i, run) in runs.iter().filter(|r| r.variant == first.variant).enumerate() {
+        for (i, run) in runs
+            .iter()
+            .filter(|r| r.variant == first.variant)
+            .enumerate()
+        {
             let found = run.results.classes.iter().find(|c| c.name == class.name);
-            let name = if i == 0 { class.name.clone() } else { String::new() };
+            let name = if i == 0 {
+                class.name.clone()
+            } else {
+                String::new()
+            };
             let points = found.map_or(vec![], |c| latency(&c.latency));
-            lines.push(Line { name, colour, thin: i > 0, points });
+            lines.push(Line {
+                name,
+                colour,
+                thin: i > 0,
+                points,
+            });
         }
     }
     if first.results.hand_in.max_us > 1 {
         let points = latency(&first.results.hand_in);
-        lines.push(Line { name: "answer to the hand-in".into(), colour: 7, thin: false, points });
+        lines.push(Line {
+            name: "answer to the hand-in".into(),
+            colour: 7,
+            thin: false,
+            points,
+        });
     }
     charts.push(Chart {
         x: "share of the mails under it",
@@ -401,12 +542,27 @@
         y_log: true,
         spans: &[],
         x_words: Some(nines),
-        ..chart("Latency by queue class, from the intended hand-in (first variant)", "ms", lines, 1.0)
+        ..chart(
+            "Latency by queue class, from the intended hand-in (first variant)",
+            "ms",
+            lines,
+            1.0,
+        )
     });
     if !first.cost.usage.is_empty() {
         let usage = &first.cost.usage;
-        charts.push(chart("Processor time of each dispatcher", "cores", by_dispatcher(usage, |s| s.1), 0.05));
-        charts.push(chart("Memory of each dispatcher", "MB", by_dispatcher(usage, |s| s.2), 1.0));
+        charts.push(chart(
+            "Processor time of each dispatcher",
+            "cores",
+            by_dispatcher(usage, |s| s.1),
+            0.05,
+        ));
+        charts.push(chart(
+            "Memory of each dispatcher",
+            "MB",
+            by_dispatcher(usage, |s| s.2),
+            1.0,
+        ));
     }
     charts
 }
--- a/lab/src/report/plot.rs
+++ b/lab/src/report/plot.rs
@@ -60,10 +60,20 @@
 
 impl Chart<'_> {
     pub fn svg(&self) -> Result<String> {
-        let all = || self.lines.iter().flat_map(|l| &l.points).filter(|p| p.1.is_finite());
-        let (from, to) =
-            all().fold((0.0, self.x_to.max(0.1)), |r: (f64, f64), p| (r.0.min(p.0), r.1.max(p.0)));
-        let top = all().map(|p| p.1).chain(self.levels.iter().map(|l| l.0)).fold(self.y_top, f64::max) * 1.05;
+        let all = || {
+            self.lines
+                .iter()
+                .flat_map(|l| &l.points)
+                .filter(|p| p.1.is_finite())
+        };
+        let (from, to) = all().fold((0.0, self.x_to.max(0.1)), |r: (f64, f64), p| {
+            (r.0.min(p.0), r.1.max(p.0))
+        });
+        let top = all()
+            .map(|p| p.1)
+            .chain(self.levels.iter().map(|l| l.0))
+            .fold(self.y_top, f64::max)
+            * 1.05;
         let top = if top > 0.0 { top } else { 1.0 };
         let mut svg = String::new();
         {
@@ -71,21 +81,33 @@
             let mut builder = ChartBuilder::on(&root);
             builder.caption(self.title, ("sans-serif", 16)).margin(8);
             builder.x_label_area_size(34).y_label_area_size(56);
-            let low = all().map(|p| p.1).filter(|y| *y > 0.0).fold(f64::MAX, f64::min).min(top / 10.0);
+            let low = all()
+                .map(|p| p.1)
+                .filter(|y| *y > 0.0)
+                .fold(f64::MAX, f64::min)
+                .min(top / 10.0);
             // The two kinds of axis are two types: the body is the same.
             macro_rules! draw {
                 ($range:expr, $bottom:expr) => {{
-                    let mut chart =
-                        builder.build_cartesian_2d(from..to, $range).map_err(|e| anyhow!("{e}"))?;
+                    let mut chart = builder
+                        .build_cartesian_2d(from..to, $range)
+                        .map_err(|e| anyhow!("{e}"))?;
                     for span in self.spans {
                         let corners = [(span.from.max(from), $bottom), (span.to.min(to), top)];
                         let shade = RGBColor(230, 159, 0).mix(0.16).filled();
-                        chart.draw_series([Rectangle::new(corners, shade)]).map_err(|e| anyhow!("{e}"))?;
+                        chart
+                            .draw_series([Rectangle::new(corners, shade)])
+                            .map_err(|e| anyhow!("{e}"))?;
                     }
                     let words = |x: &f64| self.x_words.map_or_else(|| number(*x), |w| w(*x));
                     let mut mesh = chart.configure_mesh();
-                    mesh.x_desc(self.x).y_desc(self.y).x_labels(11).y_labels(6).light_line_style(TRANSPARENT);
-                    mesh.x_label_formatter(&words).y_label_formatter(&|y| number(*y));
+                    mesh.x_desc(self.x)
+                        .y_desc(self.y)
+                        .x_labels(11)
+                        .y_labels(6)
+                        .light_line_style(TRANSPARENT);
+                    mesh.x_label_formatter(&words)
+                        .y_label_formatter(&|y| number(*y));
                     mesh.draw().map_err(|e| anyhow!("{e}"))?;
                     for (height, name) in &self.levels {
                         let style = RGBColor(180, 30, 30).stroke_width(1);
@@ -99,20 +121,27 @@
                         let colour = COLOURS[line.colour % COLOURS.len()];
                         let style = colour.mix(if line.thin { 0.35 } else { 1.0 });
                         let style = style.stroke_width(if line.thin { 1 } else { 2 });
-                        let points =
-                            line.points.iter().filter(|p| p.1.is_finite()).map(|p| (p.0, p.1.max($bottom)));
-                        let drawn =
-                            chart.draw_series(LineSeries::new(points, style)).map_err(|e| anyhow!("{e}"))?;
+                        let points = line
+                            .points
+                            .iter()
+                            .filter(|p| p.1.is_finite())
+                            .map(|p| (p.0, p.1.max($bottom)));
+                        let drawn = chart
+                            .draw_series(LineSeries::new(points, style))
+                            .map_err(|e| anyhow!("{e}"))?;
                         if !line.name.is_empty() {
-                            drawn
-                                .label(&line.name)
-                                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
+                            drawn.label(&line.name).legend(move |(x, y)| {
+                                PathElement::new([(x, y), (x + 16, y)], style)
+                            });
                         }
                     }
-                    let named = self.lines.iter().filter(|l| !l.name.is_empty()).count() + self.levels.len();
+                    let named = self.lines.iter().filter(|l| !l.name.is_empty()).count()
+                        + self.levels.len();
                     if named > 1 || !self.levels.is_empty() {
                         let mut labels = chart.configure_series_labels();
-                        labels.background_style(WHITE.mix(0.8)).border_style(RGBColor(200, 200, 200));
+                        labels
+                            .background_style(WHITE.mix(0.8))
+                            .border_style(RGBColor(200, 200, 200));
                         labels
                             .position(SeriesLabelPosition::LowerRight)
                             .draw()
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -116,7 +116,9 @@
 pub fn peak_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+    line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1024.0
 }
 
 /// One run, from its plan to its line.
@@ -155,14 +157,17 @@
     match drive {
         Drive::Virtual => {
             let played = virtual_time::run(plan, tick);
-            (line.results, line.verdict, line.returns) = (played.results, played.verdict, played.returns);
+            (line.results, line.verdict, line.returns) =
+                (played.results, played.verdict, played.returns);
             line.steps = played.steps;
         }
         Drive::Sockets => {
             let program = variant.program.as_ref().unwrap_or(&how.program);
             let played = sockets::run(plan, program, &how.work, tick)?;
-            (line.results, line.verdict, line.returns) = (played.results, played.verdict, played.returns);
-            (line.not_valid, line.faults, line.cost) = (played.not_valid, played.faults, played.cost);
+            (line.results, line.verdict, line.returns) =
+                (played.results, played.verdict, played.returns);
+            (line.not_valid, line.faults, line.cost) =
+                (played.not_valid, played.faults, played.cost);
             line.interrupted = played.interrupted;
         }
     }
@@ -215,7 +220,11 @@
 }
 
 fn bar(what: &str, quiet: bool) -> ProgressBar {
-    let bar = if quiet { ProgressBar::hidden() } else { ProgressBar::new(1_000) };
+    let bar = if quiet {
+        ProgressBar::hidden()
+    } else {
+        ProgressBar::new(1_000)
+    };
     let style = ProgressStyle::with_template("{msg} [{bar:32}] {percent:>3}% {elapsed}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     bar.set_message(what.to_string());
@@ -228,7 +237,10 @@
     if let Some(folder) = file.parent() {
         std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
     }
-    let mut out = std::fs::OpenOptions::new().create(true).append(true).open(file)?;
+    let mut out = std::fs::OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(file)?;
     // A line that was cut off must not swallow the next one.
     if std::fs::read(file)?.last().is_some_and(|b| *b != b'\n') {
         out.write_all(b"\n")?;
@@ -238,13 +250,17 @@
     for variant in &experiment.variants {
         let print = print(variant, how, own);
         for &seed in how.seeds.as_ref().unwrap_or(&experiment.seeds) {
-            let same =
-                |r: &&RunLine| r.print == print && r.seed == seed && r.variant == variant.name && r.valid();
+            let same = |r: &&RunLine| {
+                r.print == print && r.seed == seed && r.variant == variant.name && r.valid()
+            };
             if let Some(run) = old.iter().find(same) {
                 runs.push(run.clone());
                 continue;
             }
-            let bar = bar(&format!("{}, {}, seed {seed}", experiment.name, variant.name), how.quiet);
+            let bar = bar(
+                &format!("{}, {}, seed {seed}", experiment.name, variant.name),
+                how.quiet,
+            );
             let mut tick = |part: f64| bar.set_position((part * 1_000.0) as u64);
             let run = one(experiment, variant, seed, how, print.clone(), &mut tick)?;
             bar.finish_and_clear();
@@ -255,7 +271,11 @@
             out.flush()?;
             let interrupted = run.interrupted;
             runs.push(run);
-            anyhow::ensure!(!interrupted, "interrupted; what was measured is in {}", file.display());
+            anyhow::ensure!(
+                !interrupted,
+                "interrupted; what was measured is in {}",
+                file.display()
+            );
         }
     }
     Ok(runs)
@@ -296,7 +316,10 @@
         );
     }
     if run.verdict.kept() {
-        text += &format!("\n  rules kept, {} effects in {} calls", run.verdict.applied, run.verdict.calls);
+        text += &format!(
+            "\n  rules kept, {} effects in {} calls",
+            run.verdict.applied, run.verdict.calls
+        );
     }
     for (rule, count) in &run.verdict.breaks {
         text += &format!("\n  RULE BROKEN {rule:?}: {count} times");
--- a/lab/src/sockets/clients.rs
+++ b/lab/src/sockets/clients.rs
@@ -19,7 +19,11 @@
 /// The tag and the body that a mail goes out with, and must come with.
 pub(super) fn content(plan: &Plan, arrival: &Arrival) -> (String, Vec<u8>) {
     let tagged = plan.spec.classes[arrival.class].repeat == RepeatWord::Tagged;
-    let tag = if tagged { format!("{:016x}", arrival.no + 1) } else { String::new() };
+    let tag = if tagged {
+        format!("{:016x}", arrival.no + 1)
+    } else {
+        String::new()
+    };
     let mut body = format!("mail {} ", arrival.no).into_bytes();
     body.resize(plan.spec.load.body_bytes.max(body.len()), b'.');
     (tag, body)
@@ -41,7 +45,13 @@
 }
 
 /// Hands a mail in again at a later moment.
-pub(super) fn later(shared: &Rc<Shared>, arrival: Rc<Arrival>, tries: u32, at: Nanos, dispatcher: usize) {
+pub(super) fn later(
+    shared: &Rc<Shared>,
+    arrival: Rc<Arrival>,
+    tries: u32,
+    at: Nanos,
+    dispatcher: usize,
+) {
     shared.state.borrow_mut().pending += 1;
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
@@ -72,7 +82,12 @@
 }
 
 /// Hands a mail in once. What the client goes by if it is to come back.
-async fn put(shared: &Rc<Shared>, arrival: &Rc<Arrival>, tries: u32, dispatcher: usize) -> Option<Back> {
+async fn put(
+    shared: &Rc<Shared>,
+    arrival: &Rc<Arrival>,
+    tries: u32,
+    dispatcher: usize,
+) -> Option<Back> {
     let meant = if tries == 0 { arrival.at } else { shared.now() };
     let mail = mail_id(arrival.no, tries);
     let mut stream = match pooled(shared, dispatcher) {
@@ -91,7 +106,13 @@
         }
         let (tag, body) = content(&s.world.plan, arrival);
         let hand_in = HandIn::of(arrival, tries, dispatcher, now + left * MS);
-        s.mails.insert(mail, Handed { dispatcher, arrival: Rc::clone(arrival) });
+        s.mails.insert(
+            mail,
+            Handed {
+                dispatcher,
+                arrival: Rc::clone(arrival),
+            },
+        );
         s.see(Seen::HandedIn(hand_in));
         let class = &s.world.plan.spec.classes[arrival.class].name;
         let mut fields = format!("c={class},d={left},dest={}", arrival.destination);
@@ -118,8 +139,9 @@
     };
     let until = tokio::time::Instant::now() + Duration::from_nanos(wait);
     let heard = loop {
-        let heard =
-            tokio::time::timeout_at(until, ask(&mut stream.0, &command)).await.unwrap_or(Heard::Nothing);
+        let heard = tokio::time::timeout_at(until, ask(&mut stream.0, &command))
+            .await
+            .unwrap_or(Heard::Nothing);
         match heard {
             // Its closing crossed this: once more on a new connection.
             Heard::Ended if stream.1 => match connect(shared, dispatcher).await {
@@ -148,7 +170,10 @@
                 Some(Back::Refused(come_back))
             }
             Heard::Failed(why) => {
-                s.see(Seen::TurnedAway { mail, come_back: None });
+                s.see(Seen::TurnedAway {
+                    mail,
+                    come_back: None,
+                });
                 s.fault(format!("mail {:016x} was answered {why}", mail.0));
                 Some(Back::Refused(None))
             }
@@ -165,7 +190,8 @@
     loop {
         let stream = shared.clients.borrow_mut()[dispatcher].0.pop()?;
         let mut byte = [0; 1];
-        if matches!(stream.try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock) {
+        if matches!(stream.try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
+        {
             return Some(stream);
         }
     }
@@ -190,7 +216,11 @@
 
 async fn ask(stream: &mut TcpStream, command: &[u8]) -> Heard {
     // A client that minds its delays writes at once; one that does not writes in two parts, as many libraries do.
-    let parts = if stream.nodelay().unwrap_or(true) { vec![command] } else { halves(command) };
+    let parts = if stream.nodelay().unwrap_or(true) {
+        vec![command]
+    } else {
+        halves(command)
+    };
     for part in parts {
         if stream.write_all(part).await.is_err() {
             return Heard::Ended;
@@ -204,7 +234,10 @@
         }
     }
     let line = String::from_utf8_lossy(&line).trim_end().to_string();
-    match line.split_once(' ').map_or((line.as_str(), ""), |(a, b)| (a, b)) {
+    match line
+        .split_once(' ')
+        .map_or((line.as_str(), ""), |(a, b)| (a, b))
+    {
         ("-BUSY", told) => Heard::Busy(told.parse().ok().map(ms)),
         _ if line.starts_with('+') => Heard::Ok,
         _ => Heard::Failed(line),
@@ -215,8 +248,10 @@
 pub(super) async fn ready(at: std::net::SocketAddr) {
     loop {
         if let Ok(mut stream) = TcpStream::connect(at).await {
-            let asked =
-                tokio::time::timeout(Duration::from_secs(1), ask(&mut stream, b"*1\r\n$4\r\nPING\r\n"));
+            let asked = tokio::time::timeout(
+                Duration::from_secs(1),
+                ask(&mut stream, b"*1\r\n$4\r\nPING\r\n"),
+            );
             if let Ok(Heard::Ok) = asked.await {
                 return;
             }
