--- a/lab/src/sockets/endpoints.rs
+++ b/lab/src/sockets/endpoints.rs
@@ -55,7 +55,10 @@
         let mut s = shared.state.borrow_mut();
         let at = s.net.endpoint(endpoint);
         let reach = s.world.reach(endpoint);
-        if s.listeners[endpoint.0 as usize].as_ref().is_some_and(|l| l.reach == reach) {
+        if s.listeners[endpoint.0 as usize]
+            .as_ref()
+            .is_some_and(|l| l.reach == reach)
+        {
             return Ok(());
         }
         (reach, at, s.listeners[endpoint.0 as usize].take())
@@ -69,8 +72,14 @@
         Reach::Open => {
             let socket = listener()?;
             SockRef::from(&*socket).listen(BACKLOG)?;
-            let accepts = tokio::task::spawn_local(accept(Rc::clone(shared), endpoint, Rc::clone(&socket)));
-            Some(Listening { reach, accepts: Some(accepts), socket, _fill: vec![] })
+            let accepts =
+                tokio::task::spawn_local(accept(Rc::clone(shared), endpoint, Rc::clone(&socket)));
+            Some(Listening {
+                reach,
+                accepts: Some(accepts),
+                socket,
+                _fill: vec![],
+            })
         }
         Reach::Silent => {
             let socket = listener()?;
@@ -84,7 +93,12 @@
                 let _ = filler.connect(&at.into());
                 fill.push(filler);
             }
-            Some(Listening { reach, accepts: None, socket, _fill: fill })
+            Some(Listening {
+                reach,
+                accepts: None,
+                socket,
+                _fill: fill,
+            })
         }
     };
     shared.state.borrow_mut().listeners[endpoint.0 as usize] = new;
@@ -100,7 +114,10 @@
             }
             Err(e) => {
                 shared.with(|s| {
-                    s.fault(format!("endpoint {}: a connection could not be taken: {e}", endpoint.0))
+                    s.fault(format!(
+                        "endpoint {}: a connection could not be taken: {e}",
+                        endpoint.0
+                    ))
                 });
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
@@ -135,11 +152,16 @@
         return Ok(None);
     }
     if (head.method, head.path) != (Some("POST"), Some("/events")) {
-        return Err(format!("{:?} {:?}, where POST /events was expected", head.method, head.path));
+        return Err(format!(
+            "{:?} {:?}, where POST /events was expected",
+            head.method, head.path
+        ));
     }
     let id = value("x-trace-id").and_then(|v| std::str::from_utf8(v).ok());
     Ok(Some(Request {
-        mail: id.and_then(|id| u64::from_str_radix(id, 16).ok()).map(MessageId),
+        mail: id
+            .and_then(|id| u64::from_str_radix(id, 16).ok())
+            .map(MessageId),
         tag: value("idempotency-key").unwrap_or_default().to_vec(),
         body: bytes[length..length + size].to_vec(),
         taken: length + size,
@@ -156,7 +178,9 @@
                 "HTTP/1.1 429 Too Many Requests\r\nRetry-After: {seconds:.6}\r\nContent-Length: 0\r\n\r\n"
             )
         }
-        Answer::Full(None) => "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into(),
+        Answer::Full(None) => {
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into()
+        }
         Answer::Spoilt => "HTP/one 2x0 \u{1}\r\n\r\n\r\n".into(),
     }
 }
@@ -250,20 +274,41 @@
     shared.with(|s| {
         let known: Option<Handed> = request.mail.and_then(|mail| s.mails.get(&mail)).cloned();
         let (Some(mail), Some(known)) = (request.mail, known) else {
-            s.fault(format!("endpoint {}: a call with a mail that nobody handed in", endpoint.0));
+            s.fault(format!(
+                "endpoint {}: a call with a mail that nobody handed in",
+                endpoint.0
+            ));
             return Err(None);
         };
         let (tag, body) = super::clients::content(&s.world.plan, &known.arrival);
         if request.tag != tag.as_bytes() || request.body != body {
-            s.fault(format!("endpoint {}: mail {:016x} came with another tag or body", endpoint.0, mail.0));
+            s.fault(format!(
+                "endpoint {}: mail {:016x} came with another tag or body",
+                endpoint.0, mail.0
+            ));
         }
         if s.world.endpoint(endpoint).destination != known.arrival.destination {
-            s.fault(format!("endpoint {}: mail {:016x} is for another destination", endpoint.0, mail.0));
+            s.fault(format!(
+                "endpoint {}: mail {:016x} is for another destination",
+                endpoint.0, mail.0
+            ));
         }
         let (no, dispatcher) = (s.ledger.call_no(), known.dispatcher);
-        let new = NewCall { mail, class: known.arrival.class, dispatcher, tag: known.arrival.no };
+        let new = NewCall {
+            mail,
+            class: known.arrival.class,
+            dispatcher,
+            tag: known.arrival.no,
+        };
         let id = s.world.call(conn, new);
-        s.see(Seen::Call { call: no, mail, endpoint, dispatcher, begun, fresh: id.is_some() });
+        s.see(Seen::Call {
+            call: no,
+            mail,
+            endpoint,
+            dispatcher,
+            begun,
+            fresh: id.is_some(),
+        });
         match id {
             Some(id) => {
                 s.calls.insert(id, no);
--- a/lab/src/sockets/mod.rs
+++ b/lab/src/sockets/mod.rs
@@ -58,7 +58,15 @@
 impl Net {
     fn addr(self, n: usize, port: u16) -> SocketAddr {
         // The last number is never 0 or 255.
-        SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.0, (n / 250) as u8, (n % 250) as u8 + 1)), port)
+        SocketAddr::new(
+            IpAddr::V4(Ipv4Addr::new(
+                127,
+                self.0,
+                (n / 250) as u8,
+                (n % 250) as u8 + 1,
+            )),
+            port,
+        )
     }
     fn endpoint(self, endpoint: EndpointId) -> SocketAddr {
         self.addr(endpoint.0 as usize, ENDPOINT_PORT)
@@ -79,7 +87,11 @@
                 return Ok((net, listener));
             }
         }
-        bail!("no loopback net is free: expected one of 127.{}.0.0 to 127.{}.0.0", NETS.start, NETS.end - 1)
+        bail!(
+            "no loopback net is free: expected one of 127.{}.0.0 to 127.{}.0.0",
+            NETS.start,
+            NETS.end - 1
+        )
     }
 }
 
@@ -170,9 +182,15 @@
                         self.see(Seen::Applied { call, fresh });
                     }
                 }
-                Effect::Tipped { endpoint, knowing, all } => {
-                    self.see(Seen::Tipped { endpoint, knowing, all })
-                }
+                Effect::Tipped {
+                    endpoint,
+                    knowing,
+                    all,
+                } => self.see(Seen::Tipped {
+                    endpoint,
+                    knowing,
+                    all,
+                }),
                 errand => drop(self.errands.send(errand)),
             }
         }
@@ -222,7 +240,9 @@
             Effect::Reach { endpoint, .. } => {
                 // As it is by now, not as it was when this was sent.
                 if let Err(e) = endpoints::reach(&shared, endpoint) {
-                    shared.with(|s| s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0)));
+                    shared.with(|s| {
+                        s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0))
+                    });
                 }
             }
             Effect::Appeared { endpoint } => {
@@ -232,7 +252,9 @@
                     s.listeners.resize_with(s.world.endpoints(), || None);
                 });
                 if let Err(e) = endpoints::reach(&shared, endpoint) {
-                    shared.with(|s| s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0)));
+                    shared.with(|s| {
+                        s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0))
+                    });
                 }
             }
             Effect::Tell { dispatcher, upto } => {
@@ -275,16 +297,25 @@
         }));
     });
     FAILED.store(false, Ordering::SeqCst);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let local = tokio::task::LocalSet::new();
     let mut played = local.block_on(&runtime, play(plan, program, work, tick))?;
     if FAILED.load(Ordering::SeqCst) {
-        played.not_valid.push("the laboratory itself failed; see its standard error".into());
+        played
+            .not_valid
+            .push("the laboratory itself failed; see its standard error".into());
     }
     Ok(played)
 }
 
-async fn play(plan: Plan, program: &Path, work: &Path, tick: &mut dyn FnMut(f64)) -> Result<Played> {
+async fn play(
+    plan: Plan,
+    program: &Path,
+    work: &Path,
+    tick: &mut dyn FnMut(f64),
+) -> Result<Played> {
     let (net, keeps) = Net::free()?;
     let (over_at, load_until, count) = (plan.over_at, plan.load_until, plan.spec.dispatchers.count);
     let late_most = plan.spec.run.late_ms;
@@ -370,7 +401,10 @@
     let now = state.now();
     let ledger = std::mem::replace(&mut state.ledger, Ledger::new(&plan, Slack::SOCKETS));
     let (verdict, results) = ledger.finish(if interrupted { START } else { now });
-    let (p99, most) = (state.late.value_at_quantile(0.99) as f64 / 1e3, state.late.max() as f64 / 1e3);
+    let (p99, most) = (
+        state.late.value_at_quantile(0.99) as f64 / 1e3,
+        state.late.max() as f64 / 1e3,
+    );
     let stood = worst.borrow().as_secs_f64() * 1e3;
     let mut not_valid = vec![];
     if interrupted {
@@ -384,31 +418,61 @@
         ));
     }
     if stood > 10.0 * late_most {
-        not_valid.push(format!("the machine was too busy: the laboratory stood still for {stood:.0} ms"));
+        not_valid.push(format!(
+            "the machine was too busy: the laboratory stood still for {stood:.0} ms"
+        ));
     }
     if !interrupted && schedule.is_finished() {
         let _ = schedule.join();
     }
     let open = std::mem::take(&mut state.open);
-    let cost = Cost { late_p99_ms: p99, late_max_ms: most, usage, open, ..Default::default() };
-    let (returns, faults) = (std::mem::take(&mut state.world.returns), std::mem::take(&mut state.faults));
-    Ok(Played { verdict, results, returns, not_valid, faults, cost, interrupted })
+    let cost = Cost {
+        late_p99_ms: p99,
+        late_max_ms: most,
+        usage,
+        open,
+        ..Default::default()
+    };
+    let (returns, faults) = (
+        std::mem::take(&mut state.world.returns),
+        std::mem::take(&mut state.faults),
+    );
+    Ok(Played {
+        verdict,
+        results,
+        returns,
+        not_valid,
+        faults,
+        cost,
+        interrupted,
+    })
 }
 
 /// The value of a header of this name.
 pub(crate) fn header<'b>(head: &httparse::Request<'_, 'b>, name: &str) -> Option<&'b [u8]> {
-    head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name)).map(|h| h.value)
+    head.headers
+        .iter()
+        .find(|h| h.name.eq_ignore_ascii_case(name))
+        .map(|h| h.value)
 }
 
 pub(crate) fn content_length(head: &httparse::Request) -> Option<usize> {
-    std::str::from_utf8(header(head, "content-length")?).ok()?.trim().parse().ok()
+    std::str::from_utf8(header(head, "content-length")?)
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
 }
 
 /// What a dispatcher is told at its start: the platform's file.
 fn config(state: &State, dispatcher: usize, start: u32) -> serde_json::Value {
     use serde_json::json;
     let plan = &state.world.plan;
-    let (d, r, facts) = (&plan.spec.dispatchers, &plan.spec.rules, plan.boot_facts(dispatcher, start));
+    let (d, r, facts) = (
+        &plan.spec.dispatchers,
+        &plan.spec.rules,
+        plan.boot_facts(dispatcher, start),
+    );
     let class = |c: &crate::spec::Class| {
         let repeat = match c.repeat {
             crate::spec::RepeatWord::Redeliverable => "idempotent",
--- a/lab/src/sockets/platform.rs
+++ b/lab/src/sockets/platform.rs
@@ -31,7 +31,10 @@
 }
 
 pub(super) fn whole(state: &State, version: usize, list: &Listing) -> Value {
-    let servers: Vec<Value> = list.iter().map(|(e, listed)| entry(state, *e, *listed)).collect();
+    let servers: Vec<Value> = list
+        .iter()
+        .map(|(e, listed)| entry(state, *e, *listed))
+        .collect();
     json!({"version": version, "full": true, "servers": servers})
 }
 
@@ -59,7 +62,11 @@
     let changes: Vec<_> = state.world.changes(from.min(upto), upto).to_vec();
     for change in changes {
         let serving = change.listed == Listed::Up;
-        state.see(Seen::Listed { dispatcher, endpoint: change.endpoint, serving });
+        state.see(Seen::Listed {
+            dispatcher,
+            endpoint: change.endpoint,
+            serving,
+        });
     }
 }
 
@@ -90,8 +97,14 @@
         input.drain(..taken);
         if path == "/v2/finals" {
             let good = notices(&shared, &body);
-            let answer = if good { "204 No Content" } else { "400 Bad Request" };
-            stream.write_all(format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await?;
+            let answer = if good {
+                "204 No Content"
+            } else {
+                "400 Bad Request"
+            };
+            stream
+                .write_all(format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n").as_bytes())
+                .await?;
         } else if let Some(since) = path.strip_prefix("/api/targets?follow=1&since=") {
             return watch(&shared, dispatcher, &mut stream, since.parse().unwrap_or(0)).await;
         } else if path == "/api/targets" {
@@ -102,13 +115,22 @@
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
             stream.write_all((head + &text).as_bytes()).await?;
         } else {
-            stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await?;
+            stream
+                .write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+                .await?;
         }
     }
 }
 
-async fn watch(shared: &Rc<Shared>, dispatcher: usize, stream: &mut TcpStream, since: usize) -> Result<()> {
-    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+async fn watch(
+    shared: &Rc<Shared>,
+    dispatcher: usize,
+    stream: &mut TcpStream,
+    since: usize,
+) -> Result<()> {
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await?;
     let mut at = since;
     let mut first = true;
     loop {
@@ -124,8 +146,10 @@
                     false => whole(s, upto, &s.world.listing(upto)),
                     true => {
                         let changes = s.world.changes(at, upto).to_vec();
-                        let servers: Vec<Value> =
-                            changes.iter().map(|c| entry(s, c.endpoint, c.listed)).collect();
+                        let servers: Vec<Value> = changes
+                            .iter()
+                            .map(|c| entry(s, c.endpoint, c.listed))
+                            .collect();
                         json!({"version": upto, "full": false, "servers": servers})
                     }
                 }
@@ -145,15 +169,24 @@
 }
 
 async fn chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
-    stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
+    stream
+        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        .await
 }
 
 /// Notices have come. False: they cannot be read.
 fn notices(shared: &Rc<Shared>, body: &[u8]) -> bool {
     let mut read = vec![];
-    for line in body.split(|b| *b == b'\n').filter(|l| !l.trim_ascii().is_empty()) {
-        let Ok(json) = serde_json::from_slice::<Value>(line) else { return false };
-        let id = json["ref"].as_str().and_then(|id| u64::from_str_radix(id, 16).ok());
+    for line in body
+        .split(|b| *b == b'\n')
+        .filter(|l| !l.trim_ascii().is_empty())
+    {
+        let Ok(json) = serde_json::from_slice::<Value>(line) else {
+            return false;
+        };
+        let id = json["ref"]
+            .as_str()
+            .and_then(|id| u64::from_str_radix(id, 16).ok());
         let deferred = match json["result"].as_str() {
             Some("dead") => None,
             Some("bounced") => Some(json["wait_ms"].as_f64().map_or(0, crate::world::plan::ms)),
--- a/lab/src/sockets/processes.rs
+++ b/lab/src/sockets/processes.rs
@@ -42,14 +42,18 @@
         if folder.exists() {
             std::fs::remove_dir_all(&folder).with_context(|| folder.display().to_string())?;
         }
-        std::fs::create_dir_all(folder.join("state")).with_context(|| folder.display().to_string())?;
+        std::fs::create_dir_all(folder.join("state"))
+            .with_context(|| folder.display().to_string())?;
         let host = Host {
             program: program.clone(),
             folder,
             child: None,
             ends: false,
             starts: 0,
-            usage: Usage { dispatcher: d, ..Default::default() },
+            usage: Usage {
+                dispatcher: d,
+                ..Default::default()
+            },
             sampled: None,
         };
         shared.hosts.borrow_mut().push(host);
@@ -78,7 +82,10 @@
     state.see(Seen::Started { dispatcher: d });
     let file = host.folder.join("config.json");
     std::fs::write(&file, json.to_string()).with_context(|| file.display().to_string())?;
-    let log = std::fs::OpenOptions::new().create(true).append(true).open(host.folder.join("log"))?;
+    let log = std::fs::OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(host.folder.join("log"))?;
     let child = Command::new(&host.program)
         .arg("serve")
         .arg("--config")
@@ -97,7 +104,10 @@
 }
 
 fn pid(host: &Host) -> Option<Pid> {
-    host.child.as_ref().and_then(Child::id).and_then(|id| Pid::from_raw(id as i32))
+    host.child
+        .as_ref()
+        .and_then(Child::id)
+        .and_then(|id| Pid::from_raw(id as i32))
 }
 
 /// What the script says of a dispatcher is done.
@@ -125,7 +135,10 @@
         child
     };
     let Some(mut child) = child else { return };
-    let in_time = asked && tokio::time::timeout(TERM_TO_KILL, child.wait()).await.is_ok();
+    let in_time = asked
+        && tokio::time::timeout(TERM_TO_KILL, child.wait())
+            .await
+            .is_ok();
     if !in_time {
         let _ = child.kill().await;
     }
@@ -149,7 +162,8 @@
         return;
     }
     if let Err(e) = spawn(shared, d) {
-        return shared.with(|s| s.fault(format!("dispatcher {d} could not be started again: {e:#}")));
+        return shared
+            .with(|s| s.fault(format!("dispatcher {d} could not be started again: {e:#}")));
     }
     let at = shared.state.borrow().net.listen(d);
     clients::ready(at).await;
@@ -206,7 +220,11 @@
         }
     }
     if let Some(status) = crashed {
-        shared.with(|s| s.fault(format!("dispatcher {d} ended by itself at {at:.3} s: {status}")));
+        shared.with(|s| {
+            s.fault(format!(
+                "dispatcher {d} ended by itself at {at:.3} s: {status}"
+            ))
+        });
         ended(shared, d);
     }
 }
--- a/lab/src/virtual_time.rs
+++ b/lab/src/virtual_time.rs
@@ -40,7 +40,8 @@
 
 impl Outlet for Answers {
     fn attempt(&mut self, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
-        self.commands.push(Command::Connect(mail, endpoint, time_out));
+        self.commands
+            .push(Command::Connect(mail, endpoint, time_out));
     }
     fn defer(&mut self, mail: MessageId, come_back: Nanos) {
         self.commands.push(Command::Defer(mail, come_back));
@@ -104,10 +105,25 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Again { arrival: u64, tries: u32, dispatcher: usize },
-    Wake { host: usize, count: u64 },
-    TimeOut { host: usize, mail: MessageId, no: u32, unconnected: bool },
-    Leaves { host: usize, starts: u32 },
+    Again {
+        arrival: u64,
+        tries: u32,
+        dispatcher: usize,
+    },
+    Wake {
+        host: usize,
+        count: u64,
+    },
+    TimeOut {
+        host: usize,
+        mail: MessageId,
+        no: u32,
+        unconnected: bool,
+    },
+    Leaves {
+        host: usize,
+        starts: u32,
+    },
 }
 
 /// What a run in virtual time came to.
@@ -160,8 +176,13 @@
     let mut said = START;
     loop {
         let own = lab.due.peek().map(|Reverse((at, _, _))| *at);
-        let next = [own, lab.world.next_due(), arrivals.peek().map(|a| a.at)].into_iter().flatten().min();
-        let Some(at) = next.filter(|at| *at <= over_at) else { break };
+        let next = [own, lab.world.next_due(), arrivals.peek().map(|a| a.at)]
+            .into_iter()
+            .flatten()
+            .min();
+        let Some(at) = next.filter(|at| *at <= over_at) else {
+            break;
+        };
         lab.now = at;
         if at > said + S / 4 {
             said = at;
@@ -183,7 +204,12 @@
         lab.settle();
     }
     let (verdict, results) = lab.ledger.finish(over_at);
-    Played { verdict, results, returns: lab.world.returns, steps: lab.steps }
+    Played {
+        verdict,
+        results,
+        returns: lab.world.returns,
+        steps: lab.steps,
+    }
 }
 
 impl Lab {
@@ -211,13 +237,21 @@
 
     /// One call on a dispatcher's decisions; what they answer is done at once.
     fn ask(&mut self, host: usize, call: impl FnOnce(&mut Dispatcher, Nanos, &mut Answers)) {
-        let Some(d) = &mut self.hosts[host].d else { return };
+        let Some(d) = &mut self.hosts[host].d else {
+            return;
+        };
         self.steps += 1;
-        let mut answers = Answers { commands: vec![], host, now: self.now };
+        let mut answers = Answers {
+            commands: vec![],
+            host,
+            now: self.now,
+        };
         call(d, self.now, &mut answers);
         for command in answers.commands {
             match command {
-                Command::Connect(mail, endpoint, time_out) => self.connect(host, mail, endpoint, time_out),
+                Command::Connect(mail, endpoint, time_out) => {
+                    self.connect(host, mail, endpoint, time_out)
+                }
                 Command::Defer(mail, come_back) => self.give_up(host, mail, Some(come_back)),
                 Command::Bounce(mail) => self.give_up(host, mail, None),
                 Command::CallOff(mail, no) => {
@@ -242,7 +276,9 @@
     fn hand_in(&mut self, arrival: Arrival, tries: u32, dispatcher: usize) {
         let (now, mail) = (self.now, mail_id(arrival.no, tries));
         let due = due(&self.world.plan, &arrival);
-        self.open.entry(arrival.no).or_insert_with(|| arrival.clone());
+        self.open
+            .entry(arrival.no)
+            .or_insert_with(|| arrival.clone());
         let room = self.world.plan.hold();
         let host = &mut self.hosts[dispatcher];
         let listens = host.d.is_some() && !host.leaving && now >= host.takes_from;
@@ -254,14 +290,25 @@
         // No time passes on the way.
         self.ledger.measure.hand_in_answered(0);
         if full {
-            self.see(Seen::TurnedAway { mail, come_back: None });
+            self.see(Seen::TurnedAway {
+                mail,
+                come_back: None,
+            });
             return self.back(arrival, tries, Back::Refused(None));
         }
         self.see(Seen::Taken { mail });
         let host = &mut self.hosts[dispatcher];
         host.taken += 1;
         host.held += 1;
-        let held = Held { arrival, due, taken: host.taken, connects: 0, ran: None, out: None, ended: false };
+        let held = Held {
+            arrival,
+            due,
+            taken: host.taken,
+            connects: 0,
+            ran: None,
+            out: None,
+            ended: false,
+        };
         let new = new_mail(mail, &held);
         host.mails.insert(mail, held);
         self.ask(dispatcher, |d, now, out| d.accept(now, [new], out));
@@ -270,16 +317,25 @@
     /// The client may hand the mail in again.
     fn back(&mut self, arrival: Arrival, tries: u32, back: Back) {
         match again(&self.world.plan, &arrival, tries, back, self.now) {
-            Some((at, dispatcher)) => {
-                self.later(at, Event::Again { arrival: arrival.no, tries: tries + 1, dispatcher })
-            }
+            Some((at, dispatcher)) => self.later(
+                at,
+                Event::Again {
+                    arrival: arrival.no,
+                    tries: tries + 1,
+                    dispatcher,
+                },
+            ),
             None => drop(self.open.remove(&arrival.no)),
         }
     }
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Again { arrival, tries, dispatcher } => {
+            Event::Again {
+                arrival,
+                tries,
+                dispatcher,
+            } => {
                 if let Some(arrival) = self.open.get(&arrival).cloned() {
                     self.hand_in(arrival, tries, dispatcher);
                 }
@@ -288,15 +344,23 @@
                 self.ask(host, |d, now, out| d.woken(now, out))
             }
             Event::Wake { .. } => {}
-            Event::TimeOut { host, mail, no, unconnected } => {
+            Event::TimeOut {
+                host,
+                mail,
+                no,
+                unconnected,
+            } => {
                 let out = self.hosts[host].mails.get(&mail).and_then(|m| m.out);
                 if let Some(out) = out.filter(|out| out.no.0 == no) {
                     if unconnected {
                         self.world.never_came_up(host, out.endpoint);
                     }
                     self.close_call(host, mail);
-                    let outcome =
-                        if unconnected { AttemptOutcome::Unconnected } else { AttemptOutcome::TimedOut };
+                    let outcome = if unconnected {
+                        AttemptOutcome::Unconnected
+                    } else {
+                        AttemptOutcome::TimedOut
+                    };
                     self.end_call(host, mail, outcome);
                 }
             }
@@ -313,10 +377,18 @@
     fn connect(&mut self, host: usize, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
         let now = self.now;
         let connect_timeout = ms(self.world.plan.spec.dispatchers.connect_timeout_ms);
-        let Some(held) = self.hosts[host].mails.get_mut(&mail) else { return };
+        let Some(held) = self.hosts[host].mails.get_mut(&mail) else {
+            return;
+        };
         let no = AttemptNumber(held.connects);
         held.connects += 1;
-        held.out = Some(Out { no, endpoint, at: now, conn: None, call: None });
+        held.out = Some(Out {
+            no,
+            endpoint,
+            at: now,
+            conn: None,
+            call: None,
+        });
         let conn = match self.idle(host, endpoint) {
             Some(conn) => conn,
             None => match self.world.open(host, endpoint) {
@@ -327,19 +399,49 @@
                 Opening::Refused => return self.end_call(host, mail, AttemptOutcome::Unconnected),
                 Opening::Never => {
                     let at = now + time_out.min(connect_timeout);
-                    return self.later(at, Event::TimeOut { host, mail, no: no.0, unconnected: true });
+                    return self.later(
+                        at,
+                        Event::TimeOut {
+                            host,
+                            mail,
+                            no: no.0,
+                            unconnected: true,
+                        },
+                    );
                 }
             },
         };
-        self.later(now + time_out, Event::TimeOut { host, mail, no: no.0, unconnected: false });
-        let Some(held) = self.hosts[host].mails.get_mut(&mail) else { return };
-        let new = NewCall { mail, class: held.arrival.class, dispatcher: host, tag: held.arrival.no };
+        self.later(
+            now + time_out,
+            Event::TimeOut {
+                host,
+                mail,
+                no: no.0,
+                unconnected: false,
+            },
+        );
+        let Some(held) = self.hosts[host].mails.get_mut(&mail) else {
+            return;
+        };
+        let new = NewCall {
+            mail,
+            class: held.arrival.class,
+            dispatcher: host,
+            tag: held.arrival.no,
+        };
         let call = self.ledger.call_no();
         if let Some(out) = &mut held.out {
             (out.conn, out.call) = (Some(conn), Some(call));
         }
         let id = self.world.call(conn, new);
-        let seen = Seen::Call { call, mail, endpoint, dispatcher: host, begun: now, fresh: id.is_some() };
+        let seen = Seen::Call {
+            call,
+            mail,
+            endpoint,
+            dispatcher: host,
+            begun: now,
+            fresh: id.is_some(),
+        };
         self.see(seen);
         match id {
             Some(id) => {
@@ -347,7 +449,10 @@
                 self.call_nos.insert(id, call);
             }
             None => {
-                self.see(Seen::Broken { call, by_endpoint: true });
+                self.see(Seen::Broken {
+                    call,
+                    by_endpoint: true,
+                });
                 self.end_call(host, mail, AttemptOutcome::Reset);
             }
         }
@@ -356,7 +461,10 @@
     /// An idle connection that is still good.
     fn idle(&mut self, host: usize, endpoint: EndpointId) -> Option<ConnId> {
         let d = &self.world.plan.spec.dispatchers;
-        let (keep, most) = (ms(d.keep_alive_ms) / 20 * 19, (d.sockets as usize).saturating_sub(KEPT_SOCKETS));
+        let (keep, most) = (
+            ms(d.keep_alive_ms) / 20 * 19,
+            (d.sockets as usize).saturating_sub(KEPT_SOCKETS),
+        );
         let h = &mut self.hosts[host];
         while let Some(&(since, at, conn)) = h.idle_since.front()
             && (since + keep <= self.now || h.idle_count > most)
@@ -395,20 +503,27 @@
 
     /// Closes the connection of a mail's connect.
     fn close_call(&mut self, host: usize, mail: MessageId) {
-        let Some(out) = self.hosts[host].mails.get(&mail).and_then(|m| m.out) else { return };
+        let Some(out) = self.hosts[host].mails.get(&mail).and_then(|m| m.out) else {
+            return;
+        };
         if let Some(conn) = out.conn {
             self.on.remove(&conn);
             self.world.close(conn);
         }
         if let Some(call) = out.call {
-            self.see(Seen::Broken { call, by_endpoint: false });
+            self.see(Seen::Broken {
+                call,
+                by_endpoint: false,
+            });
         }
     }
 
     fn end_call(&mut self, host: usize, mail: MessageId, outcome: AttemptOutcome) {
         let now = self.now;
         let h = &mut self.hosts[host];
-        let Some(held) = h.mails.get_mut(&mail) else { return };
+        let Some(held) = h.mails.get_mut(&mail) else {
+            return;
+        };
         let Some(out) = held.out.take() else { return };
         if outcome.may_have_run() {
             let zone = ZoneId(self.world.endpoint(out.endpoint).zone);
@@ -438,7 +553,9 @@
 
     fn give_up(&mut self, host: usize, mail: MessageId, deferred: Option<Nanos>) {
         let h = &mut self.hosts[host];
-        let Some(held) = h.mails.get_mut(&mail) else { return };
+        let Some(held) = h.mails.get_mut(&mail) else {
+            return;
+        };
         if std::mem::replace(&mut held.ended, true) {
             return;
         }
@@ -460,7 +577,9 @@
     fn effect(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { call, conn, answer } => {
-                let Some((host, mail)) = self.on.remove(&conn) else { return };
+                let Some((host, mail)) = self.on.remove(&conn) else {
+                    return;
+                };
                 if let Some(call) = self.call_nos.remove(&call) {
                     self.see(Seen::Answered { call, answer });
                 }
@@ -478,10 +597,19 @@
                 self.end_call(host, mail, outcome);
             }
             Effect::Break { conn } => {
-                let Some((host, mail)) = self.on.remove(&conn) else { return };
-                let call = self.hosts[host].mails.get(&mail).and_then(|m| m.out).and_then(|o| o.call);
+                let Some((host, mail)) = self.on.remove(&conn) else {
+                    return;
+                };
+                let call = self.hosts[host]
+                    .mails
+                    .get(&mail)
+                    .and_then(|m| m.out)
+                    .and_then(|o| o.call);
                 if let Some(call) = call {
-                    self.see(Seen::Broken { call, by_endpoint: true });
+                    self.see(Seen::Broken {
+                        call,
+                        by_endpoint: true,
+                    });
                 }
                 self.end_call(host, mail, AttemptOutcome::Reset);
             }
@@ -501,11 +629,25 @@
                 DispatcherNews::Term => {
                     self.hosts[dispatcher].leaving = true;
                     let starts = self.hosts[dispatcher].starts;
-                    self.later(self.now + LEAVES_AFTER, Event::Leaves { host: dispatcher, starts });
+                    self.later(
+                        self.now + LEAVES_AFTER,
+                        Event::Leaves {
+                            host: dispatcher,
+                            starts,
+                        },
+                    );
                 }
                 DispatcherNews::Start => self.start(dispatcher),
             },
-            Effect::Tipped { endpoint, knowing, all } => self.see(Seen::Tipped { endpoint, knowing, all }),
+            Effect::Tipped {
+                endpoint,
+                knowing,
+                all,
+            } => self.see(Seen::Tipped {
+                endpoint,
+                knowing,
+                all,
+            }),
         }
     }
 
@@ -519,12 +661,18 @@
         for change in changes {
             let (endpoint, serving) = (change.endpoint, change.listed == Listed::Up);
             entries.push(self.entry(endpoint, serving));
-            self.see(Seen::Listed { dispatcher: host, endpoint, serving });
+            self.see(Seen::Listed {
+                dispatcher: host,
+                endpoint,
+                serving,
+            });
             if !serving {
                 self.hang_up(host, endpoint);
             }
         }
-        self.ask(host, |d, now, out| d.apply_list(now, ListScope::Update, &entries, out));
+        self.ask(host, |d, now, out| {
+            d.apply_list(now, ListScope::Update, &entries, out)
+        });
     }
 
     fn entry(&self, endpoint: EndpointId, serving: bool) -> ListEntry {
@@ -546,15 +694,25 @@
         if h.d.take().is_none() {
             return;
         }
-        let idle: Vec<ConnId> = std::mem::take(&mut h.idle).into_values().flatten().map(|i| i.1).collect();
+        let idle: Vec<ConnId> = std::mem::take(&mut h.idle)
+            .into_values()
+            .flatten()
+            .map(|i| i.1)
+            .collect();
         h.idle_since.clear();
         (h.idle_count, h.leaving) = (0, false);
         idle.into_iter().for_each(|conn| self.world.close(conn));
-        let out: Vec<MessageId> =
-            self.hosts[host].mails.iter().filter(|m| m.1.out.is_some()).map(|m| *m.0).collect();
+        let out: Vec<MessageId> = self.hosts[host]
+            .mails
+            .iter()
+            .filter(|m| m.1.out.is_some())
+            .map(|m| *m.0)
+            .collect();
         for mail in out {
             self.close_call(host, mail);
-            let Some(held) = self.hosts[host].mails.get_mut(&mail) else { continue };
+            let Some(held) = self.hosts[host].mails.get_mut(&mail) else {
+                continue;
+            };
             if let Some(out) = held.out.take().filter(|out| out.call.is_some()) {
                 let zone = ZoneId(self.world.endpoint(out.endpoint).zone);
                 held.ran.get_or_insert((out.at, zone));
@@ -578,12 +736,19 @@
         let facts = self.world.plan.boot_facts(host, h.starts);
         h.d = Some(Dispatcher::boot(self.now, facts));
         let list = self.world.listing(self.hosts[host].version);
-        let entries: Vec<ListEntry> =
-            list.iter().map(|(e, listed)| self.entry(*e, *listed == Listed::Up)).collect();
+        let entries: Vec<ListEntry> = list
+            .iter()
+            .map(|(e, listed)| self.entry(*e, *listed == Listed::Up))
+            .collect();
         self.see(Seen::Started { dispatcher: host });
-        self.ask(host, |d, now, out| d.apply_list(now, ListScope::Whole, &entries, out));
-        let mut kept: Vec<(u64, NewMessage)> =
-            self.hosts[host].mails.iter().map(|(id, held)| (held.taken, new_mail(*id, held))).collect();
+        self.ask(host, |d, now, out| {
+            d.apply_list(now, ListScope::Whole, &entries, out)
+        });
+        let mut kept: Vec<(u64, NewMessage)> = self.hosts[host]
+            .mails
+            .iter()
+            .map(|(id, held)| (held.taken, new_mail(*id, held)))
+            .collect();
         kept.sort_by_key(|k| k.0);
         for (_, new) in kept {
             self.ask(host, |d, now, out| d.accept(now, [new], out));
@@ -599,6 +764,9 @@
         key: held.arrival.key.map(KeyId),
         destination: DestinationId(held.arrival.destination as u64),
         due: held.due,
-        past: Past { attempts: held.connects, ran: held.ran },
+        past: Past {
+            attempts: held.connects,
+            ran: held.ran,
+        },
     }
 }
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -41,9 +41,7 @@
         answer: Answer,
     },
     /// The endpoint breaks a connection, with the calls on it.
-    Break {
-        conn: ConnId,
-    },
+    Break { conn: ConnId },
     /// A call took effect; `fresh` is false where the endpoint dropped it as a repeat.
     Applied {
         call: CallId,
@@ -52,19 +50,11 @@
         fresh: bool,
     },
     /// Whether new connections come up there has changed.
-    Reach {
-        endpoint: EndpointId,
-        reach: Reach,
-    },
+    Reach { endpoint: EndpointId, reach: Reach },
     /// A new endpoint has come.
-    Appeared {
-        endpoint: EndpointId,
-    },
+    Appeared { endpoint: EndpointId },
     /// A dispatcher is told the list up to this version.
-    Tell {
-        dispatcher: usize,
-        upto: usize,
-    },
+    Tell { dispatcher: usize, upto: usize },
     Dispatcher {
         dispatcher: usize,
         news: DispatcherNews,
@@ -281,11 +271,16 @@
 impl World {
     pub fn new(plan: Plan) -> World {
         let changes: Vec<Change> = (0..plan.endpoints.len())
-            .map(|e| Change { endpoint: EndpointId(e as u32), listed: Listed::Up })
+            .map(|e| Change {
+                endpoint: EndpointId(e as u32),
+                listed: Listed::Up,
+            })
             .collect();
         let mut world = World {
             now: START,
-            endpoints: (0..plan.endpoints.len()).map(|_| Endpoint::new(None)).collect(),
+            endpoints: (0..plan.endpoints.len())
+                .map(|_| Endpoint::new(None))
+                .collect(),
             gates: vec![Gate::default(); plan.gates.len()],
             conns: SlotMap::with_key(),
             calls: SlotMap::with_key(),
@@ -326,7 +321,9 @@
 
     /// Lets all happen that is due by now.
     pub fn advance(&mut self, now: Nanos) {
-        while let Some(&Reverse((at, _, what))) = self.due.peek().filter(|Reverse((at, _, _))| *at <= now) {
+        while let Some(&Reverse((at, _, what))) =
+            self.due.peek().filter(|Reverse((at, _, _))| *at <= now)
+        {
             self.due.pop();
             self.now = self.now.max(at);
             match what {
@@ -380,7 +377,10 @@
     }
 
     fn list(&mut self, endpoint: usize, listed: Listed) {
-        self.changes.push(Change { endpoint: EndpointId(endpoint as u32), listed });
+        self.changes.push(Change {
+            endpoint: EndpointId(endpoint as u32),
+            listed,
+        });
     }
 
     /// Tells all dispatchers what has been listed, each after its own lag.
@@ -396,7 +396,9 @@
     // Connections and calls.
 
     pub fn reach(&self, endpoint: EndpointId) -> Reach {
-        self.endpoints.get(endpoint.0 as usize).map_or(Reach::Refusing, Endpoint::reach)
+        self.endpoints
+            .get(endpoint.0 as usize)
+            .map_or(Reach::Refusing, Endpoint::reach)
     }
 
     pub fn open(&mut self, dispatcher: usize, endpoint: EndpointId) -> Opening {
@@ -433,7 +435,9 @@
 
     /// A dispatcher has closed its side. A call that waits is dropped; one that is worked on runs on, unheard.
     pub fn close(&mut self, conn: ConnId) {
-        let Some(gone) = self.conns.remove(conn) else { return };
+        let Some(gone) = self.conns.remove(conn) else {
+            return;
+        };
         let e = gone.endpoint;
         self.endpoints[e].conns.remove(&conn);
         let Some(id) = gone.call else { return };
@@ -541,7 +545,11 @@
     /// Calls a second that an endpoint can do now.
     pub fn capacity(&self, endpoint: EndpointId) -> f64 {
         let e = endpoint.0 as usize;
-        if self.endpoints[e].in_outage() { 0.0 } else { self.plan.endpoints[e].capacity * self.warmth(e) }
+        if self.endpoints[e].in_outage() {
+            0.0
+        } else {
+            self.plan.endpoints[e].capacity * self.warmth(e)
+        }
     }
 
     fn saw(&mut self, e: usize, dispatcher: usize) {
@@ -552,7 +560,9 @@
 
     /// Counts a call against what a cold endpoint bears.
     fn arrived(&mut self, e: usize, dispatcher: usize) {
-        let Some(since) = self.endpoints[e].cold_since else { return };
+        let Some(since) = self.endpoints[e].cold_since else {
+            return;
+        };
         if self.endpoints[e].in_outage() {
             return;
         }
@@ -572,14 +582,22 @@
         let knowing = endpoint.saw.contains(&dispatcher);
         endpoint.came_in_sample += 1;
         endpoint.came.push_back((self.now, knowing));
-        while endpoint.came.front().is_some_and(|c| c.0 + window <= self.now) {
+        while endpoint
+            .came
+            .front()
+            .is_some_and(|c| c.0 + window <= self.now)
+        {
             endpoint.came.pop_front();
         }
         let all = endpoint.came.len();
         if all as f64 > bears {
             let knowing = endpoint.came.iter().filter(|c| c.1).count();
             endpoint.tipped = true;
-            self.effects.push_back(Effect::Tipped { endpoint: EndpointId(e as u32), knowing, all });
+            self.effects.push_back(Effect::Tipped {
+                endpoint: EndpointId(e as u32),
+                knowing,
+                all,
+            });
             self.collapse(e);
             self.reach_news(e);
         }
@@ -588,7 +606,11 @@
     fn sample(&mut self) {
         let at = self.now;
         if !self.cold.is_empty() {
-            let mut load = ReturnLoad { at, endpoints: self.cold.len(), ..Default::default() };
+            let mut load = ReturnLoad {
+                at,
+                endpoints: self.cold.len(),
+                ..Default::default()
+            };
             for e in self.cold.clone() {
                 load.calls += std::mem::take(&mut self.endpoints[e].came_in_sample) as f64;
                 load.capacity += self.capacity(EndpointId(e as u32)) * SAMPLE as f64 / 1e9;
@@ -596,7 +618,11 @@
             self.returns.push(load);
             let ramp = ms(self.plan.spec.rules.ramp_ms);
             let endpoints = &self.endpoints;
-            self.cold.retain(|&e| endpoints[e].cold_since.is_some_and(|since| at < since + ramp));
+            self.cold.retain(|&e| {
+                endpoints[e]
+                    .cold_since
+                    .is_some_and(|since| at < since + ramp)
+            });
         }
         if at < self.plan.over_at {
             self.later(at + SAMPLE, Due::Sample);
@@ -606,23 +632,33 @@
     // Work.
 
     fn work(&mut self, id: CallId) {
-        let Some(call) = self.calls.get_mut(id) else { return };
+        let Some(call) = self.calls.get_mut(id) else {
+            return;
+        };
         call.state = CallState::Working;
-        let (e, mail, count, class, handshake) =
-            (call.endpoint, call.new.mail, call.count, call.new.class, call.handshake);
+        let (e, mail, count, class, handshake) = (
+            call.endpoint,
+            call.new.mail,
+            call.count,
+            call.new.class,
+            call.handshake,
+        );
         let plan = &self.plan.endpoints[e];
         let service = &self.plan.spec.classes[class].service_ms;
         let drawn = draw(self.plan.seed, mail.0, count, 3);
         // Too few workers for the part that is back: each takes its time.
         let stretch = f64::from(self.workers(e)) / (f64::from(plan.workers) * self.warmth(e));
         let slow = self.endpoints[e].condition.slow;
-        let takes = between(*service, drawn) * self.plan.paces[plan.destination] * slow * stretch.max(1.0);
+        let takes =
+            between(*service, drawn) * self.plan.paces[plan.destination] * slow * stretch.max(1.0);
         self.endpoints[e].working += 1;
         self.later(self.now + handshake + ms(takes).max(1), Due::Finish(id));
     }
 
     fn finish(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(id) else { return };
+        let Some(call) = self.calls.get(id) else {
+            return;
+        };
         let (e, mail, count) = (call.endpoint, call.new.mail, call.count);
         if self.endpoints[e].condition.hung {
             return self.endpoints[e].frozen.push(id);
@@ -651,44 +687,70 @@
 
     fn next_of(&mut self, e: usize) {
         while !self.endpoints[e].condition.hung && self.endpoints[e].working < self.workers(e) {
-            let Some(id) = self.endpoints[e].queue.pop_front() else { break };
+            let Some(id) = self.endpoints[e].queue.pop_front() else {
+                break;
+            };
             self.work(id);
         }
     }
 
     /// The call takes effect, unless it is a repeat that is dropped.
     fn apply(&mut self, id: CallId) {
-        let Some(call) = self.calls.get(id) else { return };
-        let (e, class, mail) = (call.endpoint, &self.plan.spec.classes[call.new.class], call.new.mail);
+        let Some(call) = self.calls.get(id) else {
+            return;
+        };
+        let (e, class, mail) = (
+            call.endpoint,
+            &self.plan.spec.classes[call.new.class],
+            call.new.mail,
+        );
         // A repeat is known for one by when it came, however long the work takes.
         let came = call.came;
         let mut fresh = true;
         if class.repeat == RepeatWord::Tagged {
-            let zone = if class.same_zone { self.plan.endpoints[e].zone } else { usize::MAX };
+            let zone = if class.same_zone {
+                self.plan.endpoints[e].zone
+            } else {
+                usize::MAX
+            };
             let (key, window) = ((call.new.tag, zone), ms(class.window_ms));
             match self.applied.get(&key) {
                 Some(first) if came < first + window => fresh = false,
                 _ => {
                     self.applied.insert(key, came);
-                    self.forget.push_back((self.now + window + EFFECTS_KEPT, key));
+                    self.forget
+                        .push_back((self.now + window + EFFECTS_KEPT, key));
                 }
             }
         }
-        self.effects.push_back(Effect::Applied { call: id, mail, endpoint: EndpointId(e as u32), fresh });
+        self.effects.push_back(Effect::Applied {
+            call: id,
+            mail,
+            endpoint: EndpointId(e as u32),
+            fresh,
+        });
     }
 
     fn answer(&mut self, id: CallId, answer: Answer) {
-        let Some(call) = self.calls.remove(id) else { return };
+        let Some(call) = self.calls.remove(id) else {
+            return;
+        };
         if let Some(conn) = self.conns.get_mut(call.conn).filter(|c| c.call == Some(id)) {
             conn.call = None;
             conn.used = self.now;
-            self.effects.push_back(Effect::Answer { call: id, conn: call.conn, answer });
+            self.effects.push_back(Effect::Answer {
+                call: id,
+                conn: call.conn,
+                answer,
+            });
         }
     }
 
     /// Nothing will be said of the call; its caller still waits, or has gone.
     fn swallow(&mut self, id: CallId) {
-        let Some(conn) = self.calls.get(id).map(|c| c.conn) else { return };
+        let Some(conn) = self.calls.get(id).map(|c| c.conn) else {
+            return;
+        };
         if self.conns.get(conn).is_some_and(|c| c.call == Some(id)) {
             self.calls[id].state = CallState::Swallowed;
         } else {
@@ -697,11 +759,15 @@
     }
 
     fn break_conn(&mut self, conn: ConnId) {
-        let Some(gone) = self.conns.remove(conn) else { return };
+        let Some(gone) = self.conns.remove(conn) else {
+            return;
+        };
         self.endpoints[gone.endpoint].conns.remove(&conn);
-        if let Some(call) =
-            gone.call.filter(|c| self.calls.get(*c).is_some_and(|c| c.state != CallState::Working))
-        {
+        if let Some(call) = gone.call.filter(|c| {
+            self.calls
+                .get(*c)
+                .is_some_and(|c| c.state != CallState::Working)
+        }) {
             self.endpoints[gone.endpoint].queue.retain(|q| *q != call);
             self.calls.remove(call);
         }
@@ -737,9 +803,9 @@
                     self.tell();
                 }
             }
-            Moment::Dispatcher(dispatcher, news) => {
-                self.effects.push_back(Effect::Dispatcher { dispatcher, news })
-            }
+            Moment::Dispatcher(dispatcher, news) => self
+                .effects
+                .push_back(Effect::Dispatcher { dispatcher, news }),
             Moment::Strike { trouble, endpoints } => self.strike(trouble, &endpoints, true),
             Moment::Lift { trouble, endpoints } => self.strike(trouble, &endpoints, false),
         }
@@ -749,7 +815,10 @@
         let trouble = self.plan.spec.troubles[t].clone();
         match trouble.what {
             TroubleKind::LimitLowered => {
-                let mut gates: Vec<usize> = endpoints.iter().map(|&e| self.plan.endpoints[e].gate).collect();
+                let mut gates: Vec<usize> = endpoints
+                    .iter()
+                    .map(|&e| self.plan.endpoints[e].gate)
+                    .collect();
                 gates.dedup();
                 for g in gates {
                     self.gates[g].lowered.retain(|l| l.0 != t);
@@ -778,7 +847,9 @@
                         self.endpoints.push(Endpoint::new(Some(self.now)));
                         let new = self.endpoints.len() - 1;
                         self.cold.push(new);
-                        self.effects.push_back(Effect::Appeared { endpoint: EndpointId(new as u32) });
+                        self.effects.push_back(Effect::Appeared {
+                            endpoint: EndpointId(new as u32),
+                        });
                         self.list(new, Listed::Up);
                     }
                 }
@@ -818,7 +889,9 @@
                 TroubleKind::Reset => c.reset = true,
                 TroubleKind::Silent => c.silent = true,
                 TroubleKind::Hung => c.hung = true,
-                TroubleKind::Shut => c.shut_until = c.shut_until.max(Some(START + secs(trouble.to_s))),
+                TroubleKind::Shut => {
+                    c.shut_until = c.shut_until.max(Some(START + secs(trouble.to_s)))
+                }
                 TroubleKind::Slow => c.slow *= trouble.times.unwrap_or(1.0),
                 TroubleKind::Failing => c.failing = or(c.failing),
                 TroubleKind::AnswersLost => c.lost = or(c.lost),
@@ -851,7 +924,9 @@
             self.next_of(e);
             // What is over its queue is turned away.
             while self.endpoints[e].queue.len() > self.plan.endpoints[e].queue {
-                let Some(call) = self.endpoints[e].queue.pop_back() else { break };
+                let Some(call) = self.endpoints[e].queue.pop_back() else {
+                    break;
+                };
                 self.answer(call, Answer::Full(None));
             }
         }
@@ -860,6 +935,9 @@
 
     fn reach_news(&mut self, e: usize) {
         let endpoint = EndpointId(e as u32);
-        self.effects.push_back(Effect::Reach { endpoint, reach: self.endpoints[e].reach() });
+        self.effects.push_back(Effect::Reach {
+            endpoint,
+            reach: self.endpoints[e].reach(),
+        });
     }
 }
--- a/lab/src/world/plan.rs
+++ b/lab/src/world/plan.rs
@@ -21,7 +21,8 @@
 /// A number from 0 to 1 that hangs on these alone: what is drawn for one mail is the same whatever else happens, so that
 /// runs of two builds can be paired.
 pub fn draw(seed: u64, what: u64, whom: u64, salt: u64) -> f64 {
-    let mixed = seed ^ what.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ whom.rotate_left(32) ^ (salt << 56);
+    let mixed =
+        seed ^ what.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ whom.rotate_left(32) ^ (salt << 56);
     Pcg64Mcg::seed_from_u64(mixed).random()
 }
 
@@ -124,16 +125,24 @@
     pub fn new(spec: &Spec, seed: u64) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let world = &spec.world;
-        let raw: Vec<f64> =
-            (0..world.destinations).map(|r| (r as f64 + 1.0).powf(-world.popularity)).collect();
+        let raw: Vec<f64> = (0..world.destinations)
+            .map(|r| (r as f64 + 1.0).powf(-world.popularity))
+            .collect();
         let total: f64 = raw.iter().sum();
         let parts: Vec<f64> = raw.iter().map(|x| x / total).collect();
         let shares: Vec<f64> = spec.kinds.iter().map(|k| k.share).collect();
         let kind_of = kinds_of(&shares, world.destinations, &mut rng);
-        let paces: Vec<f64> = kind_of.iter().map(|&k| between(spec.kinds[k].pace, rng.random())).collect();
+        let paces: Vec<f64> = kind_of
+            .iter()
+            .map(|&k| between(spec.kinds[k].pace, rng.random()))
+            .collect();
         let class_total: f64 = spec.classes.iter().map(|c| c.share).sum();
-        let mean_ms: f64 =
-            spec.classes.iter().map(|c| c.share * between(c.service_ms, 0.5)).sum::<f64>() / class_total;
+        let mean_ms: f64 = spec
+            .classes
+            .iter()
+            .map(|c| c.share * between(c.service_ms, 0.5))
+            .sum::<f64>()
+            / class_total;
         let (mut endpoints, mut gates) = (Vec::new(), Vec::new());
         for d in 0..world.destinations {
             let kind = &spec.kinds[kind_of[d]];
@@ -146,7 +155,10 @@
                     let shared = if kind.apart { 1.0 } else { routes };
                     let limit = kind.limit_headroom * load / routes * shared;
                     let limit = (kind.limit != LimitForm::None).then_some(limit.max(1.0));
-                    gates.push(GatePlan { limit, capacity: capacity * shared });
+                    gates.push(GatePlan {
+                        limit,
+                        capacity: capacity * shared,
+                    });
                 }
                 endpoints.push(EndpointPlan {
                     destination: d,
@@ -168,7 +180,10 @@
                     script.extend([(from, Moment::ListLag(lag)), (to, Moment::ListLag(-lag))]);
                 }
                 TroubleKind::ListFrozen => {
-                    script.extend([(from, Moment::ListFrozen(true)), (to, Moment::ListFrozen(false))]);
+                    script.extend([
+                        (from, Moment::ListFrozen(true)),
+                        (to, Moment::ListFrozen(false)),
+                    ]);
                 }
                 what if what.of_dispatchers() => {
                     let whom = match t.dispatcher {
@@ -189,36 +204,75 @@
                     }
                 }
                 _ => {
-                    let zone = t.zone.as_ref().and_then(|z| world.zones.iter().position(|w| w == z));
-                    let of = |e: &EndpointPlan| zone == Some(e.zone) || t.destination == Some(e.destination);
+                    let zone = t
+                        .zone
+                        .as_ref()
+                        .and_then(|z| world.zones.iter().position(|w| w == z));
+                    let of = |e: &EndpointPlan| {
+                        zone == Some(e.zone) || t.destination == Some(e.destination)
+                    };
                     let struck: Vec<usize> = match (t.endpoint, t.share) {
                         (Some(e), _) => vec![e],
                         (_, Some(share)) => pick(&mut rng, endpoints.len(), share),
-                        _ => (0..endpoints.len()).filter(|&e| of(&endpoints[e])).collect(),
+                        _ => (0..endpoints.len())
+                            .filter(|&e| of(&endpoints[e]))
+                            .collect(),
                     };
-                    script.push((from, Moment::Strike { trouble: i, endpoints: struck.clone() }));
-                    script.push((to, Moment::Lift { trouble: i, endpoints: struck }));
+                    script.push((
+                        from,
+                        Moment::Strike {
+                            trouble: i,
+                            endpoints: struck.clone(),
+                        },
+                    ));
+                    script.push((
+                        to,
+                        Moment::Lift {
+                            trouble: i,
+                            endpoints: struck,
+                        },
+                    ));
                 }
             }
         }
         script.sort_by_key(|(at, _)| *at);
         let load_until = START + secs(spec.run.seconds);
-        let longest = spec.classes.iter().map(|c| c.lifetime_ms).fold(0.0, f64::max);
+        let longest = spec
+            .classes
+            .iter()
+            .map(|c| c.lifetime_ms)
+            .fold(0.0, f64::max);
         let over_at = load_until + ms(longest) + S;
-        Plan { seed, spec: spec.clone(), endpoints, gates, parts, paces, script, hot, load_until, over_at }
+        Plan {
+            seed,
+            spec: spec.clone(),
+            endpoints,
+            gates,
+            parts,
+            paces,
+            script,
+            hot,
+            load_until,
+            over_at,
+        }
     }
 
     /// Slots of one dispatcher: what its part of the load keeps busy, times what the experiment says.
     pub fn slots(&self) -> usize {
         let d = &self.spec.dispatchers;
-        let busy: f64 =
-            self.endpoints.iter().map(|e| f64::from(e.workers) / self.spec.kinds[e.kind].headroom).sum();
-        d.slots.unwrap_or(((busy * d.slots_times / d.count as f64).ceil() as usize).max(2))
+        let busy: f64 = self
+            .endpoints
+            .iter()
+            .map(|e| f64::from(e.workers) / self.spec.kinds[e.kind].headroom)
+            .sum();
+        d.slots
+            .unwrap_or(((busy * d.slots_times / d.count as f64).ceil() as usize).max(2))
     }
 
     pub fn hold(&self) -> usize {
         let d = &self.spec.dispatchers;
-        d.hold.unwrap_or(((self.spec.load.rate * d.hold_s / d.count as f64).ceil() as usize).max(16))
+        d.hold
+            .unwrap_or(((self.spec.load.rate * d.hold_s / d.count as f64).ceil() as usize).max(16))
     }
 
     /// What the decisions of one dispatcher are told at its start.
@@ -231,9 +285,10 @@
             late_share: c.late_share,
             repeat: match c.repeat {
                 RepeatWord::Redeliverable => Repeat::Idempotent,
-                RepeatWord::Tagged => {
-                    Repeat::Deduplicated { window: ms(c.window_ms), same_zone: c.same_zone }
-                }
+                RepeatWord::Tagged => Repeat::Deduplicated {
+                    window: ms(c.window_ms),
+                    same_zone: c.same_zone,
+                },
                 RepeatWord::OnceOnly => Repeat::AtMostOnce,
             },
             ordered: c.ordered_keys > 0,
@@ -263,6 +318,7 @@
     }
 
     pub fn dispatcher_seed(&self, dispatcher: usize, start: u32) -> u64 {
-        Pcg64Mcg::seed_from_u64(self.seed ^ ((dispatcher as u64 + 1) << 20) ^ u64::from(start)).random()
+        Pcg64Mcg::seed_from_u64(self.seed ^ ((dispatcher as u64 + 1) << 20) ^ u64::from(start))
+            .random()
     }
 }
--- a/lab/tests/broken.rs
+++ b/lab/tests/broken.rs
@@ -55,9 +55,11 @@
 drain_grace_ms = 300
 "#;
 
-const FAILING: &str = "[[troubles]]\nwhat = 'failing'\nshare = 1.0\nfrom_s = 0.2\nto_s = 2.0\npart = 0.6\n";
+const FAILING: &str =
+    "[[troubles]]\nwhat = 'failing'\nshare = 1.0\nfrom_s = 0.2\nto_s = 2.0\npart = 0.6\n";
 const DRAINED: &str = "[[troubles]]\nwhat = 'drained'\nzone = 'hall-b'\nfrom_s = 0.2\nto_s = 2.4\n";
-const SHUT: &str = "[[troubles]]\nwhat = 'shut'\ndestination = 0\nfrom_s = 0.4\nto_s = 1.9\ncold = false\n";
+const SHUT: &str =
+    "[[troubles]]\nwhat = 'shut'\ndestination = 0\nfrom_s = 0.4\nto_s = 1.9\ncold = false\n";
 fn played(defect: &str, world: &str) -> RunLine {
     let lab = Lab::new(&format!("broken-{defect}"), world);
     lab.command(&["run", "--program", scripted_peer().to_str().unwrap()])
@@ -69,9 +71,22 @@
 
 fn convicted(defect: &str, troubles: &str, rule: Rule) {
     let line = played(defect, &format!("{WORLD}{troubles}"));
-    assert!(line.verdict.breaks.contains_key(&rule), "{defect}: {:?}, {:?}", line.verdict, line.faults);
-    let words = line.verdict.words.iter().find(|w| w.rule == rule).expect("in words");
-    assert!(!words.evidence.is_empty() && (words.mail.is_some() || rule == Rule::Tipped), "{words}");
+    assert!(
+        line.verdict.breaks.contains_key(&rule),
+        "{defect}: {:?}, {:?}",
+        line.verdict,
+        line.faults
+    );
+    let words = line
+        .verdict
+        .words
+        .iter()
+        .find(|w| w.rule == rule)
+        .expect("in words");
+    assert!(
+        !words.evidence.is_empty() && (words.mail.is_some() || rule == Rule::Tipped),
+        "{words}"
+    );
 }
 
 #[test]
@@ -79,7 +94,12 @@
     for troubles in [FAILING, DRAINED, SHUT] {
         let line = played("none", &format!("{WORLD}{troubles}"));
         assert!(line.verdict.kept(), "{troubles}: {:?}", line.verdict);
-        assert!(line.faults.is_empty() && line.verdict.applied > 50, "{:?}, {:?}", line.faults, line.verdict);
+        assert!(
+            line.faults.is_empty() && line.verdict.applied > 50,
+            "{:?}, {:?}",
+            line.faults,
+            line.verdict
+        );
     }
 }
 
@@ -122,8 +142,15 @@
 fn rule_4_a_cold_endpoint_pushed_over() {
     // The peer knows of no cold endpoints: all that waited for the opening comes at once.
     let shut = SHUT.replace("cold = false", "cold = true");
-    let line = played("cold", &format!("{WORLD}cold_share = 0.05\ntip_window_ms = 1000\n{shut}"));
-    assert!(line.verdict.breaks.contains_key(&Rule::Tipped), "{:?}", line.verdict);
+    let line = played(
+        "cold",
+        &format!("{WORLD}cold_share = 0.05\ntip_window_ms = 1000\n{shut}"),
+    );
+    assert!(
+        line.verdict.breaks.contains_key(&Rule::Tipped),
+        "{:?}",
+        line.verdict
+    );
 }
 
 #[test]
@@ -146,8 +173,19 @@
     let program = dispatcher();
     let killed = "[[troubles]]\nwhat = 'killed'\ndispatcher = 0\nfrom_s = 0.9\nto_s = 1.5\n";
     let lab = Lab::new("real", &format!("{WORLD}{FAILING}{killed}"));
-    lab.command(&["run", "--program", program.to_str().unwrap()]).output().unwrap();
+    lab.command(&["run", "--program", program.to_str().unwrap()])
+        .output()
+        .unwrap();
     let line = lab.lines().remove(0);
-    assert!(line.verdict.kept() && line.faults.is_empty(), "{:?}, {:?}", line.verdict, line.faults);
-    assert!(line.verdict.applied > 50 && line.results.share > 0.3, "{:?}", line.verdict);
+    assert!(
+        line.verdict.kept() && line.faults.is_empty(),
+        "{:?}, {:?}",
+        line.verdict,
+        line.faults
+    );
+    assert!(
+        line.verdict.applied > 50 && line.results.share > 0.3,
+        "{:?}",
+        line.verdict
+    );
 }
--- a/lab/tests/cold_returns.rs
+++ b/lab/tests/cold_returns.rs
@@ -29,14 +29,21 @@
             "{dispatchers} dispatchers, {endpoints_each} endpoints each, seed {seed}: share {:.3}",
             played.results.share
         );
-        assert!(played.verdict.kept(), "{dispatchers} dispatchers, seed {seed}: {:?}", played.verdict.words);
+        assert!(
+            played.verdict.kept(),
+            "{dispatchers} dispatchers, seed {seed}: {:?}",
+            played.verdict.words
+        );
     }
 }
 
 #[test]
 fn the_budget_is_the_page_s() {
     assert_eq!(slow_start_budget(100.0), 100.0 + 20.0 + 2.0);
-    assert_eq!(slow_start_budget(30.0).floor(), (30.0 + 2.0 * 30f64.sqrt() + 2.0).floor());
+    assert_eq!(
+        slow_start_budget(30.0).floor(),
+        (30.0 + 2.0 * 30f64.sqrt() + 2.0).floor()
+    );
     assert_eq!(slow_start_budget(25.0), 25.0 + 15.0 + 3.0);
 }
 
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -11,7 +11,8 @@
 
 impl Lab {
     pub fn new(name: &str, experiment: &str) -> Lab {
-        let folder = std::env::temp_dir().join(format!("bellsill-lab-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("bellsill-lab-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("experiment.toml"), experiment).unwrap();
         Lab { folder }
@@ -20,7 +21,10 @@
     /// The program with a sub-command, on the experiment of this folder.
     pub fn command(&self, args: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill-lab"));
-        command.args(args).arg("experiment.toml").current_dir(&self.folder);
+        command
+            .args(args)
+            .arg("experiment.toml")
+            .current_dir(&self.folder);
         if args[0] != "check" {
             command.args(["--out", "out", "--quiet"]);
         }
@@ -48,7 +52,11 @@
 /// A program of the workspace, built if it is not; where it stands below the target folder.
 fn built(what: &[&str], place: &str) -> PathBuf {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
-    let done = Command::new(cargo).args(["build", "--locked", "--quiet"]).args(what).status().unwrap();
+    let done = Command::new(cargo)
+        .args(["build", "--locked", "--quiet"])
+        .args(what)
+        .status()
+        .unwrap();
     assert!(done.success());
     let mut path = std::env::current_exe().unwrap();
     path.pop();
@@ -61,5 +69,8 @@
 }
 
 pub fn scripted_peer() -> PathBuf {
-    built(&["-p", "bellsill-lab", "--example", "scripted_peer"], "examples/scripted_peer")
+    built(
+        &["-p", "bellsill-lab", "--example", "scripted_peer"],
+        "examples/scripted_peer",
+    )
 }
--- a/lab/tests/growth.rs
+++ b/lab/tests/growth.rs
@@ -20,7 +20,11 @@
 
 fn usual() -> Spec {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/growth.toml");
-    experiment::read(&path, false).unwrap().variants.remove(0).spec
+    experiment::read(&path, false)
+        .unwrap()
+        .variants
+        .remove(0)
+        .spec
 }
 
 fn play(spec: &Spec, seed: u64) -> Results {
@@ -52,25 +56,44 @@
             before.largest_over_mean,
             after.largest_over_mean
         );
-        assert!(each(&after) <= most, "{:.1} connections a dispatcher, {most:.1} allowed", each(&after));
-        assert!(after.share >= SHARE_KEPT * before.share, "share {} of {}", after.share, before.share);
-        assert!(after.largest_over_mean <= most_uneven, "uneven: {:.2}", after.largest_over_mean);
+        assert!(
+            each(&after) <= most,
+            "{:.1} connections a dispatcher, {most:.1} allowed",
+            each(&after)
+        );
+        assert!(
+            after.share >= SHARE_KEPT * before.share,
+            "share {} of {}",
+            after.share,
+            before.share
+        );
+        assert!(
+            after.largest_over_mean <= most_uneven,
+            "uneven: {:.2}",
+            after.largest_over_mean
+        );
     }
 }
 
 #[test]
 fn sixteen_times_the_endpoints_of_each_destination_keep_the_table() {
-    compare(300, 1_500.0, LARGEST_OVER_MEAN, |spec| spec.world.endpoints_each *= 16);
+    compare(300, 1_500.0, LARGEST_OVER_MEAN, |spec| {
+        spec.world.endpoints_each *= 16
+    });
 }
 
 #[test]
 fn sixteen_times_the_destinations_keep_the_table() {
-    compare(300, 1_500.0, LARGEST_OVER_MEAN, |spec| spec.world.destinations *= 16);
+    compare(300, 1_500.0, LARGEST_OVER_MEAN, |spec| {
+        spec.world.destinations *= 16
+    });
 }
 
 #[test]
 fn a_fleet_of_fifty_keeps_the_table_too() {
-    compare(50, 500.0, LARGEST_OVER_MEAN_OF_FEW, |spec| spec.world.endpoints_each *= 16);
+    compare(50, 500.0, LARGEST_OVER_MEAN_OF_FEW, |spec| {
+        spec.world.endpoints_each *= 16
+    });
 }
 
 /// A small fleet uses all routes: with a few in each subset most of them would stand idle.
@@ -81,7 +104,14 @@
     spec.load.rate = 60.0;
     spec.world.endpoints_each *= 16;
     let results = play(&spec, 1);
-    println!("3 dispatchers: share {:.3}, largest over mean {:.2}", results.share, results.largest_over_mean);
+    println!(
+        "3 dispatchers: share {:.3}, largest over mean {:.2}",
+        results.share, results.largest_over_mean
+    );
     // Five calls each: chance alone makes one of 480 two or three times as busy.
-    assert!(results.largest_over_mean < 3.5, "{:.2}", results.largest_over_mean);
+    assert!(
+        results.largest_over_mean < 3.5,
+        "{:.2}",
+        results.largest_over_mean
+    );
 }
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -23,7 +23,10 @@
             }
             let cells: Vec<&str> = line.trim_matches('|').split(" | ").map(str::trim).collect();
             if let [name, value, _, held @ ("yes" | "**no**")] = cells[..] {
-                rows.insert((scenario.clone(), name.to_string()), (value.to_string(), held == "yes"));
+                rows.insert(
+                    (scenario.clone(), name.to_string()),
+                    (value.to_string(), held == "yes"),
+                );
             }
         }
         Tables { rows }
@@ -31,7 +34,11 @@
 
     /// Asserts that the bound of every row whose name ends so was held, and that there are so many at least.
     fn assert_held(&self, name_ends: &str, least: usize) {
-        let rows: Vec<_> = self.rows.iter().filter(|((_, name), _)| name.ends_with(name_ends)).collect();
+        let rows: Vec<_> = self
+            .rows
+            .iter()
+            .filter(|((_, name), _)| name.ends_with(name_ends))
+            .collect();
         assert!(rows.len() >= least, "{name_ends}: {} rows", rows.len());
         for (name, (value, held)) in rows {
             assert!(held, "{name:?}: {value}");
@@ -51,20 +58,53 @@
 }
 
 fn play(name: &str, scenarios: &str) -> Tables {
-    let folder = Folder(std::env::temp_dir().join(format!("bellsill-hollow-{}-{name}", std::process::id())));
+    let folder =
+        Folder(std::env::temp_dir().join(format!("bellsill-hollow-{}-{name}", std::process::id())));
     let done = Command::new(env!("CARGO_BIN_EXE_bellsill-lab"))
-        .args(["hollow", "--dispatchers", "22", "--per-worker", "11", "--destinations", "700"])
-        .args(["--control", "2", "--buckets-per-region", "8", "--clump", "40", "--restarts", "5"])
-        .args(["--steady-seconds", "2", "--speed-up", "200", "--watch-seconds", "1", "--dead-seconds", "2"])
+        .args([
+            "hollow",
+            "--dispatchers",
+            "22",
+            "--per-worker",
+            "11",
+            "--destinations",
+            "700",
+        ])
+        .args([
+            "--control",
+            "2",
+            "--buckets-per-region",
+            "8",
+            "--clump",
+            "40",
+            "--restarts",
+            "5",
+        ])
+        .args([
+            "--steady-seconds",
+            "2",
+            "--speed-up",
+            "200",
+            "--watch-seconds",
+            "1",
+            "--dead-seconds",
+            "2",
+        ])
         .args(["--stop-seconds", "3", "--scenario", scenarios, "--program"])
         .arg(dispatcher())
         .arg("--work")
         .arg(&folder.0)
         .output()
         .unwrap();
-    let (said, complained) = (String::from_utf8_lossy(&done.stdout), String::from_utf8_lossy(&done.stderr));
+    let (said, complained) = (
+        String::from_utf8_lossy(&done.stdout),
+        String::from_utf8_lossy(&done.stderr),
+    );
     // 1 says that some bound was not held: a time, on a slow machine.
-    assert!(matches!(done.status.code(), Some(0 | 1)), "{said}\n{complained}");
+    assert!(
+        matches!(done.status.code(), Some(0 | 1)),
+        "{said}\n{complained}"
+    );
     Tables::parse(&said)
 }
 
@@ -91,7 +131,10 @@
     tables.assert_held("buckets without a live holder now", 4);
     tables.assert_held("changes lost afterwards", 3);
     tables.assert_held("buckets served before, after", 1);
-    tables.assert_held("buckets in force at a dispatcher that are not as written", 3);
+    tables.assert_held(
+        "buckets in force at a dispatcher that are not as written",
+        3,
+    );
 }
 
 #[test]
@@ -103,5 +146,8 @@
     tables.assert_held("Half: refused and counted", 1);
     tables.assert_held("bad writes: counted", 1);
     tables.assert_held("buckets in force that are not as written", 4);
-    tables.assert_held("buckets in force at a dispatcher that are not as written", 1);
+    tables.assert_held(
+        "buckets in force at a dispatcher that are not as written",
+        1,
+    );
 }
--- a/lab/tests/records.rs
+++ b/lab/tests/records.rs
@@ -9,7 +9,14 @@
 const S: Nanos = 1_000 * MS;
 
 fn class(repeat: Repeat, ordered: bool) -> ClassFacts {
-    ClassFacts { importance: 1.0, target_delay: S, lifetime: 10 * S, late_share: 0.4, repeat, ordered }
+    ClassFacts {
+        importance: 1.0,
+        target_delay: S,
+        lifetime: 10 * S,
+        late_share: 0.4,
+        repeat,
+        ordered,
+    }
 }
 
 /// Redeliverable, tagged within a zone for 4 s, once-only, once-only in order; two zones with two endpoints each.
@@ -17,7 +24,13 @@
     Auditor::new(Facts {
         classes: vec![
             class(Repeat::Idempotent, false),
-            class(Repeat::Deduplicated { window: 4 * S, same_zone: true }, false),
+            class(
+                Repeat::Deduplicated {
+                    window: 4 * S,
+                    same_zone: true,
+                },
+                false,
+            ),
             class(Repeat::AtMostOnce, false),
             class(Repeat::AtMostOnce, true),
         ],
@@ -35,31 +48,71 @@
     let (destination, dispatcher) = (0, 0);
     let due = at + 10 * S;
     let arrival = mail.0;
-    let hand_in = HandIn { mail, arrival, class, destination, key, dispatcher, due, again: false };
+    let hand_in = HandIn {
+        mail,
+        arrival,
+        class,
+        destination,
+        key,
+        dispatcher,
+        due,
+        again: false,
+    };
     a.see(at, &Seen::HandedIn(hand_in));
     a.see(at, &Seen::Taken { mail });
 }
 
 fn call(a: &mut Auditor, at: Nanos, no: u64, mail: u64, endpoint: u32) {
     let (mail, endpoint) = (MessageId(mail), EndpointId(endpoint));
-    let seen = Seen::Call { call: CallNo(no), mail, endpoint, dispatcher: 0, begun: at, fresh: true };
+    let seen = Seen::Call {
+        call: CallNo(no),
+        mail,
+        endpoint,
+        dispatcher: 0,
+        begun: at,
+        fresh: true,
+    };
     a.see(at, &seen);
 }
 
 fn applied(a: &mut Auditor, at: Nanos, no: u64) {
-    a.see(at, &Seen::Applied { call: CallNo(no), fresh: true });
+    a.see(
+        at,
+        &Seen::Applied {
+            call: CallNo(no),
+            fresh: true,
+        },
+    );
 }
 
 fn answered(a: &mut Auditor, at: Nanos, no: u64, answer: Answer) {
-    a.see(at, &Seen::Answered { call: CallNo(no), answer });
+    a.see(
+        at,
+        &Seen::Answered {
+            call: CallNo(no),
+            answer,
+        },
+    );
 }
 
 fn broken(a: &mut Auditor, at: Nanos, no: u64) {
-    a.see(at, &Seen::Broken { call: CallNo(no), by_endpoint: false });
+    a.see(
+        at,
+        &Seen::Broken {
+            call: CallNo(no),
+            by_endpoint: false,
+        },
+    );
 }
 
 fn notice(a: &mut Auditor, at: Nanos, mail: u64, deferred: Option<Nanos>) {
-    a.see(at, &Seen::Notice { mail: MessageId(mail), deferred });
+    a.see(
+        at,
+        &Seen::Notice {
+            mail: MessageId(mail),
+            deferred,
+        },
+    );
 }
 
 fn rules(a: Auditor) -> Vec<Rule> {
@@ -76,7 +129,10 @@
     notice(&mut a, 3 * S + MS, 1, None);
     let verdict = a.finish(60 * S);
     assert!(verdict.kept(), "{verdict:?}");
-    assert_eq!((verdict.calls, verdict.applied, verdict.applied_unheard), (1, 1, 1));
+    assert_eq!(
+        (verdict.calls, verdict.applied, verdict.applied_unheard),
+        (1, 1, 1)
+    );
 }
 
 #[test]
@@ -113,14 +169,25 @@
     applied(&mut a, 4 * S, 2);
     answered(&mut a, 4 * S, 2, Answer::Relayed);
     let verdict = a.finish(60 * S);
-    let words = verdict.words.iter().find(|w| w.rule == Rule::EffectTwice).expect("found");
+    let words = verdict
+        .words
+        .iter()
+        .find(|w| w.rule == Rule::EffectTwice)
+        .expect("found");
     assert_eq!((words.at, words.mail), (4 * S, Some(1)));
-    assert!(words.evidence.contains("zone 0") && words.evidence.contains("zone 1"), "{words}");
+    assert!(
+        words.evidence.contains("zone 0") && words.evidence.contains("zone 1"),
+        "{words}"
+    );
 }
 
 #[test]
 fn a_tagged_mail_stays_in_its_window_and_its_zone() {
-    for (at, endpoint, kept) in [(4 * S, 1, true), (4 * S, 2, false), (5 * S + 2 * MS, 1, false)] {
+    for (at, endpoint, kept) in [
+        (4 * S, 1, true),
+        (4 * S, 2, false),
+        (5 * S + 2 * MS, 1, false),
+    ] {
         let mut a = auditor();
         taken(&mut a, S, 1, 1);
         call(&mut a, S, 1, 1, 0);
@@ -202,7 +269,14 @@
     // A dispatcher may give up a mail whose 200 it never read.
     notice(&mut a, 6 * S, 3, None);
     let verdict = a.finish(60 * S);
-    let of = |rule| verdict.words.iter().filter(|w| w.rule == rule).map(|w| w.mail).collect::<Vec<_>>();
+    let of = |rule| {
+        verdict
+            .words
+            .iter()
+            .filter(|w| w.rule == rule)
+            .map(|w| w.mail)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(of(Rule::EndedTwice), [Some(2)]);
     assert_eq!(of(Rule::Lost), [Some(4)]);
     assert_eq!(verdict.words.len(), 2, "{verdict:?}");
--- a/lab/tests/subset.rs
+++ b/lab/tests/subset.rs
@@ -50,7 +50,12 @@
         let mut dispatcher = Dispatcher::boot(now, facts);
         let entries: Vec<ListEntry> = (0..routes).map(entry).collect();
         dispatcher.apply_list(now, ListScope::Whole, &entries, &mut out);
-        Fleet { dispatcher, out, now, next: 0 }
+        Fleet {
+            dispatcher,
+            out,
+            now,
+            next: 0,
+        }
     }
 
     /// A message comes; where it is sent.
@@ -109,12 +114,21 @@
     for position in 0..300 {
         let used = Fleet::member(300, position, 48).used(40);
         assert_eq!(used.len(), 4, "{used:?}");
-        assert!(used.values().all(|&messages| messages == 10), "even picks: {used:?}");
-        used.keys().for_each(|&endpoint| *users.entry(endpoint).or_default() += 1);
+        assert!(
+            used.values().all(|&messages| messages == 10),
+            "even picks: {used:?}"
+        );
+        used.keys()
+            .for_each(|&endpoint| *users.entry(endpoint).or_default() += 1);
     }
     let mean = 300.0 * 4.0 / 48.0;
     assert_eq!(users.len(), 48);
-    assert!(users.values().all(|&users| (users as f64 / mean - 1.0).abs() < 0.1), "{users:?}");
+    assert!(
+        users
+            .values()
+            .all(|&users| (users as f64 / mean - 1.0).abs() < 0.1),
+        "{users:?}"
+    );
 }
 
 #[test]
@@ -136,7 +150,10 @@
         fleet.ends(sent, Outcome::Full(60 * S));
     }
     let last = *fleet.out.attempts.last().unwrap();
-    assert!(!subset.contains_key(&last.1), "no route outside the subset was tried");
+    assert!(
+        !subset.contains_key(&last.1),
+        "no route outside the subset was tried"
+    );
     for _ in 0..20 {
         let sent = fleet.send();
         assert!(!subset.contains_key(&sent.1), "a told wait was not kept");
--- a/lab/tests/virtual_time.rs
+++ b/lab/tests/virtual_time.rs
@@ -11,30 +11,46 @@
 
 fn experiments() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
-    let mut files: Vec<PathBuf> = std::fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
+    let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|f| f.unwrap().path())
+        .collect();
     files.sort();
     files
 }
 
 fn spec(name: &str) -> Spec {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments").join(name);
-    experiment::read(&path, false).unwrap().variants.remove(0).spec
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("experiments")
+        .join(name);
+    experiment::read(&path, false)
+        .unwrap()
+        .variants
+        .remove(0)
+        .spec
 }
 
 /// The calm world with other troubles.
 fn with(troubles: &str) -> Spec {
-    let calm =
-        std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/calm.toml")).unwrap();
+    let calm = std::fs::read_to_string(
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/calm.toml"),
+    )
+    .unwrap();
     // Troubles stand before the longer form's table.
     let (world, _) = calm.split_once("[long]").unwrap();
-    experiment::parse(&format!("{world}\n{troubles}"), "test").unwrap().variants.remove(0).spec
+    experiment::parse(&format!("{world}\n{troubles}"), "test")
+        .unwrap()
+        .variants
+        .remove(0)
+        .spec
 }
 
 #[test]
 fn equal_seeds_give_equal_runs_byte_for_byte() {
     let play = |seed| {
         let played = virtual_time::run(Plan::new(&spec("worst.toml"), seed), &mut |_| {});
-        serde_json::to_string(&(played.results, played.verdict, played.returns, played.steps)).unwrap()
+        serde_json::to_string(&(played.results, played.verdict, played.returns, played.steps))
+            .unwrap()
     };
     assert_eq!(play(4), play(4));
     assert_ne!(play(4), play(5));
@@ -53,15 +69,29 @@
 #[test]
 fn the_rules_hold_in_every_experiment_of_one_world() {
     for path in experiments() {
-        let spec = experiment::read(&path, false).unwrap().variants.remove(0).spec;
+        let spec = experiment::read(&path, false)
+            .unwrap()
+            .variants
+            .remove(0)
+            .spec;
         // The large ones are for measurements.
         if spec.world.destinations > 100 {
             continue;
         }
         for seed in [1, 2, 11] {
             let played = virtual_time::run(Plan::new(&spec, seed), &mut |_| {});
-            assert!(played.verdict.kept(), "{}, seed {seed}: {:?}", path.display(), played.verdict.words);
-            assert!(played.results.share > 0.5, "{}, seed {seed}: {}", path.display(), played.results.share);
+            assert!(
+                played.verdict.kept(),
+                "{}, seed {seed}: {:?}",
+                path.display(),
+                played.verdict.words
+            );
+            assert!(
+                played.results.share > 0.5,
+                "{}, seed {seed}: {}",
+                path.display(),
+                played.results.share
+            );
         }
     }
 }
@@ -94,7 +124,9 @@
                 _ => format!("share = {:.2}", 0.1 + 0.5 * drawn(n, 5)),
             };
             let to = from + span;
-            text += &format!("[[troubles]]\nwhat = {what}\n{whom}\nfrom_s = {from:.3}\nto_s = {to:.3}\n");
+            text += &format!(
+                "[[troubles]]\nwhat = {what}\n{whom}\nfrom_s = {from:.3}\nto_s = {to:.3}\n"
+            );
         }
         if seed % 2 == 0 {
             text += "[[troubles]]\nwhat = 'killed'\nshare = 0.5\nfrom_s = 5\nto_s = 6.5\n";
@@ -103,7 +135,11 @@
             text += "[[troubles]]\nwhat = 'list-frozen'\nfrom_s = 2\nto_s = 8\n";
         }
         let played = virtual_time::run(Plan::new(&with(&text), seed), &mut |_| {});
-        assert!(played.verdict.kept(), "seed {seed}:\n{text}\n{:?}", played.verdict.words);
+        assert!(
+            played.verdict.kept(),
+            "seed {seed}:\n{text}\n{:?}",
+            played.verdict.words
+        );
     }
 }
 
@@ -115,15 +151,23 @@
     spec.troubles.clear();
     let calm: Vec<_> = Arrivals::new(&Plan::new(&spec, 3)).collect();
     assert_eq!(arrivals, calm);
-    assert!(arrivals.windows(2).all(|p| p[0].at <= p[1].at && p[0].no + 1 == p[1].no));
+    assert!(
+        arrivals
+            .windows(2)
+            .all(|p| p[0].at <= p[1].at && p[0].no + 1 == p[1].no)
+    );
     let between = |from: u64, to: u64| {
-        arrivals.iter().filter(|a| (from * S..to * S).contains(&(a.at - START))).count() as f64
+        arrivals
+            .iter()
+            .filter(|a| (from * S..to * S).contains(&(a.at - START)))
+            .count() as f64
             / (to - from) as f64
     };
     // 120 a second, then three times as many: four standard deviations of bursts.
     assert!((between(0, 2) - 120.0).abs() < 85.0, "{}", between(0, 2));
     assert!((between(3, 10) - 360.0).abs() < 75.0, "{}", between(3, 10));
-    let together = arrivals.windows(2).filter(|p| p[0].at == p[1].at).count() as f64 / arrivals.len() as f64;
+    let together =
+        arrivals.windows(2).filter(|p| p[0].at == p[1].at).count() as f64 / arrivals.len() as f64;
     assert!((0.2..0.4).contains(&together), "{together} came in bursts");
 }
 
@@ -131,7 +175,10 @@
 fn importance_falls_after_the_target_delay() {
     let class = &spec("calm.toml").classes[0];
     let worth = |s: f64| worth(class, secs(s));
-    assert_eq!((worth(1.9), worth(4.0), worth(7.9), worth(8.0)), (1.0, 0.5, 0.4, 0.0));
+    assert_eq!(
+        (worth(1.9), worth(4.0), worth(7.9), worth(8.0)),
+        (1.0, 0.5, 0.4, 0.0)
+    );
 }
 
 /// A world of its own, with a way to call an endpoint and to see what comes.
@@ -143,9 +190,16 @@
     }
     fn call(&mut self, at_ms: u64, endpoint: u32) -> Option<(ConnId, Option<CallId>)> {
         self.0.advance(START + at_ms * MS);
-        let Opening::Up(conn) = self.0.open(0, EndpointId(endpoint)) else { return None };
+        let Opening::Up(conn) = self.0.open(0, EndpointId(endpoint)) else {
+            return None;
+        };
         self.1 += 1;
-        let new = NewCall { mail: MessageId(self.1), class: 0, dispatcher: 0, tag: self.1 };
+        let new = NewCall {
+            mail: MessageId(self.1),
+            class: 0,
+            dispatcher: 0,
+            tag: self.1,
+        };
         Some((conn, self.0.call(conn, new)))
     }
     fn until(&mut self, at_ms: u64) -> Vec<Effect> {
@@ -157,35 +211,65 @@
 fn answers(effects: &[Effect]) -> Vec<Answer> {
     effects
         .iter()
-        .filter_map(|e| if let Effect::Answer { answer, .. } = e { Some(*answer) } else { None })
+        .filter_map(|e| {
+            if let Effect::Answer { answer, .. } = e {
+                Some(*answer)
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
 #[test]
 fn an_endpoint_does_its_work_and_is_down_silent_hung_or_shut_as_the_script_says() {
-    let trouble = |what: &str| format!("[[troubles]]\nwhat = '{what}'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
+    let trouble =
+        |what: &str| format!("[[troubles]]\nwhat = '{what}'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
     let mut sound = Tried::new("");
     sound.call(0, 0).unwrap();
     let effects = sound.until(1_000);
-    assert!(matches!(effects[..], [Effect::Applied { .. }, Effect::Answer { answer: Answer::Relayed, .. }]));
+    assert!(matches!(
+        effects[..],
+        [
+            Effect::Applied { .. },
+            Effect::Answer {
+                answer: Answer::Relayed,
+                ..
+            }
+        ]
+    ));
 
     let mut down = Tried::new(&trouble("down"));
     down.call(990, 0).unwrap();
-    assert!(down.until(1_010).iter().any(|e| matches!(e, Effect::Break { .. })), "what is in hand is lost");
+    assert!(
+        down.until(1_010)
+            .iter()
+            .any(|e| matches!(e, Effect::Break { .. })),
+        "what is in hand is lost"
+    );
     assert!(down.call(2_000, 0).is_none());
     assert!(down.call(3_001, 0).is_some());
 
     let mut silent = Tried::new(&trouble("silent"));
     let (conn, _) = silent.call(999, 0).unwrap();
     let effects = silent.until(2_900);
-    assert!(answers(&effects).is_empty() && effects.iter().any(|e| matches!(e, Effect::Applied { .. })));
+    assert!(
+        answers(&effects).is_empty() && effects.iter().any(|e| matches!(e, Effect::Applied { .. }))
+    );
     assert!(matches!(silent.0.open(0, EndpointId(0)), Opening::Never));
     let broken = |e: &Effect| *e == Effect::Break { conn };
-    assert!(silent.until(3_001).iter().any(broken), "reset once it is back");
+    assert!(
+        silent.until(3_001).iter().any(broken),
+        "reset once it is back"
+    );
 
     let mut hung = Tried::new(&trouble("hung"));
     hung.call(1_500, 0).unwrap();
-    assert!(hung.until(2_900).iter().all(|e| !matches!(e, Effect::Answer { .. } | Effect::Applied { .. })));
+    assert!(
+        hung.until(2_900)
+            .iter()
+            .all(|e| !matches!(e, Effect::Answer { .. } | Effect::Applied { .. }))
+    );
     assert_eq!(answers(&hung.until(4_000)), [Answer::Relayed]);
 
     let mut shut = Tried::new(&(trouble("shut")));
@@ -194,10 +278,25 @@
     }
     let told = answers(&shut.until(2_100));
     assert_eq!(told.len(), 20);
-    let waits: Vec<Nanos> =
-        told.iter().filter_map(|a| if let Answer::Full(wait) = a { *wait } else { None }).collect();
-    assert!((3..18).contains(&waits.len()), "about half tell: {}", waits.len());
-    assert!(waits.iter().all(|w| (980 * MS..=1_000 * MS).contains(w)), "until it opens: {waits:?}");
+    let waits: Vec<Nanos> = told
+        .iter()
+        .filter_map(|a| {
+            if let Answer::Full(wait) = a {
+                *wait
+            } else {
+                None
+            }
+        })
+        .collect();
+    assert!(
+        (3..18).contains(&waits.len()),
+        "about half tell: {}",
+        waits.len()
+    );
+    assert!(
+        waits.iter().all(|w| (980 * MS..=1_000 * MS).contains(w)),
+        "until it opens: {waits:?}"
+    );
 }
 
 #[test]
@@ -215,33 +314,58 @@
     let mut tipped = None;
     for n in 0..200 {
         w.call(3_010 + n, 0);
-        tipped = tipped.or(w.until(3_010 + n).into_iter().find(|e| matches!(e, Effect::Tipped { .. })));
+        tipped = tipped.or(w
+            .until(3_010 + n)
+            .into_iter()
+            .find(|e| matches!(e, Effect::Tipped { .. })));
     }
-    let Some(Effect::Tipped { knowing, all, .. }) = tipped else { panic!("it stands") };
+    let Some(Effect::Tipped { knowing, all, .. }) = tipped else {
+        panic!("it stands")
+    };
     assert_eq!(knowing, all, "its only caller had seen the outage");
     assert!(w.call(13_000, 0).is_none(), "it stays down");
 }
 
 #[test]
 fn limits_lapse_idle_connections_and_changes_of_the_list() {
-    let mut w =
-        Tried::new("[[troubles]]\nwhat = 'limit-lowered'\nendpoint = 0\npart = 0.1\nfrom_s = 1\nto_s = 3\n");
+    let mut w = Tried::new(
+        "[[troubles]]\nwhat = 'limit-lowered'\nendpoint = 0\npart = 0.1\nfrom_s = 1\nto_s = 3\n",
+    );
     for n in 0..10 {
         w.call(2_000 + n, 0).unwrap();
     }
-    let refused = answers(&w.until(2_020)).into_iter().filter(|a| matches!(a, Answer::Full(_))).count();
+    let refused = answers(&w.until(2_020))
+        .into_iter()
+        .filter(|a| matches!(a, Answer::Full(_)))
+        .count();
     assert!(refused >= 8, "{refused} of 10");
 
     let mut w = Tried::new("[[troubles]]\nwhat = 'reaped'\nendpoint = 0\nfrom_s = 0\nto_s = 3\n");
     let (conn, _) = w.call(10, 0).unwrap();
     w.until(700);
-    let again = w.0.call(conn, NewCall { mail: MessageId(99), class: 0, dispatcher: 0, tag: 99 });
+    let again = w.0.call(
+        conn,
+        NewCall {
+            mail: MessageId(99),
+            class: 0,
+            dispatcher: 0,
+            tag: 99,
+        },
+    );
     assert_eq!(again, None, "dropped at rest, without a word before");
 
     let mut w = Tried::new("[[troubles]]\nwhat = 'replaced'\nendpoint = 0\nfrom_s = 1\nto_s = 2\n");
-    let told = |effects: Vec<Effect>| effects.iter().filter(|e| matches!(e, Effect::Tell { .. })).count();
+    let told = |effects: Vec<Effect>| {
+        effects
+            .iter()
+            .filter(|e| matches!(e, Effect::Tell { .. }))
+            .count()
+    };
     assert_eq!(told(w.until(4_500)), 6, "three dispatchers, two changes");
     let list = w.0.listing(w.0.versions());
     assert!(!list.contains_key(&EndpointId(0)) && list[&EndpointId(36)] == Listed::Up);
-    assert_eq!(w.0.endpoint(EndpointId(36)).destination, w.0.endpoint(EndpointId(0)).destination);
+    assert_eq!(
+        w.0.endpoint(EndpointId(36)).destination,
+        w.0.endpoint(EndpointId(0)).destination
+    );
 }
--- a/net/src/deadlines.rs
+++ b/net/src/deadlines.rs
@@ -10,7 +10,10 @@
 
 impl<K> Default for Deadlines<K> {
     fn default() -> Self {
-        Deadlines { order: BTreeSet::new(), at: BTreeMap::new() }
+        Deadlines {
+            order: BTreeSet::new(),
+            at: BTreeMap::new(),
+        }
     }
 }
 
--- a/net/src/http.rs
+++ b/net/src/http.rs
@@ -48,23 +48,34 @@
 
 /// Reads the limit from the names and values of a load report.
 fn limit(report: &str) -> Result<f64, BadReport> {
-    let value = report.split(',').find_map(|pair| pair.trim().strip_prefix(LIMIT)?.strip_prefix('='));
+    let value = report
+        .split(',')
+        .find_map(|pair| pair.trim().strip_prefix(LIMIT)?.strip_prefix('='));
     let limit = value.and_then(|v| v.trim().parse::<f64>().ok());
-    limit.filter(|l| (0.0..=LIMIT_MOST).contains(l)).ok_or(BadReport)
+    limit
+        .filter(|l| (0.0..=LIMIT_MOST).contains(l))
+        .ok_or(BadReport)
 }
 
 /// Whether the first line of an answer has come and says that the mail is relayed. That line is true whatever spoils the
 /// rest.
 pub fn says_relayed(bytes: &[u8]) -> bool {
-    let Some(end) = bytes.iter().position(|&b| b == b'\n') else { return false };
+    let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
+        return false;
+    };
     let line = bytes[..end].trim_ascii_end();
-    let status = line.strip_prefix(b"HTTP/1.1 200").or(line.strip_prefix(b"HTTP/1.0 200"));
+    let status = line
+        .strip_prefix(b"HTTP/1.1 200")
+        .or(line.strip_prefix(b"HTTP/1.0 200"));
     status.is_some_and(|reason| reason.first().is_none_or(|b| *b == b' '))
 }
 
 fn number(digits: &str, radix: u32) -> Result<u64, Malformed> {
     let plain = digits.bytes().all(|b| b.is_ascii_hexdigit());
-    u64::from_str_radix(digits, radix).ok().filter(|_| plain).ok_or(Malformed)
+    u64::from_str_radix(digits, radix)
+        .ok()
+        .filter(|_| plain)
+        .ok_or(Malformed)
 }
 
 /// Takes the head of the next answer from the ring, once all of it has come.
@@ -77,7 +88,10 @@
             Ok(httparse::Status::Partial) if ring.len() < HEAD_MOST => return Ok(None),
             _ => return Err(Malformed),
         };
-        let status = answer.code.filter(|code| (100..600).contains(code)).ok_or(Malformed)?;
+        let status = answer
+            .code
+            .filter(|code| (100..600).contains(code))
+            .ok_or(Malformed)?;
         let mut head = Head {
             status,
             wait: 0,
@@ -102,7 +116,8 @@
                 }
                 chunked = true;
             } else if is("connection") {
-                head.last = value.eq_ignore_ascii_case("close") || (head.last && value != "keep-alive");
+                head.last =
+                    value.eq_ignore_ascii_case("close") || (head.last && value != "keep-alive");
             } else if is("retry-after") {
                 let seconds: f64 = value.parse().unwrap_or(0.0);
                 head.wait = (seconds.clamp(0.0, 1e6) * 1e9) as Nanos;
@@ -154,7 +169,11 @@
                     ring.consume(n as usize);
                     *left -= n;
                     if *left == 0 {
-                        *self = if matches!(self, Body::Sized(_)) { Body::Done } else { Body::ChunkEnd };
+                        *self = if matches!(self, Body::Sized(_)) {
+                            Body::Done
+                        } else {
+                            Body::ChunkEnd
+                        };
                     }
                 }
                 Body::UntilEnd => {
@@ -165,7 +184,11 @@
                 Body::Chunked(_) | Body::ChunkEnd | Body::Trailers => {
                     let bytes = ring.bytes();
                     let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
-                        return if ring.len() < HEAD_MOST { Ok(()) } else { Err(Malformed) };
+                        return if ring.len() < HEAD_MOST {
+                            Ok(())
+                        } else {
+                            Err(Malformed)
+                        };
                     };
                     let line = bytes[..end].trim_ascii();
                     *self = match self {
@@ -174,7 +197,11 @@
                         Body::Trailers if line.is_empty() => Body::Done,
                         Body::Trailers => Body::Trailers,
                         _ => {
-                            let size = line.split(|b| *b == b';').next().unwrap_or(b"").trim_ascii();
+                            let size = line
+                                .split(|b| *b == b';')
+                                .next()
+                                .unwrap_or(b"")
+                                .trim_ascii();
                             let size = std::str::from_utf8(size).map_err(|_| Malformed)?;
                             match number(size, 16)? {
                                 0 => Body::Trailers,
@@ -193,7 +220,11 @@
 
 /// The call that carries a mail: its head; the body follows.
 pub fn call(id: u64, tag: &str, host: std::net::SocketAddr, wait: Nanos, length: usize) -> String {
-    let tag = if tag.is_empty() { String::new() } else { format!("Idempotency-Key: {tag}\r\n") };
+    let tag = if tag.is_empty() {
+        String::new()
+    } else {
+        format!("Idempotency-Key: {tag}\r\n")
+    };
     format!(
         "POST /events HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {id:016x}\r\n{tag}X-Expires-In: {}u\r\n\
          Content-Length: {length}\r\n\r\n",
--- a/net/src/ring.rs
+++ b/net/src/ring.rs
@@ -13,7 +13,10 @@
 
 impl Ring {
     pub fn new(bound: usize) -> Self {
-        Ring { bytes: VecDeque::new(), bound }
+        Ring {
+            bytes: VecDeque::new(),
+            bound,
+        }
     }
 
     pub fn len(&self) -> usize {
--- a/net/src/slots.rs
+++ b/net/src/slots.rs
@@ -17,7 +17,11 @@
 
 impl<I: SlotId, T> Default for Slots<I, T> {
     fn default() -> Self {
-        Slots { rows: Vec::new(), free: Vec::new(), id: PhantomData }
+        Slots {
+            rows: Vec::new(),
+            free: Vec::new(),
+            id: PhantomData,
+        }
     }
 }
 
@@ -46,12 +50,21 @@
 
     pub fn get_mut(&mut self, id: I) -> Option<&mut T> {
         let (index, turn) = parts(id.raw());
-        self.rows.get_mut(index).filter(|row| row.0 == turn)?.1.as_mut()
+        self.rows
+            .get_mut(index)
+            .filter(|row| row.0 == turn)?
+            .1
+            .as_mut()
     }
 
     pub fn remove(&mut self, id: I) -> Option<T> {
         let (index, turn) = parts(id.raw());
-        let gone = self.rows.get_mut(index).filter(|row| row.0 == turn)?.1.take();
+        let gone = self
+            .rows
+            .get_mut(index)
+            .filter(|row| row.0 == turn)?
+            .1
+            .take();
         if gone.is_some() {
             self.free.push(index as u32);
         }
@@ -67,8 +80,13 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (I, &T)> {
-        self.rows.iter().enumerate().filter_map(|(index, (turn, tenant))| {
-            tenant.as_ref().map(|t| (I::from_raw(u64::from(*turn) << 32 | index as u64), t))
-        })
+        self.rows
+            .iter()
+            .enumerate()
+            .filter_map(|(index, (turn, tenant))| {
+                tenant
+                    .as_ref()
+                    .map(|t| (I::from_raw(u64::from(*turn) << 32 | index as u64), t))
+            })
     }
 }
--- a/placement/src/assignment.rs
+++ b/placement/src/assignment.rs
@@ -1,8 +1,8 @@
 //! The assignment: the two holders of each bucket, and the buckets of each member.
 
 use crate::{
-    AssignmentChange, BucketHolders, BucketId, Epoch, Layout, Member, MemberName, PlacementError, REPLICAS,
-    plan,
+    AssignmentChange, BucketHolders, BucketId, Epoch, Layout, Member, MemberName, PlacementError,
+    REPLICAS, plan,
 };
 use std::collections::BTreeMap;
 
@@ -19,7 +19,12 @@
     /// The assignment before the first one: no bucket has a holder.
     pub fn empty(layout: Layout) -> Assignment {
         let holders = vec![[const { None }; REPLICAS]; layout.buckets() as usize];
-        Assignment { layout, epoch: Epoch(0), holders, buckets_by_member: BTreeMap::new() }
+        Assignment {
+            layout,
+            epoch: Epoch(0),
+            holders,
+            buckets_by_member: BTreeMap::new(),
+        }
     }
 
     pub(crate) fn from_holders(
@@ -30,10 +35,18 @@
         let mut buckets_by_member: BTreeMap<MemberName, Vec<BucketId>> = BTreeMap::new();
         for (bucket, pair) in (0..).map(BucketId).zip(&holders) {
             for member in pair.iter().flatten() {
-                buckets_by_member.entry(member.clone()).or_default().push(bucket);
+                buckets_by_member
+                    .entry(member.clone())
+                    .or_default()
+                    .push(bucket);
             }
         }
-        Assignment { layout, epoch, holders, buckets_by_member }
+        Assignment {
+            layout,
+            epoch,
+            holders,
+            buckets_by_member,
+        }
     }
 
     /// The change that places all buckets on the members that are present. The order of `members` makes no difference.
@@ -47,22 +60,35 @@
     pub fn apply(&mut self, change: &AssignmentChange) -> Result<(), PlacementError> {
         let expected = self.next_epoch();
         if change.epoch != expected {
-            return Err(PlacementError::EpochOutOfOrder { expected, found: change.epoch });
+            return Err(PlacementError::EpochOutOfOrder {
+                expected,
+                found: change.epoch,
+            });
         }
-        change.moved.iter().try_for_each(|moved| self.check(moved))?;
-        change.moved.iter().for_each(|moved| self.set_holders(moved));
+        change
+            .moved
+            .iter()
+            .try_for_each(|moved| self.check(moved))?;
+        change
+            .moved
+            .iter()
+            .for_each(|moved| self.set_holders(moved));
         self.epoch = change.epoch;
         Ok(())
     }
 
     /// The holders of a bucket of the layout; either may be absent.
     pub fn holders(&self, bucket: BucketId) -> [Option<&MemberName>; REPLICAS] {
-        self.holders[bucket.0 as usize].each_ref().map(Option::as_ref)
+        self.holders[bucket.0 as usize]
+            .each_ref()
+            .map(Option::as_ref)
     }
 
     /// The buckets that a member holds, in order.
     pub fn buckets_of(&self, member: &MemberName) -> &[BucketId] {
-        self.buckets_by_member.get(member).map_or(&[], Vec::as_slice)
+        self.buckets_by_member
+            .get(member)
+            .map_or(&[], Vec::as_slice)
     }
 
     /// The members that hold a bucket, in order.
@@ -92,11 +118,17 @@
     fn check(&self, moved: &BucketHolders) -> Result<(), PlacementError> {
         let buckets = self.layout.buckets();
         if moved.bucket.0 >= buckets {
-            return Err(PlacementError::UnknownBucket { bucket: moved.bucket, buckets });
+            return Err(PlacementError::UnknownBucket {
+                bucket: moved.bucket,
+                buckets,
+            });
         }
         match &moved.holders {
             [Some(first), Some(second)] if first == second => {
-                Err(PlacementError::SameHolderTwice { bucket: moved.bucket, member: first.clone() })
+                Err(PlacementError::SameHolderTwice {
+                    bucket: moved.bucket,
+                    member: first.clone(),
+                })
             }
             _ => Ok(()),
         }
@@ -121,7 +153,9 @@
     }
 
     fn remove_from_index(&mut self, member: &MemberName, bucket: BucketId) {
-        let Some(held) = self.buckets_by_member.get_mut(member) else { return };
+        let Some(held) = self.buckets_by_member.get_mut(member) else {
+            return;
+        };
         if let Ok(place) = held.binary_search(&bucket) {
             held.remove(place);
         }
--- a/placement/src/error.rs
+++ b/placement/src/error.rs
@@ -25,5 +25,8 @@
     #[error(
         "the change gives both replicas of bucket {bucket:?} to {member}: it is damaged, ask for it again"
     )]
-    SameHolderTwice { bucket: BucketId, member: MemberName },
+    SameHolderTwice {
+        bucket: BucketId,
+        member: MemberName,
+    },
 }
--- a/placement/src/hash.rs
+++ b/placement/src/hash.rs
@@ -32,7 +32,10 @@
         let mut key = [0; 12];
         key[..8].copy_from_slice(&member_hash.to_le_bytes());
         key[8..].copy_from_slice(&bucket.0.to_le_bytes());
-        RendezvousScore { uniform: unit_interval(xxh3_64(&key)), weight }
+        RendezvousScore {
+            uniform: unit_interval(xxh3_64(&key)),
+            weight,
+        }
     }
 
     /// The score. Its logarithm is of a library of its own so that it is the same on every platform.
--- a/placement/src/layout.rs
+++ b/placement/src/layout.rs
@@ -31,12 +31,23 @@
 pub enum LayoutError {
     #[error("the layout has no zone: declare at least one zone with its region")]
     NoZones,
-    #[error("zone {zone} is declared in region {first} and in region {second}: declare it in one of them")]
-    ZoneInTwoRegions { zone: ZoneName, first: RegionName, second: RegionName },
-    #[error("a region has no buckets: set buckets_per_region to {DEFAULT_BUCKETS_PER_REGION}, for instance")]
+    #[error(
+        "zone {zone} is declared in region {first} and in region {second}: declare it in one of them"
+    )]
+    ZoneInTwoRegions {
+        zone: ZoneName,
+        first: RegionName,
+        second: RegionName,
+    },
+    #[error(
+        "a region has no buckets: set buckets_per_region to {DEFAULT_BUCKETS_PER_REGION}, for instance"
+    )]
     NoBuckets,
     #[error("{regions} regions of {buckets_per_region} buckets are more than {most} in all: set fewer", most = u32::MAX)]
-    TooManyBuckets { regions: usize, buckets_per_region: u32 },
+    TooManyBuckets {
+        regions: usize,
+        buckets_per_region: u32,
+    },
 }
 
 /// The zones, their regions and the buckets of each region. Equal layouts number regions and buckets alike, in whatever
@@ -56,12 +67,22 @@
         buckets_per_region: u32,
     ) -> Result<Layout, LayoutError> {
         let declared = distinct_zones(zones)?;
-        let regions: Vec<RegionName> =
-            declared.values().cloned().collect::<BTreeSet<_>>().into_iter().collect();
+        let regions: Vec<RegionName> = declared
+            .values()
+            .cloned()
+            .collect::<BTreeSet<_>>()
+            .into_iter()
+            .collect();
         check_bucket_count(regions.len(), buckets_per_region)?;
-        let region_by_zone =
-            declared.into_iter().map(|(zone, region)| (zone, region_number(&regions, &region))).collect();
-        Ok(Layout { region_by_zone, regions, buckets_per_region })
+        let region_by_zone = declared
+            .into_iter()
+            .map(|(zone, region)| (zone, region_number(&regions, &region)))
+            .collect();
+        Ok(Layout {
+            region_by_zone,
+            regions,
+            buckets_per_region,
+        })
     }
 
     /// The region of a zone, where it is declared.
@@ -121,7 +142,10 @@
     type Error = LayoutError;
 
     fn try_from(declaration: LayoutDeclaration) -> Result<Layout, LayoutError> {
-        let zones = declaration.zones.into_iter().map(|declared| (declared.zone, declared.region));
+        let zones = declaration
+            .zones
+            .into_iter()
+            .map(|declared| (declared.zone, declared.region));
         Layout::new(zones, declaration.buckets_per_region)
     }
 }
@@ -146,7 +170,11 @@
     for (zone, region) in zones {
         match declared.get(&zone) {
             Some(first) if *first != region => {
-                return Err(LayoutError::ZoneInTwoRegions { first: first.clone(), second: region, zone });
+                return Err(LayoutError::ZoneInTwoRegions {
+                    first: first.clone(),
+                    second: region,
+                    zone,
+                });
             }
             Some(_) => {}
             None => {
@@ -154,18 +182,29 @@
             }
         }
     }
-    if declared.is_empty() { Err(LayoutError::NoZones) } else { Ok(declared) }
+    if declared.is_empty() {
+        Err(LayoutError::NoZones)
+    } else {
+        Ok(declared)
+    }
 }
 
 fn check_bucket_count(regions: usize, buckets_per_region: u32) -> Result<(), LayoutError> {
     if buckets_per_region == 0 {
         return Err(LayoutError::NoBuckets);
     }
-    let fits = u32::try_from(regions).ok().and_then(|regions| regions.checked_mul(buckets_per_region));
-    fits.map(|_| ()).ok_or(LayoutError::TooManyBuckets { regions, buckets_per_region })
+    let fits = u32::try_from(regions)
+        .ok()
+        .and_then(|regions| regions.checked_mul(buckets_per_region));
+    fits.map(|_| ()).ok_or(LayoutError::TooManyBuckets {
+        regions,
+        buckets_per_region,
+    })
 }
 
 fn region_number(regions: &[RegionName], region: &RegionName) -> RegionId {
-    let place = regions.binary_search(region).expect("every declared region is listed");
+    let place = regions
+        .binary_search(region)
+        .expect("every declared region is listed");
     RegionId(u32::try_from(place).expect("the bucket count is checked to fit"))
 }
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -36,6 +36,8 @@
 pub struct BucketId(pub u32);
 
 /// Counts the assignments of buckets to dispatchers, from 1 on.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
--- a/placement/src/plan.rs
+++ b/placement/src/plan.rs
@@ -3,13 +3,16 @@
 use crate::region_plan::{Candidate, Holders, RegionPlan};
 use crate::share::{WeightInZone, fair_shares};
 use crate::{
-    Assignment, AssignmentChange, BucketHolders, BucketId, Layout, Member, MemberName, PlacementError,
-    PlacementWarning, REPLICAS, RegionId, ZoneName, hash,
+    Assignment, AssignmentChange, BucketHolders, BucketId, Layout, Member, MemberName,
+    PlacementError, PlacementWarning, REPLICAS, RegionId, ZoneName, hash,
 };
 use std::collections::{BTreeSet, HashMap};
 
 /// See [`Assignment::plan`].
-pub(crate) fn plan(assignment: &Assignment, members: &[Member]) -> Result<AssignmentChange, PlacementError> {
+pub(crate) fn plan(
+    assignment: &Assignment,
+    members: &[Member],
+) -> Result<AssignmentChange, PlacementError> {
     let members = in_order(members)?;
     let mut change = AssignmentChange {
         epoch: assignment.next_epoch(),
@@ -42,21 +45,39 @@
         let weights: Vec<WeightInZone> = self
             .members
             .iter()
-            .map(|member| WeightInZone { weight: member.weight, zone: self.zone_number(&member.zone) })
+            .map(|member| WeightInZone {
+                weight: member.weight,
+                zone: self.zone_number(&member.zone),
+            })
             .collect();
         let shares = fair_shares(&weights, self.zones.len(), buckets, self.replicas());
         let candidate = |((member, weight), share): ((&&Member, &WeightInZone), _)| {
-            Candidate::new(hash::member_hash(member.name.as_str()), weight.weight, weight.zone, share)
+            Candidate::new(
+                hash::member_hash(member.name.as_str()),
+                weight.weight,
+                weight.zone,
+                share,
+            )
         };
-        self.members.iter().zip(&weights).zip(shares).map(candidate).collect()
+        self.members
+            .iter()
+            .zip(&weights)
+            .zip(shares)
+            .map(candidate)
+            .collect()
     }
 
     fn zone_number(&self, zone: &ZoneName) -> usize {
-        self.zones.binary_search(&zone).expect("the zones are those of the members")
+        self.zones
+            .binary_search(&zone)
+            .expect("the zones are those of the members")
     }
 
     fn warning(&self, layout: &Layout) -> Option<PlacementWarning> {
-        let region = layout.region_name(self.region).expect("a region of the layout").clone();
+        let region = layout
+            .region_name(self.region)
+            .expect("a region of the layout")
+            .clone();
         match self.zones.len() {
             0 => Some(PlacementWarning::NoMembers { region }),
             1 => Some(PlacementWarning::OneZone { region }),
@@ -70,26 +91,41 @@
     let mut members: Vec<&Member> = members.iter().collect();
     members.sort_unstable_by_key(|member| &member.name);
     if let Some(pair) = members.windows(2).find(|pair| pair[0].name == pair[1].name) {
-        return Err(PlacementError::DuplicateMember { member: pair[0].name.clone() });
+        return Err(PlacementError::DuplicateMember {
+            member: pair[0].name.clone(),
+        });
     }
-    match members.iter().find(|member| !member.weight.is_finite() || member.weight < 0.0) {
-        Some(member) => {
-            Err(PlacementError::InvalidWeight { member: member.name.clone(), weight: member.weight })
-        }
+    match members
+        .iter()
+        .find(|member| !member.weight.is_finite() || member.weight < 0.0)
+    {
+        Some(member) => Err(PlacementError::InvalidWeight {
+            member: member.name.clone(),
+            weight: member.weight,
+        }),
         None => Ok(members),
     }
 }
 
-fn by_region<'a>(layout: &Layout, members: &[&'a Member]) -> Result<Vec<RegionMembers<'a>>, PlacementError> {
+fn by_region<'a>(
+    layout: &Layout,
+    members: &[&'a Member],
+) -> Result<Vec<RegionMembers<'a>>, PlacementError> {
     let mut regions: Vec<RegionMembers<'a>> = layout
         .regions()
-        .map(|region| RegionMembers { region, members: Vec::new(), zones: Vec::new() })
+        .map(|region| RegionMembers {
+            region,
+            members: Vec::new(),
+            zones: Vec::new(),
+        })
         .collect();
     for member in members {
-        let region = layout.region_of(&member.zone).ok_or_else(|| PlacementError::UnknownZone {
-            member: member.name.clone(),
-            zone: member.zone.clone(),
-        })?;
+        let region = layout
+            .region_of(&member.zone)
+            .ok_or_else(|| PlacementError::UnknownZone {
+                member: member.name.clone(),
+                zone: member.zone.clone(),
+            })?;
         if member.present && member.weight > 0.0 {
             regions[region.0 as usize].members.push(member);
         }
@@ -114,16 +150,28 @@
     for (bucket, planned) in (first_bucket.0..).map(BucketId).zip(plan.holders()) {
         let planned = planned.map(|holder| holder.map(|number| &region.members[number].name));
         if planned != assignment.holders(bucket) {
-            change.moved.push(BucketHolders { bucket, holders: planned.map(|holder| holder.cloned()) });
+            change.moved.push(BucketHolders {
+                bucket,
+                holders: planned.map(|holder| holder.cloned()),
+            });
         }
     }
 }
 
 /// The holders of the region's buckets as numbers of its members; those that take no part any more are absent.
-fn current_holders(assignment: &Assignment, region: &RegionMembers, first_bucket: BucketId) -> Vec<Holders> {
-    let numbers: HashMap<&MemberName, usize> =
-        region.members.iter().enumerate().map(|(number, member)| (&member.name, number)).collect();
-    let number_of = |holder: Option<&MemberName>| holder.and_then(|member| numbers.get(member).copied());
+fn current_holders(
+    assignment: &Assignment,
+    region: &RegionMembers,
+    first_bucket: BucketId,
+) -> Vec<Holders> {
+    let numbers: HashMap<&MemberName, usize> = region
+        .members
+        .iter()
+        .enumerate()
+        .map(|(number, member)| (&member.name, number))
+        .collect();
+    let number_of =
+        |holder: Option<&MemberName>| holder.and_then(|member| numbers.get(member).copied());
     (first_bucket.0..first_bucket.0 + assignment.layout().buckets_per_region())
         .map(|bucket| assignment.holders(BucketId(bucket)).map(number_of))
         .collect()
--- a/placement/src/region_plan.rs
+++ b/placement/src/region_plan.rs
@@ -64,7 +64,11 @@
     }
 
     fn remove(&mut self, bucket: usize) {
-        let place = self.held.iter().position(|held| *held == bucket).expect("the holder holds it");
+        let place = self
+            .held
+            .iter()
+            .position(|held| *held == bucket)
+            .expect("the holder holds it");
         self.held.swap_remove(place);
         self.update();
     }
@@ -111,7 +115,9 @@
 
 impl Receiver {
     fn compare(&self, other: &Receiver) -> Ordering {
-        self.room.cmp(&other.room).then(self.score.total_cmp(&other.score))
+        self.room
+            .cmp(&other.room)
+            .then(self.score.total_cmp(&other.score))
     }
 }
 
@@ -157,13 +163,29 @@
         current: Vec<Holders>,
         replicas: usize,
     ) -> RegionPlan {
-        let zones = candidates.iter().map(|candidate| candidate.zone + 1).max().unwrap_or(0);
-        let mut plan =
-            RegionPlan { first_bucket, candidates, zones, kept: Vec::new(), holders: Vec::new(), replicas };
-        plan.kept = current.into_iter().map(|holders| plan.in_different_zones(holders)).collect();
+        let zones = candidates
+            .iter()
+            .map(|candidate| candidate.zone + 1)
+            .max()
+            .unwrap_or(0);
+        let mut plan = RegionPlan {
+            first_bucket,
+            candidates,
+            zones,
+            kept: Vec::new(),
+            holders: Vec::new(),
+            replicas,
+        };
+        plan.kept = current
+            .into_iter()
+            .map(|holders| plan.in_different_zones(holders))
+            .collect();
         plan.holders = plan.kept.clone();
         for (bucket, holders) in plan.kept.iter().enumerate() {
-            holders.iter().flatten().for_each(|holder| plan.candidates[*holder].add(bucket));
+            holders
+                .iter()
+                .flatten()
+                .for_each(|holder| plan.candidates[*holder].add(bucket));
         }
         for candidate in &mut plan.candidates {
             candidate.set_deficient(candidate.share.is_deficient(candidate.load()));
@@ -175,7 +197,11 @@
     /// every one above a bound must go somewhere, and every replica that a member lacks must come; one move may do both,
     /// but not where a replica without a holder goes to the zone of its bucket's other replica.
     pub fn least_possible(&self) -> usize {
-        let mut must_go: usize = self.candidates.iter().map(|candidate| candidate.over_bound).sum();
+        let mut must_go: usize = self
+            .candidates
+            .iter()
+            .map(|candidate| candidate.over_bound)
+            .sum();
         let mut must_go_elsewhere = vec![0; self.zones];
         for holders in &self.holders {
             let present: Vec<usize> = holders.iter().flatten().copied().collect();
@@ -185,11 +211,21 @@
             }
         }
         let mut lacking = vec![0; self.zones];
-        for candidate in self.candidates.iter().filter(|candidate| candidate.deficient) {
+        for candidate in self
+            .candidates
+            .iter()
+            .filter(|candidate| candidate.deficient)
+        {
             lacking[candidate.zone] += candidate.share.floor - candidate.load();
         }
-        let of_one_zone = must_go_elsewhere.iter().zip(&lacking).map(|(go, come)| go + come).max();
-        must_go.max(lacking.iter().sum()).max(of_one_zone.unwrap_or(0))
+        let of_one_zone = must_go_elsewhere
+            .iter()
+            .zip(&lacking)
+            .map(|(go, come)| go + come)
+            .max();
+        must_go
+            .max(lacking.iter().sum())
+            .max(of_one_zone.unwrap_or(0))
     }
 
     /// Places every replica.
@@ -208,7 +244,11 @@
     /// How many replicas are held by another member than before.
     pub fn moved_replicas(&self) -> usize {
         let moved = |(kept, holders): (&Holders, &Holders)| {
-            holders.iter().flatten().filter(|holder| !kept.contains(&Some(**holder))).count()
+            holders
+                .iter()
+                .flatten()
+                .filter(|holder| !kept.contains(&Some(**holder)))
+                .count()
         };
         self.kept.iter().zip(&self.holders).map(moved).sum()
     }
@@ -236,8 +276,13 @@
 
     fn place(&mut self, replica: Replica, receivers: &[Option<Receiver>]) {
         let other_zone = self.other_zone(replica);
-        let elsewhere = receivers.iter().enumerate().filter(|(zone, _)| Some(*zone) != other_zone);
-        let best = elsewhere.filter_map(|(_, receiver)| *receiver).min_by(Receiver::compare);
+        let elsewhere = receivers
+            .iter()
+            .enumerate()
+            .filter(|(zone, _)| Some(*zone) != other_zone);
+        let best = elsewhere
+            .filter_map(|(_, receiver)| *receiver)
+            .min_by(Receiver::compare);
         let number = match best {
             Some(receiver) => Some(receiver.number),
             None => other_zone.and_then(|zone| self.make_room_outside(zone)),
@@ -250,18 +295,28 @@
     /// For each zone the candidate that has the most room, and among such ones the best score.
     fn best_receivers(&self, bucket: usize) -> Vec<Option<Receiver>> {
         let mut best: Vec<Option<Receiver>> = vec![None; self.zones];
-        let held_in =
-            |zone| self.holders[bucket].iter().flatten().any(|holder| self.candidates[*holder].zone == zone);
+        let held_in = |zone| {
+            self.holders[bucket]
+                .iter()
+                .flatten()
+                .any(|holder| self.candidates[*holder].zone == zone)
+        };
         let occupied: Vec<bool> = (0..self.zones).map(held_in).collect();
         for (number, candidate) in self.candidates.iter().enumerate() {
-            let (Some(room), false) = (candidate.room, occupied[candidate.zone]) else { continue };
+            let (Some(room), false) = (candidate.room, occupied[candidate.zone]) else {
+                continue;
+            };
             let best = &mut best[candidate.zone];
             if best.is_some_and(|best| best.room < room) {
                 continue;
             }
             let score = self.score(bucket, number);
             if best.is_none_or(|best| room < best.room || score.is_below(best.score)) {
-                *best = Some(Receiver { room, score: score.value(), number });
+                *best = Some(Receiver {
+                    room,
+                    score: score.value(),
+                    number,
+                });
             }
         }
         best
@@ -282,7 +337,8 @@
 
     fn fill_deficient(&mut self) {
         while let Some(receiver) = self.most_deficient() {
-            let filled = self.take_from_any(receiver, Takes::Any) || self.take_through_another_zone(receiver);
+            let filled = self.take_from_any(receiver, Takes::Any)
+                || self.take_through_another_zone(receiver);
             if !filled {
                 self.candidates[receiver].set_deficient(false);
             }
@@ -291,7 +347,9 @@
 
     fn most_deficient(&self) -> Option<usize> {
         let lacks = |number: &usize| self.candidates[*number].room == Some(Room::FarBelowShare);
-        (0..self.candidates.len()).filter(lacks).min_by(|a, b| self.compare_excess(*a, *b))
+        (0..self.candidates.len())
+            .filter(lacks)
+            .min_by(|a, b| self.compare_excess(*a, *b))
     }
 
     /// Takes one replica from the member furthest above its share that has one for the receiver.
@@ -306,7 +364,9 @@
             return true;
         }
         donors[1..].sort_unstable_by(|a, b| self.compare_surplus(*a, *b));
-        donors[1..].iter().any(|donor| self.take_from(*donor, receiver, takes))
+        donors[1..]
+            .iter()
+            .any(|donor| self.take_from(*donor, receiver, takes))
     }
 
     fn take_from(&mut self, donor: usize, receiver: usize, takes: Takes) -> bool {
@@ -319,7 +379,10 @@
 
     /// Takes one replica from the member furthest above its share by way of a member of a third zone.
     fn take_through_another_zone(&mut self, receiver: usize) -> bool {
-        let donor = self.donors().into_iter().min_by(|a, b| self.compare_surplus(*a, *b));
+        let donor = self
+            .donors()
+            .into_iter()
+            .min_by(|a, b| self.compare_surplus(*a, *b));
         donor.is_some_and(|donor| self.give_through_another_zone(donor, receiver))
     }
 
@@ -343,17 +406,23 @@
 
     /// Gives one replica to the member furthest below its share that can take it.
     fn give_to_any(&mut self, donor: usize) -> bool {
-        let mut receivers: Vec<usize> =
-            (0..self.candidates.len()).filter(|number| self.candidates[*number].room.is_some()).collect();
+        let mut receivers: Vec<usize> = (0..self.candidates.len())
+            .filter(|number| self.candidates[*number].room.is_some())
+            .collect();
         receivers.sort_by(|a, b| {
-            self.candidates[*a].room.cmp(&self.candidates[*b].room).then(self.compare_excess(*a, *b))
+            self.candidates[*a]
+                .room
+                .cmp(&self.candidates[*b].room)
+                .then(self.compare_excess(*a, *b))
         });
         for receiver in &receivers {
             if self.take_from(donor, *receiver, Takes::Any) {
                 return true;
             }
         }
-        receivers.first().is_some_and(|receiver| self.give_through_another_zone(donor, *receiver))
+        receivers
+            .first()
+            .is_some_and(|receiver| self.give_through_another_zone(donor, *receiver))
     }
 
     fn give_through_another_zone(&mut self, donor: usize, receiver: usize) -> bool {
@@ -367,8 +436,9 @@
             let candidate = &self.candidates[*number];
             candidate.zone == zone && candidate.room.is_some()
         };
-        let receiver =
-            (0..self.candidates.len()).filter(in_zone).min_by(|a, b| self.compare_excess(*a, *b))?;
+        let receiver = (0..self.candidates.len())
+            .filter(in_zone)
+            .min_by(|a, b| self.compare_excess(*a, *b))?;
         self.make_room_by(receiver)
     }
 
@@ -376,8 +446,12 @@
     /// it.
     fn make_room_by(&mut self, receiver: usize) -> Option<usize> {
         let zone = self.candidates[receiver].zone;
-        let outside =
-            |holders: &&Holders| holders.iter().flatten().all(|holder| self.candidates[*holder].zone != zone);
+        let outside = |holders: &&Holders| {
+            holders
+                .iter()
+                .flatten()
+                .all(|holder| self.candidates[*holder].zone != zone)
+        };
         let (bucket, holders) = self
             .holders
             .iter()
@@ -394,14 +468,20 @@
     fn replica_for(&self, donor: usize, receiver: usize, takes: Takes) -> Option<Replica> {
         let receiver_zone = Some(self.candidates[receiver].zone);
         let rank = |replica: &Replica| {
-            let other = Replica { slot: replica.other_slot(), ..*replica };
+            let other = Replica {
+                slot: replica.other_slot(),
+                ..*replica
+            };
             (
                 !self.has_moved(*replica),
                 self.has_moved(other),
                 self.score(replica.bucket, receiver).order_for_one_member(),
             )
         };
-        let replicas = self.candidates[donor].held.iter().map(|bucket| self.replica_of(*bucket, donor));
+        let replicas = self.candidates[donor]
+            .held
+            .iter()
+            .map(|bucket| self.replica_of(*bucket, donor));
         replicas
             .filter(|replica| self.other_zone(*replica) != receiver_zone)
             .filter(|replica| takes == Takes::Any || self.has_moved(*replica))
@@ -436,7 +516,9 @@
 
     fn in_different_zones(&self, holders: Holders) -> Holders {
         match holders {
-            [Some(first), Some(second)] if self.candidates[first].zone == self.candidates[second].zone => {
+            [Some(first), Some(second)]
+                if self.candidates[first].zone == self.candidates[second].zone =>
+            {
                 [Some(first), None]
             }
             _ => holders,
@@ -446,16 +528,25 @@
     fn score(&self, bucket: usize, number: usize) -> RendezvousScore {
         let candidate = &self.candidates[number];
         let offset = u32::try_from(bucket).expect("buckets are numbered by 32 bits");
-        RendezvousScore::new(BucketId(self.first_bucket.0 + offset), candidate.name_hash, candidate.weight)
+        RendezvousScore::new(
+            BucketId(self.first_bucket.0 + offset),
+            candidate.name_hash,
+            candidate.weight,
+        )
     }
 
     fn compare_excess(&self, a: usize, b: usize) -> Ordering {
-        self.candidates[a].excess.total_cmp(&self.candidates[b].excess)
+        self.candidates[a]
+            .excess
+            .total_cmp(&self.candidates[b].excess)
     }
 
     /// Orders members by how far they are above their bound, then above their share, the furthest first.
     fn compare_surplus(&self, a: usize, b: usize) -> Ordering {
         let over_bound = |number: usize| self.candidates[number].over_bound;
-        over_bound(b).cmp(&over_bound(a)).then(self.compare_excess(b, a)).then(a.cmp(&b))
+        over_bound(b)
+            .cmp(&over_bound(a))
+            .then(self.compare_excess(b, a))
+            .then(a.cmp(&b))
     }
 }
--- a/placement/src/share.rs
+++ b/placement/src/share.rs
@@ -59,23 +59,30 @@
         zone_weights[member.zone] += member.weight;
     }
     let scales = zone_scales(&zone_weights, f64::from(buckets), replicas);
-    members.iter().map(|member| Share::new(member.weight * scales[member.zone])).collect()
+    members
+        .iter()
+        .map(|member| Share::new(member.weight * scales[member.zone]))
+        .collect()
 }
 
 /// Replicas for each unit of weight, by zone: the same in all zones but those that would hold a bucket twice.
 fn zone_scales(zone_weights: &[f64], buckets: f64, replicas: usize) -> Vec<f64> {
     let mut scales = vec![0.0; zone_weights.len()];
-    let mut open: Vec<usize> = (0..zone_weights.len()).filter(|zone| zone_weights[*zone] > 0.0).collect();
+    let mut open: Vec<usize> = (0..zone_weights.len())
+        .filter(|zone| zone_weights[*zone] > 0.0)
+        .collect();
     let mut remaining = buckets * replicas as f64;
     while !open.is_empty() {
         let scale = remaining / open.iter().map(|zone| zone_weights[*zone]).sum::<f64>();
-        let (full, rest): (Vec<usize>, Vec<usize>) =
-            open.into_iter().partition(|zone| zone_weights[*zone] * scale > buckets);
+        let (full, rest): (Vec<usize>, Vec<usize>) = open
+            .into_iter()
+            .partition(|zone| zone_weights[*zone] * scale > buckets);
         if full.is_empty() {
             rest.iter().for_each(|zone| scales[*zone] = scale);
             break;
         }
-        full.iter().for_each(|zone| scales[*zone] = buckets / zone_weights[*zone]);
+        full.iter()
+            .for_each(|zone| scales[*zone] = buckets / zone_weights[*zone]);
         remaining -= buckets * full.len() as f64;
         open = rest;
     }
--- a/placement/src/table.rs
+++ b/placement/src/table.rs
@@ -34,7 +34,9 @@
         "the table has the holders of {found} buckets, its layout {expected}: it is damaged, take an earlier one"
     )]
     BucketCount { expected: u32, found: usize },
-    #[error("the table gives bucket {bucket:?} to a member it does not list, or twice to one: it is damaged")]
+    #[error(
+        "the table gives bucket {bucket:?} to a member it does not list, or twice to one: it is damaged"
+    )]
     InvalidHolder { bucket: BucketId },
 }
 
@@ -44,7 +46,10 @@
         let members: Vec<MemberName> = self.members().cloned().collect();
         let places: BTreeMap<&MemberName, u32> = members.iter().zip(0..).collect();
         let place = |holder: Option<&MemberName>| holder.map(|member| places[member]);
-        let holders = self.buckets().map(|bucket| self.holders(bucket).map(place)).collect();
+        let holders = self
+            .buckets()
+            .map(|bucket| self.holders(bucket).map(place))
+            .collect();
         AssignmentTable {
             hash_version: HASH_VERSION,
             epoch: self.epoch(),
@@ -55,27 +60,41 @@
     }
 
     /// The assignment of a table whose members are all declared, present or not.
-    pub fn from_table(table: &AssignmentTable, declared: &[Member]) -> Result<Assignment, TableError> {
+    pub fn from_table(
+        table: &AssignmentTable,
+        declared: &[Member],
+    ) -> Result<Assignment, TableError> {
         check_table(table, declared)?;
         let mut holders = Vec::with_capacity(table.holders.len());
         for (bucket, places) in (0..).map(BucketId).zip(&table.holders) {
             holders.push(holders_of_places(bucket, *places, &table.members)?);
         }
-        Ok(Assignment::from_holders(table.layout.clone(), table.epoch, holders))
+        Ok(Assignment::from_holders(
+            table.layout.clone(),
+            table.epoch,
+            holders,
+        ))
     }
 }
 
 fn check_table(table: &AssignmentTable, declared: &[Member]) -> Result<(), TableError> {
     if table.hash_version != HASH_VERSION {
-        return Err(TableError::HashVersion { found: table.hash_version });
+        return Err(TableError::HashVersion {
+            found: table.hash_version,
+        });
     }
     let expected = table.layout.buckets();
     if table.holders.len() != expected as usize {
-        return Err(TableError::BucketCount { expected, found: table.holders.len() });
+        return Err(TableError::BucketCount {
+            expected,
+            found: table.holders.len(),
+        });
     }
     let known: HashSet<&MemberName> = declared.iter().map(|member| &member.name).collect();
     match table.members.iter().find(|member| !known.contains(member)) {
-        Some(member) => Err(TableError::UnknownMember { member: member.clone() }),
+        Some(member) => Err(TableError::UnknownMember {
+            member: member.clone(),
+        }),
         None => Ok(()),
     }
 }
--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -17,14 +17,23 @@
 }
 
 pub fn layout(zones_by_region: &[usize], buckets_per_region: u32) -> Layout {
-    let zones = zones_by_region.iter().enumerate().flat_map(|(region, zones)| {
-        (0..*zones).map(move |number| (zone(region, number), RegionName(format!("region-{region}"))))
-    });
+    let zones = zones_by_region
+        .iter()
+        .enumerate()
+        .flat_map(|(region, zones)| {
+            (0..*zones)
+                .map(move |number| (zone(region, number), RegionName(format!("region-{region}"))))
+        });
     Layout::new(zones, buckets_per_region).unwrap()
 }
 
 pub fn member(number: usize, zone: ZoneName) -> Member {
-    Member { name: MemberName(format!("dispatcher-{number:04}")), zone, weight: 1.0, present: true }
+    Member {
+        name: MemberName(format!("dispatcher-{number:04}")),
+        zone,
+        weight: 1.0,
+        present: true,
+    }
 }
 
 /// The fleet of full size, its dispatchers spread over all zones.
@@ -34,8 +43,9 @@
         .enumerate()
         .flat_map(|(region, zones)| (0..*zones).map(move |number| zone(region, number)))
         .collect();
-    let members =
-        (0..FULL_MEMBERS).map(|number| member(number, zones[number % zones.len()].clone())).collect();
+    let members = (0..FULL_MEMBERS)
+        .map(|number| member(number, zones[number % zones.len()].clone()))
+        .collect();
     (layout(&FULL_ZONES, DEFAULT_BUCKETS_PER_REGION), members)
 }
 
@@ -44,8 +54,15 @@
     let change = assignment.plan(members).unwrap();
     let before = assignment.clone();
     assignment.apply(&change).unwrap();
-    assert_eq!(change.moved_replicas, new_holders(&before, assignment), "moved replicas are counted");
-    assert!(change.moved_replicas >= change.least_possible, "a lower bound: {change:?}");
+    assert_eq!(
+        change.moved_replicas,
+        new_holders(&before, assignment),
+        "moved replicas are counted"
+    );
+    assert!(
+        change.moved_replicas >= change.least_possible,
+        "a lower bound: {change:?}"
+    );
     check(assignment, members);
     change
 }
@@ -54,7 +71,12 @@
 pub fn new_holders(before: &Assignment, after: &Assignment) -> usize {
     let new = |bucket| {
         let held = before.holders(bucket);
-        after.holders(bucket).into_iter().flatten().filter(|holder| !held.contains(&Some(*holder))).count()
+        after
+            .holders(bucket)
+            .into_iter()
+            .flatten()
+            .filter(|holder| !held.contains(&Some(*holder)))
+            .count()
     };
     after.buckets().map(new).sum()
 }
@@ -62,53 +84,96 @@
 /// How many replicas those members hold that are not present.
 pub fn held_by_absent(assignment: &Assignment, members: &[Member]) -> usize {
     let absent = members.iter().filter(|member| !member.present);
-    absent.map(|member| assignment.buckets_of(&member.name).len()).sum()
+    absent
+        .map(|member| assignment.buckets_of(&member.name).len())
+        .sum()
 }
 
 /// Every bucket has as many holders as the region has zones with members, two at most; holders are present, of the
 /// bucket's region, in different zones, and within their bound.
 pub fn check(assignment: &Assignment, members: &[Member]) {
     let layout = assignment.layout();
-    let by_name: BTreeMap<&MemberName, &Member> =
-        members.iter().map(|member| (&member.name, member)).collect();
+    let by_name: BTreeMap<&MemberName, &Member> = members
+        .iter()
+        .map(|member| (&member.name, member))
+        .collect();
     let mut weights: BTreeMap<(u32, &ZoneName), f64> = BTreeMap::new();
-    for member in members.iter().filter(|member| member.present && member.weight > 0.0) {
-        *weights.entry((layout.region_of(&member.zone).unwrap().0, &member.zone)).or_default() +=
-            member.weight;
+    for member in members
+        .iter()
+        .filter(|member| member.present && member.weight > 0.0)
+    {
+        *weights
+            .entry((layout.region_of(&member.zone).unwrap().0, &member.zone))
+            .or_default() += member.weight;
     }
     for bucket in assignment.buckets() {
         let region = layout.region_of_bucket(bucket).unwrap();
-        let holders: Vec<&Member> =
-            assignment.holders(bucket).into_iter().flatten().map(|holder| by_name[holder]).collect();
-        let zones = weights.keys().filter(|(number, _)| *number == region.0).count();
+        let holders: Vec<&Member> = assignment
+            .holders(bucket)
+            .into_iter()
+            .flatten()
+            .map(|holder| by_name[holder])
+            .collect();
+        let zones = weights
+            .keys()
+            .filter(|(number, _)| *number == region.0)
+            .count();
         assert_eq!(holders.len(), zones.min(REPLICAS), "holders of {bucket:?}");
         for holder in &holders {
-            assert!(holder.present && holder.weight > 0.0, "{holder:?} holds {bucket:?}");
+            assert!(
+                holder.present && holder.weight > 0.0,
+                "{holder:?} holds {bucket:?}"
+            );
             assert_eq!(layout.region_of(&holder.zone), Some(region));
             assert!(
-                assignment.buckets_of(&holder.name).binary_search(&bucket).is_ok(),
+                assignment
+                    .buckets_of(&holder.name)
+                    .binary_search(&bucket)
+                    .is_ok(),
                 "index of {holder:?}"
             );
         }
-        assert!(holders.len() < REPLICAS || holders[0].zone != holders[1].zone, "zones of {bucket:?}");
+        assert!(
+            holders.len() < REPLICAS || holders[0].zone != holders[1].zone,
+            "zones of {bucket:?}"
+        );
     }
-    let indexed: usize = members.iter().map(|member| assignment.buckets_of(&member.name).len()).sum();
+    let indexed: usize = members
+        .iter()
+        .map(|member| assignment.buckets_of(&member.name).len())
+        .sum();
     let held = |bucket| assignment.holders(bucket).into_iter().flatten().count();
-    assert_eq!(indexed, assignment.buckets().map(held).sum::<usize>(), "the index has nothing else");
+    assert_eq!(
+        indexed,
+        assignment.buckets().map(held).sum::<usize>(),
+        "the index has nothing else"
+    );
     check_bounds(assignment, members, &weights);
 }
 
-fn check_bounds(assignment: &Assignment, members: &[Member], weights: &BTreeMap<(u32, &ZoneName), f64>) {
+fn check_bounds(
+    assignment: &Assignment,
+    members: &[Member],
+    weights: &BTreeMap<(u32, &ZoneName), f64>,
+) {
     let layout = assignment.layout();
     for member in members.iter().filter(|member| member.present) {
         let region = layout.region_of(&member.zone).unwrap().0;
-        let zones: Vec<f64> =
-            weights.iter().filter(|((number, _), _)| *number == region).map(|(_, weight)| *weight).collect();
-        let Some(zone_weight) = weights.get(&(region, &member.zone)) else { continue };
+        let zones: Vec<f64> = weights
+            .iter()
+            .filter(|((number, _), _)| *number == region)
+            .map(|(_, weight)| *weight)
+            .collect();
+        let Some(zone_weight) = weights.get(&(region, &member.zone)) else {
+            continue;
+        };
         let zone_share = zone_share(*zone_weight, &zones, f64::from(layout.buckets_per_region()));
         let bound = (zone_share * member.weight / zone_weight * 1.1 - 1e-6).ceil();
         let load = assignment.buckets_of(&member.name).len() as f64;
-        assert!(load <= bound, "{member:?} holds {load}, its bound is {bound}");
+        assert!(
+            load <= bound,
+            "{member:?} holds {load}, its bound is {bound}"
+        );
     }
 }
 
@@ -116,11 +181,23 @@
 /// replica of every bucket, have two of each.
 fn zone_share(weight: f64, zones: &[f64], buckets: f64) -> f64 {
     let total = buckets * zones.len().min(REPLICAS) as f64;
-    let placed = |scale: f64| zones.iter().map(|zone| (zone * scale).min(buckets)).sum::<f64>();
-    let (mut low, mut high) = (0.0, total / zones.iter().copied().fold(f64::INFINITY, f64::min));
+    let placed = |scale: f64| {
+        zones
+            .iter()
+            .map(|zone| (zone * scale).min(buckets))
+            .sum::<f64>()
+    };
+    let (mut low, mut high) = (
+        0.0,
+        total / zones.iter().copied().fold(f64::INFINITY, f64::min),
+    );
     for _ in 0..200 {
         let middle = (low + high) / 2.0;
-        if placed(middle) < total { low = middle } else { high = middle }
+        if placed(middle) < total {
+            low = middle
+        } else {
+            high = middle
+        }
     }
     (weight * high).min(buckets)
 }
--- a/placement/tests/fleet.rs
+++ b/placement/tests/fleet.rs
@@ -26,10 +26,20 @@
     least: usize,
 ) -> AssignmentChange {
     let change = step(assignment, members);
-    println!("{what}: moved {}, least {least}, bound {}", change.moved_replicas, change.least_possible);
-    assert!(change.least_possible >= least, "{what}: the plan's own bound knows of the cause");
+    println!(
+        "{what}: moved {}, least {least}, bound {}",
+        change.moved_replicas, change.least_possible
+    );
+    assert!(
+        change.least_possible >= least,
+        "{what}: the plan's own bound knows of the cause"
+    );
     let most = least as f64 * MOST_AGAINST_LEAST;
-    assert!(change.moved_replicas as f64 <= most, "{what}: moved {}, least {least}", change.moved_replicas);
+    assert!(
+        change.moved_replicas as f64 <= most,
+        "{what}: moved {}, least {least}",
+        change.moved_replicas
+    );
     change
 }
 
@@ -52,30 +62,46 @@
             .map(|member| member.weight)
             .sum()
     };
-    let share =
-        |member: &Member| f64::from(2 * layout.buckets_per_region()) * member.weight / weight(region(member));
-    let empty =
-        members.iter().filter(|member| member.present && assignment.buckets_of(&member.name).is_empty());
+    let share = |member: &Member| {
+        f64::from(2 * layout.buckets_per_region()) * member.weight / weight(region(member))
+    };
+    let empty = members
+        .iter()
+        .filter(|member| member.present && assignment.buckets_of(&member.name).is_empty());
     empty.map(|member| share(member).floor() as usize).sum()
 }
 
 fn assert_each_bucket_has_a_live_holder(assignment: &Assignment, members: &[Member]) {
-    let live: BTreeSet<&MemberName> =
-        members.iter().filter(|member| member.present).map(|member| &member.name).collect();
+    let live: BTreeSet<&MemberName> = members
+        .iter()
+        .filter(|member| member.present)
+        .map(|member| &member.name)
+        .collect();
     for bucket in assignment.buckets() {
         let holders = assignment.holders(bucket);
-        assert!(holders.into_iter().flatten().any(|holder| live.contains(holder)), "{bucket:?}: {holders:?}");
+        assert!(
+            holders
+                .into_iter()
+                .flatten()
+                .any(|holder| live.contains(holder)),
+            "{bucket:?}: {holders:?}"
+        );
     }
 }
 
 #[test]
 fn the_first_plan_is_even() {
     let (assignment, members) = placed();
-    let loads: BTreeSet<usize> =
-        members.iter().map(|member| assignment.buckets_of(&member.name).len()).collect();
+    let loads: BTreeSet<usize> = members
+        .iter()
+        .map(|member| assignment.buckets_of(&member.name).len())
+        .collect();
     println!("loads {loads:?}");
     // 4,096 replicas on 258 to 346 members of a region.
-    assert!(loads.first() >= Some(&11) && loads.last() <= Some(&16), "{loads:?}");
+    assert!(
+        loads.first() >= Some(&11) && loads.last() <= Some(&16),
+        "{loads:?}"
+    );
 }
 
 #[test]
@@ -114,7 +140,10 @@
     set_present(&mut members, false, |number, _| number % 10 == 3);
     let least = held_by_absent(&assignment, &members);
     let change = step_within("a tenth absent", &mut assignment, &members, least);
-    assert_eq!(change.moved_replicas, least, "what has moved is spread before anything else moves");
+    assert_eq!(
+        change.moved_replicas, least,
+        "what has moved is spread before anything else moves"
+    );
     set_present(&mut members, true, |_, _| true);
     let least = fair_shares_of_empty(&assignment, &members);
     step_within("a tenth back", &mut assignment, &members, least);
@@ -131,7 +160,10 @@
 /// The processor time that this thread has taken.
 fn processor_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
-    Duration::new(u64::try_from(time.tv_sec).unwrap(), u32::try_from(time.tv_nsec).unwrap())
+    Duration::new(
+        u64::try_from(time.tv_sec).unwrap(),
+        u32::try_from(time.tv_nsec).unwrap(),
+    )
 }
 
 #[test]
@@ -147,7 +179,9 @@
     };
     let first = plan_time(&empty, &members);
     let unchanged = plan_time(&assignment, &members);
-    set_present(&mut members, false, |_, member| member.zone.as_str().ends_with("zone-0"));
+    set_present(&mut members, false, |_, member| {
+        member.zone.as_str().ends_with("zone-0")
+    });
     let zones_lost = plan_time(&assignment, &members);
     let mut without_zones = assignment;
     step(&mut without_zones, &members);
@@ -156,7 +190,11 @@
     println!(
         "first {first:?}, unchanged {unchanged:?}, a zone of each region lost {zones_lost:?}, back {zones_back:?}"
     );
-    assert!([first, unchanged, zones_lost, zones_back].into_iter().all(|time| time < BUDGET));
+    assert!(
+        [first, unchanged, zones_lost, zones_back]
+            .into_iter()
+            .all(|time| time < BUDGET)
+    );
 }
 
 #[test]
@@ -167,7 +205,10 @@
     set_present(&mut members, true, |_, _| true);
     let change = step(&mut assignment, &members);
     let buckets = change.moved.len();
-    assert_eq!(buckets, change.moved_replicas, "a holder stays while the other is filled");
+    assert_eq!(
+        buckets, change.moved_replicas,
+        "a holder stays while the other is filled"
+    );
 }
 
 #[test]
@@ -186,14 +227,21 @@
     let (mut assignment, mut members) = placed();
     let layout = assignment.layout().clone();
     let region_size = |members: &[Member], of: &Member| {
-        members.iter().filter(|m| layout.region_of(&m.zone) == layout.region_of(&of.zone)).count()
+        members
+            .iter()
+            .filter(|m| layout.region_of(&m.zone) == layout.region_of(&of.zone))
+            .count()
     };
     for (number, weight) in [(5, 2.0), (500, 0.5), (1000, 4.0)] {
         let others = (region_size(&members, &members[number]) - 1) as f64;
         members[number].weight = weight;
         let held = assignment.buckets_of(&members[number].name).len() as f64;
         let share = f64::from(2 * layout.buckets_per_region()) * weight / (others + weight);
-        let least = if weight > 1.0 { share.floor() - held } else { held - (share * 1.1).ceil() };
+        let least = if weight > 1.0 {
+            share.floor() - held
+        } else {
+            held - (share * 1.1).ceil()
+        };
         step_within("weight", &mut assignment, &members, least as usize);
     }
 }
@@ -204,7 +252,9 @@
     let (mut assignment, mut members) = placed();
     let mut random = 42_u64;
     let mut next = |below: usize| {
-        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        random = random
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (random >> 33) as usize % below
     };
     let (mut moved, mut least) = (0, 0);
@@ -234,7 +284,9 @@
 fn what_a_lost_zone_writes() {
     let (mut assignment, mut members) = placed();
     set_present(&mut members, false, |_, member| member.zone == zone(0, 0));
-    let change = serde_json::to_string(&step(&mut assignment, &members)).unwrap().len();
+    let change = serde_json::to_string(&step(&mut assignment, &members))
+        .unwrap()
+        .len();
     let table = serde_json::to_string(&assignment.to_table()).unwrap().len();
     println!("a change {change} bytes, a table {table} bytes");
     assert!(change < 150_000 && table < 300_000, "{change} {table}");
--- a/placement/tests/plain.rs
+++ b/placement/tests/plain.rs
@@ -9,7 +9,9 @@
 
 /// One region of three zones with four members each.
 fn small() -> (Assignment, Vec<Member>) {
-    let members = (0..12).map(|number| member(number, zone(0, number % 3))).collect();
+    let members = (0..12)
+        .map(|number| member(number, zone(0, number % 3)))
+        .collect();
     (Assignment::empty(layout(&[3], BUCKETS)), members)
 }
 
@@ -17,9 +19,14 @@
 fn a_destination_stays_in_its_bucket() {
     // Fixed by HASH_VERSION 1: another result needs another version.
     let layout = layout(&[3, 3], DEFAULT_BUCKETS_PER_REGION);
-    let buckets = [0, 1, 729_999, u64::MAX].map(|destination| layout.bucket_of(RegionId(1), destination).0);
+    let buckets =
+        [0, 1, 729_999, u64::MAX].map(|destination| layout.bucket_of(RegionId(1), destination).0);
     assert_eq!((HASH_VERSION, buckets), (1, [3643, 2429, 3891, 2696]));
-    assert!(buckets.into_iter().all(|bucket| layout.region_of_bucket(BucketId(bucket)) == Some(RegionId(1))));
+    assert!(
+        buckets
+            .into_iter()
+            .all(|bucket| layout.region_of_bucket(BucketId(bucket)) == Some(RegionId(1)))
+    );
     assert_eq!(layout.region_of_bucket(BucketId(layout.buckets())), None);
 }
 
@@ -30,12 +37,16 @@
     for destination in 0..100 * u64::from(layout.buckets()) {
         counts[layout.bucket_of(RegionId(0), destination).0 as usize] += 1;
     }
-    assert!(counts.iter().all(|count| (50..=150).contains(count)), "five deviations of 100");
+    assert!(
+        counts.iter().all(|count| (50..=150).contains(count)),
+        "five deviations of 100"
+    );
 }
 
 #[test]
 fn a_layout_is_the_same_in_any_order_of_its_zones() {
-    let zones = [("b1", "b"), ("a1", "a"), ("a2", "a")].map(|(zone, region)| (zone.into(), region.into()));
+    let zones =
+        [("b1", "b"), ("a1", "a"), ("a2", "a")].map(|(zone, region)| (zone.into(), region.into()));
     let forwards = Layout::new(zones.clone(), 8).unwrap();
     let backwards = Layout::new(zones.into_iter().rev(), 8).unwrap();
     assert_eq!(forwards, backwards);
@@ -48,18 +59,34 @@
 #[test]
 fn a_layout_that_cannot_be_used_is_refused() {
     let zones = |zones: &[(&str, &str)]| -> Vec<(ZoneName, RegionName)> {
-        zones.iter().map(|(zone, region)| ((*zone).into(), (*region).into())).collect()
+        zones
+            .iter()
+            .map(|(zone, region)| ((*zone).into(), (*region).into()))
+            .collect()
     };
     assert_eq!(Layout::new(zones(&[]), 8), Err(LayoutError::NoZones));
-    assert_eq!(Layout::new(zones(&[("z", "r")]), 0), Err(LayoutError::NoBuckets));
+    assert_eq!(
+        Layout::new(zones(&[("z", "r")]), 0),
+        Err(LayoutError::NoBuckets)
+    );
     let twice = Layout::new(zones(&[("z", "r"), ("z", "s")]), 8);
     let [zone, first, second] = ["z", "r", "s"];
     assert_eq!(
         twice,
-        Err(LayoutError::ZoneInTwoRegions { zone: zone.into(), first: first.into(), second: second.into() })
+        Err(LayoutError::ZoneInTwoRegions {
+            zone: zone.into(),
+            first: first.into(),
+            second: second.into()
+        })
     );
     let many = Layout::new(zones(&[("z", "r"), ("y", "s")]), u32::MAX);
-    assert_eq!(many, Err(LayoutError::TooManyBuckets { regions: 2, buckets_per_region: u32::MAX }));
+    assert_eq!(
+        many,
+        Err(LayoutError::TooManyBuckets {
+            regions: 2,
+            buckets_per_region: u32::MAX
+        })
+    );
     assert!(serde_json::from_str::<Layout>(r#"{"buckets_per_region":0,"zones":[]}"#).is_err());
 }
 
@@ -69,10 +96,19 @@
     let first = assignment.plan(&members).unwrap();
     assert_eq!(first.epoch, Epoch(1));
     for wrong in [0, 2, 3] {
-        let change = AssignmentChange { epoch: Epoch(wrong), ..first.clone() };
+        let change = AssignmentChange {
+            epoch: Epoch(wrong),
+            ..first.clone()
+        };
         let refused = assignment.apply(&change);
         let expected = Epoch(1);
-        assert_eq!(refused, Err(PlacementError::EpochOutOfOrder { expected, found: Epoch(wrong) }));
+        assert_eq!(
+            refused,
+            Err(PlacementError::EpochOutOfOrder {
+                expected,
+                found: Epoch(wrong)
+            })
+        );
     }
     assert_eq!(assignment, Assignment::empty(layout(&[3], BUCKETS)));
     assignment.apply(&first).unwrap();
@@ -86,12 +122,18 @@
     let whole = assignment.plan(&members).unwrap();
     let mut outside = whole.clone();
     outside.moved.last_mut().unwrap().bucket = BucketId(BUCKETS);
-    let refused = PlacementError::UnknownBucket { bucket: BucketId(BUCKETS), buckets: BUCKETS };
+    let refused = PlacementError::UnknownBucket {
+        bucket: BucketId(BUCKETS),
+        buckets: BUCKETS,
+    };
     assert_eq!(assignment.apply(&outside), Err(refused));
     let mut twice = whole;
     let last = twice.moved.last_mut().unwrap();
     last.holders[1] = last.holders[0].clone();
-    assert!(matches!(assignment.apply(&twice), Err(PlacementError::SameHolderTwice { .. })));
+    assert!(matches!(
+        assignment.apply(&twice),
+        Err(PlacementError::SameHolderTwice { .. })
+    ));
     assert_eq!(assignment.epoch(), Epoch(0));
     assert_eq!(assignment.members().count(), 0);
 }
@@ -104,7 +146,9 @@
         members[lost].present = false;
         let change = step(&mut writer, &members);
         let written = serde_json::to_string(&change).unwrap();
-        follower.apply(&serde_json::from_str(&written).unwrap()).unwrap();
+        follower
+            .apply(&serde_json::from_str(&written).unwrap())
+            .unwrap();
         assert_eq!(follower, writer);
     }
 }
@@ -112,25 +156,52 @@
 #[test]
 fn members_that_cannot_be_used_are_refused() {
     let (assignment, members) = small();
-    let with = |wrong: Member| assignment.plan(&[&members[..], &[wrong]].concat()).unwrap_err();
+    let with = |wrong: Member| {
+        assignment
+            .plan(&[&members[..], &[wrong]].concat())
+            .unwrap_err()
+    };
     let elsewhere = with(member(12, zone(5, 0)));
     assert!(matches!(elsewhere, PlacementError::UnknownZone { .. }));
-    assert!(elsewhere.to_string().contains("declare the zone"), "{elsewhere}");
-    assert!(matches!(with(members[3].clone()), PlacementError::DuplicateMember { .. }));
+    assert!(
+        elsewhere.to_string().contains("declare the zone"),
+        "{elsewhere}"
+    );
+    assert!(matches!(
+        with(members[3].clone()),
+        PlacementError::DuplicateMember { .. }
+    ));
     for weight in [-1.0, f64::NAN, f64::INFINITY] {
-        let refused = with(Member { weight, ..member(12, zone(0, 0)) });
-        assert!(matches!(refused, PlacementError::InvalidWeight { .. }), "{refused}");
+        let refused = with(Member {
+            weight,
+            ..member(12, zone(0, 0))
+        });
+        assert!(
+            matches!(refused, PlacementError::InvalidWeight { .. }),
+            "{refused}"
+        );
     }
 }
 
 #[test]
 fn a_region_with_one_zone_has_one_replica_and_a_warning() {
     let (mut assignment, mut members) = small();
-    members.iter_mut().for_each(|member| member.present = member.zone == zone(0, 1));
+    members
+        .iter_mut()
+        .for_each(|member| member.present = member.zone == zone(0, 1));
     let change = step(&mut assignment, &members);
-    assert_eq!(change.warnings, [PlacementWarning::OneZone { region: "region-0".into() }]);
+    assert_eq!(
+        change.warnings,
+        [PlacementWarning::OneZone {
+            region: "region-0".into()
+        }]
+    );
     assert!(change.warnings[0].to_string().contains("region-0"));
-    assert!(change.warnings[0].to_string().contains("declare dispatchers in a second zone of it"));
+    assert!(
+        change.warnings[0]
+            .to_string()
+            .contains("declare dispatchers in a second zone of it")
+    );
     members.iter_mut().for_each(|member| member.present = true);
     assert!(step(&mut assignment, &members).warnings.is_empty());
 }
@@ -138,9 +209,16 @@
 #[test]
 fn a_region_without_members_has_no_holders_and_a_warning() {
     let mut assignment = Assignment::empty(layout(&[2, 2], BUCKETS));
-    let members: Vec<Member> = (0..4).map(|number| member(number, zone(1, number % 2))).collect();
+    let members: Vec<Member> = (0..4)
+        .map(|number| member(number, zone(1, number % 2)))
+        .collect();
     let change = step(&mut assignment, &members);
-    assert_eq!(change.warnings, [PlacementWarning::NoMembers { region: "region-0".into() }]);
+    assert_eq!(
+        change.warnings,
+        [PlacementWarning::NoMembers {
+            region: "region-0".into()
+        }]
+    );
     assert_eq!(assignment.holders(BucketId(0)), [None, None]);
 }
 
@@ -167,7 +245,14 @@
     step(&mut assignment, &members);
     let written = serde_json::to_string(&assignment.to_table()).unwrap();
     let read: AssignmentTable = serde_json::from_str(&written).unwrap();
-    let absent: Vec<Member> = members.iter().cloned().map(|m| Member { present: false, ..m }).collect();
+    let absent: Vec<Member> = members
+        .iter()
+        .cloned()
+        .map(|m| Member {
+            present: false,
+            ..m
+        })
+        .collect();
     assert_eq!(Assignment::from_table(&read, &absent), Ok(assignment));
 }
 
@@ -176,19 +261,42 @@
     let (mut assignment, members) = small();
     step(&mut assignment, &members);
     let table = assignment.to_table();
-    let refused =
-        |table: &AssignmentTable, members: &[Member]| Assignment::from_table(table, members).unwrap_err();
+    let refused = |table: &AssignmentTable, members: &[Member]| {
+        Assignment::from_table(table, members).unwrap_err()
+    };
     let unknown = refused(&table, &members[1..]);
-    assert_eq!(unknown, TableError::UnknownMember { member: members[0].name.clone() });
-    let other_hash = AssignmentTable { hash_version: 2, ..table.clone() };
-    assert_eq!(refused(&other_hash, &members), TableError::HashVersion { found: 2 });
+    assert_eq!(
+        unknown,
+        TableError::UnknownMember {
+            member: members[0].name.clone()
+        }
+    );
+    let other_hash = AssignmentTable {
+        hash_version: 2,
+        ..table.clone()
+    };
+    assert_eq!(
+        refused(&other_hash, &members),
+        TableError::HashVersion { found: 2 }
+    );
     let mut short = table.clone();
     short.holders.pop();
-    assert_eq!(refused(&short, &members), TableError::BucketCount { expected: BUCKETS, found: 63 });
+    assert_eq!(
+        refused(&short, &members),
+        TableError::BucketCount {
+            expected: BUCKETS,
+            found: 63
+        }
+    );
     for wrong in [[Some(12), None], [Some(1), Some(1)]] {
         let mut damaged = table.clone();
         damaged.holders[7] = wrong;
-        assert_eq!(refused(&damaged, &members), TableError::InvalidHolder { bucket: BucketId(7) });
+        assert_eq!(
+            refused(&damaged, &members),
+            TableError::InvalidHolder {
+                bucket: BucketId(7)
+            }
+        );
     }
 }
 
@@ -196,8 +304,13 @@
 fn a_zone_with_half_of_the_members_has_half_of_the_replicas() {
     let mut assignment = Assignment::empty(layout(&[3], 200));
     let zone_of = |number: usize| zone(0, [0, 1, 0, 2][number % 4]);
-    let members: Vec<Member> = (0..40).map(|number| member(number, zone_of(number))).collect();
+    let members: Vec<Member> = (0..40)
+        .map(|number| member(number, zone_of(number)))
+        .collect();
     step(&mut assignment, &members);
-    let loads: Vec<usize> = members.iter().map(|member| assignment.buckets_of(&member.name).len()).collect();
+    let loads: Vec<usize> = members
+        .iter()
+        .map(|member| assignment.buckets_of(&member.name).len())
+        .collect();
     assert_eq!(loads, [10; 40], "400 replicas on 40 members");
 }
--- a/placement/tests/random.rs
+++ b/placement/tests/random.rs
@@ -22,7 +22,10 @@
         weight: [1.0, 1.0, 0.5, 3.0, 0.01, 0.0][usize::from(weight % 6)],
         ..member(number, place(*weight))
     };
-    (layout(&zones, buckets), weights.iter().enumerate().map(weighted).collect())
+    (
+        layout(&zones, buckets),
+        weights.iter().enumerate().map(weighted).collect(),
+    )
 }
 
 fn change_member(members: &mut [Member], (which, what): Step) {
@@ -46,12 +49,19 @@
         change_member(&mut members, random);
         step(&mut assignment, &members);
         let again = assignment.plan(&members).unwrap();
-        assert!(again.is_empty() && again.moved_replicas == 0, "a second plan moves: {again:?}");
+        assert!(
+            again.is_empty() && again.moved_replicas == 0,
+            "a second plan moves: {again:?}"
+        );
     }
     TestResult::passed()
 }
 
-fn the_order_of_members_makes_no_difference(shape: (u8, u8), weights: Vec<u8>, steps: Vec<Step>) -> bool {
+fn the_order_of_members_makes_no_difference(
+    shape: (u8, u8),
+    weights: Vec<u8>,
+    steps: Vec<Step>,
+) -> bool {
     let (layout, mut members) = random_members(shape, &weights);
     let mut assignment = Assignment::empty(layout);
     steps.into_iter().all(|random| {
@@ -70,10 +80,14 @@
 
 #[test]
 fn rules() {
-    QuickCheck::new().tests(400).quickcheck(every_plan_keeps_the_rules as fn(_, _, _) -> _);
+    QuickCheck::new()
+        .tests(400)
+        .quickcheck(every_plan_keeps_the_rules as fn(_, _, _) -> _);
 }
 
 #[test]
 fn order() {
-    QuickCheck::new().tests(100).quickcheck(the_order_of_members_makes_no_difference as fn(_, _, _) -> _);
+    QuickCheck::new()
+        .tests(100)
+        .quickcheck(the_order_of_members_makes_no_difference as fn(_, _, _) -> _);
 }
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -10,7 +10,10 @@
     /// Whether a front that controls admission may accept one more message. A destination may take so much of
     /// what is free, by importance, that a hung one leaves room for the others.
     pub fn admits(&self, class: ClassId, destination: DestinationId) -> bool {
-        let free = self.facts.holding_room.saturating_sub(self.messages.len() + 1) as f64;
+        let free = self
+            .facts
+            .holding_room
+            .saturating_sub(self.messages.len() + 1) as f64;
         let importances = self.facts.classes.iter().map(|class| class.importance);
         let most = importances.fold(f64::MIN_POSITIVE, f64::max);
         let share = ADMISSION_SHARE * self.facts.classes[class.0].importance / most;
@@ -26,9 +29,16 @@
 
     /// In a full hold the destination with the longest backlog gives up its least valuable message.
     pub(super) fn make_room(&mut self, out: &mut impl Outlet) {
-        let held = |all: &Self| all.messages.values().filter(|message| !message.stage.ended()).count();
+        let held = |all: &Self| {
+            all.messages
+                .values()
+                .filter(|message| !message.stage.ended())
+                .count()
+        };
         while held(self) >= self.facts.holding_room {
-            let Some(id) = self.least_valuable() else { return };
+            let Some(id) = self.least_valuable() else {
+                return;
+            };
             self.give_up(id, out);
         }
     }
@@ -36,9 +46,11 @@
     fn least_valuable(&self) -> Option<MessageId> {
         let destinations = self.waiting.iter().map(|(group, _)| group.destination);
         let longest = destinations.max_by_key(|&destination| self.waiting.backlog(destination))?;
-        let value = |class, entry: &QueueEntry| (self.facts.value_at(class, entry.due, self.now), *entry);
+        let value =
+            |class, entry: &QueueEntry| (self.facts.value_at(class, entry.due, self.now), *entry);
         let queues = self.waiting.of(longest);
-        let all = queues.flat_map(|(group, queue)| queue.iter().map(|entry| value(group.class, entry)));
+        let all =
+            queues.flat_map(|(group, queue)| queue.iter().map(|entry| value(group.class, entry)));
         let least = all.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         least.map(|(_, entry)| entry.id)
     }
--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -9,7 +9,9 @@
     /// Schedules the next request for a watch, spread over the time that the settings allow. Its cost: until
     /// then a drain goes unnoticed.
     pub(super) fn schedule_watch_request(&mut self) {
-        let Some(within) = self.facts.watch_within else { return };
+        let Some(within) = self.facts.watch_within else {
+            return;
+        };
         // A failed request allows four times as long; requests at shorter intervals would only queue up.
         let spread = self.watch_request_spread;
         let (least, most) = (spread / 2, (spread * 3 / 2).max(within / 4 * 3));
@@ -25,7 +27,13 @@
     }
 
     /// Discovery sent entries of the list.
-    pub fn apply_list(&mut self, now: Nanos, scope: ListScope, entries: &[ListEntry], out: &mut impl Outlet) {
+    pub fn apply_list(
+        &mut self,
+        now: Nanos,
+        scope: ListScope,
+        entries: &[ListEntry],
+        out: &mut impl Outlet,
+    ) {
         self.now = now;
         if self.watch_request_at == NEVER {
             self.watch_request_spread = 0; // The watch is there.
@@ -33,21 +41,35 @@
         if scope == ListScope::Whole {
             self.routes.unlist(now);
         }
-        entries.iter().for_each(|entry| self.apply_entry(entry, out));
+        entries
+            .iter()
+            .for_each(|entry| self.apply_entry(entry, out));
         self.decide(out);
     }
 
     fn apply_entry(&mut self, entry: &ListEntry, out: &mut impl Outlet) {
         let known = self.routes.find(entry.endpoint);
         let added = || entry.serving.then(|| self.add_route(entry, out));
-        let Some(route) = known.or_else(added) else { return };
+        let Some(route) = known.or_else(added) else {
+            return;
+        };
         let disabled = self.disabled.contains(&entry.endpoint);
         self.routes[route].apply(entry, disabled, self.now);
     }
 
     /// An operator disables an endpoint, or enables it again.
-    pub fn set_disabled(&mut self, now: Nanos, endpoint: EndpointId, to: bool, out: &mut impl Outlet) {
-        let changed = if to { self.disabled.insert(endpoint) } else { self.disabled.remove(&endpoint) };
+    pub fn set_disabled(
+        &mut self,
+        now: Nanos,
+        endpoint: EndpointId,
+        to: bool,
+        out: &mut impl Outlet,
+    ) {
+        let changed = if to {
+            self.disabled.insert(endpoint)
+        } else {
+            self.disabled.remove(&endpoint)
+        };
         if !changed {
             return;
         }
@@ -61,13 +83,30 @@
     }
 
     fn add_route(&mut self, entry: &ListEntry, out: &mut impl Outlet) -> usize {
-        let separate_limits = self.facts.separate_limits.get(entry.kind.0).copied().unwrap_or(false);
-        let number = self.forgotten_route(entry.destination).unwrap_or(self.routes.next_number());
+        let separate_limits = self
+            .facts
+            .separate_limits
+            .get(entry.kind.0)
+            .copied()
+            .unwrap_or(false);
+        let number = self
+            .forgotten_route(entry.destination)
+            .unwrap_or(self.routes.next_number());
         let destination = self.routes.destination_mut(entry.destination);
         let limiter_route = destination.limiter_route(number, separate_limits);
-        let entry = ListEntry { serving: !self.disabled.contains(&entry.endpoint), ..*entry };
+        let entry = ListEntry {
+            serving: !self.disabled.contains(&entry.endpoint),
+            ..*entry
+        };
         let (backoff, sent_at) = (FIRST_BACKOFF, self.now);
-        let route = Route { entry, listed: true, limiter_route, backoff, sent_at, ..Route::default() };
+        let route = Route {
+            entry,
+            listed: true,
+            limiter_route,
+            backoff,
+            sent_at,
+            ..Route::default()
+        };
         if let Some(replaced) = self.routes.put(number, route) {
             self.disabled.remove(&replaced);
             out.forget(replaced);
@@ -80,7 +119,10 @@
 
     /// A route whose number may be reused, so that memory does not grow with the endpoints that ever were.
     fn forgotten_route(&self, destination: DestinationId) -> Option<usize> {
-        let shared = self.routes.destination(destination).and_then(|known| known.shared_limiter_route);
+        let shared = self
+            .routes
+            .destination(destination)
+            .and_then(|known| known.shared_limiter_route);
         let forgotten = |&number: &usize| {
             let route = &self.routes[number];
             let kept_until = route.suspended_until.max(route.sent_at + FORGET_AFTER);
@@ -94,7 +136,10 @@
     /// others: all backlogs meet there.
     fn inherit(&mut self, number: usize) {
         let (siblings, routes) = (self.routes.sharing_limiter(number), &mut self.routes);
-        let suspended_until = siblings.iter().map(|&sibling| routes[sibling].suspended_until).max();
+        let suspended_until = siblings
+            .iter()
+            .map(|&sibling| routes[sibling].suspended_until)
+            .max();
         routes[number].suspended_until = suspended_until.unwrap_or(0);
         routes[number].ejected = siblings.iter().any(|&sibling| routes[sibling].ejected);
         routes[number].traffic = routes[siblings[0]].traffic;
--- a/src/control/idle_connections.rs
+++ b/src/control/idle_connections.rs
@@ -31,13 +31,22 @@
         idle.count(dropped, DROP_WEIGHT);
         if attempt.fresh_connection && reset {
             // New connections break as well, so idle ones are not the reason.
-            *idle = IdleConnections { drop_share: 0.0, samples: 1.0 / DROP_WEIGHT, avoided_until: self.now };
+            *idle = IdleConnections {
+                drop_share: 0.0,
+                samples: 1.0 / DROP_WEIGHT,
+                avoided_until: self.now,
+            };
         }
         let (drop_share, until) = (idle.drop_share, self.now + AVOID_SPAN);
         let many = drop_share > DROP_THRESHOLD || attempt.idle_for > LONG_IDLE;
         if dropped && many && std::mem::replace(&mut idle.avoided_until, until) <= self.now {
-            out.log(&format!("kind {kind} keeps no idle connections: {drop_share:.2} of connects"));
-            let routes = self.routes.iter().filter(|route| route.entry.kind.0 == kind);
+            out.log(&format!(
+                "kind {kind} keeps no idle connections: {drop_share:.2} of connects"
+            ));
+            let routes = self
+                .routes
+                .iter()
+                .filter(|route| route.entry.kind.0 == kind);
             routes.for_each(|route| out.close_idle(route.entry.endpoint));
         }
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -32,9 +32,15 @@
     }
 
     /// Messages were accepted from clients, or found in the journal.
-    pub fn accept(&mut self, now: Nanos, new: impl IntoIterator<Item = NewMessage>, out: &mut impl Outlet) {
+    pub fn accept(
+        &mut self,
+        now: Nanos,
+        new: impl IntoIterator<Item = NewMessage>,
+        out: &mut impl Outlet,
+    ) {
         self.now = now;
-        new.into_iter().for_each(|message| self.accept_one(message, out));
+        new.into_iter()
+            .for_each(|message| self.accept_one(message, out));
         self.decide(out);
     }
 
@@ -48,13 +54,18 @@
     /// An attempt has its outcome.
     pub fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, out: &mut impl Outlet) {
         self.now = now;
-        let Some(attempt) = self.in_flight.remove(end.message, end.number) else { return };
+        let Some(attempt) = self.in_flight.remove(end.message, end.number) else {
+            return;
+        };
         if !self.messages.contains_key(&end.message) {
             return;
         }
         self.record_possible_run(&attempt, end.outcome);
         // A call is one observation, made with its last answer; a retry-after binds from the first.
-        let call_ended = self.in_flight.count_calls(|other| other.call == attempt.call) == 0;
+        let call_ended = self
+            .in_flight
+            .count_calls(|other| other.call == attempt.call)
+            == 0;
         if call_ended || matches!(end.outcome, Outcome::Full(_)) {
             self.observe(attempt, &end, out);
         }
@@ -80,7 +91,11 @@
     /// The client wants no answer any more.
     pub fn message_withdrawn(&mut self, now: Nanos, message: MessageId, out: &mut impl Outlet) {
         self.now = now;
-        if self.messages.get(&message).is_some_and(|held| !held.stage.ended()) {
+        if self
+            .messages
+            .get(&message)
+            .is_some_and(|held| !held.stage.ended())
+        {
             self.transition(message, Stage::Done, out);
         }
         self.decide(out);
--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -20,7 +20,8 @@
         // A reset as late as an answer is no dropped connection, a repeated refusal no full table.
         let usual = self.usual_latency(self.routes[route].entry.destination, attempt.class);
         let early_reset = outcome == Outcome::Reset && (end.took as f64) < usual / 2.0;
-        let dropped = !attempt.fresh_connection && ((at_once && self.is_sound(route)) || early_reset);
+        let dropped =
+            !attempt.fresh_connection && ((at_once && self.is_sound(route)) || early_reset);
         self.observe_idle(&attempt, outcome == Outcome::Reset, dropped, out);
         match outcome {
             Outcome::Relayed => self.observe_delivery(attempt, end.took, late, out),
@@ -35,7 +36,13 @@
         }
     }
 
-    fn observe_delivery(&mut self, attempt: Attempt, took: Nanos, late: bool, out: &mut impl Outlet) {
+    fn observe_delivery(
+        &mut self,
+        attempt: Attempt,
+        took: Nanos,
+        late: bool,
+        out: &mut impl Outlet,
+    ) {
         let route = attempt.route;
         self.narrow_pacing(route);
         self.reset_backoff(route);
@@ -65,7 +72,11 @@
     fn observe_failure(&mut self, route: usize, outcome: Outcome, out: &mut impl Outlet) {
         // Any route's answer may be garbled on the way; a route that garbles all is found out later.
         let garbled = outcome == Outcome::Spoilt;
-        let weight = if garbled { FAILURE_WEIGHT / 4.0 } else { FAILURE_WEIGHT };
+        let weight = if garbled {
+            FAILURE_WEIGHT / 4.0
+        } else {
+            FAILURE_WEIGHT
+        };
         let share = self.routes[route].failure_share * (1.0 - weight) + weight;
         self.routes[route].failure_share = share;
         // Each dispatcher of a large fleet meets a route seldom: one connection timed out, and it is gone.
--- a/src/control/pacing.rs
+++ b/src/control/pacing.rs
@@ -22,14 +22,24 @@
 impl Dispatcher {
     /// By how much waits are longer because many dispatchers meet at the same limiter.
     pub(super) fn fleet_factor(&self, route: usize) -> f64 {
-        let many = (f64::from(self.facts.dispatchers) / SMALL_FLEET).max(1.0).powf(FLEET_POWER);
-        if self.contended_interval(route) > 0.0 { 1.0 } else { many }
+        let many = (f64::from(self.facts.dispatchers) / SMALL_FLEET)
+            .max(1.0)
+            .powf(FLEET_POWER);
+        if self.contended_interval(route) > 0.0 {
+            1.0
+        } else {
+            many
+        }
     }
 
     /// The time in which the limiter, at its known rate, takes one attempt of each dispatcher; else nought.
     pub(super) fn fair_interval(&self, route: usize) -> f64 {
         let rate = self.routes[route].entry.rate;
-        if rate > 0.0 { f64::from(self.facts.dispatchers) * 1e9 / rate } else { 0.0 }
+        if rate > 0.0 {
+            f64::from(self.facts.dispatchers) * 1e9 / rate
+        } else {
+            0.0
+        }
     }
 
     /// Whether all dispatchers can have messages for a limiter at once: they wait half their lifetime there.
@@ -38,14 +48,20 @@
     }
 
     fn contended_interval(&self, route: usize) -> f64 {
-        if self.is_contended(self.routes[route].entry.rate) { self.fair_interval(route) } else { 0.0 }
+        if self.is_contended(self.routes[route].entry.rate) {
+            self.fair_interval(route)
+        } else {
+            0.0
+        }
     }
 
     /// Adopts the rate that an answer reports.
     pub(super) fn observe_rate(&mut self, route: usize, rate: f64) {
         if self.is_contended(rate) {
             let sharing = self.routes.sharing_limiter(route);
-            sharing.into_iter().for_each(|sibling| self.routes[sibling].entry.rate = rate);
+            sharing
+                .into_iter()
+                .for_each(|sibling| self.routes[sibling].entry.rate = rate);
         }
     }
 
@@ -69,19 +85,29 @@
         let limiter = self.routes.limiter_mut(route);
         limiter.refused_since = None;
         let interval = limiter.pacing_interval as f64 * (1.0 - PACING_DECREASE);
-        limiter.pacing_interval = if interval < PACING_STEP as f64 / 4.0 { 0 } else { interval as Nanos };
+        limiter.pacing_interval = if interval < PACING_STEP as f64 / 4.0 {
+            0
+        } else {
+            interval as Nanos
+        };
     }
 
     /// The interval between sends to a cold or ejected route, by the warm part of its capacity and this
     /// dispatcher's former traffic. With next to none, all dispatchers together send one in `least`.
     fn spacing(&self, route: usize, warm: f64, least: Nanos) -> Nanos {
         let facts = &self.facts;
-        let rate = self.routes[route].traffic / TRAFFIC_SPAN * TRAFFIC_HEADROOM * warm * facts.tip_multiple;
+        let rate = self.routes[route].traffic / TRAFFIC_SPAN
+            * TRAFFIC_HEADROOM
+            * warm
+            * facts.tip_multiple;
         let spacing = match self.fair_interval(route) {
             0.0 => 1.0 / rate.max(1e-18),
-            fair => fair * self.routes.sharing_limiter(route).len() as f64 / (warm * facts.tip_multiple),
+            fair => {
+                fair * self.routes.sharing_limiter(route).len() as f64 / (warm * facts.tip_multiple)
+            }
         };
-        (spacing.min(f64::from(facts.dispatchers) * least as f64) * self.routes[route].jitter) as Nanos
+        (spacing.min(f64::from(facts.dispatchers) * least as f64) * self.routes[route].jitter)
+            as Nanos
     }
 
     /// When the ramp of a cold route, or the spacing of an ejected one, allows the next send.
@@ -95,7 +121,12 @@
         if route.ejected {
             // All dispatchers learn from a retry-after when the route opens: they come at different times.
             let spacing = self.spacing(number, cold, EJECTED_SPACING);
-            at = at.max(route.sent_at.max(route.suspended_until.saturating_sub(spacing / 2)) + spacing);
+            at = at.max(
+                route
+                    .sent_at
+                    .max(route.suspended_until.saturating_sub(spacing / 2))
+                    + spacing,
+            );
         }
         at
     }
--- a/src/control/retries.rs
+++ b/src/control/retries.rs
@@ -35,9 +35,14 @@
     /// After an attempt that may still be running the next message of its key waits.
     pub(super) fn cool_down_key(&mut self, end: &AttemptEnd) {
         let message = &self.messages[&end.message];
-        let Some(queue) = self.keys.get_mut(message.key) else { return };
+        let Some(queue) = self.keys.get_mut(message.key) else {
+            return;
+        };
         queue.unresolved -= u32::from(message.stage.ended());
-        if matches!(end.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::CalledOff) {
+        if matches!(
+            end.outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::CalledOff
+        ) {
             queue.cooldown_until = self.now + self.facts.key_cooldown + self.facts.tick;
         }
     }
@@ -48,7 +53,9 @@
         let done = end.over || end.outcome == Outcome::Relayed;
         match message.stage {
             Stage::InFlight if done => self.transition(end.message, Stage::Done, out),
-            Stage::InFlight if self.may_retry(message) => self.transition(end.message, Stage::Waiting, out),
+            Stage::InFlight if self.may_retry(message) => {
+                self.transition(end.message, Stage::Waiting, out)
+            }
             Stage::InFlight => self.give_up(end.message, out),
             stage => self.transition(end.message, stage, out),
         }
@@ -59,24 +66,46 @@
         let message = &self.messages[&id];
         let safe = match (message.ran, self.facts.classes[message.class].repeat) {
             (None, _) | (_, Repeat::Idempotent) => true,
-            (Some((at, _)), Repeat::Deduplicated { window, same_zone: false }) => message.due <= at + window,
+            (
+                Some((at, _)),
+                Repeat::Deduplicated {
+                    window,
+                    same_zone: false,
+                },
+            ) => message.due <= at + window,
             _ => false,
         };
-        let to = if safe && !self.in_flight.has_message(id) { Stage::Deferred } else { Stage::Bounced };
+        let to = if safe && !self.in_flight.has_message(id) {
+            Stage::Deferred
+        } else {
+            Stage::Bounced
+        };
         self.transition(id, to, out);
     }
 
     /// The retry-after for a client: when a route of the destination opens again.
     pub(crate) fn retry_after(&self, id: MessageId) -> Nanos {
-        let routes = self.routes.of(self.messages[&id].destination).iter().map(|&route| &self.routes[route]);
+        let routes = self
+            .routes
+            .of(self.messages[&id].destination)
+            .iter()
+            .map(|&route| &self.routes[route]);
         let serving = routes.filter(|route| route.entry.serving);
-        let soonest = serving.map(|route| route.suspended_until).min().unwrap_or(0);
-        soonest.saturating_sub(self.now).min(self.facts.max_retry_after)
+        let soonest = serving
+            .map(|route| route.suspended_until)
+            .min()
+            .unwrap_or(0);
+        soonest
+            .saturating_sub(self.now)
+            .min(self.facts.max_retry_after)
     }
 
     /// Gives up the messages that can no longer be delivered.
     pub(super) fn expire_overdue(&mut self, out: &mut impl Outlet) {
-        let in_flight = self.in_flight.iter().map(|attempt| &self.messages[&attempt.message]);
+        let in_flight = self
+            .in_flight
+            .iter()
+            .map(|attempt| &self.messages[&attempt.message]);
         let late = in_flight.filter(|held| held.stage == Stage::InFlight && self.now >= held.due);
         let mut overdue: BTreeSet<MessageId> = late.map(|message| message.id).collect();
         for (group, queue) in self.waiting.iter() {
@@ -96,11 +125,21 @@
 
     /// Whether a message that may have run holds up its key, its routes all suspect. It may be lost early.
     fn blocks_key(&self, message: &Message) -> bool {
-        let queued = self.keys.get(message.key).map_or(0, |queue| queue.messages.len());
+        let queued = self
+            .keys
+            .get(message.key)
+            .map_or(0, |queue| queue.messages.len());
         let patience = self.facts.classes[message.class].target_delay;
-        let Some((at, zone)) = message.ran.filter(|_| queued > 1) else { return false };
-        let sound = |route: &Route| route.entry.zone == zone && route.entry.serving && !route.suspect;
-        let mut routes = self.routes.of(message.destination).iter().map(|&route| &self.routes[route]);
+        let Some((at, zone)) = message.ran.filter(|_| queued > 1) else {
+            return false;
+        };
+        let sound =
+            |route: &Route| route.entry.zone == zone && route.entry.serving && !route.suspect;
+        let mut routes = self
+            .routes
+            .of(message.destination)
+            .iter()
+            .map(|&route| &self.routes[route]);
         self.now >= at + patience && !routes.any(sound)
     }
 }
--- a/src/control/routing.rs
+++ b/src/control/routing.rs
@@ -10,8 +10,12 @@
     /// Sends messages while slots are free.
     pub(super) fn send_all(&mut self, out: &mut impl Outlet) {
         while self.has_free_slot() && self.now >= self.no_slot_until {
-            let Some(id) = self.next_message() else { return };
-            let Some(route) = self.pick_route(id) else { return };
+            let Some(id) = self.next_message() else {
+                return;
+            };
+            let Some(route) = self.pick_route(id) else {
+                return;
+            };
             let batch = self.batch(id, route);
             self.calls += 1;
             batch.into_iter().for_each(|id| self.send(id, route, out));
@@ -22,15 +26,30 @@
     pub(super) fn eligible_at(&self, number: usize, message: &Message) -> Nanos {
         let route = &self.routes[number];
         let repeat = self.facts.classes[message.class].repeat;
-        let zone_bound = matches!(repeat, Repeat::Deduplicated { same_zone: true, .. });
-        let other_zone = message.ran.is_some_and(|(_, zone)| zone != route.entry.zone);
+        let zone_bound = matches!(
+            repeat,
+            Repeat::Deduplicated {
+                same_zone: true,
+                ..
+            }
+        );
+        let other_zone = message
+            .ran
+            .is_some_and(|(_, zone)| zone != route.entry.zone);
         if !route.entry.serving || (zone_bound && other_zone) {
             return NEVER;
         }
         let limiter = self.routes.limiter(number);
         let paced_until = limiter.sent_at + limiter.pacing_interval;
-        let at = route.suspended_until.max(paced_until).max(self.spaced_until(number));
-        if route.suspect { at.max(self.trial_at(number, repeat)) } else { at }
+        let at = route
+            .suspended_until
+            .max(paced_until)
+            .max(self.spaced_until(number));
+        if route.suspect {
+            at.max(self.trial_at(number, repeat))
+        } else {
+            at
+        }
     }
 
     pub(super) fn is_eligible(&self, route: usize, message: &Message) -> bool {
@@ -39,12 +58,20 @@
 
     /// Whether the first message of a queue, and so each of them, has an eligible route.
     pub(super) fn has_eligible_route(&self, queue: &WaitingQueue) -> bool {
-        let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else { return false };
+        let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else {
+            return false;
+        };
         let destination = message.destination;
         let share = (self.facts.slots as f64 * DESTINATION_SLOT_SHARE) as usize;
-        let held = self.in_flight.count_calls(|o| self.routes[o.route].entry.destination == destination);
+        let held = self
+            .in_flight
+            .count_calls(|o| self.routes[o.route].entry.destination == destination);
         held < share.max(LEAST_DESTINATION_SLOTS)
-            && self.routes.of(destination).iter().any(|&route| self.is_eligible(route, message))
+            && self
+                .routes
+                .of(destination)
+                .iter()
+                .any(|&route| self.is_eligible(route, message))
     }
 
     /// Picks each eligible route once a round, in random order; first the one that was used last and has no
@@ -52,15 +79,28 @@
     fn pick_route(&mut self, id: MessageId) -> Option<usize> {
         let (message, destination) = (&self.messages[&id], self.messages[&id].destination);
         let routes = self.routes.of(destination).to_vec();
-        let eligible = routes.iter().map(|&route| self.is_eligible(route, message)).collect();
+        let eligible = routes
+            .iter()
+            .map(|&route| self.is_eligible(route, message))
+            .collect();
         let eligible = self.narrow_to_subset(&routes, eligible);
         let picked = self.routes.destination(destination)?.picked;
-        let picked = if eligible[picked..].contains(&true) { picked } else { 0 };
-        let left: Vec<usize> = (picked..routes.len()).filter(|&index| eligible[index]).collect();
-        let free = |index: usize| Some(routes[index]).filter(|&route| !self.in_flight.has_route(route));
+        let picked = if eligible[picked..].contains(&true) {
+            picked
+        } else {
+            0
+        };
+        let left: Vec<usize> = (picked..routes.len())
+            .filter(|&index| eligible[index])
+            .collect();
+        let free =
+            |index: usize| Some(routes[index]).filter(|&route| !self.in_flight.has_route(route));
         let last_used = |&index: &usize| free(index).map(|route| self.routes[route].sent_at);
         let latest = left.iter().map(last_used).max()?;
-        let best: Vec<usize> = left.into_iter().filter(|index| last_used(index) == latest).collect();
+        let best: Vec<usize> = left
+            .into_iter()
+            .filter(|index| last_used(index) == latest)
+            .collect();
         let pick = best[self.random.range(0..best.len())];
         let destination = self.routes.destination_mut(destination);
         destination.routes.swap(picked, pick);
@@ -89,19 +129,31 @@
             return;
         }
         let overdue = |attempt: &Attempt| self.is_overdue(attempt);
-        let call = self.in_flight.calls().find(|call| call.iter().all(overdue)).map(|call| call[0].call);
+        let call = self
+            .in_flight
+            .calls()
+            .find(|call| call.iter().all(overdue))
+            .map(|call| call[0].call);
         let Some(call) = call else { return };
-        let has_turn = |queue: &WaitingQueue| queue.iter().any(|entry| self.turn_at(entry.id) <= self.now);
-        if self.waiting.iter().any(|(_, queue)| self.has_eligible_route(queue) && has_turn(queue)) {
+        let has_turn =
+            |queue: &WaitingQueue| queue.iter().any(|entry| self.turn_at(entry.id) <= self.now);
+        if self
+            .waiting
+            .iter()
+            .any(|(_, queue)| self.has_eligible_route(queue) && has_turn(queue))
+        {
             let cancelled = self.in_flight.cancel(call);
-            cancelled.into_iter().for_each(|attempt| out.cancel(attempt.message, attempt.number));
+            cancelled
+                .into_iter()
+                .for_each(|attempt| out.cancel(attempt.message, attempt.number));
         }
     }
 
     fn is_overdue(&self, attempt: &Attempt) -> bool {
         let message = &self.messages[&attempt.message];
         let repeatable = self.is_repeatable(message, Some(attempt.sent_at), self.now);
-        let patience = self.silent_after(attempt.route, attempt.class) * if repeatable { 1 } else { 2 };
+        let patience =
+            self.silent_after(attempt.route, attempt.class) * if repeatable { 1 } else { 2 };
         let route = &self.routes[attempt.route];
         let expected = !route.suspect && route.answered_at <= attempt.sent_at;
         !expected && self.now >= attempt.sent_at + patience
--- a/src/control/subset.rs
+++ b/src/control/subset.rs
@@ -35,7 +35,11 @@
         for &index in order.iter().cycle().skip(first).take(size) {
             narrowed[index] = eligible[index];
         }
-        if narrowed.contains(&true) { narrowed } else { eligible }
+        if narrowed.contains(&true) {
+            narrowed
+        } else {
+            eligible
+        }
     }
 
     fn subset_size(&self, routes: usize) -> usize {
