--- a/src/control/suspension.rs
+++ b/src/control/suspension.rs
@@ -26,7 +26,8 @@
             self.widen_pacing(route);
         }
         let refused_again = self.routes.limiter(route).pacing_interval > first_interval;
-        let closed = retry_after >= CLOSED_AFTER || (self.now - since >= closed_after && refused_again);
+        let closed =
+            retry_after >= CLOSED_AFTER || (self.now - since >= closed_after && refused_again);
         for sibling in self.routes.sharing_limiter(route) {
             if news || retry_after > 0 {
                 self.suspend(sibling, retry_after);
@@ -40,13 +41,24 @@
     /// Suspends a route for the retry-after, or for its backoff where there is none.
     pub(super) fn suspend(&mut self, number: usize, retry_after: Nanos) {
         let (told, fleet_factor) = (retry_after > 0, self.fleet_factor(number));
-        let fair = self.fair_interval(number).min(self.facts.longest_lifetime() as f64);
+        let fair = self
+            .fair_interval(number)
+            .min(self.facts.longest_lifetime() as f64);
         let route = &mut self.routes[number];
         let doublings = route.backoff as f64 / FIRST_BACKOFF as f64;
-        let most = doublings * (FIRST_BACKOFF as f64 * FLEET_SPREAD * (fleet_factor - 1.0)).max(fair);
-        let spread = if fleet_factor > 1.0 { (most * (route.jitter - 0.5)) as Nanos } else { 0 };
+        let most =
+            doublings * (FIRST_BACKOFF as f64 * FLEET_SPREAD * (fleet_factor - 1.0)).max(fair);
+        let spread = if fleet_factor > 1.0 {
+            (most * (route.jitter - 0.5)) as Nanos
+        } else {
+            0
+        };
         let base = if told { retry_after } else { route.backoff };
-        let wait = if told && route.backoff == FIRST_BACKOFF { retry_after } else { base + spread };
+        let wait = if told && route.backoff == FIRST_BACKOFF {
+            retry_after
+        } else {
+            base + spread
+        };
         route.suspended_until = route.suspended_until.max(self.now + wait);
         if !told || fleet_factor != 1.0 {
             route.backoff = (route.backoff * 2).min(MAX_BACKOFF);
--- a/src/control/suspicion.rs
+++ b/src/control/suspicion.rs
@@ -28,7 +28,10 @@
 
     /// Counts whether an attempt was answered in usual time.
     pub(super) fn observe_patience(&mut self, outcome: Outcome, late: bool) {
-        if matches!(outcome, Outcome::Relayed | Outcome::TimedOut | Outcome::CalledOff) {
+        if matches!(
+            outcome,
+            Outcome::Relayed | Outcome::TimedOut | Outcome::CalledOff
+        ) {
             let missed = f64::from(u8::from(late || outcome != Outcome::Relayed));
             self.missed_share += MISSED_WEIGHT * (missed - self.missed_share);
         }
@@ -38,9 +41,13 @@
     pub(super) fn detect_silence(&mut self, out: &mut impl Outlet) {
         for attempt in self.in_flight.iter().copied().collect::<Vec<_>>() {
             let route = &self.routes[attempt.route];
-            let silent = self.now >= self.silent_at(&attempt) && attempt.sent_at > route.answered_at;
+            let silent =
+                self.now >= self.silent_at(&attempt) && attempt.sent_at > route.answered_at;
             if silent && !route.suspect {
-                let why = format!("oldest connect {} ms unanswered", (self.now - attempt.sent_at) / MS);
+                let why = format!(
+                    "oldest connect {} ms unanswered",
+                    (self.now - attempt.sent_at) / MS
+                );
                 self.suspect(attempt.route, &why, out);
             }
         }
@@ -60,13 +67,21 @@
     /// silent ones, and all trials together leave slots for the sound routes.
     pub(super) fn trial_at(&self, route: usize, repeat: Repeat) -> Nanos {
         let most = ((self.facts.slots as f64 * TRIAL_SLOT_SHARE) as usize).max(1);
-        let trials = self.in_flight.count_calls(|attempt| self.routes[attempt.route].suspect);
-        let on_trial = |attempt: &Attempt| attempt.route == route && self.now < self.silent_at(attempt);
+        let trials = self
+            .in_flight
+            .count_calls(|attempt| self.routes[attempt.route].suspect);
+        let on_trial =
+            |attempt: &Attempt| attempt.route == route && self.now < self.silent_at(attempt);
         if trials >= most || self.in_flight.count_calls(on_trial) > 0 {
             return NEVER;
         }
-        let delay = if repeat == Repeat::AtMostOnce { AT_MOST_ONCE_DELAY } else { 0 };
-        self.trial_until.max(self.routes[route].suspended_until + delay)
+        let delay = if repeat == Repeat::AtMostOnce {
+            AT_MOST_ONCE_DELAY
+        } else {
+            0
+        };
+        self.trial_until
+            .max(self.routes[route].suspended_until + delay)
     }
 
     /// Where the share of the trials is less than one slot, they get that share of one slot's time.
@@ -81,18 +96,27 @@
     /// dispatchers try at different times: on average the route returned half way since the attempt before.
     /// Some guess too early, so the spacing lasts longer.
     pub(super) fn recover(&mut self, attempt: Attempt, took: Nanos, out: &mut impl Outlet) {
-        let most = if self.fair_interval(attempt.route) > 0.0 { self.facts.ramp / 2 } else { 0 };
+        let most = if self.fair_interval(attempt.route) > 0.0 {
+            self.facts.ramp / 2
+        } else {
+            0
+        };
         let route = &mut self.routes[attempt.route];
         let (suspect, cold) = (std::mem::take(&mut route.suspect), route.cold_since);
         let returned_at = self.now - most.min(attempt.idle_for / 2);
         let new_ramp = Some(returned_at).filter(|_| std::mem::take(&mut route.ejected));
-        route.cold_since = cold.filter(|since| self.now < since + self.facts.ramp + most).or(new_ramp);
+        route.cold_since = cold
+            .filter(|since| self.now < since + self.facts.ramp + most)
+            .or(new_ramp);
         let word = match (cold, route.cold_since) {
             (None, Some(_)) => "returns cold",
             (_, None) if suspect || cold.is_some() => "open",
             _ => return,
         };
         let (id, share) = (route.entry.endpoint.0, route.failure_share);
-        out.log(&format!("route {id} {word}: relayed in {} ms, failure share {share:.2}", took / MS));
+        out.log(&format!(
+            "route {id} {word}: relayed in {} ms, failure share {share:.2}",
+            took / MS
+        ));
     }
 }
--- a/src/control/timeouts.rs
+++ b/src/control/timeouts.rs
@@ -16,7 +16,10 @@
     /// Counts an answer that was not late.
     pub(super) fn observe_latency(&mut self, route: usize, class: usize, took: Nanos) {
         let destination = self.routes[route].entry.destination;
-        let (usual, known) = (&mut self.usual_latency[class], self.routes.destination_mut(destination));
+        let (usual, known) = (
+            &mut self.usual_latency[class],
+            self.routes.destination_mut(destination),
+        );
         let factor = 1.0 + known.extra_latency;
         *usual += LATENCY_WEIGHT * (took as f64 / factor - *usual);
         let seen = (took as f64 / *usual).max(0.1);
@@ -34,7 +37,9 @@
             _ if self.routes[route].suspect => TRIAL_TIMEOUT,
             _ => self.usual_timeout(message),
         };
-        let Repeat::Deduplicated { window, .. } = repeat else { return timeout };
+        let Repeat::Deduplicated { window, .. } = repeat else {
+            return timeout;
+        };
         let leaves_repeat = window / 3 * 2;
         if timeout < window {
             timeout
--- a/src/control/timers.rs
+++ b/src/control/timers.rs
@@ -16,7 +16,9 @@
         let mut at = NEVER;
         let mut note = |time: Nanos| at = if time > self.now { at.min(time) } else { at };
         note(self.watch_request_at);
-        self.in_flight.iter().for_each(|attempt| self.note_attempt(attempt, &mut note));
+        self.in_flight
+            .iter()
+            .for_each(|attempt| self.note_attempt(attempt, &mut note));
         for (group, queue) in self.waiting.iter() {
             let Some(first) = queue.first() else { continue };
             note(first.due - self.deadline_margin().min(first.due));
@@ -39,10 +41,25 @@
     }
 
     /// Notes when a queue has an eligible route, and when the keys of its messages let them be sent.
-    fn note_eligibility(&self, group: &MessageGroup, queue: &WaitingQueue, note: &mut impl FnMut(Nanos)) {
-        let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else { return };
-        let most = if self.facts.classes[group.class].ordered { queue.len() } else { 1 };
-        let turns: BTreeSet<Nanos> = queue.iter().take(most).map(|entry| self.turn_at(entry.id)).collect();
+    fn note_eligibility(
+        &self,
+        group: &MessageGroup,
+        queue: &WaitingQueue,
+        note: &mut impl FnMut(Nanos),
+    ) {
+        let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else {
+            return;
+        };
+        let most = if self.facts.classes[group.class].ordered {
+            queue.len()
+        } else {
+            1
+        };
+        let turns: BTreeSet<Nanos> = queue
+            .iter()
+            .take(most)
+            .map(|entry| self.turn_at(entry.id))
+            .collect();
         for &route in self.routes.of(group.destination) {
             let eligible_at = self.eligible_at(route, message).max(self.no_slot_until);
             turns.iter().for_each(|&turn| note(eligible_at.max(turn)));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -105,7 +105,11 @@
 impl BootFacts {
     /// The lifetime of the class that has the longest.
     pub fn longest_lifetime(&self) -> Nanos {
-        self.classes.iter().map(|class| class.lifetime).max().unwrap_or(0)
+        self.classes
+            .iter()
+            .map(|class| class.lifetime)
+            .max()
+            .unwrap_or(0)
     }
 
     /// What a message of the class that is due then is worth, as the settings say, if it is delivered `at`.
@@ -116,9 +120,12 @@
         let share = if at >= due {
             0.0
         } else if self.halves {
-            0.5f64.powf(late / class.target_delay as f64).max(class.late_share)
+            0.5f64
+                .powf(late / class.target_delay as f64)
+                .max(class.late_share)
         } else {
-            1.0 - (1.0 - class.late_share) * late / (class.lifetime - class.target_delay).max(1) as f64
+            1.0 - (1.0 - class.late_share) * late
+                / (class.lifetime - class.target_delay).max(1) as f64
         };
         class.importance * share
     }
@@ -199,7 +206,10 @@
 impl Outcome {
     /// Whether the message may have run in spite of the outcome.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Outcome::Full(_) | Outcome::Unconnected | Outcome::Unsent(_) | Outcome::NotBegun)
+        !matches!(
+            self,
+            Outcome::Full(_) | Outcome::Unconnected | Outcome::Unsent(_) | Outcome::NotBegun
+        )
     }
 }
 
--- a/src/state/attempts.rs
+++ b/src/state/attempts.rs
@@ -50,12 +50,16 @@
 
     /// How many calls have an attempt for which the predicate holds.
     pub fn count_calls(&self, predicate: impl Fn(&Attempt) -> bool) -> usize {
-        self.calls().filter(|call| call.iter().any(&predicate)).count()
+        self.calls()
+            .filter(|call| call.iter().any(&predicate))
+            .count()
     }
 
     /// Whether an attempt of this message is in flight.
     pub fn has_message(&self, message: MessageId) -> bool {
-        self.attempts.iter().any(|attempt| attempt.message == message)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.message == message)
     }
 
     /// Whether an attempt is in flight by this route.
@@ -69,7 +73,11 @@
             attempt.cancelled = true;
             *attempt
         };
-        self.attempts.iter_mut().filter(|attempt| attempt.call == call).map(mark).collect()
+        self.attempts
+            .iter_mut()
+            .filter(|attempt| attempt.call == call)
+            .map(mark)
+            .collect()
     }
 
     /// The latest attempt, if it belongs to this call.
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -40,7 +40,11 @@
 
     /// Adds a message at the end of the queue of its key.
     pub fn push(&mut self, key: KeyId, message: MessageId) {
-        self.by_key.entry(key).or_default().messages.push_back(message);
+        self.by_key
+            .entry(key)
+            .or_default()
+            .messages
+            .push_back(message);
     }
 
     /// Removes a message that has ended, and drops the queues that have nothing to remember.
@@ -56,10 +60,16 @@
 
     /// From when on the order of its key lets a message be sent; [`NEVER`] while an earlier one holds it up.
     pub fn turn_at(&self, message: &Message) -> Nanos {
-        let Some(queue) = self.get(message.key) else { return 0 };
+        let Some(queue) = self.get(message.key) else {
+            return 0;
+        };
         if queue.messages.front() != Some(&message.id) || queue.unresolved > 0 {
             return NEVER;
         }
-        if message.attempts > 0 { 0 } else { queue.cooldown_until }
+        if message.attempts > 0 {
+            0
+        } else {
+            queue.cooldown_until
+        }
     }
 }
--- a/src/state/messages.rs
+++ b/src/state/messages.rs
@@ -67,6 +67,9 @@
 
     /// Its entry in that queue.
     pub fn entry(&self) -> QueueEntry {
-        QueueEntry { due: self.due, id: self.id }
+        QueueEntry {
+            due: self.due,
+            id: self.id,
+        }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -66,18 +66,26 @@
 
     /// How many listed endpoints are avoided now: disabled by an operator, or held for silence or failures.
     pub fn avoided(&self) -> usize {
-        self.routes.iter().filter(|route| route.listed && (!route.entry.serving || route.suspect)).count()
+        self.routes
+            .iter()
+            .filter(|route| route.listed && (!route.entry.serving || route.suspect))
+            .count()
     }
 
     /// Whether an endpoint serves and is not suspended.
     pub fn is_open(&self, now: Nanos, endpoint: EndpointId) -> bool {
-        let route = self.routes.find(endpoint).map(|number| &self.routes[number]);
+        let route = self
+            .routes
+            .find(endpoint)
+            .map(|number| &self.routes[number]);
         route.is_some_and(|route| route.entry.serving && route.suspended_until <= now)
     }
 
     /// Until when an endpoint is suspended; nought for one that is not known.
     pub fn suspended_until(&self, endpoint: EndpointId) -> Nanos {
-        self.routes.find(endpoint).map_or(0, |number| self.routes[number].suspended_until)
+        self.routes
+            .find(endpoint)
+            .map_or(0, |number| self.routes[number].suspended_until)
     }
 
     /// Whether one more call may be in flight.
@@ -87,12 +95,19 @@
 
     /// The usual answer time of a class at a destination.
     pub(crate) fn usual_latency(&self, destination: DestinationId, class: usize) -> f64 {
-        let extra = self.routes.destination(destination).map_or(0.0, |known| known.extra_latency);
+        let extra = self
+            .routes
+            .destination(destination)
+            .map_or(0.0, |known| known.extra_latency);
         self.usual_latency[class] * (1.0 + extra)
     }
 
     /// From when on the order of its key lets a message be sent.
     pub(crate) fn turn_at(&self, id: MessageId) -> Nanos {
-        if self.keys.is_empty() { 0 } else { self.keys.turn_at(&self.messages[&id]) }
+        if self.keys.is_empty() {
+            0
+        } else {
+            self.keys.turn_at(&self.messages[&id])
+        }
     }
 }
--- a/src/state/queues.rs
+++ b/src/state/queues.rs
@@ -39,7 +39,9 @@
 
     /// Removes a message from the queue of its group.
     pub fn remove(&mut self, group: MessageGroup, entry: QueueEntry) {
-        let Some(queue) = self.by_group.get_mut(&group) else { return };
+        let Some(queue) = self.by_group.get_mut(&group) else {
+            return;
+        };
         queue.remove(&entry);
         if queue.is_empty() {
             self.by_group.remove(&group);
@@ -52,9 +54,18 @@
     }
 
     /// The queues of one destination.
-    pub fn of(&self, destination: DestinationId) -> impl Iterator<Item = (&MessageGroup, &WaitingQueue)> {
-        let first = MessageGroup { destination, class: 0, ran_in: None };
-        self.by_group.range(first..).take_while(move |(group, _)| group.destination == destination)
+    pub fn of(
+        &self,
+        destination: DestinationId,
+    ) -> impl Iterator<Item = (&MessageGroup, &WaitingQueue)> {
+        let first = MessageGroup {
+            destination,
+            class: 0,
+            ran_in: None,
+        };
+        self.by_group
+            .range(first..)
+            .take_while(move |(group, _)| group.destination == destination)
     }
 
     /// How many messages wait for a destination.
--- a/src/state/routes.rs
+++ b/src/state/routes.rs
@@ -103,7 +103,10 @@
 impl DestinationRoutes {
     /// The route that stands for the limiter of a new route.
     pub fn limiter_route(&mut self, new: usize, separate_limits: bool) -> usize {
-        let limiter_route = self.shared_limiter_route.filter(|_| !separate_limits).unwrap_or(new);
+        let limiter_route = self
+            .shared_limiter_route
+            .filter(|_| !separate_limits)
+            .unwrap_or(new);
         self.shared_limiter_route = Some(limiter_route).filter(|_| !separate_limits);
         limiter_route
     }
@@ -139,13 +142,19 @@
 
     /// The numbers of a destination's routes.
     pub fn of(&self, destination: DestinationId) -> &[usize] {
-        self.by_destination.get(&destination).map_or(&[], |known| &known.routes)
+        self.by_destination
+            .get(&destination)
+            .map_or(&[], |known| &known.routes)
     }
 
     /// The routes that are subject to the same limiter, this one among them.
     pub fn sharing_limiter(&self, route: usize) -> Vec<usize> {
         let same = |&other: &usize| self[other].limiter_route == self[route].limiter_route;
-        self.of(self[route].entry.destination).iter().copied().filter(same).collect()
+        self.of(self[route].entry.destination)
+            .iter()
+            .copied()
+            .filter(same)
+            .collect()
     }
 
     /// The limiter that a route is subject to.
@@ -169,11 +178,17 @@
     pub fn put(&mut self, number: usize, route: Route) -> Option<EndpointId> {
         let endpoint = route.entry.endpoint;
         let replaced = if number == self.all.len() {
-            self.destination_mut(route.entry.destination).routes.push(number);
+            self.destination_mut(route.entry.destination)
+                .routes
+                .push(number);
             self.all.push(route);
             None
         } else {
-            Some(std::mem::replace(&mut self.all[number], route).entry.endpoint)
+            Some(
+                std::mem::replace(&mut self.all[number], route)
+                    .entry
+                    .endpoint,
+            )
         };
         if let Some(replaced) = replaced {
             self.by_endpoint.remove(&replaced);
--- a/src/state/sends.rs
+++ b/src/state/sends.rs
@@ -15,7 +15,10 @@
             class: self.messages[&message].class,
             route,
             fresh_connection,
-            idle_for: self.in_flight.latest_of(self.calls).map_or(idle_for, |first| first.idle_for),
+            idle_for: self
+                .in_flight
+                .latest_of(self.calls)
+                .map_or(idle_for, |first| first.idle_for),
             cancelled: false,
         };
         self.in_flight.push(attempt);
--- a/src/state/transitions.rs
+++ b/src/state/transitions.rs
@@ -17,7 +17,9 @@
 
     /// Records the first attempt of a message that may have run.
     pub(crate) fn record_possible_run(&mut self, attempt: &Attempt, outcome: Outcome) {
-        let Some(message) = self.messages.get_mut(&attempt.message) else { return };
+        let Some(message) = self.messages.get_mut(&attempt.message) else {
+            return;
+        };
         if outcome.may_have_run() && message.ran.is_none() {
             message.ran = Some((attempt.sent_at, self.routes[attempt.route].entry.zone));
         }
@@ -25,8 +27,10 @@
 
     /// An attempt that was not begun is none.
     pub(crate) fn discount(&mut self, end: &AttemptEnd) {
-        if let Some(message) =
-            self.messages.get_mut(&end.message).filter(|_| end.outcome == Outcome::NotBegun)
+        if let Some(message) = self
+            .messages
+            .get_mut(&end.message)
+            .filter(|_| end.outcome == Outcome::NotBegun)
         {
             message.attempts -= 1;
         }
@@ -34,7 +38,9 @@
 
     /// The only place where a message changes its stage: sends the final answers and keeps the counts.
     pub(crate) fn transition(&mut self, id: MessageId, to: Stage, out: &mut impl Outlet) {
-        let Some(message) = self.messages.get_mut(&id) else { return };
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
         let from = std::mem::replace(&mut message.stage, to);
         if to == Stage::Waiting {
             self.waiting.insert(message.group(), message.entry());
@@ -56,7 +62,8 @@
     fn end(&mut self, id: MessageId, from: Stage) {
         let in_flight = self.in_flight.has_message(id);
         if !from.ended() {
-            self.keys.remove(self.messages[&id].key, id, in_flight, self.now);
+            self.keys
+                .remove(self.messages[&id].key, id, in_flight, self.now);
         }
         if !in_flight {
             self.messages.remove(&id);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -13,7 +13,12 @@
 impl Fleet {
     fn new(dispatchers: u32) -> Fleet {
         let one = |n| {
-            let mut w = World::new(BootFacts { seed: n, dispatchers, holding_room: 400, ..facts() });
+            let mut w = World::new(BootFacts {
+                seed: n,
+                dispatchers,
+                holding_room: 400,
+                ..facts()
+            });
             w.o.entries.iter_mut().for_each(|e| e.rate = RATE);
             w.list(ListScope::Whole);
             w
@@ -38,7 +43,11 @@
 
     /// Sends of all since then.
     fn sent(&self, since: Nanos) -> usize {
-        self.0.iter().flat_map(|w| &w.o.sent).filter(|s| s.to < 4 && s.at >= since).count()
+        self.0
+            .iter()
+            .flat_map(|w| &w.o.sent)
+            .filter(|s| s.to < 4 && s.at >= since)
+            .count()
     }
 
     fn now(&self) -> Nanos {
@@ -47,7 +56,11 @@
 
     /// How many of them have had no mail relayed since.
     fn unaware(&self, relayed: &[usize]) -> usize {
-        self.0.iter().zip(relayed).filter(|(w, had)| w.o.relayed.len() == **had).count()
+        self.0
+            .iter()
+            .zip(relayed)
+            .filter(|(w, had)| w.o.relayed.len() == **had)
+            .count()
     }
 
     fn relayed(&self) -> Vec<usize> {
@@ -66,7 +79,11 @@
         let (from, span) = (fleet.now(), (8.0 * share) as Nanos + 4 * S);
         fleet.pass(Way::Refuses(0), span);
         let (sent, most) = (fleet.sent(from), RATE * span as f64 / S as f64 / 2.0);
-        assert!((sent as f64) < most, "{dispatchers}: {sent} sent in {} s of refusals", span / S);
+        assert!(
+            (sent as f64) < most,
+            "{dispatchers}: {sent} sent in {} s of refusals",
+            span / S
+        );
         let had = fleet.relayed();
         fleet.pass(Way::Answers(100 * MS), (7.0 * share) as Nanos + 4 * S);
         assert_eq!(fleet.unaware(&had), 0, "{dispatchers}: found no room");
@@ -105,8 +122,12 @@
     for w in &mut fleet.0 {
         w.pass(10 * S);
     }
-    let at =
-        fleet.0.iter().flat_map(|w| &w.o.sent).filter(|s| s.at >= from).map(|s| (s.at - from) / (200 * MS));
+    let at = fleet
+        .0
+        .iter()
+        .flat_map(|w| &w.o.sent)
+        .filter(|s| s.at >= from)
+        .map(|s| (s.at - from) / (200 * MS));
     let mut came = [0; 50];
     at.for_each(|slot| came[slot as usize] += 1);
     assert_eq!(came.iter().sum::<usize>(), 100);
@@ -116,7 +137,12 @@
 /// Found on zone+vast: the ramp of what had been back for seconds began anew at each dispatcher that found it.
 #[test]
 fn what_is_found_to_be_back_came_back_half_way_since_it_was_tried_before() {
-    let mut w = World::new(BootFacts { dispatchers: 10, holding_room: 400, slots: 40, ..facts() });
+    let mut w = World::new(BootFacts {
+        dispatchers: 10,
+        holding_room: 400,
+        slots: 40,
+        ..facts()
+    });
     w.o.entries.iter_mut().for_each(|e| e.rate = RATE);
     w.list(ListScope::Whole);
     w.o.ways[..4].fill(Way::TableFull);
@@ -142,23 +168,38 @@
 fn a_clump_refused_at_one_moment_comes_back_over_many_seconds() {
     let mut came = vec![];
     for seed in 0..262 {
-        let mut w = World::lone(BootFacts { seed, dispatchers: 262, ..facts() });
+        let mut w = World::lone(BootFacts {
+            seed,
+            dispatchers: 262,
+            ..facts()
+        });
         w.o.ways[8] = Way::Refuses(0);
         let start = w.o.now;
         w.mail(0, 2, None, 20 * S);
         w.pass(15 * S);
         came.extend(w.o.sent.get(1).map(|s| s.at - start));
     }
-    let window = |from: Nanos| came.iter().filter(|&&at| (from..from + 1_500 * MS).contains(&at)).count();
+    let window = |from: Nanos| {
+        came.iter()
+            .filter(|&&at| (from..from + 1_500 * MS).contains(&at))
+            .count()
+    };
     let most = came.iter().map(|&from| window(from)).max();
-    assert!(came.len() > 250 && most < Some(50), "{most:?} of {} within 1.5 s", came.len());
+    assert!(
+        came.len() > 250 && most < Some(50),
+        "{most:?} of {} within 1.5 s",
+        came.len()
+    );
 }
 
 /// A hunted day of quito-sede, 48.09 s: at a route in an outage that opened again each of 313 dispatchers sent several waiting
 /// mails within 50 ms, before the first was refused; 35 of 41 sends that pushed it over came from those refused there before.
 #[test]
 fn one_mail_of_each_goes_first_to_what_opens_again_in_a_crowd() {
-    let mut w = World::lone(BootFacts { dispatchers: 313, ..facts() });
+    let mut w = World::lone(BootFacts {
+        dispatchers: 313,
+        ..facts()
+    });
     w.o.ways[8] = Way::RefusesLate;
     for _ in 0..3 {
         w.mail(0, 2, None, 20 * S);
@@ -167,7 +208,10 @@
     w.o.sent.clear();
     w.pass(15 * S);
     let at: Vec<Nanos> = w.o.sent.iter().map(|s| s.at).collect();
-    assert!(!at.is_empty() && at.windows(2).all(|p| p[1] > p[0] + 300 * MS), "{at:?}");
+    assert!(
+        !at.is_empty() && at.windows(2).all(|p| p[1] > p[0] + 300 * MS),
+        "{at:?}"
+    );
 }
 
 /// A hunted day of maadi-main, 41.25 s: what had vanished for 21 s was pushed over at its return; two thirds came from dispatchers
@@ -175,7 +219,10 @@
 #[test]
 fn one_connection_not_had_in_time_is_an_outage_where_a_route_is_met_seldom() {
     for (dispatchers, cold) in [(300, true), (3, false)] {
-        let mut w = World::lone(BootFacts { dispatchers, ..facts() });
+        let mut w = World::lone(BootFacts {
+            dispatchers,
+            ..facts()
+        });
         w.o.ways[8] = Way::Down;
         w.mail(0, 2, None, 12 * S);
         w.pass(S / 2);
@@ -183,7 +230,12 @@
         w.pass(10 * S);
         // All of them together try it no more often than a cold one bears: this one not within its mail's time.
         assert_eq!(w.o.relayed.len(), usize::from(!cold), "{:?}", w.o.lines);
-        assert_eq!(w.o.lines.iter().any(|l| l.contains("suspect")), cold, "{:?}", w.o.lines);
+        assert_eq!(
+            w.o.lines.iter().any(|l| l.contains("suspect")),
+            cold,
+            "{:?}",
+            w.o.lines
+        );
     }
 }
 
@@ -192,7 +244,10 @@
 #[test]
 fn two_connections_refused_are_an_outage_where_a_route_is_met_seldom() {
     let sends = |dispatchers| {
-        let mut w = World::lone(BootFacts { dispatchers, ..facts() });
+        let mut w = World::lone(BootFacts {
+            dispatchers,
+            ..facts()
+        });
         w.o.ways[8] = Way::TableFull;
         for _ in 0..4 {
             w.mail(0, 2, None, 20 * S);
@@ -208,7 +263,10 @@
 #[test]
 fn a_told_limit_stands_in_for_a_listed_rate() {
     let between = |limit| {
-        let mut w = World::lone(BootFacts { dispatchers: 100, ..facts() });
+        let mut w = World::lone(BootFacts {
+            dispatchers: 100,
+            ..facts()
+        });
         w.o.limit = limit;
         w.mail(0, 2, None, 12 * S);
         w.pass(S);
@@ -230,13 +288,24 @@
 #[test]
 fn all_together_send_no_more_than_a_cold_return_bears_at_any_size_of_the_fleet() {
     let facts = facts();
-    for (dispatchers, listed) in
-        [(3, false), (20, false), (30, false), (3, true), (20, true), (30, true), (300, true)]
-    {
+    for (dispatchers, listed) in [
+        (3, false),
+        (20, false),
+        (30, false),
+        (3, true),
+        (20, true),
+        (30, true),
+        (300, true),
+    ] {
         let mut fleet = Fleet::new(dispatchers);
         if !listed {
             fleet.0.iter_mut().enumerate().for_each(|(n, w)| {
-                *w = World::new(BootFacts { seed: n as u64, dispatchers, holding_room: 400, ..facts.clone() })
+                *w = World::new(BootFacts {
+                    seed: n as u64,
+                    dispatchers,
+                    holding_room: 400,
+                    ..facts.clone()
+                })
             });
         }
         fleet.pass(Way::Answers(100 * MS), 10 * S);
@@ -250,13 +319,27 @@
             let mut sent: Vec<(Nanos, bool)> = vec![];
             for w in &fleet.0 {
                 // Told of the outage by a connect of its own that has failed.
-                let told = w.o.sent.iter().any(|s| s.to == to && (down..back - S).contains(&s.at));
-                sent.extend(w.o.sent.iter().filter(|s| s.to == to && s.at >= back).map(|s| (s.at, told)));
+                let told =
+                    w.o.sent
+                        .iter()
+                        .any(|s| s.to == to && (down..back - S).contains(&s.at));
+                sent.extend(
+                    w.o.sent
+                        .iter()
+                        .filter(|s| s.to == to && s.at >= back)
+                        .map(|s| (s.at, told)),
+                );
             }
             sent.sort();
-            let within =
-                |from: Nanos| sent.iter().filter(move |s| (from..from + facts.tip_window).contains(&s.0));
-            for from in sent.iter().map(|s| s.0).filter(|from| from + facts.tip_window < back + facts.ramp) {
+            let within = |from: Nanos| {
+                sent.iter()
+                    .filter(move |s| (from..from + facts.tip_window).contains(&s.0))
+            };
+            for from in sent
+                .iter()
+                .map(|s| s.0)
+                .filter(|from| from + facts.tip_window < back + facts.ramp)
+            {
                 let warm = facts.cold_share
                     + (1.0 - facts.cold_share) * (from - back + facts.tip_window / 2) as f64
                         / facts.ramp as f64;
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -44,7 +44,11 @@
     w.o.ways.fill(Way::Answers(100 * MS));
     w.pass(10 * S);
     assert_eq!(w.o.sent.len(), 2);
-    assert_eq!(w.o.sent[1].at, w.o.sent[0].at + 20 * MS + 2 * S, "the soonest reopening");
+    assert_eq!(
+        w.o.sent[1].at,
+        w.o.sent[0].at + 20 * MS + 2 * S,
+        "the soonest reopening"
+    );
 }
 
 #[test]
@@ -53,7 +57,12 @@
     w.o.ways.fill(Way::Refuses(0));
     w.mail(0, 0, None, 12 * S);
     w.pass(1_500 * MS);
-    let waits = |w: &World| w.o.sent.windows(2).map(|p| p[1].at - p[0].at).collect::<Vec<_>>();
+    let waits = |w: &World| {
+        w.o.sent
+            .windows(2)
+            .map(|p| p[1].at - p[0].at)
+            .collect::<Vec<_>>()
+    };
     let grown = waits(&w);
     assert!(grown.len() >= 2 && grown[1] > grown[0] * 3 / 2, "{grown:?}");
     w.o.ways.fill(Way::Answers(100 * MS));
@@ -64,7 +73,10 @@
     w.mail(0, 0, None, 12 * S);
     w.pass(S);
     let again = waits(&w)[before];
-    assert!(again < grown[1], "{again} after a relayed mail, {grown:?} before");
+    assert!(
+        again < grown[1],
+        "{again} after a relayed mail, {grown:?} before"
+    );
 }
 
 #[test]
@@ -79,7 +91,10 @@
         w.mail(0, 0, None, 12 * S);
     }
     w.pass(10 * S);
-    let gaps: Vec<Nanos> = w.o.sent[from..].windows(2).map(|p| p[1].at - p[0].at).collect();
+    let gaps: Vec<Nanos> = w.o.sent[from..]
+        .windows(2)
+        .map(|p| p[1].at - p[0].at)
+        .collect();
     assert!(gaps[1] > 10 * MS && gaps[48] < 2 * MS, "{gaps:?}");
 }
 
@@ -108,7 +123,10 @@
     w.o.ways.fill(Way::Refuses(2 * S));
     w.mail(0, 0, None, 12 * S);
     w.pass(100 * MS);
-    w.o.entries.push(ListEntry { endpoint: EndpointId(12), ..w.o.entries[0] });
+    w.o.entries.push(ListEntry {
+        endpoint: EndpointId(12),
+        ..w.o.entries[0]
+    });
     w.o.ways.push(Way::Answers(100 * MS));
     w.list(ListScope::Update);
     w.pass(S);
@@ -147,16 +165,33 @@
 /// suspected, and each held its slot for the whole time-out while mails waited for slots.
 #[test]
 fn lost_answers_on_sound_routes_hold_no_slot_that_mails_wait_for() {
-    let mut w = World::sized(BootFacts { holding_room: 600, ..facts() }, 24);
+    let mut w = World::sized(
+        BootFacts {
+            holding_room: 600,
+            ..facts()
+        },
+        24,
+    );
     for n in 0..3_000 {
-        w.o.ways.fill(if n % 101 == 0 { Way::Hangs } else { Way::Answers(30 * MS) });
+        w.o.ways.fill(if n % 101 == 0 {
+            Way::Hangs
+        } else {
+            Way::Answers(30 * MS)
+        });
         w.mail(3, n % 6, None, 12 * S);
         w.o.ways.fill(Way::Answers(30 * MS));
         w.pass(10 * MS);
     }
-    let late = w.o.sent.iter().filter(|s| s.at > w.o.taken_at(s.mail) + S).count();
+    let late =
+        w.o.sent
+            .iter()
+            .filter(|s| s.at > w.o.taken_at(s.mail) + S)
+            .count();
     let lines = &w.o.lines;
-    assert!(late == 0 && !lines.iter().any(|l| l.contains("suspect")), "{late} sent late, {lines:?}");
+    assert!(
+        late == 0 && !lines.iter().any(|l| l.contains("suspect")),
+        "{late} sent late, {lines:?}"
+    );
 }
 
 /// Found on incident ibd5a5f: a route that was slow for a moment was sent through the whole cold ramp.
@@ -171,7 +206,11 @@
         }
     }
     assert!(w.o.lines.iter().any(|l| l.contains("suspect")));
-    assert!(!w.o.lines.iter().any(|l| l.contains("cold")), "{:?}", w.o.lines);
+    assert!(
+        !w.o.lines.iter().any(|l| l.contains("cold")),
+        "{:?}",
+        w.o.lines
+    );
 }
 
 #[test]
@@ -191,8 +230,17 @@
 /// Found on h61c592: a cold route, slow and so held for silence, was taken for open as soon as it answered.
 #[test]
 fn a_cold_route_held_for_silence_stays_cold() {
-    let mut w = World::new(BootFacts { slots: 40, holding_room: 400, ..facts() });
-    for way in [Way::Answers(100 * MS), Way::Hangs, Way::Answers(100 * MS), Way::Answers(1_500 * MS)] {
+    let mut w = World::new(BootFacts {
+        slots: 40,
+        holding_room: 400,
+        ..facts()
+    });
+    for way in [
+        Way::Answers(100 * MS),
+        Way::Hangs,
+        Way::Answers(100 * MS),
+        Way::Answers(1_500 * MS),
+    ] {
         w.o.ways[8..].fill(way);
         for _ in 0..60 {
             w.mail(0, 2, None, 12 * S);
@@ -203,24 +251,40 @@
     let from = w.o.sent.len();
     w.pass(1_700 * MS);
     let sent = w.o.sent.len() - from;
-    assert!(sent < 60, "{sent} sent within two seconds of the route's return, {:?}", w.o.lines);
+    assert!(
+        sent < 60,
+        "{sent} sent within two seconds of the route's return, {:?}",
+        w.o.lines
+    );
 }
 
 /// Found on i2fdf7c: hundreds of dispatchers sent their backlogs to a replacement the moment that it was listed.
 #[test]
 fn a_newcomer_to_a_struck_destination_is_sent_little() {
-    let mut w = World::new(BootFacts { dispatchers: 300, slots: 40, holding_room: 400, ..facts() });
+    let mut w = World::new(BootFacts {
+        dispatchers: 300,
+        slots: 40,
+        holding_room: 400,
+        ..facts()
+    });
     w.o.ways[..4].fill(Way::Errs);
     for _ in 0..40 {
         w.mail(1, 0, None, 12 * S);
         w.pass(50 * MS);
     }
-    w.o.entries.push(ListEntry { endpoint: EndpointId(12), ..w.o.entries[0] });
+    w.o.entries.push(ListEntry {
+        endpoint: EndpointId(12),
+        ..w.o.entries[0]
+    });
     w.o.ways.push(Way::Answers(100 * MS));
     let waiting = 40 - w.o.relayed.len() - w.o.deferred.len() - w.o.bounced.len();
     w.list(ListScope::Update);
     w.pass(S);
-    assert!(waiting > 5 && sends(&w, 12) <= 1, "{waiting} waiting, {} sent", sends(&w, 12));
+    assert!(
+        waiting > 5 && sends(&w, 12) <= 1,
+        "{waiting} waiting, {} sent",
+        sends(&w, 12)
+    );
 }
 
 /// Found on ljubljana-depot-later: full tables and dropped idle connections, seen at one destination of a kind, met
@@ -234,12 +298,21 @@
         w.o.ways.fill(Way::Answers(100 * MS));
         w.pass(S);
         // Found on herd+vast: those that no mail came for stayed, and kept other dispatchers out.
-        assert!((4..8).all(|e| w.o.hung_up.contains(&e)), "{way:?}: idle ones stay until they are used");
+        assert!(
+            (4..8).all(|e| w.o.hung_up.contains(&e)),
+            "{way:?}: idle ones stay until they are used"
+        );
         w.mail(0, 1, None, 12 * S);
         w.mail(0, 2, None, 12 * S);
         w.pass(5 * S);
-        assert!(w.o.hung_up.iter().any(|e| (4..8).contains(e)), "{way:?}: kept to the same kind");
-        assert!(!w.o.hung_up.iter().any(|e| *e >= 8), "{way:?}: given back to another kind");
+        assert!(
+            w.o.hung_up.iter().any(|e| (4..8).contains(e)),
+            "{way:?}: kept to the same kind"
+        );
+        assert!(
+            !w.o.hung_up.iter().any(|e| *e >= 8),
+            "{way:?}: given back to another kind"
+        );
     }
 }
 
@@ -248,7 +321,11 @@
 fn a_few_broken_connections_cost_no_idle_ones() {
     let mut w = World::new(facts());
     for n in 0..200 {
-        w.o.ways[..4].fill(if n % 25 == 24 { Way::Resets } else { Way::Answers(100 * MS) });
+        w.o.ways[..4].fill(if n % 25 == 24 {
+            Way::Resets
+        } else {
+            Way::Answers(100 * MS)
+        });
         w.mail(0, 0, None, 12 * S);
         w.o.ways[..4].fill(Way::Answers(100 * MS));
         w.pass(200 * MS);
@@ -269,16 +346,29 @@
     for n in 0..60 {
         // Each destination's first endpoint is replaced by one with a new id, every five seconds.
         for dest in 0..3 {
-            let last = w.o.entries.iter().rposition(|e| e.destination.0 == dest).unwrap();
+            let last =
+                w.o.entries
+                    .iter()
+                    .rposition(|e| e.destination.0 == dest)
+                    .unwrap();
             w.serve(last as u32, false, ListScope::Update);
-            let next = ListEntry { endpoint: EndpointId(w.o.entries.len() as u32), ..w.o.entries[last] };
-            w.o.entries.push(ListEntry { serving: true, ..next });
+            let next = ListEntry {
+                endpoint: EndpointId(w.o.entries.len() as u32),
+                ..w.o.entries[last]
+            };
+            w.o.entries.push(ListEntry {
+                serving: true,
+                ..next
+            });
             w.o.ways.push(Way::Answers(100 * MS));
             w.list(ListScope::Update);
             w.mail(0, dest, None, 12 * S);
         }
         w.pass(5 * S);
-        assert!(n < 20 || w.o.entries.len() - w.o.forgotten.len() < 12 + 3 * 20, "after {n}");
+        assert!(
+            n < 20 || w.o.entries.len() - w.o.forgotten.len() < 12 + 3 * 20,
+            "after {n}"
+        );
     }
     assert_eq!(w.o.relayed.len(), 180);
     let mut once = w.o.forgotten.clone();
@@ -310,7 +400,10 @@
 /// Found on the day churn on sockets: once the hold was full, each mail went out just before its end.
 #[test]
 fn under_lasting_overload_mails_go_out_well_before_their_end() {
-    let mut w = World::new(BootFacts { holding_room: 900, ..facts() });
+    let mut w = World::new(BootFacts {
+        holding_room: 900,
+        ..facts()
+    });
     for _ in 0..600 {
         for dest in 0..3 {
             w.mail(0, dest, None, 12 * S);
@@ -320,7 +413,11 @@
     }
     // 80 a second can go out, 120 come.
     let late: Vec<_> = w.o.sent.iter().filter(|s| s.at > 1_015 * S).collect();
-    let age: Nanos = late.iter().map(|s| s.at - w.o.taken_at(s.mail)).sum::<Nanos>() / late.len() as Nanos;
+    let age: Nanos = late
+        .iter()
+        .map(|s| s.at - w.o.taken_at(s.mail))
+        .sum::<Nanos>()
+        / late.len() as Nanos;
     assert!(age < 3_300 * MS, "{} ms old on the mean", age / MS);
 }
 
@@ -338,13 +435,20 @@
         w.mail(0, 2, None, 12 * S);
     }
     w.pass(5 * S);
-    assert!(w.o.lines.iter().any(|l| l.contains("returns cold")), "{:?}", w.o.lines);
+    assert!(
+        w.o.lines.iter().any(|l| l.contains("returns cold")),
+        "{:?}",
+        w.o.lines
+    );
 }
 
 /// Found on head-office-later rough-1: a mail that could wait went before one whose target delay was near.
 #[test]
 fn a_mail_that_loses_by_waiting_goes_first() {
-    let mut w = World::new(BootFacts { slots: 2, ..facts() });
+    let mut w = World::new(BootFacts {
+        slots: 2,
+        ..facts()
+    });
     for _ in 0..2 {
         w.mail(0, 1, None, 12 * S);
     }
@@ -352,21 +456,33 @@
     let later = w.mail(3, 2, None, 12 * S);
     w.pass(300 * MS);
     let order: Vec<MessageId> =
-        w.o.sent.iter().map(|s| s.mail).filter(|m| *m == soon || *m == later).collect();
+        w.o.sent
+            .iter()
+            .map(|s| s.mail)
+            .filter(|m| *m == soon || *m == later)
+            .collect();
     assert_eq!(order, [soon, later]);
 }
 
 /// Found on nairobi-depot-later rough-1: of two slots the trials of hung destinations held one all the time.
 #[test]
 fn trials_take_their_share_of_two_slots_time() {
-    let mut w = World::new(BootFacts { slots: 2, ..facts() });
+    let mut w = World::new(BootFacts {
+        slots: 2,
+        ..facts()
+    });
     w.o.ways[..8].fill(Way::Hangs);
     for i in 0..150 {
         w.mail(0, i % 2, None, 12 * S);
         w.mail(0, 2, None, 12 * S);
         w.pass(200 * MS);
     }
-    let hung: Vec<Nanos> = w.o.sent.iter().filter(|s| s.to < 8 && s.at > 1_010 * S).map(|s| s.at).collect();
+    let hung: Vec<Nanos> =
+        w.o.sent
+            .iter()
+            .filter(|s| s.to < 8 && s.at > 1_010 * S)
+            .map(|s| s.at)
+            .collect();
     assert!(hung.len() < 8, "{} trials in twenty seconds", hung.len());
 }
 
@@ -374,7 +490,10 @@
 /// route with a full queue, came back within a second and met it at its return.
 #[test]
 fn in_a_large_fleet_few_refusals_strike_a_route() {
-    let mut w = World::new(BootFacts { dispatchers: 300, ..facts() });
+    let mut w = World::new(BootFacts {
+        dispatchers: 300,
+        ..facts()
+    });
     w.o.ways.fill(Way::Refuses(0));
     w.mail(0, 0, None, 200 * S);
     w.pass(1_400 * MS);
@@ -385,11 +504,19 @@
     w.pass(100 * MS);
     w.o.ways.fill(Way::Answers(100 * MS));
     w.pass(100 * S);
-    assert!(w.o.lines.iter().any(|l| l.contains("returns cold")), "{:?} {}", w.o.lines, w.o.sent.len());
+    assert!(
+        w.o.lines.iter().any(|l| l.contains("returns cold")),
+        "{:?} {}",
+        w.o.lines,
+        w.o.sent.len()
+    );
 }
 
 fn past(connects: u32, ran: Option<Nanos>) -> Past {
-    Past { attempts: connects, ran: ran.map(|at| (at, ZoneId(0))) }
+    Past {
+        attempts: connects,
+        ran: ran.map(|at| (at, ZoneId(0))),
+    }
 }
 
 /// On sockets a process comes back with the mails of the one before it.
@@ -404,8 +531,13 @@
     let spent = w.mail_with_past(0, 0, past(6, None));
     w.pass(2 * S);
     assert_eq!(w.o.bounced, [once, stale]);
-    assert_eq!(w.o.deferred.iter().map(|d| d.0).collect::<Vec<_>>(), [spent]);
-    assert!(w.o.relayed.contains(&fresh) && w.o.relayed.contains(&tagged) && w.o.relayed.len() == 2);
+    assert_eq!(
+        w.o.deferred.iter().map(|d| d.0).collect::<Vec<_>>(),
+        [spent]
+    );
+    assert!(
+        w.o.relayed.contains(&fresh) && w.o.relayed.contains(&tagged) && w.o.relayed.len() == 2
+    );
 }
 
 /// A connection takes a while to come up; the daemon asks once more before the first byte.
@@ -419,7 +551,11 @@
         w.mail(0, 2, None, 12 * S);
     }
     w.pass(S);
-    let open = |w: &World| (0..13).filter(|e| w.d.is_open(w.o.now, EndpointId(*e))).collect::<Vec<_>>();
+    let open = |w: &World| {
+        (0..13)
+            .filter(|e| w.d.is_open(w.o.now, EndpointId(*e)))
+            .collect::<Vec<_>>()
+    };
     assert_eq!(open(&w), [1, 2, 3, 4, 5, 6, 7, 9, 10, 11]);
     w.pass(3 * S);
     assert_eq!(open(&w), (1..12).collect::<Vec<_>>());
@@ -428,12 +564,22 @@
 #[test]
 fn a_tagged_mail_that_may_have_run_is_deferred_only_where_its_window_covers_its_lifetime() {
     for (lifetime, deferred) in [(12 * S, false), (5 * S, true)] {
-        let mut w = World::new(BootFacts { max_attempts: 1, ..facts() });
+        let mut w = World::new(BootFacts {
+            max_attempts: 1,
+            ..facts()
+        });
         w.o.ways.fill(Way::Errs);
         let mail = w.mail(1, 0, None, lifetime);
         w.pass(S);
-        let ends = (w.o.deferred.iter().any(|d| d.0 == mail), w.o.bounced.contains(&mail));
-        assert_eq!(ends, (deferred, !deferred), "with a lifetime of {lifetime} ns and a window of 6 s");
+        let ends = (
+            w.o.deferred.iter().any(|d| d.0 == mail),
+            w.o.bounced.contains(&mail),
+        );
+        assert_eq!(
+            ends,
+            (deferred, !deferred),
+            "with a lifetime of {lifetime} ns and a window of 6 s"
+        );
     }
 }
 
@@ -451,10 +597,19 @@
     let before = sends(&w, 0);
     load(&mut w, 80);
     let tried = sends(&w, 0) - before;
-    assert!((3..=8).contains(&tried), "{tried} connects in 8 s, while its siblings answered");
+    assert!(
+        (3..=8).contains(&tried),
+        "{tried} connects in 8 s, while its siblings answered"
+    );
     w.o.ways[0] = Way::Answers(100 * MS);
     load(&mut w, 20);
-    assert!(w.o.lines.iter().any(|l| l.starts_with("route 0 returns cold")), "{:?}", w.o.lines);
+    assert!(
+        w.o.lines
+            .iter()
+            .any(|l| l.starts_with("route 0 returns cold")),
+        "{:?}",
+        w.o.lines
+    );
 }
 
 #[test]
@@ -465,7 +620,11 @@
         w.mail(0, 2, None, 12 * S);
         w.pass(100 * MS);
     }
-    assert!(sends(&w, 8) <= 14, "{} of 80 mails went to it first", sends(&w, 8));
+    assert!(
+        sends(&w, 8) <= 14,
+        "{} of 80 mails went to it first",
+        sends(&w, 8)
+    );
     assert_eq!(w.o.relayed.len(), 80);
 }
 
@@ -476,7 +635,12 @@
     let within = 10 * S;
     let mut first = vec![];
     for seed in 0..40 {
-        let mut w = World::new(BootFacts { seed, watch_within: Some(within), dispatchers: 300, ..facts() });
+        let mut w = World::new(BootFacts {
+            seed,
+            watch_within: Some(within),
+            dispatchers: 300,
+            ..facts()
+        });
         let start = w.o.now;
         w.pass(60 * S);
         assert_eq!(w.o.asked.len(), 1, "asked again without a failure");
@@ -487,7 +651,10 @@
             w.d.watch_lost(lost, &mut w.o);
             w.pass(40 * S - 1);
             assert_eq!(w.o.asked.len(), calls + 1);
-            assert!(calls == 1 || w.o.asked[calls] >= lost + within / 2, "in vain and again at once");
+            assert!(
+                calls == 1 || w.o.asked[calls] >= lost + within / 2,
+                "in vain and again at once"
+            );
         }
         // It serves for a while; the watch breaks, which is no failed call.
         w.list(ListScope::Update);
@@ -498,7 +665,10 @@
     }
     assert!(first.iter().all(|&at| at < within));
     let early = first.iter().filter(|&&at| at < within / 4).count();
-    assert!((5..25).contains(&early), "{early} of 40 in the first quarter");
+    assert!(
+        (5..25).contains(&early),
+        "{early} of 40 in the first quarter"
+    );
 }
 
 #[test]
@@ -513,7 +683,11 @@
 /// big-1 of wales-head-office: two slots' worth of a backlog went out one by one, each a call against the limit.
 #[test]
 fn a_backlog_goes_in_one_call_where_its_kind_allows() {
-    let mut w = World::new(BootFacts { batch: vec![1, 4], slots: 2, ..facts() });
+    let mut w = World::new(BootFacts {
+        batch: vec![1, 4],
+        slots: 2,
+        ..facts()
+    });
     w.o.ways.fill(Way::Refuses(S));
     for _ in 0..6 {
         w.mail(0, 2, None, 12 * S);
@@ -525,8 +699,17 @@
     w.pass(11 * S);
     assert_eq!(w.o.relayed.len(), 12);
     let most = |to: std::ops::Range<u32>| {
-        let same = |s: &Sent| w.o.sent.iter().filter(|t| (t.at, t.to) == (s.at, s.to)).count();
-        w.o.sent.iter().filter(|s| to.contains(&s.to)).map(same).max()
+        let same = |s: &Sent| {
+            w.o.sent
+                .iter()
+                .filter(|t| (t.at, t.to) == (s.at, s.to))
+                .count()
+        };
+        w.o.sent
+            .iter()
+            .filter(|s| to.contains(&s.to))
+            .map(same)
+            .max()
     };
     assert_eq!((most(8..12), most(0..4)), (Some(4), Some(1)));
 }
@@ -535,7 +718,11 @@
 /// told was passed over until the last had come.
 #[test]
 fn a_wait_told_to_any_mail_of_a_batch_binds() {
-    let mut w = World::lone(BootFacts { batch: vec![1, 4], slots: 20, ..facts() });
+    let mut w = World::lone(BootFacts {
+        batch: vec![1, 4],
+        slots: 20,
+        ..facts()
+    });
     w.o.ways.fill(Way::Refuses(S));
     w.mails(6, 0, 2);
     // Rule 5 is checked with each connect.
@@ -551,7 +738,10 @@
 fn a_time_out_leaves_a_tagged_mail_time_to_be_repeated_or_is_as_long_as_a_once_only_one_s() {
     let first = |window, hung: bool| {
         let mut f = facts();
-        f.classes[1].repeat = Repeat::Deduplicated { window, same_zone: false };
+        f.classes[1].repeat = Repeat::Deduplicated {
+            window,
+            same_zone: false,
+        };
         let mut w = World::lone(f);
         if hung {
             // Found out by mails that may run again.
@@ -562,7 +752,11 @@
         w.o.sent.clear();
         let mail = w.mail(1, 2, None, 12 * S);
         w.pass(10 * S);
-        w.o.sent.iter().find(|s| s.mail == mail).expect("it goes").time_out
+        w.o.sent
+            .iter()
+            .find(|s| s.mail == mail)
+            .expect("it goes")
+            .time_out
     };
     for hung in [false, true] {
         let most = if hung { 2 * S } else { 2_400 * MS };
@@ -578,8 +772,16 @@
     const WINDOW: Nanos = 6 * S;
     for (left, sent) in [(100 * MS, false), (140 * MS, false), (200 * MS, true)] {
         let mut w = World::lone(facts());
-        let past = Past { attempts: 1, ran: Some((w.o.now + left - WINDOW, ZoneId(0))) };
+        let past = Past {
+            attempts: 1,
+            ran: Some((w.o.now + left - WINDOW, ZoneId(0))),
+        };
         w.mail_with_past(1, 0, past);
-        assert_eq!(!w.o.sent.is_empty(), sent, "with {} ms of the window left", left / MS);
+        assert_eq!(
+            !w.o.sent.is_empty(),
+            sent,
+            "with {} ms of the window left",
+            left / MS
+        );
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -32,7 +32,15 @@
     let (slots, dispatchers) = ([8, 2, 3][draw % 3], [1, 300][draw / 3 % 2]);
     let endpoints = [12, 60][draw / 6 % 2];
     let batch = [vec![], vec![4, 1], vec![3, 20]][draw / 12 % 3].clone();
-    let mut w = World::sized(BootFacts { slots, dispatchers, batch, ..facts() }, u32::from(endpoints));
+    let mut w = World::sized(
+        BootFacts {
+            slots,
+            dispatchers,
+            batch,
+            ..facts()
+        },
+        u32::from(endpoints),
+    );
     for (what, whom, wait) in steps {
         let to = u32::from(whom % endpoints);
         match what % 32 {
@@ -42,7 +50,13 @@
             3 if whom % 8 == 0 => w.restart(),
             3 if whom % 8 == 1 => w.resume(),
             4 => w.withdraw(MessageId(w.o.sent.last().map_or(1, |s| s.mail.0))),
-            5 => w.o.ways.iter_mut().skip(usize::from(whom % 3) * 4).take(4).for_each(|x| *x = way(whom)),
+            5 => {
+                w.o.ways
+                    .iter_mut()
+                    .skip(usize::from(whom % 3) * 4)
+                    .take(4)
+                    .for_each(|x| *x = way(whom))
+            }
             6 => w.o.ways.fill(Way::Answers(100 * MS)),
             n => {
                 let lifetime = if whom == 0 { 3 * MS } else { 12 * S };
@@ -63,12 +77,19 @@
 #[test]
 fn rules_hold_in_random_runs() {
     let source = Gen::from_size_and_seed(600, 20_261_201);
-    QuickCheck::new().rng(source).tests(120).quickcheck(run as fn(Vec<Step>) -> TestResult);
+    QuickCheck::new()
+        .rng(source)
+        .tests(120)
+        .quickcheck(run as fn(Vec<Step>) -> TestResult);
 }
 
 /// Rule 4: after an outage seen here, no window holds more than the cold route bears.
 fn returns_gently(way: Way) {
-    let mut w = World::new(BootFacts { slots: 40, holding_room: 400, ..facts() });
+    let mut w = World::new(BootFacts {
+        slots: 40,
+        holding_room: 400,
+        ..facts()
+    });
     let ten_a_second = |w: &mut World, tenths: u32| {
         for _ in 0..tenths {
             w.mail(0, 2, None, 12 * S);
@@ -84,14 +105,32 @@
     let f = facts();
     for to in 8..12 {
         let times: Vec<Nanos> =
-            w.o.sent.iter().filter(|s| s.to == to && s.at >= back).map(|s| s.at).collect();
-        assert!(times.len() > 5, "route {to} got only {} mails after its return", times.len());
-        for (i, &end) in times.iter().enumerate().filter(|(_, end)| **end < back + f.ramp) {
+            w.o.sent
+                .iter()
+                .filter(|s| s.to == to && s.at >= back)
+                .map(|s| s.at)
+                .collect();
+        assert!(
+            times.len() > 5,
+            "route {to} got only {} mails after its return",
+            times.len()
+        );
+        for (i, &end) in times
+            .iter()
+            .enumerate()
+            .filter(|(_, end)| **end < back + f.ramp)
+        {
             let warm = f.cold_share + (1.0 - f.cold_share) * ((end - back) as f64 / f.ramp as f64);
             // The route took 2.5 a second and could take 3; two more in a window are slack for chance.
             let bears = 3.0 * f.tip_multiple * warm * (f.tip_window as f64 / 1e9) + 2.0;
-            let window = times[..=i].iter().filter(|&&t| t + f.tip_window > end).count();
-            assert!(window as f64 <= bears, "route {to}: {window} sent in a window, {bears:.1} borne");
+            let window = times[..=i]
+                .iter()
+                .filter(|&&t| t + f.tip_window > end)
+                .count();
+            assert!(
+                window as f64 <= bears,
+                "route {to}: {window} sent in a window, {bears:.1} borne"
+            );
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -95,7 +95,10 @@
         repeat,
         ordered,
     };
-    let tagged = |same_zone| Repeat::Deduplicated { window: 6 * S, same_zone };
+    let tagged = |same_zone| Repeat::Deduplicated {
+        window: 6 * S,
+        same_zone,
+    };
     BootFacts {
         position: Some(0),
         seed: 7,
@@ -131,7 +134,11 @@
     }
     fn gate(&self, to: u32) -> u64 {
         let e = &self.entries[to as usize];
-        if self.facts.separate_limits[e.kind.0] { 100 + u64::from(to) } else { e.destination.0 }
+        if self.facts.separate_limits[e.kind.0] {
+            100 + u64::from(to)
+        } else {
+            e.destination.0
+        }
     }
     fn later(&mut self, at: Nanos, what: Due) {
         self.seq += 1;
@@ -148,7 +155,10 @@
         }
     }
     fn end(&mut self, id: MessageId) {
-        let mail = self.mails.get_mut(&id).expect("a final answer for a mail that was taken");
+        let mail = self
+            .mails
+            .get_mut(&id)
+            .expect("a final answer for a mail that was taken");
         assert!(!mail.ended, "rule 1: a second final answer for {id:?}");
         assert!(self.now <= mail.due, "rule 1: {id:?} answered late");
         mail.ended = true;
@@ -163,26 +173,60 @@
         let (now, to) = (self.now, endpoint.0);
         let entry = self.entries[to as usize];
         let mail = &self.mails[&id];
-        assert!(!mail.ended && now < mail.due, "rule 1: {id:?} sent after its end");
+        assert!(
+            !mail.ended && now < mail.due,
+            "rule 1: {id:?} sent after its end"
+        );
         assert!(mail.out.is_none(), "rule 2: two connects of {id:?} at once");
-        assert!(self.may_repeat(mail, Some(entry.zone.0)), "rule 2: {id:?} may run twice");
-        assert!(entry.serving, "rule 3: {id:?} sent to an endpoint that drains or is gone");
+        assert!(
+            self.may_repeat(mail, Some(entry.zone.0)),
+            "rule 2: {id:?} may run twice"
+        );
+        assert!(
+            entry.serving,
+            "rule 3: {id:?} sent to an endpoint that drains or is gone"
+        );
         assert_eq!(entry.destination.0, mail.dest, "a foreign destination");
         let told = self.told.get(&self.gate(to)).copied().unwrap_or(0);
-        assert!(now >= told, "rule 5: {id:?} sent {} ns before the end of a told wait", told - now);
+        assert!(
+            now >= told,
+            "rule 5: {id:?} sent {} ns before the end of a told wait",
+            told - now
+        );
         if let Some(key) = mail.key {
-            assert_eq!(self.order[&key].first(), Some(&id), "rule 6: {id:?} sent out of turn");
-            let other = |(m, k): (&MessageId, &Known)| k.key == Some(key) && *m != id && k.out.is_some();
-            assert!(!self.mails.iter().any(other), "rule 6: an earlier connect has no outcome yet");
+            assert_eq!(
+                self.order[&key].first(),
+                Some(&id),
+                "rule 6: {id:?} sent out of turn"
+            );
+            let other =
+                |(m, k): (&MessageId, &Known)| k.key == Some(key) && *m != id && k.out.is_some();
+            assert!(
+                !self.mails.iter().any(other),
+                "rule 6: an earlier connect has no outcome yet"
+            );
             if let Some(&(until, by)) = self.rests.get(&key) {
-                assert!(now >= until || by == id, "rule 6: {id:?} sent while its key rests");
+                assert!(
+                    now >= until || by == id,
+                    "rule 6: {id:?} sent while its key rests"
+                );
             }
         }
         // What goes to one endpoint at once is one call, with one slot and one fate, as far as its kind allows.
         let most = self.facts.batch.get(entry.kind.0).copied().unwrap_or(1);
-        let calls: BTreeSet<u64> = self.mails.values().filter(|m| m.out.is_some()).map(|m| m.call).collect();
-        let same = self.call.filter(|c| (c.at, c.to) == (now, to) && c.mails < most && calls.contains(&c.no));
-        assert!(same.is_some() || calls.len() < self.facts.slots, "a connect without a slot");
+        let calls: BTreeSet<u64> = self
+            .mails
+            .values()
+            .filter(|m| m.out.is_some())
+            .map(|m| m.call)
+            .collect();
+        let same = self
+            .call
+            .filter(|c| (c.at, c.to) == (now, to) && c.mails < most && calls.contains(&c.no));
+        assert!(
+            same.is_some() || calls.len() < self.facts.slots,
+            "a connect without a slot"
+        );
         let mail = self.mails.get_mut(&id).expect("checked above");
         mail.out = Some((to, now));
         mail.connects += 1;
@@ -204,19 +248,39 @@
         };
         let fate = same.map_or((after, outcome), |c| c.fate);
         let mails = same.map_or(0, |c| c.mails) + 1;
-        self.call = Some(Call { no: mail.call, at: now, to, mails, fate });
+        self.call = Some(Call {
+            no: mail.call,
+            at: now,
+            to,
+            mails,
+            fate,
+        });
         // The answers of one call come apart on their way.
         let (after, outcome) = (fate.0 + (mails as u64 - 1) * 5 * MS, fate.1);
-        let (after, outcome) =
-            if after > time_out { (time_out, Outcome::TimedOut) } else { (after, outcome) };
-        self.sent.push(Sent { at: now, mail: id, to, time_out });
+        let (after, outcome) = if after > time_out {
+            (time_out, Outcome::TimedOut)
+        } else {
+            (after, outcome)
+        };
+        self.sent.push(Sent {
+            at: now,
+            mail: id,
+            to,
+            time_out,
+        });
         self.later(now + after.max(1), Due::End(id, outcome));
     }
     fn defer(&mut self, id: MessageId, come_back: Nanos) {
         let mail = &self.mails[&id];
-        assert!(mail.out.is_none() || mail.ended, "rule 2: {id:?} deferred with a connect out");
+        assert!(
+            mail.out.is_none() || mail.ended,
+            "rule 2: {id:?} deferred with a connect out"
+        );
         let zone = mail.ran.map(|_| usize::MAX);
-        assert!(self.may_repeat(mail, zone), "rule 2: {id:?} deferred though it may have run");
+        assert!(
+            self.may_repeat(mail, zone),
+            "rule 2: {id:?} deferred though it may have run"
+        );
         assert!(come_back <= self.facts.max_retry_after);
         self.end(id);
         self.deferred.push((id, come_back));
@@ -226,16 +290,27 @@
         self.bounced.push(id);
     }
     fn cancel(&mut self, id: MessageId, no: AttemptNumber) {
-        assert_eq!(no.0 + 1, self.mails[&id].connects, "called off a connect that is not out");
-        self.due.retain(|_, d| !matches!(d, Due::End(m, _) if *m == id));
+        assert_eq!(
+            no.0 + 1,
+            self.mails[&id].connects,
+            "called off a connect that is not out"
+        );
+        self.due
+            .retain(|_, d| !matches!(d, Due::End(m, _) if *m == id));
         self.later(self.now + 1, Due::End(id, Outcome::CalledOff));
     }
     fn close_idle(&mut self, endpoint: EndpointId) {
         self.hung_up.push(endpoint.0);
     }
     fn forget(&mut self, endpoint: EndpointId) {
-        assert!(!self.entries[endpoint.0 as usize].serving, "forgotten while it serves");
-        let out = self.mails.values().any(|m| m.out.is_some_and(|(to, _)| to == endpoint.0));
+        assert!(
+            !self.entries[endpoint.0 as usize].serving,
+            "forgotten while it serves"
+        );
+        let out = self
+            .mails
+            .values()
+            .any(|m| m.out.is_some_and(|(to, _)| to == endpoint.0));
         assert!(!out, "forgotten with a connect out");
         self.forgotten.push(endpoint.0);
     }
@@ -304,14 +379,23 @@
             seq: 0,
             call: None,
         };
-        let mut world = World { d: Dispatcher::boot(now, facts), o, taken: 0 };
+        let mut world = World {
+            d: Dispatcher::boot(now, facts),
+            o,
+            taken: 0,
+        };
         world.list(ListScope::Whole);
         world
     }
 
     pub fn list(&mut self, scope: ListScope) {
-        let entries: Vec<ListEntry> =
-            self.o.entries.iter().filter(|e| scope == ListScope::Update || e.serving).copied().collect();
+        let entries: Vec<ListEntry> = self
+            .o
+            .entries
+            .iter()
+            .filter(|e| scope == ListScope::Update || e.serving)
+            .copied()
+            .collect();
         self.d.apply_list(self.o.now, scope, &entries, &mut self.o);
     }
 
@@ -321,11 +405,29 @@
         self.list(scope);
     }
 
-    pub fn mail(&mut self, class: usize, dest: u64, key: Option<u64>, lifetime: Nanos) -> MessageId {
-        let key = key.filter(|_| self.o.facts.classes[class].ordered).map(KeyId);
+    pub fn mail(
+        &mut self,
+        class: usize,
+        dest: u64,
+        key: Option<u64>,
+        lifetime: Nanos,
+    ) -> MessageId {
+        let key = key
+            .filter(|_| self.o.facts.classes[class].ordered)
+            .map(KeyId);
         let due = self.o.now + lifetime;
         self.taken += 1;
-        let known = Known { class, key, dest, due, connects: 0, out: None, ran: None, ended: false, call: 0 };
+        let known = Known {
+            class,
+            key,
+            dest,
+            due,
+            connects: 0,
+            out: None,
+            ran: None,
+            ended: false,
+            call: 0,
+        };
         self.hand(MessageId(self.taken), known)
     }
 
@@ -367,8 +469,9 @@
             ended: false,
             call: 0,
         };
-        let all: Vec<NewMessage> =
-            (first..first + count).map(|id| self.note(MessageId(id), known())).collect();
+        let all: Vec<NewMessage> = (first..first + count)
+            .map(|id| self.note(MessageId(id), known()))
+            .collect();
         self.taken += count;
         self.d.accept(self.o.now, all, &mut self.o);
     }
@@ -378,8 +481,18 @@
             self.o.order.entry(key).or_default().push(id);
         }
         let (class, destination) = (ClassId(mail.class), DestinationId(mail.dest));
-        let past = Past { attempts: mail.connects, ran: mail.ran.map(|(at, zone)| (at, ZoneId(zone))) };
-        let new = NewMessage { id, class, key: mail.key, destination, due: mail.due, past };
+        let past = Past {
+            attempts: mail.connects,
+            ran: mail.ran.map(|(at, zone)| (at, ZoneId(zone))),
+        };
+        let new = NewMessage {
+            id,
+            class,
+            key: mail.key,
+            destination,
+            due: mail.due,
+            past,
+        };
         self.o.mails.insert(id, mail);
         new
     }
@@ -402,7 +515,8 @@
         self.restart();
         for (id, mut mail) in mails.into_iter().filter(|(_, mail)| !mail.ended) {
             if let Some((to, at)) = mail.out.take() {
-                mail.ran.get_or_insert((at, self.o.entries[to as usize].zone.0));
+                mail.ran
+                    .get_or_insert((at, self.o.entries[to as usize].zone.0));
             }
             self.hand(id, mail);
         }
@@ -418,7 +532,9 @@
     /// Lets time pass; all that falls due on the way happens, and rule 1 is checked after each of it.
     pub fn pass(&mut self, span: Nanos) {
         let until = self.o.now + span;
-        while let Some((&(at, seq), _)) = self.o.due.iter().next().filter(|((at, _), _)| *at <= until) {
+        while let Some((&(at, seq), _)) =
+            self.o.due.iter().next().filter(|((at, _), _)| *at <= until)
+        {
             let what = self.o.due.remove(&(at, seq)).expect("just seen");
             self.o.now = at;
             match what {
@@ -432,21 +548,36 @@
     }
 
     fn check_due(&self) {
-        let lost = self.o.mails.iter().find(|(_, m)| !m.ended && m.due < self.o.now);
-        assert!(lost.is_none(), "rule 1: {:?} has no final answer", lost.map(|l| l.0));
+        let lost = self
+            .o
+            .mails
+            .iter()
+            .find(|(_, m)| !m.ended && m.due < self.o.now);
+        assert!(
+            lost.is_none(),
+            "rule 1: {:?} has no final answer",
+            lost.map(|l| l.0)
+        );
     }
 
     fn ended(&mut self, id: MessageId, outcome: Outcome) {
         let now = self.o.now;
-        let mail = self.o.mails.get_mut(&id).expect("an end for a mail that was taken");
+        let mail = self
+            .o
+            .mails
+            .get_mut(&id)
+            .expect("an end for a mail that was taken");
         let (to, at) = mail.out.take().expect("an end for a connect that is out");
         let zone = self.o.entries[to as usize].zone.0;
         if outcome.may_have_run() {
             mail.ran.get_or_insert((at, zone));
         }
         let (key, over, no) = (mail.key, mail.ended, AttemptNumber(mail.connects - 1));
-        if let (Outcome::TimedOut | Outcome::CalledOff | Outcome::Reset, Some(key)) = (outcome, key) {
-            self.o.rests.insert(key, (now + self.o.facts.key_cooldown, id));
+        if let (Outcome::TimedOut | Outcome::CalledOff | Outcome::Reset, Some(key)) = (outcome, key)
+        {
+            self.o
+                .rests
+                .insert(key, (now + self.o.facts.key_cooldown, id));
         }
         if let Outcome::Full(wait) = outcome {
             let gate = self.o.gate(to);
--- a/watch/src/backoff.rs
+++ b/watch/src/backoff.rs
@@ -36,13 +36,18 @@
 impl Backoff {
     pub fn new(seed: u64, dispatchers: u32) -> Backoff {
         let first = (u64::from(dispatchers) * EACH).clamp(FIRST, LONGEST);
-        Backoff { rng: Pcg64Mcg::seed_from_u64(seed), first, rest: 0 }
+        Backoff {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            first,
+            rest: 0,
+        }
     }
 
     /// How long to wait before the first asking. What the platform has counts as told from the first moment on, so that
     /// mails would go to what drains: half of the grace is left for the answer.
     pub fn first_rest(&mut self, drain_grace: Nanos) -> Nanos {
-        self.rng.random_range(0..=(drain_grace / 2).min(FIRST_WITHIN))
+        self.rng
+            .random_range(0..=(drain_grace / 2).min(FIRST_WITHIN))
     }
 
     /// How long to wait before it is asked once more; `spent` is how long the last call, or a watch's silence, took to fail.
--- a/watch/src/call.rs
+++ b/watch/src/call.rs
@@ -75,12 +75,20 @@
     }
 
     /// Takes what has come from `input`; `ended` says that nothing comes after it.
-    pub fn read(&mut self, input: &mut Ring, ended: bool, limit: LineLimit) -> Result<Lines, CallFailure> {
+    pub fn read(
+        &mut self,
+        input: &mut Ring,
+        ended: bool,
+        limit: LineLimit,
+    ) -> Result<Lines, CallFailure> {
         if self.body.is_none() {
             let Some(head) = http::head(input).map_err(|_| CallFailure::NoAnswer)? else {
                 return match ended {
                     true => Err(CallFailure::NoAnswer),
-                    false => Ok(Lines { lines: Vec::new(), last: false }),
+                    false => Ok(Lines {
+                        lines: Vec::new(),
+                        last: false,
+                    }),
                 };
             };
             if head.status != 200 {
@@ -91,7 +99,12 @@
         self.read_lines(input, ended, limit)
     }
 
-    fn read_lines(&mut self, input: &mut Ring, ended: bool, limit: LineLimit) -> Result<Lines, CallFailure> {
+    fn read_lines(
+        &mut self,
+        input: &mut Ring,
+        ended: bool,
+        limit: LineLimit,
+    ) -> Result<Lines, CallFailure> {
         let (Some(body), line) = (&mut self.body, &mut self.line) else {
             return Err(CallFailure::NoAnswer);
         };
--- a/watch/src/cell_cache.rs
+++ b/watch/src/cell_cache.rs
@@ -44,7 +44,10 @@
     /// Notes a use of a destination, which is taken in as [`CellState::Pending`] where it is new.
     pub fn touch(&mut self, destination: u64) {
         self.uses += 1;
-        let new = Cell { used: self.uses, state: CellState::Pending };
+        let new = Cell {
+            used: self.uses,
+            state: CellState::Pending,
+        };
         let cell = self.cells.entry(destination).or_insert(new);
         self.by_use.remove(&cell.used);
         cell.used = self.uses;
@@ -65,12 +68,18 @@
 
     /// The one used longest ago that is not in use now.
     pub fn oldest_unused(&self, in_use: &dyn Fn(u64) -> bool) -> Option<u64> {
-        self.by_use.values().copied().find(|destination| !in_use(*destination))
+        self.by_use
+            .values()
+            .copied()
+            .find(|destination| !in_use(*destination))
     }
 
     /// The destinations in that state, by number.
     pub fn in_state(&self, state: CellState) -> impl Iterator<Item = u64> {
-        self.cells.iter().filter(move |(_, cell)| cell.state == state).map(|(destination, _)| *destination)
+        self.cells
+            .iter()
+            .filter(move |(_, cell)| cell.state == state)
+            .map(|(destination, _)| *destination)
     }
 
     /// All destinations, the one used longest ago first.
--- a/watch/src/documents.rs
+++ b/watch/src/documents.rs
@@ -22,7 +22,10 @@
 
 impl DocumentReader {
     pub fn indented(longest: usize) -> DocumentReader {
-        DocumentReader::Indented { begun: Vec::new(), longest }
+        DocumentReader::Indented {
+            begun: Vec::new(),
+            longest,
+        }
     }
 
     /// The document that ends with this line, if one does. A line that can be no part of a document is logged and skipped.
--- a/watch/src/lib.rs
+++ b/watch/src/lib.rs
@@ -16,6 +16,8 @@
 pub mod watch;
 
 pub use call::CallId;
-pub use scoped_list::{Applied, BucketMap, CacheFull, Knowledge, ListCounters, ScopedLineError, ScopedList};
+pub use scoped_list::{
+    Applied, BucketMap, CacheFull, Knowledge, ListCounters, ScopedLineError, ScopedList,
+};
 pub use state_file::StateFileError;
 pub use watch::{Command, Counters, Received, ScopedOptions, Timer, Watch};
--- a/watch/src/lookup.rs
+++ b/watch/src/lookup.rs
@@ -40,20 +40,39 @@
 
 impl LookupCall {
     pub fn new(id: CallId, destinations: Vec<u64>, forget: Vec<u64>) -> LookupCall {
-        LookupCall { id, destinations, forget, body: None, answer: Vec::new() }
+        LookupCall {
+            id,
+            destinations,
+            forget,
+            body: None,
+            answer: Vec::new(),
+        }
     }
 
     /// Takes what has come from `input`; `ended` says that nothing comes after it. None: more has to come.
-    pub fn read(&mut self, input: &mut Ring, ended: bool) -> Result<Option<ScopedLine>, LookupFailure> {
+    pub fn read(
+        &mut self,
+        input: &mut Ring,
+        ended: bool,
+    ) -> Result<Option<ScopedLine>, LookupFailure> {
         if self.body.is_none() {
             match http::head(input).map_err(|_| LookupFailure::NoAnswer)? {
                 Some(head) if head.status != 200 => return Err(LookupFailure::Status(head.status)),
                 Some(head) => self.body = Some(head.body),
-                None => return if ended { Err(LookupFailure::NoAnswer) } else { Ok(None) },
+                None => {
+                    return if ended {
+                        Err(LookupFailure::NoAnswer)
+                    } else {
+                        Ok(None)
+                    };
+                }
             }
         }
-        let (Some(body), answer) = (&mut self.body, &mut self.answer) else { return Ok(None) };
-        body.take(input, |bytes| answer.extend(bytes)).map_err(|_| LookupFailure::NoAnswer)?;
+        let (Some(body), answer) = (&mut self.body, &mut self.answer) else {
+            return Ok(None);
+        };
+        body.take(input, |bytes| answer.extend(bytes))
+            .map_err(|_| LookupFailure::NoAnswer)?;
         let whole = *body == Body::Done;
         if answer.len() > LONGEST_ANSWER || (ended && !whole) {
             return Err(LookupFailure::NoAnswer);
@@ -61,7 +80,9 @@
         if !whole {
             return Ok(None);
         }
-        serde_json::from_slice(answer).map(Some).map_err(|_| LookupFailure::NoAnswer)
+        serde_json::from_slice(answer)
+            .map(Some)
+            .map_err(|_| LookupFailure::NoAnswer)
     }
 }
 
@@ -73,7 +94,10 @@
 
 impl LookupRest {
     pub fn new(seed: u64) -> LookupRest {
-        LookupRest { rest: FIRST_REST, rng: Pcg64Mcg::seed_from_u64(seed) }
+        LookupRest {
+            rest: FIRST_REST,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+        }
     }
 
     pub fn failed(&mut self) -> Nanos {
--- a/watch/src/scoped_list.rs
+++ b/watch/src/scoped_list.rs
@@ -56,7 +56,11 @@
                 )
             }
             ScopedLineError::VersionWentBack { known, told } => {
-                write!(f, "its version {} is before {}, which was told already", told.0, known.0)
+                write!(
+                    f,
+                    "its version {} is before {}, which was told already",
+                    told.0, known.0
+                )
             }
             ScopedLineError::OtherLog(log) => {
                 write!(f, "it is of the log {log}, the watch is of another one")
@@ -216,12 +220,17 @@
     }
 
     fn buckets_in(&self, state: BucketState) -> impl Iterator<Item = BucketId> {
-        self.buckets.iter().filter(move |(_, s)| **s == state).map(|(bucket, _)| *bucket)
+        self.buckets
+            .iter()
+            .filter(move |(_, s)| **s == state)
+            .map(|(bucket, _)| *bucket)
     }
 
     /// All entries, by destination.
     pub fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
-        self.destinations.values().flat_map(|endpoints| endpoints.values().map(|kept| &kept.entry))
+        self.destinations
+            .values()
+            .flat_map(|endpoints| endpoints.values().map(|kept| &kept.entry))
     }
 
     /// The entries of one destination.
@@ -260,7 +269,11 @@
             let _ = write!(query, "&log={}", self.log);
         }
         let _ = write!(query, "&dispatcher={dispatcher}");
-        push_numbers(&mut query, "buckets", self.complete_buckets().map(|bucket| u64::from(bucket.0)));
+        push_numbers(
+            &mut query,
+            "buckets",
+            self.complete_buckets().map(|bucket| u64::from(bucket.0)),
+        );
         push_numbers(&mut query, "cells", self.cache.in_state(CellState::Known));
         query
     }
@@ -293,12 +306,18 @@
             self.epoch = line.epoch;
             self.revision += 1;
         }
-        line.lost.iter().for_each(|bucket| self.lose_bucket(*bucket, &mut applied));
-        line.gained.iter().for_each(|bucket| self.gain_bucket(*bucket));
+        line.lost
+            .iter()
+            .for_each(|bucket| self.lose_bucket(*bucket, &mut applied));
+        line.gained
+            .iter()
+            .for_each(|bucket| self.gain_bucket(*bucket));
         for entry in line.servers {
             self.apply_entry(entry, line.version, &mut applied);
         }
-        line.filled.iter().for_each(|bucket| self.complete_bucket(*bucket, &mut applied));
+        line.filled
+            .iter()
+            .for_each(|bucket| self.complete_bucket(*bucket, &mut applied));
         if line.version != self.version {
             self.version = line.version;
             self.revision += 1;
@@ -312,7 +331,10 @@
             return Err(ScopedLineError::FullList);
         }
         if !other_log && line.version < self.version {
-            return Err(ScopedLineError::VersionWentBack { known: self.version, told: line.version });
+            return Err(ScopedLineError::VersionWentBack {
+                known: self.version,
+                told: line.version,
+            });
         }
         Ok(())
     }
@@ -322,14 +344,19 @@
     fn begin_log(&mut self, log: &str, applied: &mut Applied) {
         if !self.log.is_empty() {
             self.counters.other_logs += 1;
-            log::warn!("configuration: another log begins, {log} after {}", self.log);
+            log::warn!(
+                "configuration: another log begins, {log} after {}",
+                self.log
+            );
         }
         self.revision += 1;
         self.log = log.to_string();
         self.version = Version(0);
         self.removed.clear();
         self.removed_order.clear();
-        self.buckets.values_mut().for_each(|state| *state = BucketState::Filling);
+        self.buckets
+            .values_mut()
+            .for_each(|state| *state = BucketState::Filling);
         for endpoints in self.destinations.values_mut() {
             for kept in endpoints.values_mut() {
                 kept.entry.version = Version(0);
@@ -337,7 +364,9 @@
             }
         }
         let cached: Vec<u64> = self.cache.by_use().collect();
-        cached.into_iter().for_each(|destination| self.drop_destination(destination, applied));
+        cached
+            .into_iter()
+            .for_each(|destination| self.drop_destination(destination, applied));
     }
 
     /// A connection begins with the buckets that are assigned and were not complete, on as many lines as they need. One that
@@ -358,7 +387,9 @@
         self.revision += 1;
         self.buckets.insert(bucket, BucketState::Filling);
         for name in self.members_of(bucket) {
-            self.kept_mut(&name).into_iter().for_each(|kept| kept.confirmed = false);
+            self.kept_mut(&name)
+                .into_iter()
+                .for_each(|kept| kept.confirmed = false);
         }
     }
 
@@ -399,17 +430,33 @@
     /// several regions, and a bucket has those of one: the others are told for as long as the destination is cached.
     fn all_in_complete_buckets(&self, destination: u64) -> bool {
         let complete = |bucket: BucketId| self.buckets.get(&bucket) == Some(&BucketState::Complete);
-        let endpoints = self.destinations.get(&destination).into_iter().flat_map(BTreeMap::values);
-        endpoints.into_iter().all(|kept| kept.bucket.is_some_and(complete))
+        let endpoints = self
+            .destinations
+            .get(&destination)
+            .into_iter()
+            .flat_map(BTreeMap::values);
+        endpoints
+            .into_iter()
+            .all(|kept| kept.bucket.is_some_and(complete))
     }
 
     /// The names of the endpoints of a bucket.
     fn members_of(&self, bucket: BucketId) -> Vec<String> {
-        self.members.get(&bucket).into_iter().flatten().cloned().collect()
+        self.members
+            .get(&bucket)
+            .into_iter()
+            .flatten()
+            .cloned()
+            .collect()
     }
 
     /// Takes an entry in, if it is newer than what is known.
-    fn apply_entry(&mut self, mut entry: EndpointEntry, line_version: Version, applied: &mut Applied) {
+    fn apply_entry(
+        &mut self,
+        mut entry: EndpointEntry,
+        line_version: Version,
+        applied: &mut Applied,
+    ) {
         if entry.version == Version(0) {
             entry.version = line_version;
         }
@@ -420,7 +467,9 @@
         let removed_version = self.removed.get(&entry.id).copied();
         match known_version.max(removed_version) {
             Some(version) if entry.version < version => return self.counters.stale_entries += 1,
-            Some(version) if entry.version == version => return self.counters.duplicate_entries += 1,
+            Some(version) if entry.version == version => {
+                return self.counters.duplicate_entries += 1;
+            }
             _ => {}
         }
         let in_scope = self.in_scope(&entry);
@@ -435,7 +484,11 @@
         self.revision += 1;
         self.counters.applied_entries += 1;
         // An endpoint may have moved to another destination.
-        if self.destination_of.get(&entry.id).is_some_and(|d| *d != entry.destination) {
+        if self
+            .destination_of
+            .get(&entry.id)
+            .is_some_and(|d| *d != entry.destination)
+        {
             applied.dropped.extend(self.take_entry(&entry.id));
         }
         applied.changed.push(entry.clone());
@@ -462,10 +515,20 @@
         self.removed.remove(&entry.id);
         self.destination_of.insert(entry.id.clone(), destination);
         if let Some(bucket) = bucket {
-            self.members.entry(bucket).or_default().insert(entry.id.clone());
+            self.members
+                .entry(bucket)
+                .or_default()
+                .insert(entry.id.clone());
         }
         let endpoints = self.destinations.entry(destination).or_default();
-        endpoints.insert(entry.id.clone(), Kept { entry, bucket, confirmed });
+        endpoints.insert(
+            entry.id.clone(),
+            Kept {
+                entry,
+                bucket,
+                confirmed,
+            },
+        );
     }
 
     fn take_entry(&mut self, name: &str) -> Option<EndpointEntry> {
@@ -483,7 +546,9 @@
     }
 
     fn leave_bucket(&mut self, bucket: BucketId, name: &str) {
-        let Some(members) = self.members.get_mut(&bucket) else { return };
+        let Some(members) = self.members.get_mut(&bucket) else {
+            return;
+        };
         members.remove(name);
         if members.is_empty() {
             self.members.remove(&bucket);
@@ -492,10 +557,15 @@
 
     /// Drops the entries of a destination, except those of buckets that are held.
     fn drop_destination(&mut self, destination: u64, applied: &mut Applied) {
-        let held = |kept: &Kept| kept.bucket.is_some_and(|bucket| self.buckets.contains_key(&bucket));
+        let held = |kept: &Kept| {
+            kept.bucket
+                .is_some_and(|bucket| self.buckets.contains_key(&bucket))
+        };
         let endpoints = self.destinations.get(&destination).into_iter().flatten();
-        let names: Vec<String> =
-            endpoints.filter(|(_, kept)| !held(kept)).map(|(name, _)| name.clone()).collect();
+        let names: Vec<String> = endpoints
+            .filter(|(_, kept)| !held(kept))
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in names {
             applied.dropped.extend(self.take_entry(&name));
         }
@@ -506,7 +576,9 @@
             self.removed_order.push_back(name);
         }
         while self.removed_order.len() > REMOVED_REMEMBERED {
-            let Some(oldest) = self.removed_order.pop_front() else { return };
+            let Some(oldest) = self.removed_order.pop_front() else {
+                return;
+            };
             self.removed.remove(&oldest);
         }
     }
@@ -521,10 +593,16 @@
     /// Has a destination looked up that is neither held nor cached. Where the cache is full the one used longest ago gives
     /// way, of those that are not in use; what is dropped with it is answered. Where all are in use the cache grows, up to
     /// [`MOST_CELLS`].
-    pub fn want(&mut self, destination: u64, in_use: &dyn Fn(u64) -> bool) -> Result<Applied, CacheFull> {
+    pub fn want(
+        &mut self,
+        destination: u64,
+        in_use: &dyn Fn(u64) -> bool,
+    ) -> Result<Applied, CacheFull> {
         let mut applied = Applied::default();
         while self.cache.len() >= self.cache_destinations {
-            let Some(evicted) = self.cache.oldest_unused(in_use) else { break };
+            let Some(evicted) = self.cache.oldest_unused(in_use) else {
+                break;
+            };
             self.counters.evicted_destinations += 1;
             self.forget_cell(evicted, &mut applied);
         }
@@ -541,7 +619,9 @@
     /// it does not tell. As many destinations as the cache may hold.
     pub fn adopt(&mut self, entries: impl IntoIterator<Item = EndpointEntry>) {
         for entry in entries {
-            if self.cache.state(entry.destination).is_none() && self.cache.len() >= self.cache_destinations {
+            if self.cache.state(entry.destination).is_none()
+                && self.cache.len() >= self.cache_destinations
+            {
                 log::warn!(
                     "configuration: endpoint {} is passed over, there are too many destinations",
                     entry.id
@@ -550,7 +630,13 @@
             }
             self.cache.touch(entry.destination);
             self.cache.mark_known(entry.destination);
-            self.put_entry(EndpointEntry { version: Version(0), ..entry }, false);
+            self.put_entry(
+                EndpointEntry {
+                    version: Version(0),
+                    ..entry
+                },
+                false,
+            );
         }
     }
 
@@ -577,12 +663,17 @@
 
     /// Evicted destinations that the control process is still to be told of, as many as go into one request.
     pub fn to_forget(&self) -> Vec<u64> {
-        self.forgotten.iter().copied().take(FORGET_EACH_TIME).collect()
+        self.forgotten
+            .iter()
+            .copied()
+            .take(FORGET_EACH_TIME)
+            .collect()
     }
 
     /// The control process has been told of these.
     pub fn forgot(&mut self, destinations: &[u64]) {
-        self.forgotten.retain(|destination| !destinations.contains(destination));
+        self.forgotten
+            .retain(|destination| !destinations.contains(destination));
     }
 
     /// A new watch has been asked for: its scope is what the request said, so nothing is left to be forgotten.
@@ -617,7 +708,9 @@
         for entry in line.servers {
             self.apply_entry(entry, line.version, &mut applied);
         }
-        destinations.iter().for_each(|destination| self.cache.mark_known(*destination));
+        destinations
+            .iter()
+            .for_each(|destination| self.cache.mark_known(*destination));
         self.revision += 1;
         Ok(applied)
     }
@@ -626,7 +719,10 @@
 /// Parts of a list that is saved.
 impl ScopedList {
     pub(crate) fn saved_cells(&self) -> Vec<u64> {
-        self.cache.by_use().filter(|d| self.cache.state(*d) == Some(CellState::Known)).collect()
+        self.cache
+            .by_use()
+            .filter(|d| self.cache.state(*d) == Some(CellState::Known))
+            .collect()
     }
 
     pub(crate) fn restore_history(&mut self, log: String, version: Version, epoch: Option<Epoch>) {
@@ -634,8 +730,12 @@
     }
 
     pub(crate) fn restore_buckets(&mut self, complete: Vec<BucketId>, filling: Vec<BucketId>) {
-        let complete = complete.into_iter().map(|bucket| (bucket, BucketState::Complete));
-        let filling = filling.into_iter().map(|bucket| (bucket, BucketState::Filling));
+        let complete = complete
+            .into_iter()
+            .map(|bucket| (bucket, BucketState::Complete));
+        let filling = filling
+            .into_iter()
+            .map(|bucket| (bucket, BucketState::Filling));
         self.buckets = complete.chain(filling).collect();
     }
 
--- a/watch/src/server_order.rs
+++ b/watch/src/server_order.rs
@@ -26,7 +26,12 @@
     pub fn new(mut servers: Vec<SocketAddr>, seed: u64) -> ServerOrder {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         servers.shuffle(&mut rng);
-        ServerOrder { servers, next: 0, failures: 0, rng }
+        ServerOrder {
+            servers,
+            next: 0,
+            failures: 0,
+            rng,
+        }
     }
 
     /// The process that is asked now or was asked last.
--- a/watch/src/state_file.rs
+++ b/watch/src/state_file.rs
@@ -29,7 +29,9 @@
             StateFileError::Format => write!(f, "it is no saved configuration of this version"),
             StateFileError::Checksum => write!(f, "it is torn or damaged"),
             StateFileError::Content(e) => write!(f, "its content cannot be read: {e}"),
-            StateFileError::OtherDispatcher(name) => write!(f, "it is that of the dispatcher `{name}`"),
+            StateFileError::OtherDispatcher(name) => {
+                write!(f, "it is that of the dispatcher `{name}`")
+            }
         }
     }
 }
@@ -92,7 +94,10 @@
         list.restore_history(saved.log, saved.version, saved.epoch);
         list.restore_buckets(saved.complete, saved.filling);
         list.restore_cells(saved.cells);
-        saved.entries.into_iter().for_each(|entry| list.put_entry(entry, false));
+        saved
+            .entries
+            .into_iter()
+            .for_each(|entry| list.put_entry(entry, false));
         Ok(list)
     }
 }
--- a/watch/src/watch.rs
+++ b/watch/src/watch.rs
@@ -137,7 +137,11 @@
 impl Watch {
     /// A watch on the whole list of one discovery.
     pub fn plain(address: SocketAddr, backoff: Backoff) -> Watch {
-        Watch::new(Source::Plain(PlainSource { address, version: 0, backoff }))
+        Watch::new(Source::Plain(PlainSource {
+            address,
+            version: 0,
+            backoff,
+        }))
     }
 
     /// A watch on what one dispatcher keeps of the configuration, beginning from `list`.
@@ -154,7 +158,12 @@
     }
 
     fn new(source: Source) -> Watch {
-        Watch { source, calls: Vec::new(), next_call: 0, counters: Counters::default() }
+        Watch {
+            source,
+            calls: Vec::new(),
+            next_call: 0,
+            counters: Counters::default(),
+        }
     }
 
     pub fn counters(&self) -> Counters {
@@ -206,7 +215,9 @@
             Source::Scoped(_) => SCOPED_SILENT_FOR,
         };
         // A lookup has one time for all of it.
-        let Some(found) = self.calls.iter_mut().find(|c| c.id == call) else { return Vec::new() };
+        let Some(found) = self.calls.iter_mut().find(|c| c.id == call) else {
+            return Vec::new();
+        };
         found.connected = true;
         vec![Command::SetTimer(Timer::Call(call), now + wait)]
     }
@@ -216,7 +227,9 @@
         if self.is_lookup(call) {
             return self.lookup_failed(now);
         }
-        let Some(found) = self.calls.iter().find(|c| c.id == call) else { return Vec::new() };
+        let Some(found) = self.calls.iter().find(|c| c.id == call) else {
+            return Vec::new();
+        };
         let (alive_at, late) = (found.alive_at, found.late);
         match found.serves {
             true => self.counters.broken += 1,
@@ -248,7 +261,9 @@
     /// A plain watch's discovery has moved. The new one's versions are its own: after the old one's last, what it tells could
     /// be passed over, so it is asked for everything, at once. The servers of a scoped watch stay.
     pub fn relocate(&mut self, now: Nanos, address: SocketAddr) -> Vec<Command> {
-        let Source::Plain(source) = &mut self.source else { return Vec::new() };
+        let Source::Plain(source) = &mut self.source else {
+            return Vec::new();
+        };
         if address == source.address {
             return Vec::new();
         }
@@ -262,20 +277,35 @@
 
     /// Takes what was received on a call; `ended` says that nothing comes after it. The commands may be carried out before
     /// the documents are applied.
-    pub fn received(&mut self, now: Nanos, call: CallId, input: &mut Ring, ended: bool) -> Received {
+    pub fn received(
+        &mut self,
+        now: Nanos,
+        call: CallId,
+        input: &mut Ring,
+        ended: bool,
+    ) -> Received {
         if self.is_lookup(call) {
             return self.lookup_received(now, input, ended);
         }
         let limit = self.line_limit();
-        let Some(found) = self.calls.iter_mut().find(|c| c.id == call) else { return Received::default() };
+        let Some(found) = self.calls.iter_mut().find(|c| c.id == call) else {
+            return Received::default();
+        };
         let read = match found.read(input, ended, limit) {
             Ok(read) => read,
             Err(failure) => {
                 self.count_failure(failure);
-                return Received { commands: self.broken(now, call), ..Received::default() };
+                return Received {
+                    commands: self.broken(now, call),
+                    ..Received::default()
+                };
             }
         };
-        let documents = read.lines.iter().filter_map(|line| found.documents.line(line)).collect();
+        let documents = read
+            .lines
+            .iter()
+            .filter_map(|line| found.documents.line(line))
+            .collect();
         let mut commands = Vec::new();
         // Bytes alone do not show that it is alive.
         if !read.lines.is_empty() {
@@ -284,7 +314,11 @@
         if read.last {
             commands.extend(self.broken(now, call));
         }
-        Received { documents, commands, looked_up: Applied::default() }
+        Received {
+            documents,
+            commands,
+            looked_up: Applied::default(),
+        }
     }
 
     /// Has a destination looked up that the list of a scoped watch has not; `in_use` says which of the cached ones must not
@@ -295,9 +329,14 @@
         destination: u64,
         in_use: &dyn Fn(u64) -> bool,
     ) -> Result<Wanted, CacheFull> {
-        let Source::Scoped(source) = &mut self.source else { return Ok(Wanted::default()) };
+        let Source::Scoped(source) = &mut self.source else {
+            return Ok(Wanted::default());
+        };
         let applied = source.list.want(destination, in_use)?;
-        Ok(Wanted { applied, commands: self.look_up(now) })
+        Ok(Wanted {
+            applied,
+            commands: self.look_up(now),
+        })
     }
 
     /// A document of a plain watch has been applied, of that version.
@@ -324,7 +363,11 @@
         let (address, request, documents) = match &mut self.source {
             Source::Plain(source) => {
                 let request = http::watch(source.address, source.version);
-                (source.address, request, DocumentReader::indented(LONGEST_PLAIN_LINE))
+                (
+                    source.address,
+                    request,
+                    DocumentReader::indented(LONGEST_PLAIN_LINE),
+                )
             }
             Source::Scoped(source) => {
                 let address = source.servers.current();
@@ -336,7 +379,11 @@
         };
         self.calls.push(Call::new(call, now, documents));
         vec![
-            Command::Connect { call, address, request: request.into_bytes() },
+            Command::Connect {
+                call,
+                address,
+                request: request.into_bytes(),
+            },
             Command::SetTimer(Timer::Call(call), now + UP_WITHIN),
         ]
     }
@@ -352,7 +399,9 @@
 
     fn call_overdue(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
         let plain = matches!(self.source, Source::Plain(_));
-        let Some(found) = self.calls.iter_mut().find(|c| c.id == call) else { return Vec::new() };
+        let Some(found) = self.calls.iter_mut().find(|c| c.id == call) else {
+            return Vec::new();
+        };
         if plain && found.connected && !found.serves && !found.late {
             found.late = true;
             let alive_at = found.alive_at;
@@ -389,14 +438,21 @@
     fn is_lookup(&self, call: CallId) -> bool {
         match &self.source {
             Source::Plain(_) => false,
-            Source::Scoped(source) => source.lookup.as_ref().is_some_and(|lookup| lookup.id == call),
+            Source::Scoped(source) => source
+                .lookup
+                .as_ref()
+                .is_some_and(|lookup| lookup.id == call),
         }
     }
 
     /// Makes a lookup of what is wanted, where the watch is served and no other lookup is under way.
     fn look_up(&mut self, now: Nanos) -> Vec<Command> {
-        let Some((_, address)) = self.serving() else { return Vec::new() };
-        let Source::Scoped(source) = &mut self.source else { return Vec::new() };
+        let Some((_, address)) = self.serving() else {
+            return Vec::new();
+        };
+        let Source::Scoped(source) = &mut self.source else {
+            return Vec::new();
+        };
         if source.lookup.is_some() || source.lookup_rests {
             return Vec::new();
         }
@@ -412,20 +468,31 @@
         self.counters.lookups += 1;
         source.lookup = Some(LookupCall::new(call, destinations, forget));
         vec![
-            Command::Connect { call, address, request },
+            Command::Connect {
+                call,
+                address,
+                request,
+            },
             Command::SetTimer(Timer::Call(call), now + ANSWER_WITHIN),
         ]
     }
 
     fn lookup_received(&mut self, now: Nanos, input: &mut Ring, ended: bool) -> Received {
-        let Source::Scoped(source) = &mut self.source else { return Received::default() };
-        let Some(lookup) = &mut source.lookup else { return Received::default() };
+        let Source::Scoped(source) = &mut self.source else {
+            return Received::default();
+        };
+        let Some(lookup) = &mut source.lookup else {
+            return Received::default();
+        };
         let line = match lookup.read(input, ended) {
             Ok(Some(line)) => line,
             Ok(None) => return Received::default(),
             Err(failure) => {
                 log::debug!("configuration: a lookup failed: {failure:?}");
-                return Received { commands: self.lookup_failed(now), ..Received::default() };
+                return Received {
+                    commands: self.lookup_failed(now),
+                    ..Received::default()
+                };
             }
         };
         let applied = source.list.apply_lookup(&lookup.destinations, line);
@@ -435,11 +502,18 @@
                 source.lookup_rest.answered();
                 let mut commands = self.close_lookup();
                 commands.extend(self.look_up(now));
-                Received { documents: Vec::new(), commands, looked_up }
+                Received {
+                    documents: Vec::new(),
+                    commands,
+                    looked_up,
+                }
             }
             Err(error) => {
                 log::warn!("configuration: the answer to a lookup was not taken: {error}");
-                Received { commands: self.lookup_failed(now), ..Received::default() }
+                Received {
+                    commands: self.lookup_failed(now),
+                    ..Received::default()
+                }
             }
         }
     }
@@ -457,9 +531,16 @@
     }
 
     fn close_lookup(&mut self) -> Vec<Command> {
-        let Source::Scoped(source) = &mut self.source else { return Vec::new() };
-        let Some(lookup) = source.lookup.take() else { return Vec::new() };
-        vec![Command::ClearTimer(Timer::Call(lookup.id)), Command::Close(lookup.id)]
+        let Source::Scoped(source) = &mut self.source else {
+            return Vec::new();
+        };
+        let Some(lookup) = source.lookup.take() else {
+            return Vec::new();
+        };
+        vec![
+            Command::ClearTimer(Timer::Call(lookup.id)),
+            Command::Close(lookup.id),
+        ]
     }
 
     fn close_calls(&mut self, which: impl Fn(&Call) -> bool) -> Vec<Command> {
@@ -477,20 +558,30 @@
 
     fn line_limit(&self) -> LineLimit {
         match self.source {
-            Source::Plain(_) => LineLimit { bytes: LONGEST_PLAIN_LINE, overlong: OverlongLine::Skip },
-            Source::Scoped(_) => LineLimit { bytes: LONGEST_SCOPED_LINE, overlong: OverlongLine::Refuse },
+            Source::Plain(_) => LineLimit {
+                bytes: LONGEST_PLAIN_LINE,
+                overlong: OverlongLine::Skip,
+            },
+            Source::Scoped(_) => LineLimit {
+                bytes: LONGEST_SCOPED_LINE,
+                overlong: OverlongLine::Refuse,
+            },
         }
     }
 
     /// Says that a control process has refused the watch, once for each status until one serves.
     fn warn_of_refusal(&mut self, status: u16) {
-        let Source::Scoped(source) = &mut self.source else { return };
+        let Source::Scoped(source) = &mut self.source else {
+            return;
+        };
         if source.refused_with.replace(status) == Some(status) {
             return;
         }
         let (server, dispatcher) = (source.servers.current(), &source.dispatcher);
         match status {
-            404 => log::warn!("configuration: {server} has no dispatcher `{dispatcher}`: declare it there"),
+            404 => log::warn!(
+                "configuration: {server} has no dispatcher `{dispatcher}`: declare it there"
+            ),
             _ => log::warn!("configuration: {server} answered {status} to the watch"),
         }
     }
--- a/watch/tests/calls.rs
+++ b/watch/tests/calls.rs
@@ -25,15 +25,24 @@
 
 fn scoped(seed: u64) -> Watch {
     let servers = (1..=9).map(address).collect();
-    Watch::scoped(ScopedOptions { dispatcher: "d1".into(), servers, seed }, empty_list(4))
+    Watch::scoped(
+        ScopedOptions {
+            dispatcher: "d1".into(),
+            servers,
+            seed,
+        },
+        empty_list(4),
+    )
 }
 
 /// The call that is connected, with its address and request.
 fn connects(commands: &[Command]) -> Option<(CallId, SocketAddr, String)> {
     commands.iter().find_map(|command| match command {
-        Command::Connect { call, address, request } => {
-            Some((*call, *address, String::from_utf8(request.clone()).unwrap()))
-        }
+        Command::Connect {
+            call,
+            address,
+            request,
+        } => Some((*call, *address, String::from_utf8(request.clone()).unwrap())),
         _ => None,
     })
 }
@@ -65,7 +74,10 @@
     let mut watch = plain();
     let (call, at, request) = begin(&mut watch);
     assert_eq!(at, address(1));
-    assert_eq!(request, "GET /api/targets?follow=1&since=0 HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n");
+    assert_eq!(
+        request,
+        "GET /api/targets?follow=1&since=0 HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"
+    );
     watch.told(41);
     let commands = watch.broken(SECOND, call);
     let rested = timer(&commands, Timer::Reconnect).unwrap();
@@ -78,16 +90,26 @@
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
     let up = watch.connected(SECOND, first);
-    assert_eq!(timer(&up, Timer::Call(first)), Some(SECOND + FIRST_LINE_WITHIN));
+    assert_eq!(
+        timer(&up, Timer::Call(first)),
+        Some(SECOND + FIRST_LINE_WITHIN)
+    );
     let late = watch.timer_fired(SECOND + FIRST_LINE_WITHIN, Timer::Call(first));
-    assert_eq!(timer(&late, Timer::Call(first)), Some(KEPT_FOR), "counted from when it was made");
+    assert_eq!(
+        timer(&late, Timer::Call(first)),
+        Some(KEPT_FOR),
+        "counted from when it was made"
+    );
     assert!(!late.contains(&Command::Close(first)));
     let rested = timer(&late, Timer::Reconnect).unwrap();
     let (second, ..) = connects(&watch.timer_fired(rested, Timer::Reconnect)).unwrap();
     let received = receives(&mut watch, rested, first, &format!("{HEAD}{}", chunk("\n")));
     assert!(received.documents.is_empty());
     assert!(received.commands.contains(&Command::Close(second)));
-    assert_eq!(timer(&received.commands, Timer::Call(first)), Some(rested + SILENT_FOR));
+    assert_eq!(
+        timer(&received.commands, Timer::Call(first)),
+        Some(rested + SILENT_FOR)
+    );
 }
 
 #[test]
@@ -95,7 +117,9 @@
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
     let commands = watch.timer_fired(UP_WITHIN, Timer::Call(first));
-    assert!(commands.contains(&Command::Close(first)) && timer(&commands, Timer::Reconnect).is_some());
+    assert!(
+        commands.contains(&Command::Close(first)) && timer(&commands, Timer::Reconnect).is_some()
+    );
     assert_eq!(watch.counters().timed_out, 1);
     assert!(watch.broken(UP_WITHIN, first).is_empty(), "it is gone");
 }
@@ -105,7 +129,10 @@
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
     watch.told(41);
-    assert!(watch.relocate(SECOND, address(1)).is_empty(), "it is there already");
+    assert!(
+        watch.relocate(SECOND, address(1)).is_empty(),
+        "it is there already"
+    );
     let commands = watch.relocate(SECOND, address(2));
     assert!(commands.contains(&Command::Close(first)));
     let (_, at, request) = connects(&commands).unwrap();
@@ -116,17 +143,30 @@
 fn bytes_that_end_no_line_do_not_show_that_a_watch_is_alive() {
     let mut watch = plain();
     let (call, ..) = begin(&mut watch);
-    let received = receives(&mut watch, SECOND, call, &format!("{HEAD}{}", chunk("{\"version\":")));
+    let received = receives(
+        &mut watch,
+        SECOND,
+        call,
+        &format!("{HEAD}{}", chunk("{\"version\":")),
+    );
     assert_eq!(received, Received::default());
     let received = receives(&mut watch, SECOND, call, &chunk("3}\n{\"a\":\n1}\n"));
-    assert_eq!(received.documents, [b"{\"version\":3}".to_vec(), b"{\"a\":\n1}".to_vec()]);
+    assert_eq!(
+        received.documents,
+        [b"{\"version\":3}".to_vec(), b"{\"a\":\n1}".to_vec()]
+    );
 }
 
 #[test]
 fn an_answer_other_than_200_fails_the_call() {
     let mut watch = scoped(1);
     let (call, ..) = begin(&mut watch);
-    let received = receives(&mut watch, SECOND, call, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+    let received = receives(
+        &mut watch,
+        SECOND,
+        call,
+        "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
+    );
     assert!(received.commands.contains(&Command::Close(call)));
     assert_eq!((watch.counters().refused, watch.counters().failed), (1, 1));
 }
@@ -139,9 +179,18 @@
         request,
         format!("GET /api/targets?follow=1&since=0&dispatcher=d1 HTTP/1.1\r\nHost: {at}\r\n\r\n")
     );
-    let text = r#"{"version":4,"full":false,"log":"c0ffee","gained":[1],"filled":[1],"servers":[]}"#;
-    let received = receives(&mut watch, SECOND, call, &format!("{HEAD}{}", chunk(&format!("{text}\n\n"))));
-    assert_eq!(timer(&received.commands, Timer::Call(call)), Some(SECOND + SCOPED_SILENT_FOR));
+    let text =
+        r#"{"version":4,"full":false,"log":"c0ffee","gained":[1],"filled":[1],"servers":[]}"#;
+    let received = receives(
+        &mut watch,
+        SECOND,
+        call,
+        &format!("{HEAD}{}", chunk(&format!("{text}\n\n"))),
+    );
+    assert_eq!(
+        timer(&received.commands, Timer::Call(call)),
+        Some(SECOND + SCOPED_SILENT_FOR)
+    );
     assert_eq!(received.documents, [text.as_bytes()]);
     watch.apply(&received.documents[0]).unwrap();
     let commands = watch.timer_fired(SECOND + SCOPED_SILENT_FOR, Timer::Call(call));
@@ -174,7 +223,10 @@
 
 #[test]
 fn a_line_of_a_scoped_watch_that_is_too_long_fails_the_call() {
-    for text in ["x".repeat(LONGEST_SCOPED_LINE + 1), format!("{}\n", "x".repeat(LONGEST_SCOPED_LINE + 1))] {
+    for text in [
+        "x".repeat(LONGEST_SCOPED_LINE + 1),
+        format!("{}\n", "x".repeat(LONGEST_SCOPED_LINE + 1)),
+    ] {
         let mut watch = scoped(1);
         let (call, ..) = begin(&mut watch);
         let received = receives(&mut watch, SECOND, call, &format!("{HEAD}{}", chunk(&text)));
@@ -188,17 +240,26 @@
     let mut watch = scoped(1);
     let (call, at, _) = begin(&mut watch);
     let text = r#"{"version":4,"full":false,"log":"c0ffee","servers":[]}"#;
-    let received = receives(&mut watch, SECOND, call, &format!("{HEAD}{}", chunk(&format!("{text}\n"))));
+    let received = receives(
+        &mut watch,
+        SECOND,
+        call,
+        &format!("{HEAD}{}", chunk(&format!("{text}\n"))),
+    );
     watch.apply(&received.documents[0]).unwrap();
     (watch, call, at)
 }
 
 fn lookup_answer(servers: &str) -> String {
     let text = format!(r#"{{"version":4,"full":false,"log":"c0ffee","servers":[{servers}]}}"#);
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+        text.len()
+    )
 }
 
-const ENTRY: &str = r#"{"id":"x","addr":"10.0.0.1:9000","zone":"z","kind":"k","cell":47,"state":"up","v":2}"#;
+const ENTRY: &str =
+    r#"{"id":"x","addr":"10.0.0.1:9000","zone":"z","kind":"k","cell":47,"state":"up","v":2}"#;
 
 fn nothing_in_use(_: u64) -> bool {
     false
@@ -212,8 +273,20 @@
     assert_eq!(asked, at);
     assert!(request.starts_with("GET /api/targets?dispatcher=d1&cells=47 HTTP/1.1\r\n"));
     // What is wanted meanwhile waits for the answer, and is then asked for in one request.
-    assert!(watch.want(SECOND, 48, &nothing_in_use).unwrap().commands.is_empty());
-    assert!(watch.want(SECOND, 49, &nothing_in_use).unwrap().commands.is_empty());
+    assert!(
+        watch
+            .want(SECOND, 48, &nothing_in_use)
+            .unwrap()
+            .commands
+            .is_empty()
+    );
+    assert!(
+        watch
+            .want(SECOND, 49, &nothing_in_use)
+            .unwrap()
+            .commands
+            .is_empty()
+    );
     let received = receives(&mut watch, SECOND, lookup, &lookup_answer(ENTRY));
     assert_eq!(received.looked_up.changed.len(), 1);
     assert!(received.commands.contains(&Command::Close(lookup)));
@@ -225,9 +298,20 @@
 fn what_is_wanted_before_a_watch_is_served_is_asked_for_then() {
     let mut watch = scoped(1);
     let (call, ..) = begin(&mut watch);
-    assert!(watch.want(0, 47, &nothing_in_use).unwrap().commands.is_empty());
+    assert!(
+        watch
+            .want(0, 47, &nothing_in_use)
+            .unwrap()
+            .commands
+            .is_empty()
+    );
     let received = receives(&mut watch, SECOND, call, &format!("{HEAD}{}", chunk("\n")));
-    assert!(connects(&received.commands).unwrap().2.contains("&cells=47 "));
+    assert!(
+        connects(&received.commands)
+            .unwrap()
+            .2
+            .contains("&cells=47 ")
+    );
 }
 
 #[test]
@@ -243,10 +327,20 @@
         let received = receives(&mut watch, SECOND, lookup, answer);
         assert!(received.commands.contains(&Command::Close(lookup)));
         let rested = timer(&received.commands, Timer::LookUp).unwrap();
-        assert!(watch.want(SECOND, 48, &nothing_in_use).unwrap().commands.is_empty(), "it rests");
+        assert!(
+            watch
+                .want(SECOND, 48, &nothing_in_use)
+                .unwrap()
+                .commands
+                .is_empty(),
+            "it rests"
+        );
         let again = watch.timer_fired(rested, Timer::LookUp);
         assert!(connects(&again).unwrap().2.contains("&cells=47,48 "));
-        assert_eq!((watch.counters().lookups, watch.counters().failed_lookups), (2, 1));
+        assert_eq!(
+            (watch.counters().lookups, watch.counters().failed_lookups),
+            (2, 1)
+        );
     }
 }
 
@@ -257,9 +351,13 @@
     let (lookup, ..) = connects(&wanted.commands).unwrap();
     let broken = watch.broken(SECOND, call);
     assert!(broken.contains(&Command::Close(lookup)));
-    assert_eq!(receives(&mut watch, SECOND, lookup, &lookup_answer(ENTRY)), Received::default());
+    assert_eq!(
+        receives(&mut watch, SECOND, lookup, &lookup_answer(ENTRY)),
+        Received::default()
+    );
     let rested = timer(&broken, Timer::Reconnect).unwrap();
-    let (next, elsewhere, request) = connects(&watch.timer_fired(rested, Timer::Reconnect)).unwrap();
+    let (next, elsewhere, request) =
+        connects(&watch.timer_fired(rested, Timer::Reconnect)).unwrap();
     assert!(elsewhere != at && !request.contains("cells"));
     let received = receives(&mut watch, rested, next, &format!("{HEAD}{}", chunk("\n")));
     let (_, asked, request) = connects(&received.commands).unwrap();
@@ -272,7 +370,11 @@
     for destination in 41..=45 {
         let wanted = watch.want(SECOND, destination, &nothing_in_use).unwrap();
         let (lookup, _, request) = connects(&wanted.commands).unwrap();
-        assert_eq!(request.contains("&cells=45&forget=41 "), destination == 45, "{request}");
+        assert_eq!(
+            request.contains("&cells=45&forget=41 "),
+            destination == 45,
+            "{request}"
+        );
         receives(&mut watch, SECOND, lookup, &lookup_answer(""));
     }
     assert!(watch.list().unwrap().to_forget().is_empty());
@@ -287,7 +389,10 @@
     assert_eq!(watch.list().unwrap().to_forget(), [41]);
     let rested = timer(&watch.broken(SECOND, call), Timer::Reconnect).unwrap();
     watch.timer_fired(rested, Timer::Reconnect);
-    assert!(watch.list().unwrap().to_forget().is_empty(), "its request names what is kept");
+    assert!(
+        watch.list().unwrap().to_forget().is_empty(),
+        "its request names what is kept"
+    );
 }
 
 #[test]
@@ -312,7 +417,12 @@
 impl Sockets {
     fn new(mut watch: Watch) -> Sockets {
         let commands = watch.start(0, SECOND);
-        let mut sockets = Sockets { watch, now: 0, open: BTreeMap::new(), timers: BTreeMap::new() };
+        let mut sockets = Sockets {
+            watch,
+            now: 0,
+            open: BTreeMap::new(),
+            timers: BTreeMap::new(),
+        };
         sockets.carry_out(commands);
         sockets
     }
@@ -322,7 +432,10 @@
             match command {
                 Command::Connect { call, request, .. } => {
                     let request = String::from_utf8(request).unwrap();
-                    assert!(self.open.insert(call, request).is_none(), "a call is made once");
+                    assert!(
+                        self.open.insert(call, request).is_none(),
+                        "a call is made once"
+                    );
                 }
                 Command::Close(call) => assert!(self.open.remove(&call).is_some(), "it was open"),
                 Command::SetTimer(timer, at) => drop(self.timers.insert(timer, at)),
@@ -332,7 +445,11 @@
     }
 
     fn fire_next_timer(&mut self) {
-        let next = self.timers.iter().min_by_key(|(_, at)| **at).map(|(timer, at)| (*timer, *at));
+        let next = self
+            .timers
+            .iter()
+            .min_by_key(|(_, at)| **at)
+            .map(|(timer, at)| (*timer, *at));
         let Some((timer, at)) = next else { return };
         self.timers.remove(&timer);
         self.now = self.now.max(at);
@@ -342,7 +459,12 @@
 
     /// One of the open connections has something to tell.
     fn tell(&mut self, which: u8, what: u8) {
-        let Some(call) = self.open.keys().nth(usize::from(which) % self.open.len().max(1)).copied() else {
+        let Some(call) = self
+            .open
+            .keys()
+            .nth(usize::from(which) % self.open.len().max(1))
+            .copied()
+        else {
             return;
         };
         let list = r#"{"version":4,"full":false,"log":"c0ffee","servers":[]}"#;
@@ -367,7 +489,11 @@
     }
 
     fn step(&mut self, (kind, which): (u8, u8)) {
-        let call = self.open.keys().nth(usize::from(which) % self.open.len().max(1)).copied();
+        let call = self
+            .open
+            .keys()
+            .nth(usize::from(which) % self.open.len().max(1))
+            .copied();
         let commands = match (kind % 6, call) {
             (0 | 1, _) => return self.fire_next_timer(),
             (2, Some(call)) => self.watch.connected(self.now, call),
@@ -384,7 +510,10 @@
     /// It goes on by itself: each call has its time, and without a call that may serve one is made.
     fn check(&self) {
         for call in self.open.keys() {
-            assert!(self.timers.contains_key(&Timer::Call(*call)), "{call:?} has no time");
+            assert!(
+                self.timers.contains_key(&Timer::Call(*call)),
+                "{call:?} has no time"
+            );
         }
         for timer in self.timers.keys() {
             assert!(
@@ -392,9 +521,16 @@
                 "{timer:?} is of nothing"
             );
         }
-        let watches = self.open.values().filter(|request| request.contains("follow=1")).count();
+        let watches = self
+            .open
+            .values()
+            .filter(|request| request.contains("follow=1"))
+            .count();
         let lookups = self.open.len() - watches;
-        assert!(watches > 0 || self.timers.contains_key(&Timer::Reconnect), "nothing goes on");
+        assert!(
+            watches > 0 || self.timers.contains_key(&Timer::Reconnect),
+            "nothing goes on"
+        );
         assert!(lookups <= 1, "one lookup at a time");
         if let Some(list) = self.watch.list() {
             assert!(watches <= 1, "one watch at a time");
@@ -408,7 +544,11 @@
 #[test]
 fn whatever_happens_a_watch_goes_on_by_itself() {
     fn property(scoped_one: bool, seed: u64, steps: Vec<(u8, u8)>) {
-        let watch = if scoped_one { scoped(seed) } else { Watch::plain(address(1), Backoff::new(seed, 3)) };
+        let watch = if scoped_one {
+            scoped(seed)
+        } else {
+            Watch::plain(address(1), Backoff::new(seed, 3))
+        };
         let mut sockets = Sockets::new(watch);
         for step in steps {
             sockets.step(step);
--- a/watch/tests/common/mod.rs
+++ b/watch/tests/common/mod.rs
@@ -35,11 +35,18 @@
 }
 
 pub fn removed(id: &str, destination: u64, version: u64) -> EndpointEntry {
-    EndpointEntry { state: EndpointState::Removed, ..entry(id, destination, version) }
+    EndpointEntry {
+        state: EndpointState::Removed,
+        ..entry(id, destination, version)
+    }
 }
 
 pub fn line(version: u64, servers: Vec<EndpointEntry>) -> ScopedLine {
-    ScopedLine { version: Version(version), servers, ..ScopedLine::default() }
+    ScopedLine {
+        version: Version(version),
+        servers,
+        ..ScopedLine::default()
+    }
 }
 
 pub fn buckets(numbers: &[u32]) -> Vec<BucketId> {
--- a/watch/tests/scoped_list.rs
+++ b/watch/tests/scoped_list.rs
@@ -13,15 +13,27 @@
 fn started() -> ScopedList {
     let mut list = empty_list(2);
     let gained = buckets(&[1]);
-    list.apply(ScopedLine { log: "c0ffee".into(), gained, ..line(5, vec![]) }).unwrap();
+    list.apply(ScopedLine {
+        log: "c0ffee".into(),
+        gained,
+        ..line(5, vec![])
+    })
+    .unwrap();
     let filled = buckets(&[1]);
-    list.apply(ScopedLine { filled, ..line(5, vec![entry("a", 11, 3), entry("b", 12, 4)]) }).unwrap();
+    list.apply(ScopedLine {
+        filled,
+        ..line(5, vec![entry("a", 11, 3), entry("b", 12, 4)])
+    })
+    .unwrap();
     list
 }
 
 /// A lookup's answer.
 fn answer(version: u64, servers: Vec<EndpointEntry>) -> ScopedLine {
-    ScopedLine { log: "c0ffee".into(), ..line(version, servers) }
+    ScopedLine {
+        log: "c0ffee".into(),
+        ..line(version, servers)
+    }
 }
 
 fn nothing_in_use(_: u64) -> bool {
@@ -32,11 +44,22 @@
 fn a_first_start_asks_for_everything_and_then_from_where_it_is() {
     assert_eq!(empty_list(2).query("d1"), "since=0&dispatcher=d1");
     let mut list = started();
-    assert_eq!(list.query("d1"), "since=5&log=c0ffee&dispatcher=d1&buckets=1");
+    assert_eq!(
+        list.query("d1"),
+        "since=5&log=c0ffee&dispatcher=d1&buckets=1"
+    );
     list.want(47, &nothing_in_use).unwrap();
-    assert_eq!(list.query("d1"), "since=5&log=c0ffee&dispatcher=d1&buckets=1", "it is not known yet");
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 2)])).unwrap();
-    assert_eq!(list.query("d1"), "since=5&log=c0ffee&dispatcher=d1&buckets=1&cells=47");
+    assert_eq!(
+        list.query("d1"),
+        "since=5&log=c0ffee&dispatcher=d1&buckets=1",
+        "it is not known yet"
+    );
+    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 2)]))
+        .unwrap();
+    assert_eq!(
+        list.query("d1"),
+        "since=5&log=c0ffee&dispatcher=d1&buckets=1&cells=47"
+    );
 }
 
 #[test]
@@ -45,7 +68,13 @@
     let same = list.apply(line(6, vec![entry("a", 11, 3)])).unwrap();
     let older = list.apply(line(6, vec![entry("b", 12, 3)])).unwrap();
     assert!(same.changed.is_empty() && older.changed.is_empty());
-    assert_eq!((list.counters().duplicate_entries, list.counters().stale_entries), (1, 1));
+    assert_eq!(
+        (
+            list.counters().duplicate_entries,
+            list.counters().stale_entries
+        ),
+        (1, 1)
+    );
     let newer = list.apply(line(7, vec![entry("a", 11, 7)])).unwrap();
     assert_eq!(newer.changed, [entry("a", 11, 7)]);
 }
@@ -55,35 +84,77 @@
     let mut list = started();
     list.want(47, &nothing_in_use).unwrap();
     list.apply(line(9, vec![removed("x", 47, 9)])).unwrap();
-    let late = list.apply_lookup(&[47], answer(8, vec![entry("x", 47, 8), entry("y", 47, 2)])).unwrap();
+    let late = list
+        .apply_lookup(&[47], answer(8, vec![entry("x", 47, 8), entry("y", 47, 2)]))
+        .unwrap();
     assert_eq!(late.changed, [entry("y", 47, 2)]);
-    assert_eq!((names(&list), list.counters().stale_entries), (vec!["a", "b", "y"], 1));
-    assert_eq!(list.version(), Version(9), "the answer's version is not that of the watch");
+    assert_eq!(
+        (names(&list), list.counters().stale_entries),
+        (vec!["a", "b", "y"], 1)
+    );
+    assert_eq!(
+        list.version(),
+        Version(9),
+        "the answer's version is not that of the watch"
+    );
 }
 
 #[test]
 fn a_bucket_told_anew_loses_what_is_not_told_when_it_is_filled() {
     let mut list = started();
-    list.apply(ScopedLine { log: "c0ffee".into(), gained: buckets(&[1]), ..line(9, vec![]) }).unwrap();
+    list.apply(ScopedLine {
+        log: "c0ffee".into(),
+        gained: buckets(&[1]),
+        ..line(9, vec![])
+    })
+    .unwrap();
     assert_eq!(names(&list), ["a", "b"], "served until it is told anew");
     assert_eq!(list.query("d1"), "since=9&log=c0ffee&dispatcher=d1");
-    list.apply(line(9, vec![entry("b", 12, 4), entry("c", 13, 8)])).unwrap();
-    let filled = list.apply(ScopedLine { filled: buckets(&[1]), ..line(9, vec![]) }).unwrap();
-    assert_eq!((filled.dropped, names(&list)), (vec![entry("a", 11, 3)], vec!["b", "c"]));
+    list.apply(line(9, vec![entry("b", 12, 4), entry("c", 13, 8)]))
+        .unwrap();
+    let filled = list
+        .apply(ScopedLine {
+            filled: buckets(&[1]),
+            ..line(9, vec![])
+        })
+        .unwrap();
+    assert_eq!(
+        (filled.dropped, names(&list)),
+        (vec![entry("a", 11, 3)], vec!["b", "c"])
+    );
     assert_eq!(list.counters().swept_entries, 1);
 }
 
 #[test]
 fn a_lost_bucket_is_dropped_and_one_that_was_being_told_is_lost_unless_named_again() {
     let mut list = started();
-    let lost = list.apply(ScopedLine { lost: buckets(&[1]), ..line(6, vec![]) }).unwrap();
+    let lost = list
+        .apply(ScopedLine {
+            lost: buckets(&[1]),
+            ..line(6, vec![])
+        })
+        .unwrap();
     assert_eq!(lost.dropped.len(), 2);
     assert!(list.is_empty());
-    list.apply(ScopedLine { gained: buckets(&[2, 3]), ..line(6, vec![entry("p", 20, 1)]) }).unwrap();
+    list.apply(ScopedLine {
+        gained: buckets(&[2, 3]),
+        ..line(6, vec![entry("p", 20, 1)])
+    })
+    .unwrap();
     list.apply(line(6, vec![entry("q", 30, 1)])).unwrap();
-    let next = ScopedLine { log: "c0ffee".into(), gained: buckets(&[3]), ..line(6, vec![]) };
-    assert!(list.apply(next).unwrap().dropped.is_empty(), "the next line may name more");
-    assert_eq!(list.apply(line(6, vec![])).unwrap().dropped, [entry("p", 20, 1)]);
+    let next = ScopedLine {
+        log: "c0ffee".into(),
+        gained: buckets(&[3]),
+        ..line(6, vec![])
+    };
+    assert!(
+        list.apply(next).unwrap().dropped.is_empty(),
+        "the next line may name more"
+    );
+    assert_eq!(
+        list.apply(line(6, vec![])).unwrap().dropped,
+        [entry("p", 20, 1)]
+    );
     assert_eq!(names(&list), ["q"]);
 }
 
@@ -91,21 +162,52 @@
 fn another_log_begins_from_nothing_and_what_is_held_serves_until_it_is_told_anew() {
     let mut list = started();
     list.want(47, &nothing_in_use).unwrap();
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4), entry("y", 47, 4)])).unwrap();
-    let first = ScopedLine { log: "beef".into(), gained: buckets(&[1]), ..line(2, vec![entry("x", 47, 1)]) };
+    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4), entry("y", 47, 4)]))
+        .unwrap();
+    let first = ScopedLine {
+        log: "beef".into(),
+        gained: buckets(&[1]),
+        ..line(2, vec![entry("x", 47, 1)])
+    };
     list.apply(first).unwrap();
-    assert_eq!(names(&list), ["a", "b", "x"], "the cache has only what was told");
-    list.apply(ScopedLine { filled: buckets(&[1]), ..line(2, vec![entry("a", 11, 1)]) }).unwrap();
-    assert_eq!((names(&list), list.counters().other_logs), (vec!["a", "x"], 1));
-    assert_eq!(list.query("d1"), "since=2&log=beef&dispatcher=d1&buckets=1&cells=47");
+    assert_eq!(
+        names(&list),
+        ["a", "b", "x"],
+        "the cache has only what was told"
+    );
+    list.apply(ScopedLine {
+        filled: buckets(&[1]),
+        ..line(2, vec![entry("a", 11, 1)])
+    })
+    .unwrap();
+    assert_eq!(
+        (names(&list), list.counters().other_logs),
+        (vec!["a", "x"], 1)
+    );
+    assert_eq!(
+        list.query("d1"),
+        "since=2&log=beef&dispatcher=d1&buckets=1&cells=47"
+    );
 }
 
 #[test]
 fn what_another_log_does_not_assign_is_lost() {
     let mut list = started();
-    list.apply(ScopedLine { log: "beef".into(), gained: buckets(&[2]), ..line(2, vec![]) }).unwrap();
-    assert_eq!(list.query("d1"), "since=2&log=beef&dispatcher=d1", "nothing is complete");
-    let filled = ScopedLine { filled: buckets(&[2]), ..line(2, vec![entry("p", 20, 1)]) };
+    list.apply(ScopedLine {
+        log: "beef".into(),
+        gained: buckets(&[2]),
+        ..line(2, vec![])
+    })
+    .unwrap();
+    assert_eq!(
+        list.query("d1"),
+        "since=2&log=beef&dispatcher=d1",
+        "nothing is complete"
+    );
+    let filled = ScopedLine {
+        filled: buckets(&[2]),
+        ..line(2, vec![entry("p", 20, 1)])
+    };
     assert_eq!(list.apply(filled).unwrap().dropped.len(), 2);
     assert_eq!(names(&list), ["p"]);
 }
@@ -115,10 +217,19 @@
     let mut list = started();
     let back = list.apply(line(4, vec![entry("c", 13, 4)]));
     assert!(matches!(back, Err(ScopedLineError::VersionWentBack { .. })));
-    let full = list.apply(ScopedLine { full: true, ..line(6, vec![entry("c", 13, 6)]) });
+    let full = list.apply(ScopedLine {
+        full: true,
+        ..line(6, vec![entry("c", 13, 6)])
+    });
     assert!(matches!(full, Err(ScopedLineError::FullList)));
-    assert!(matches!(list.apply_document(b"{\"version\":"), Err(ScopedLineError::NotALine(_))));
-    assert_eq!((names(&list), list.counters().refused_lines), (vec!["a", "b"], 3));
+    assert!(matches!(
+        list.apply_document(b"{\"version\":"),
+        Err(ScopedLineError::NotALine(_))
+    ));
+    assert_eq!(
+        (names(&list), list.counters().refused_lines),
+        (vec!["a", "b"], 3)
+    );
 }
 
 #[test]
@@ -127,7 +238,11 @@
     for destination in [41, 42] {
         list.want(destination, &nothing_in_use).unwrap();
         let name = format!("e{destination}");
-        list.apply_lookup(&[destination], answer(5, vec![entry(&name, destination, 1)])).unwrap();
+        list.apply_lookup(
+            &[destination],
+            answer(5, vec![entry(&name, destination, 1)]),
+        )
+        .unwrap();
     }
     list.touch(41);
     let evicted = list.want(43, &nothing_in_use).unwrap();
@@ -156,34 +271,61 @@
 fn what_is_known_of_a_destination() {
     let mut list = started();
     assert_eq!(list.knowledge(11), Knowledge::Held);
-    assert_eq!(list.knowledge(19), Knowledge::Unknown, "it may be of another region");
+    assert_eq!(
+        list.knowledge(19),
+        Knowledge::Unknown,
+        "it may be of another region"
+    );
     assert_eq!(list.knowledge(47), Knowledge::Unknown);
     list.want(47, &nothing_in_use).unwrap();
     assert_eq!(list.knowledge(47), Knowledge::Pending);
     list.apply_lookup(&[47], answer(5, vec![])).unwrap();
     assert_eq!(list.knowledge(47), Knowledge::Cached);
     list.want(48, &nothing_in_use).unwrap();
-    list.apply_lookup(&[48], answer(5, vec![entry("p", 48, 3)])).unwrap();
-    list.apply(ScopedLine { gained: buckets(&[4]), ..line(6, vec![]) }).unwrap();
-    list.apply(ScopedLine { filled: buckets(&[4]), ..line(6, vec![entry("p", 48, 3)]) }).unwrap();
-    assert_eq!((list.knowledge(48), list.cached()), (Knowledge::Held, 1), "the bucket has it from now on");
+    list.apply_lookup(&[48], answer(5, vec![entry("p", 48, 3)]))
+        .unwrap();
+    list.apply(ScopedLine {
+        gained: buckets(&[4]),
+        ..line(6, vec![])
+    })
+    .unwrap();
+    list.apply(ScopedLine {
+        filled: buckets(&[4]),
+        ..line(6, vec![entry("p", 48, 3)])
+    })
+    .unwrap();
+    assert_eq!(
+        (list.knowledge(48), list.cached()),
+        (Knowledge::Held, 1),
+        "the bucket has it from now on"
+    );
     assert_eq!(list.to_forget(), [48]);
 }
 
 #[test]
 fn what_is_wanted_no_longer_is_not_asked_for_and_what_is_known_stays() {
     let mut list = started();
-    [47, 48].into_iter().for_each(|destination| drop(list.want(destination, &nothing_in_use).unwrap()));
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)])).unwrap();
-    [47, 48].into_iter().for_each(|destination| drop(list.cancel(destination)));
-    assert_eq!((list.knowledge(47), list.knowledge(48)), (Knowledge::Cached, Knowledge::Unknown));
+    [47, 48]
+        .into_iter()
+        .for_each(|destination| drop(list.want(destination, &nothing_in_use).unwrap()));
+    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
+        .unwrap();
+    [47, 48]
+        .into_iter()
+        .for_each(|destination| drop(list.cancel(destination)));
+    assert_eq!(
+        (list.knowledge(47), list.knowledge(48)),
+        (Knowledge::Cached, Knowledge::Unknown)
+    );
     assert_eq!((list.pending().count(), list.to_forget()), (0, vec![48]));
 }
 
 #[test]
 fn with_all_in_use_the_cache_grows_as_far_as_a_control_process_tells() {
     let mut list = started();
-    let grown = (100..).take_while(|destination| list.want(*destination, &|_| true).is_ok()).count();
+    let grown = (100..)
+        .take_while(|destination| list.want(*destination, &|_| true).is_ok())
+        .count();
     assert_eq!((grown, list.cached()), (MOST_CELLS, MOST_CELLS));
     assert!(list.want(9_999, &nothing_in_use).is_ok() && list.cached() == 2);
 }
@@ -191,10 +333,24 @@
 #[test]
 fn a_list_of_no_control_process_serves_until_the_first_line() {
     let mut list = empty_list(2);
-    list.adopt([entry("x", 47, 3), entry("y", 47, 0), entry("z", 48, 0), entry("w", 49, 0)]);
-    assert_eq!(names(&list), ["x", "y", "z"], "the cache has room for two destinations");
+    list.adopt([
+        entry("x", 47, 3),
+        entry("y", 47, 0),
+        entry("z", 48, 0),
+        entry("w", 49, 0),
+    ]);
+    assert_eq!(
+        names(&list),
+        ["x", "y", "z"],
+        "the cache has room for two destinations"
+    );
     assert_eq!(list.query("d1"), "since=0&dispatcher=d1&cells=47,48");
-    let first = list.apply(ScopedLine { log: "c0ffee".into(), ..line(2, vec![entry("y", 47, 1)]) }).unwrap();
+    let first = list
+        .apply(ScopedLine {
+            log: "c0ffee".into(),
+            ..line(2, vec![entry("y", 47, 1)])
+        })
+        .unwrap();
     assert_eq!((first.dropped.len(), names(&list)), (3, vec!["y"]));
 }
 
@@ -202,20 +358,33 @@
 fn an_answer_of_another_log_than_the_watch_s_is_refused() {
     let mut list = started();
     list.want(47, &nothing_in_use).unwrap();
-    let other = ScopedLine { log: "beef".into(), ..line(5, vec![entry("x", 47, 4)]) };
-    assert!(matches!(list.apply_lookup(&[47], other), Err(ScopedLineError::OtherLog(_))));
-    assert_eq!((list.knowledge(47), list.counters().refused_lines), (Knowledge::Pending, 1));
+    let other = ScopedLine {
+        log: "beef".into(),
+        ..line(5, vec![entry("x", 47, 4)])
+    };
+    assert!(matches!(
+        list.apply_lookup(&[47], other),
+        Err(ScopedLineError::OtherLog(_))
+    ));
+    assert_eq!(
+        (list.knowledge(47), list.counters().refused_lines),
+        (Knowledge::Pending, 1)
+    );
 }
 
 #[test]
 fn a_saved_list_is_the_same_after_a_restart() {
     let mut list = started();
     list.want(47, &nothing_in_use).unwrap();
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)])).unwrap();
+    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
+        .unwrap();
     list.want(48, &nothing_in_use).unwrap();
     let bytes = list.to_bytes("d1");
     let again = ScopedList::from_bytes(&bytes, "d1", Arc::new(TensLayout), 2).unwrap();
-    assert_eq!((names(&again), again.query("d1")), (names(&list), list.query("d1")));
+    assert_eq!(
+        (names(&again), again.query("d1")),
+        (names(&list), list.query("d1"))
+    );
     assert_eq!(again.to_bytes("d1"), bytes);
     let other = ScopedList::from_bytes(&bytes, "d2", Arc::new(TensLayout), 2);
     assert!(matches!(other, Err(StateFileError::OtherDispatcher(_))));
@@ -256,9 +425,15 @@
         // In the order of versions: of each name the last one stays.
         let last: std::collections::BTreeMap<u8, bool> =
             newest.iter().map(|((name, _), up)| (*name, *up)).collect();
-        let expected: Vec<String> =
-            last.into_iter().filter(|(_, up)| *up).map(|(name, _)| name.to_string()).collect();
-        let kept: Vec<&str> = names(&list).into_iter().filter(|name| name.parse::<u8>().is_ok()).collect();
+        let expected: Vec<String> = last
+            .into_iter()
+            .filter(|(_, up)| *up)
+            .map(|(name, _)| name.to_string())
+            .collect();
+        let kept: Vec<&str> = names(&list)
+            .into_iter()
+            .filter(|name| name.parse::<u8>().is_ok())
+            .collect();
         kept == expected
     }
     QuickCheck::new()
