--- a/configlog/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -9,6 +9,17 @@
 //! [`ConfigLog::append`] writes, [`ConfigLog::sync`] makes durable: a caller announces a record after the sync. What was
 //! written without a sync may be lost in a crash; what is left of it is cut off and counted. Damage to what was synced
 //! refuses the log, see [`LogError::Corrupt`].
+// Not finished yet: see docs/ROADMAP.md.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 
 mod codec;
 mod config_log;
--- a/configlog/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -1,6 +1,6 @@
 //! Logs that are opened again: whole, torn, damaged, half-snapshotted, too long and missing.
 
-use bellsill_configlog::*;
+use bellsill_config_log::*;
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
--- a/controlplane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,6 +1,6 @@
-//! The state directory: a log of records with snapshots, kept by `bellsill-configlog`.
+//! The state directory: a log of records with snapshots, kept by `bellsill-config-log`.
 
-use bellsill_configlog::{ConfigLog, LogError, RecoveryReport, RejectReason, Rejected, Snapshot};
+use bellsill_config_log::{ConfigLog, LogError, RecoveryReport, RejectReason, Rejected, Snapshot};
 use bellsill_directory::record::{self, InvalidRecord, LoggedRecord};
 use bellsill_directory::snapshot::{SnapshotError, SnapshotReader, encoded_parts};
 use bellsill_directory::state::{ApplyError, Directory, Keeping};
--- a/controlplane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Control processes in threads, and plain clients that wait for what they expect.
 #![allow(dead_code)]
 
-use bellsill_controlplane::config::Config;
-use bellsill_controlplane::{Stop, process};
+use bellsill_control_plane::config::Config;
+use bellsill_control_plane::{Stop, process};
 use bellsill_directory::line::{EndpointState, ScopedLine};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/controlplane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -1,6 +1,6 @@
 //! The configuration file: what is taken, and what operators are told of what is not.
 
-use bellsill_controlplane::config::{Config, Role};
+use bellsill_control_plane::config::{Config, Role};
 
 const GOOD: &str = "\
 name = \"control-1\"
--- a/controlplane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -1,8 +1,8 @@
-//! The state directory: what survives, and what is refused. Damage of every kind is in the tests of bellsill-configlog.
+//! The state directory: what survives, and what is refused. Damage of every kind is in the tests of bellsill-config-log.
 
 mod common;
 
-use bellsill_configlog::ConfigLog;
+use bellsill_config_log::ConfigLog;
 use bellsill_directory::entry::Endpoint;
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_directory::line::{EndpointEntry, Version};
@@ -180,15 +180,15 @@
     other.expect("the same layout");
     let text = config_text(place.address, state.path(), "role = \"writer\"", "");
     let text = text.replace("buckets_per_region = 8", "buckets_per_region = 16");
-    let config = bellsill_controlplane::Config::parse(&text).expect("a configuration");
+    let config = bellsill_control_plane::Config::parse(&text).expect("a configuration");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a listener");
     let (wake, _waker) = std::os::unix::net::UnixStream::pair().expect("a pair of sockets");
-    let stop = bellsill_controlplane::Stop {
+    let stop = bellsill_control_plane::Stop {
         wake,
         requested: Default::default(),
     };
     let error =
-        bellsill_controlplane::process::run_on(listener, config, stop).expect_err("a refusal");
+        bellsill_control_plane::process::run_on(listener, config, stop).expect_err("a refusal");
     assert!(error.to_string().contains("buckets_per_region"), "{error}");
     let first = place.start_writer(state.path());
     first.wait_for_version(1);
--- a/controlplane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use bellsill_directory::line::EndpointState::{Draining, Up};
+use bellsill_discovery_client::ScopedList;
 use bellsill_placement::{Layout, RegionName, ZoneName};
-use bellsill_watch::ScopedList;
 use common::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/controlplane/tests/presence.rs
+++ b/crates/control-plane/tests/presence.rs
@@ -1,6 +1,6 @@
 //! Which members count as present.
 
-use bellsill_controlplane::presence::Presence;
+use bellsill_control_plane::presence::Presence;
 use bellsill_placement::Member;
 
 const SECOND: u64 = 1_000_000_000;
--- a/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use bellsill::interface::*;
+use bellsill_core::interface::*;
 use world::*;
 
 /// What the limit of each destination is listed to take of all dispatchers together.
--- a/tests/plain.rs
+++ b/crates/core/tests/plain.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use bellsill::interface::*;
+use bellsill_core::interface::*;
 use world::*;
 
 fn sends(w: &World, to: u32) -> usize {
--- a/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use bellsill::interface::*;
+use bellsill_core::interface::*;
 use quickcheck::{Gen, QuickCheck, TestResult};
 use world::*;
 
--- a/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -1,8 +1,8 @@
 //! A scripted outlet that carries out the answers and checks the six rules at every one of them.
 #![allow(dead_code)]
 
-use bellsill::control::Dispatcher;
-use bellsill::interface::*;
+use bellsill_core::control::Dispatcher;
+use bellsill_core::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MS: Nanos = 1_000_000;
--- a/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::message_journal::KeptMessage;
 use crate::messages::{Due, Refusal, Runtime};
 use crate::resp;
-use bellsill::interface::*;
+use bellsill_core::interface::*;
 
 /// How long no more clients are let in when there is no place for them.
 const BACK_OFF: Nanos = 50_000_000;
--- a/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,6 +1,6 @@
 //! The dispatcher's clock, which no step of the wall clock moves, and how its times are carried to the next process.
 
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use nix::time::{ClockId, clock_gettime};
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -148,7 +148,7 @@
         eprintln!("bellsill: no configuration: give --config");
         return ExitCode::from(2);
     };
-    let config = match bellsill_controlplane::Config::read(&file) {
+    let config = match bellsill_control_plane::Config::read(&file) {
         Ok(config) => config,
         Err(e) => {
             eprintln!("bellsill: configuration: {e}");
@@ -156,11 +156,11 @@
         }
     };
     let run = |told: Told| {
-        let stop = bellsill_controlplane::Stop {
+        let stop = bellsill_control_plane::Stop {
             wake: told.wake,
             requested: told.leave,
         };
-        bellsill_controlplane::run(config, stop)
+        bellsill_control_plane::run(config, stop)
     };
     match Told::by_signals().map_err(Into::into).and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/daemon/src/conns.rs
+++ b/crates/daemon/src/conns.rs
@@ -2,7 +2,7 @@
 
 use crate::ring::Ring;
 use crate::slots::{SlotId, Slots};
-use bellsill::interface::{EndpointId, Nanos};
+use bellsill_core::interface::{EndpointId, Nanos};
 use polling::{Event, Events, Poller};
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -3,15 +3,15 @@
 
 use crate::conns::{ConnId, Conns, Role};
 use crate::deadlines::Deadlines;
-use bellsill_boot::Names;
-use bellsill_net::Nanos;
-use bellsill_watch::{
+use bellsill_discovery_client::{
     Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer,
     Watch,
 };
+use bellsill_net::Nanos;
+use bellsill_settings::Names;
 use std::net::SocketAddr;
 
-pub use bellsill_watch::watch::KEPT_FOR;
+pub use bellsill_discovery_client::watch::KEPT_FOR;
 
 /// How much of an answer is read before it is taken.
 const INPUT_BYTES: usize = 64 * 1024;
--- a/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! A list of endpoints as discovery writes it: the words of its JSON end here.
 
-use bellsill_boot::Names;
+use bellsill_settings::Names;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/daemon/src/endpoints.rs
+++ b/crates/daemon/src/endpoints.rs
@@ -7,8 +7,8 @@
 use crate::messages::{Due, MessageSlot, Runtime};
 use crate::resp::COMMAND_MOST;
 use crate::scope;
-use bellsill::interface::*;
-use bellsill_watch::Applied;
+use bellsill_core::interface::*;
+use bellsill_discovery_client::Applied;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::{Index, IndexMut};
@@ -457,7 +457,7 @@
             match runtime.read_on(id, &mut answer) {
                 Ok(true) if !last(&answer) => return runtime.emptied(id),
                 Ok(false) if good && !last(&answer) => {
-                    drop(runtime.endpoints.emptying.insert(id, answer))
+                    runtime.endpoints.emptying.insert(id, answer);
                 }
                 _ => good = false,
             }
--- a/daemon/src/installation.rs
+++ b/crates/daemon/src/installation.rs
@@ -2,8 +2,8 @@
 //! With it a dispatcher holds a part of the configuration (`docs/configuration.md`); without it, all that discovery tells.
 
 use bellsill_directory::entry::is_member_name;
+use bellsill_discovery_client::scoped_list::{CACHE_DESTINATIONS, MOST_CELLS};
 use bellsill_placement::{DEFAULT_BUCKETS_PER_REGION, Layout, LayoutError, RegionName, ZoneName};
-use bellsill_watch::scoped_list::{CACHE_DESTINATIONS, MOST_CELLS};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/daemon/src/leaving.rs
+++ b/crates/daemon/src/leaving.rs
@@ -3,7 +3,7 @@
 use crate::conns::{ConnId, Role};
 use crate::event_loop::Daemon;
 use crate::messages::Due;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 
 const MS: Nanos = 1_000_000;
 /// Leaving, counted from the signal. The platform lets new clients come for 400 ms and kills after 3.7 s. Those inside
--- a/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,20 @@
 //! The dispatcher as a service: the decisions of `bellsill` on real sockets. [`start`] reads what a dispatcher is told,
 //! [`event_loop::Daemon`] runs it; `docs/daemon.md` says how the parts fit.
+// Not finished yet: see docs/ROADMAP.md.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 #![deny(unsafe_code)]
 
+pub use bellsill_discovery_client::backoff;
 pub use bellsill_net::{deadlines, http, ring, slots};
-pub use bellsill_watch::backoff;
 
 pub mod clock;
 pub mod command_line;
--- a/daemon/src/message_journal/adoption.rs
+++ b/crates/daemon/src/message_journal/adoption.rs
@@ -3,7 +3,7 @@
 
 use super::record::Extent;
 use super::replay::replay;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
 use std::os::unix::fs::MetadataExt;
--- a/daemon/src/message_journal/live.rs
+++ b/crates/daemon/src/message_journal/live.rs
@@ -2,7 +2,7 @@
 //! is written anew.
 
 use super::{Kept, record};
-use bellsill::interface::MessageId;
+use bellsill_core::interface::MessageId;
 use std::collections::BTreeMap;
 
 #[derive(Default)]
--- a/daemon/src/message_journal/mod.rs
+++ b/crates/daemon/src/message_journal/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::{ClockReading, Translation};
 use adoption::{Emptying, Journals, Neighbours};
-use bellsill::interface::{MessageId, Nanos};
+use bellsill_core::interface::{MessageId, Nanos};
 use live::LiveRecords;
 use record::Extent;
 use replay::{Replayed, replay};
--- a/daemon/src/message_journal/record.rs
+++ b/crates/daemon/src/message_journal/record.rs
@@ -2,7 +2,7 @@
 
 use super::{Ending, KeptAttempt, KeptMessage};
 use crate::clock::ClockReading;
-use bellsill::interface::{MessageId, Nanos};
+use bellsill_core::interface::{MessageId, Nanos};
 
 /// The length and the checksum before a payload.
 const HEAD_BYTES: usize = 8;
--- a/daemon/src/message_journal/replay.rs
+++ b/crates/daemon/src/message_journal/replay.rs
@@ -4,7 +4,7 @@
 use super::{Kept, KeptMessage};
 use crate::clock::{ClockReading, Translation};
 use crate::recent_ids;
-use bellsill::interface::MessageId;
+use bellsill_core::interface::MessageId;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What a journal's bytes came to.
--- a/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -10,8 +10,8 @@
 use crate::notices::Notices;
 use crate::recent_ids::RecentIds;
 use crate::slots::{SlotId, Slots};
-use bellsill::interface::*;
-use bellsill_watch::{CacheFull, Knowledge};
+use bellsill_core::interface::*;
+use bellsill_discovery_client::{CacheFull, Knowledge};
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/daemon/src/mgmt.rs
+++ b/crates/daemon/src/mgmt.rs
@@ -5,8 +5,8 @@
 use crate::event_loop::Daemon;
 use crate::messages::{Due, Runtime};
 use crate::scope::ScopeFile;
-use bellsill::interface::Nanos;
-use bellsill_watch::{Counters, ScopedList};
+use bellsill_core::interface::Nanos;
+use bellsill_discovery_client::{Counters, ScopedList};
 use std::fmt::Write;
 
 /// The longest call line, its end included; what is longer is answered `FAILURE` and the caller closed.
--- a/daemon/src/notices.rs
+++ b/crates/daemon/src/notices.rs
@@ -4,7 +4,7 @@
 use crate::http::{self, Body, Head};
 use crate::message_journal::Ending;
 use crate::messages::{Due, Runtime};
-use bellsill::interface::{MessageId, Nanos};
+use bellsill_core::interface::{MessageId, Nanos};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/daemon/src/recent_ids.rs
+++ b/crates/daemon/src/recent_ids.rs
@@ -1,7 +1,7 @@
 //! The ids of messages that have ended of late. A client whose connection ended before it had read its answer sends the
 //! request once more, under the same id: what was taken on must not be taken on again.
 
-use bellsill::interface::{MessageId, Nanos};
+use bellsill_core::interface::{MessageId, Nanos};
 use std::collections::{BTreeSet, VecDeque};
 
 /// For so long after its end an id is known: a client comes again within its answer's time, or once a restarted dispatcher
--- a/daemon/src/scope.rs
+++ b/crates/daemon/src/scope.rs
@@ -3,10 +3,10 @@
 
 use crate::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::installation::Installation;
-use bellsill_boot::Names;
 use bellsill_directory::line::{EndpointEntry, EndpointState, Version};
+use bellsill_discovery_client::{Applied, ScopedList};
 use bellsill_net::Nanos;
-use bellsill_watch::{Applied, ScopedList};
+use bellsill_settings::Names;
 use std::io;
 use std::path::{Path, PathBuf};
 
--- a/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher is told at its start: the platform's file, and the folder that lasts.
 
 use crate::installation::{Installation, InstallationError};
-use bellsill_boot::{BadField, Boot, Reader};
+use bellsill_settings::{BadField, Boot, Reader};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -128,7 +128,7 @@
             .map_err(|_| r.bad("state", "a folder that lasts, here or by RELAY_STATE"))?
             .into(),
     };
-    let boot = bellsill_boot::read(settings, seed, "settings")?;
+    let boot = bellsill_settings::read(settings, seed, "settings")?;
     if boot.facts.batch.iter().any(|most| *most > 1) {
         return Err(r.bad(
             "settings.family-info.per-call",
--- a/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -247,7 +247,7 @@
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("rig-{pid}-{n}"));
         std::fs::create_dir_all(folder.join("state")).unwrap();
         let mut json: Value =
-            serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
+            serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap();
         let platform = Platform::start();
         json["listen"] = listen.clone().into();
         json["discovery"] = platform.addr.clone().into();
--- a/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -1,6 +1,6 @@
 //! The parts of the daemon, each against a plain model: random input in random pieces.
 
-use bellsill::interface::{MessageId, Nanos};
+use bellsill_core::interface::{MessageId, Nanos};
 use bellsill_daemon::backoff::{Backoff, FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
 use bellsill_daemon::deadlines::Deadlines;
 use bellsill_daemon::discovery::KEPT_FOR;
--- a/watch/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -3,6 +3,17 @@
 //!
 //! [`Watch::plain`] follows one discovery and the whole list of endpoints. [`Watch::scoped`] follows one of several control
 //! processes, and with it the buckets of one dispatcher, kept in a [`ScopedList`]; `docs/configuration.md` has the contract.
+// Not finished yet: see docs/ROADMAP.md.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 #![forbid(unsafe_code)]
 
 pub mod backoff;
--- a/watch/tests/calls.rs
+++ b/crates/discovery-client/tests/calls.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
+use bellsill_discovery_client::backoff::{Backoff, FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
+use bellsill_discovery_client::watch::{KEPT_FOR, LONGEST_SCOPED_LINE, SCOPED_SILENT_FOR};
+use bellsill_discovery_client::{CallId, Command, Received, ScopedOptions, Timer, Watch};
 use bellsill_net::Nanos;
 use bellsill_net::ring::Ring;
-use bellsill_watch::backoff::{Backoff, FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
-use bellsill_watch::watch::{KEPT_FOR, LONGEST_SCOPED_LINE, SCOPED_SILENT_FOR};
-use bellsill_watch::{CallId, Command, Received, ScopedOptions, Timer, Watch};
 use common::*;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
--- a/watch/tests/common/mod.rs
+++ b/crates/discovery-client/tests/common/mod.rs
@@ -4,8 +4,8 @@
 #![allow(dead_code)]
 
 use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
+use bellsill_discovery_client::{BucketMap, ScopedList};
 use bellsill_placement::BucketId;
-use bellsill_watch::{BucketMap, ScopedList};
 use std::sync::Arc;
 
 /// Destination 17 is in bucket 1.
--- a/watch/tests/scoped_list.rs
+++ b/crates/discovery-client/tests/scoped_list.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use bellsill_directory::line::{EndpointEntry, ScopedLine, Version};
-use bellsill_watch::scoped_list::MOST_CELLS;
-use bellsill_watch::{Knowledge, ScopedLineError, ScopedList, StateFileError};
+use bellsill_discovery_client::scoped_list::MOST_CELLS;
+use bellsill_discovery_client::{Knowledge, ScopedLineError, ScopedList, StateFileError};
 use common::*;
 use quickcheck::{Gen, QuickCheck};
 use std::sync::Arc;
--- a/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -4,6 +4,17 @@
 //! bucket, in different zones of the region. [`Assignment::plan`] compares it with the members present and returns an
 //! [`AssignmentChange`] that moves only what it must; [`Assignment::apply`] takes the change in, at the process that
 //! planned it and at those that follow it.
+// Not finished yet: see docs/ROADMAP.md.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 
 mod assignment;
 mod change;
--- a/boot/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,17 @@
 //! The settings that an instance gets at its start: JSON under the platform's names, read into [`BootFacts`].
+// Not finished yet: see docs/ROADMAP.md.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 
-use bellsill::interface::*;
+use bellsill_core::interface::*;
 use serde_json::Value;
 
 /// A field of the settings that is missing or of the wrong form.
--- a/benchlink/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,6 +1,6 @@
 //! One line of the wire: a name and name=value pairs, the last of them free text where it is one.
 
-use bellsill::interface::MessageId;
+use bellsill_core::interface::MessageId;
 
 /// What is wrong with a line, said plainly.
 #[derive(Debug)]
--- a/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,11 +1,22 @@
 //! The bench's wire: reads lines, calls the decisions, writes their answers. It decides nothing.
+// Not finished yet: see docs/ROADMAP.md.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 
 mod line;
 
 use base64::Engine;
-use bellsill::control::Dispatcher;
-use bellsill::interface::*;
-use bellsill_boot::Names;
+use bellsill_core::control::Dispatcher;
+use bellsill_core::interface::*;
+use bellsill_settings::Names;
 use line::{Bad, Line};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -200,11 +211,12 @@
     }
 }
 
-fn read_boot(line: &Line) -> Result<bellsill_boot::Boot, Bad> {
+fn read_boot(line: &Line) -> Result<bellsill_settings::Boot, Bad> {
     let seed = line.num("salt")?;
     let json = serde_json::from_str(line.text("boot-info")?)
         .map_err(|e| line.bad("boot-info", &format!("JSON ({e})")))?;
-    bellsill_boot::read(&json, seed, "boot-info").map_err(|bad| line.bad(&bad.field, &bad.expected))
+    bellsill_settings::read(&json, seed, "boot-info")
+        .map_err(|bad| line.bad(&bad.field, &bad.expected))
 }
 
 fn read_class(names: &Names, line: &Line) -> Result<usize, Bad> {
@@ -371,7 +383,7 @@
 
 fn main() {
     if let Err(Bad(why)) = serve(std::io::stdin().lock(), std::io::stdout().lock()) {
-        eprintln!("bellsill-benchlink: {why}");
+        eprintln!("bellsill-simulator-adapter: {why}");
         std::process::exit(2);
     }
 }
--- a/benchlink/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -19,7 +19,7 @@
 }
 
 fn play(batches: &[(u64, &str)], settings: serde_json::Value) -> (Option<i32>, String, String) {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_bellsill-benchlink"))
+    let mut program = Command::new(env!("CARGO_BIN_EXE_bellsill-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/lab/examples/scripted_peer.rs
+++ b/crates/testbed/examples/scripted_peer.rs
@@ -1,7 +1,7 @@
 //! A dispatcher for the laboratory's own tests, plain and slow: it sends each mail by one call at a time, heeds waits, drains
 //! and the order of keys, and gives up at once what may not go again. `SCRIPTED_DEFECT` names what it does wrong on purpose.
 //!
-//!     SCRIPTED_DEFECT=told-wait bellsill-lab run FILE --drive sockets --program target/debug/examples/scripted_peer
+//!     SCRIPTED_DEFECT=told-wait bellsill-testbed run FILE --drive sockets --program target/debug/examples/scripted_peer
 
 use serde_json::{Value, json};
 use std::collections::{HashMap, VecDeque};
--- a/lab/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -6,7 +6,7 @@
 
 use crate::record::*;
 use crate::world::Answer;
-use bellsill::interface::*;
+use bellsill_core::interface::*;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
--- a/lab/src/capacity/decisions.rs
+++ b/crates/testbed/src/capacity/decisions.rs
@@ -5,8 +5,8 @@
 use super::report::{Series, SeriesId};
 use crate::recording_outlet::RecordingOutlet;
 use anyhow::Result;
-use bellsill::control::Dispatcher;
-use bellsill::interface::*;
+use bellsill_core::control::Dispatcher;
+use bellsill_core::interface::*;
 use rustix::time::{ClockId, clock_gettime};
 
 const MILLISECOND: Nanos = 1_000_000;
--- a/lab/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -29,7 +29,7 @@
 /// Messages a second at a process: what 1,900 dispatchers have each of 1.4 million.
 const MESSAGES_PER_SECOND: f64 = 737.0;
 
-/// The arguments of `bellsill-lab capacity`.
+/// The arguments of `bellsill-testbed capacity`.
 #[derive(Args)]
 pub struct CapacityArgs {
     /// Writes what was measured to this file.
--- a/lab/src/capacity/model/rows.rs
+++ b/crates/testbed/src/capacity/model/rows.rs
@@ -139,7 +139,7 @@
 
 const SCOPED: Mechanism = Mechanism::InPlace {
     name: "scoped configuration",
-    file: "placement/, directory/, controlplane/, watch/src/scoped_list.rs",
+    file: "placement/, directory/, controlplane/, crates/discovery-client/src/scoped_list.rs",
 };
 const ROUTED: Mechanism = Mechanism::NoneYet {
     wanted: "messages routed to a holder of their destination",
@@ -223,7 +223,7 @@
             value: |i| i.size.messages_per_dispatcher(),
             mechanism: Mechanism::InPlace {
                 name: "the loop",
-                file: "daemon/src/event_loop.rs",
+                file: "crates/daemon/src/event_loop.rs",
             },
             ..EMPTY
         },
@@ -249,7 +249,7 @@
             budget: Some(|b, _| b.message_cores),
             mechanism: Mechanism::InPlace {
                 name: "the loop",
-                file: "daemon/src/event_loop.rs",
+                file: "crates/daemon/src/event_loop.rs",
             },
             ..row
         },
@@ -262,7 +262,7 @@
             budget: Some(|b, _| b.message_cores),
             mechanism: Mechanism::InPlace {
                 name: "an index of destinations",
-                file: "daemon/src/endpoints.rs",
+                file: "crates/daemon/src/endpoints.rs",
             },
             rests_on: Some(RowId::ConfigurationMemory),
             ..row
@@ -278,7 +278,7 @@
             budget: Some(|b, _| b.message_cores),
             mechanism: Mechanism::InPlace {
                 name: "messages are looked through on the way out alone",
-                file: "daemon/src/event_loop.rs, Daemon::may_end",
+                file: "crates/daemon/src/event_loop.rs, Daemon::may_end",
             },
             ..row
         },
@@ -290,7 +290,7 @@
             value: |i| i.message_cores(i.slopes.message_by_down.slope * i.down_destinations()),
             budget: Some(|b, _| b.message_cores),
             mechanism: Mechanism::NoneYet {
-                wanted: "messages routed to a holder; an order of waiting queues by when they open, src/state/queues.rs",
+                wanted: "messages routed to a holder; an order of waiting queues by when they open, crates/core/src/state/queues.rs",
             },
             rests_on: Some(RowId::LookUpWire),
             ..row
@@ -315,7 +315,7 @@
             budget: Some(|b, _| b.control_bytes_per_second),
             mechanism: Mechanism::InPlace {
                 name: "the watch",
-                file: "watch/src/watch.rs, daemon/src/discovery.rs",
+                file: "crates/discovery-client/src/watch.rs, crates/daemon/src/discovery.rs",
             },
             ..row
         },
@@ -332,7 +332,7 @@
             budget: Some(|b, _| b.control_cores),
             mechanism: Mechanism::InPlace {
                 name: "Daemon::list",
-                file: "daemon/src/event_loop.rs",
+                file: "crates/daemon/src/event_loop.rs",
             },
             ..row
         },
@@ -371,7 +371,7 @@
             value: |i| i.slopes.start_by_known.slope * MICROSECOND * i.assigned(),
             mechanism: Mechanism::InPlace {
                 name: "`known`",
-                file: "daemon/src/start.rs",
+                file: "crates/daemon/src/start.rs",
             },
             ..row
         },
@@ -476,7 +476,7 @@
             budget: Some(|b, _| b.line_bytes),
             mechanism: Mechanism::InPlace {
                 name: "lines of at most 64 KiB",
-                file: "directory/src/line.rs, directory/src/feed.rs",
+                file: "crates/directory/src/line.rs, crates/directory/src/feed.rs",
             },
             rests_on: Some(RowId::ConfigurationMemory),
             ..row
@@ -521,7 +521,7 @@
             value: |i| i.size.backlog_per_dispatcher(),
             mechanism: Mechanism::InPlace {
                 name: "the decisions and the daemon",
-                file: "daemon/src/messages.rs",
+                file: "crates/daemon/src/messages.rs",
             },
             ..row
         },
@@ -546,7 +546,7 @@
             value: |i| i.slopes.journal_by_held.slope * i.size.backlog_per_dispatcher(),
             mechanism: Mechanism::InPlace {
                 name: "one file a dispatcher",
-                file: "daemon/src/message_journal/",
+                file: "crates/daemon/src/message_journal/",
             },
             ..row
         },
@@ -561,7 +561,7 @@
             },
             mechanism: Mechanism::InPlace {
                 name: "MessageJournal::open",
-                file: "daemon/src/message_journal/",
+                file: "crates/daemon/src/message_journal/",
             },
             ..row
         },
@@ -589,7 +589,7 @@
             value: |i| i.size.messages_per_second / i.size.destinations,
             mechanism: Mechanism::InPlace {
                 name: "calls",
-                file: "daemon/src/endpoints.rs",
+                file: "crates/daemon/src/endpoints.rs",
             },
             ..row
         },
@@ -653,7 +653,7 @@
             value: |i| i.size.messages_per_dispatcher(),
             mechanism: Mechanism::InPlace {
                 name: "clients",
-                file: "daemon/src/clients.rs",
+                file: "crates/daemon/src/clients.rs",
             },
             ..row
         },
@@ -666,7 +666,7 @@
             value: |i| i.all_message_cores(),
             mechanism: Mechanism::InPlace {
                 name: "a full hold is answered -BUSY; full cores are not",
-                file: "src/control.rs, Dispatcher::admits",
+                file: "crates/core/src/control.rs, Dispatcher::admits",
             },
             ..row
         },
--- a/lab/src/capacity/page.rs
+++ b/crates/testbed/src/capacity/page.rs
@@ -217,7 +217,7 @@
             "",
             "budget: the longest line",
             bytes(budgets.line_bytes),
-            "watch/src/watch.rs",
+            "crates/discovery-client/src/watch.rs",
         ),
         row(
             "",
@@ -421,7 +421,7 @@
 # Capacity
 
 What the fleet of the full size needs, and of which need there is too much. Written by
-`bellsill-lab capacity --from docs/lab/capacity.json --page` from a run of `bellsill-lab capacity --json` (lab/src/capacity); no figure is
+`bellsill-testbed capacity --from docs/lab/capacity.json --page` from a run of `bellsill-testbed capacity --json` (crates/testbed/src/capacity); no figure is
 added up by hand. Each value is measured, worked out from a measured slope, or worked out from given and assumed figures; its row says which.
 
 ## The size that is designed for
--- a/lab/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The program `bellsill-lab`. Status 0: done and valid, rules kept; 1: a rule was broken, or a run is not valid; 2: what was
+//! The program `bellsill-testbed`. Status 0: done and valid, rules kept; 1: a rule was broken, or a run is not valid; 2: what was
 //! asked for cannot be done, nothing was started.
 
 use crate::experiment::{self, BadExperiment, Experiment, Vary};
@@ -12,7 +12,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "bellsill-lab",
+    name = "bellsill-testbed",
     version,
     about = "Plays dispatchers against a model of the world, and says what came of it"
 )]
--- a/lab/src/hollow/bad_server.rs
+++ b/crates/testbed/src/hollow/bad_server.rs
@@ -1,7 +1,7 @@
 //! A server that answers watches with lines that must be refused, one kind after the other.
 
 use anyhow::Result;
-use bellsill_watch::watch::LONGEST_SCOPED_LINE;
+use bellsill_discovery_client::watch::LONGEST_SCOPED_LINE;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/lab/src/hollow/churn.rs
+++ b/crates/testbed/src/hollow/churn.rs
@@ -5,7 +5,7 @@
 use super::fleet::Event;
 use super::plan::{Plan, endpoint_name};
 use super::propagation::Change;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use bellsill_directory::line::EndpointEntry;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
--- a/lab/src/hollow/clock.rs
+++ b/crates/testbed/src/hollow/clock.rs
@@ -1,6 +1,6 @@
 //! The clock that all processes of one machine share.
 
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use rustix::time::{ClockId, clock_gettime};
 
 pub const SECOND: Nanos = 1_000_000_000;
--- a/lab/src/hollow/dispatcher.rs
+++ b/crates/testbed/src/hollow/dispatcher.rs
@@ -5,13 +5,13 @@
 use super::plan::{DispatcherIndex, Plan};
 use super::routes::RouteTable;
 use super::traffic::TrafficMeter;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use bellsill_directory::line::{EndpointEntry, Version};
-use bellsill_net::ring::Ring;
-use bellsill_watch::scoped_list::CACHE_DESTINATIONS;
-use bellsill_watch::{
+use bellsill_discovery_client::scoped_list::CACHE_DESTINATIONS;
+use bellsill_discovery_client::{
     Applied, BucketMap, CallId, Command, ScopedList, ScopedOptions, Timer, Watch,
 };
+use bellsill_net::ring::Ring;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/lab/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -11,7 +11,7 @@
 use super::routes::fingerprint;
 use super::worker_process::WorkerProcess;
 use anyhow::{Context, Result, bail, ensure};
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use bellsill_directory::line::{EndpointEntry, Version};
 use bellsill_placement::BucketId;
 use std::collections::{BTreeMap, BTreeSet};
--- a/lab/src/hollow/holders.rs
+++ b/crates/testbed/src/hollow/holders.rs
@@ -1,7 +1,7 @@
 //! Which dispatchers hold which buckets, as the workers tell it.
 
 use super::plan::DispatcherIndex;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use bellsill_placement::BucketId;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/lab/src/hollow/measure.rs
+++ b/crates/testbed/src/hollow/measure.rs
@@ -1,7 +1,7 @@
 //! Processor time and memory of processes, sampled once a second.
 
 use super::clock;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use procfs::process::Process;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/lab/src/hollow/messages.rs
+++ b/crates/testbed/src/hollow/messages.rs
@@ -2,7 +2,7 @@
 //! on its standard output.
 
 use super::plan::DispatcherIndex;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use bellsill_directory::line::Version;
 use bellsill_placement::BucketId;
 use serde::{Deserialize, Serialize};
--- a/lab/src/hollow/plan.rs
+++ b/crates/testbed/src/hollow/plan.rs
@@ -1,8 +1,8 @@
 //! The planned fleet: regions, zones, dispatchers and the entries of destinations, all computed from a few numbers.
 
 use bellsill_directory::line::{EndpointEntry, EndpointState, Version};
+use bellsill_discovery_client::BucketMap;
 use bellsill_placement::{BucketId, Layout, LayoutError, RegionId, RegionName, ZoneName};
-use bellsill_watch::BucketMap;
 use serde::{Deserialize, Serialize};
 
 /// Six regions of three zones, and one of four.
--- a/lab/src/hollow/propagation.rs
+++ b/crates/testbed/src/hollow/propagation.rs
@@ -3,7 +3,7 @@
 use super::clock::SECOND;
 use super::holders::Holders;
 use super::plan::DispatcherIndex;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use bellsill_directory::line::Version;
 use bellsill_placement::BucketId;
 use hdrhistogram::Histogram;
--- a/lab/src/hollow/routes.rs
+++ b/crates/testbed/src/hollow/routes.rs
@@ -4,8 +4,8 @@
 use super::messages::BucketDigest;
 use super::plan::{DispatcherIndex, Plan};
 use crate::recording_outlet::RecordingOutlet;
-use bellsill::control::Dispatcher;
-use bellsill::interface::*;
+use bellsill_core::control::Dispatcher;
+use bellsill_core::interface::*;
 use bellsill_directory::line::{EndpointEntry, EndpointState};
 use bellsill_placement::BucketId;
 use std::collections::BTreeMap;
--- a/lab/src/hollow/scenario.rs
+++ b/crates/testbed/src/hollow/scenario.rs
@@ -10,7 +10,7 @@
 use super::plan::DispatcherIndex;
 use super::report::{self, Outcome, seconds, seconds_or_never};
 use anyhow::{Context, Result};
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use procfs::{Current, LoadAverage};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
--- a/lab/src/hollow/traffic.rs
+++ b/crates/testbed/src/hollow/traffic.rs
@@ -2,7 +2,7 @@
 
 use super::clock::{MILLISECOND, SECOND};
 use super::messages::Traffic;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 
 const WINDOW: Nanos = 100 * MILLISECOND;
 const WINDOWS_IN_THREE_SECONDS: usize = 30;
--- a/lab/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -5,7 +5,7 @@
 use crate::measure::{Measure, Results};
 use crate::record::{CallNo, Seen};
 use crate::world::plan::*;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 
 pub struct Ledger {
     pub audit: Auditor,
--- a/lab/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,16 @@
 //! The laboratory: a model of endpoints and their failures without I/O, two drives of it (real sockets, and virtual time),
 //! a load generator, an auditor of the six rules, experiments and reports. `docs/lab.md` says how to use it.
+// Not finished yet: see docs/ROADMAP.md.
+#![allow(
+    missing_docs,
+    unreachable_pub,
+    clippy::cognitive_complexity,
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
 
 pub mod audit;
 pub mod capacity;
--- a/lab/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -2,7 +2,7 @@
 //! waits for an answer before the next mail, and times count from the intended moment.
 
 use crate::world::plan::*;
-use bellsill::interface::{MessageId, Nanos};
+use bellsill_core::interface::{MessageId, Nanos};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, weighted::WeightedIndex};
 use rand_pcg::Pcg64Mcg;
--- /dev/null
+++ b/crates/testbed/src/main.rs
@@ -0,0 +1,3 @@
+fn main() -> std::process::ExitCode {
+    bellsill_testbed::command_line::main()
+}
--- a/lab/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -6,7 +6,7 @@
 use crate::spec::Class;
 use crate::world::Answer;
 use crate::world::plan::*;
-use bellsill::interface::{MessageId, Nanos};
+use bellsill_core::interface::{MessageId, Nanos};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/lab/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -3,7 +3,7 @@
 
 use crate::load::{Arrival, mail_id};
 use crate::world::Answer;
-use bellsill::interface::{EndpointId, MessageId, Nanos};
+use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 
 /// Counts the calls of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/lab/src/recording_outlet.rs
+++ b/crates/testbed/src/recording_outlet.rs
@@ -1,6 +1,6 @@
 //! An outlet for decisions without sockets: it notes what the laboratory follows and drops the rest.
 
-use bellsill::interface::*;
+use bellsill_core::interface::*;
 
 /// What the decisions answered.
 #[derive(Default)]
--- a/lab/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -5,7 +5,7 @@
 use crate::record::*;
 use crate::spec::RepeatWord;
 use crate::world::plan::*;
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/lab/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::record::*;
 use crate::world::*;
 use anyhow::Result;
-use bellsill::interface::{EndpointId, MessageId, Nanos};
+use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/lab/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -16,7 +16,7 @@
 use crate::world::plan::*;
 use crate::world::*;
 use anyhow::{Context, Result, bail};
-use bellsill::interface::{EndpointId, MessageId, Nanos};
+use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
--- a/lab/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -5,7 +5,7 @@
 use crate::record::*;
 use crate::world::Listed;
 use anyhow::Result;
-use bellsill::interface::MessageId;
+use bellsill_core::interface::MessageId;
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 const EMPTY_LINE: Duration = Duration::from_secs(2);
 const REQUEST_MOST: usize = 4 << 20;
 
-fn entry(state: &State, endpoint: bellsill::interface::EndpointId, listed: Listed) -> Value {
+fn entry(state: &State, endpoint: bellsill_core::interface::EndpointId, listed: Listed) -> Value {
     let (plan, spec) = (state.world.endpoint(endpoint), &state.world.plan.spec);
     let word = match listed {
         Listed::Up => "up",
--- a/lab/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -9,8 +9,8 @@
 use crate::record::*;
 use crate::world::plan::*;
 use crate::world::*;
-use bellsill::control::Dispatcher;
-use bellsill::interface::{Outcome as AttemptOutcome, *};
+use bellsill_core::control::Dispatcher;
+use bellsill_core::interface::{Outcome as AttemptOutcome, *};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
--- a/lab/src/world/gate.rs
+++ b/crates/testbed/src/world/gate.rs
@@ -2,7 +2,7 @@
 
 use super::plan::{GatePlan, MS, between, ms};
 use crate::spec::{Kind, LimitForm};
-use bellsill::interface::Nanos;
+use bellsill_core::interface::Nanos;
 
 /// The part of a second whose calls a plain rate takes at once.
 const AT_ONCE: f64 = 0.1;
--- a/lab/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -7,7 +7,7 @@
 pub mod plan;
 
 use crate::spec::*;
-use bellsill::interface::{EndpointId, MessageId, Nanos};
+use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use gate::Gate;
 use plan::*;
 use slotmap::{SlotMap, new_key_type};
--- a/lab/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,7 +1,7 @@
 //! What a world is made of, drawn from an experiment and a seed: equal seeds give equal plans.
 
 use crate::spec::*;
-use bellsill::interface::{BootFacts, ClassFacts, Nanos, Repeat};
+use bellsill_core::interface::{BootFacts, ClassFacts, Nanos, Repeat};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/lab/tests/broken.rs
+++ b/crates/testbed/tests/broken.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use bellsill_lab::audit::Rule;
-use bellsill_lab::run::RunLine;
+use bellsill_testbed::audit::Rule;
+use bellsill_testbed::run::RunLine;
 use common::*;
 
 const WORLD: &str = r#"
--- a/lab/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use bellsill_lab::capacity::bench::Sizes;
-use bellsill_lab::capacity::fit::{Fit, Point};
-use bellsill_lab::capacity::model::failures::{Failure, consequence};
-use bellsill_lab::capacity::model::ranking::{Ranking, rank};
-use bellsill_lab::capacity::model::rows::{self, RowId};
-use bellsill_lab::capacity::model::{Design, Inputs, Slopes};
-use bellsill_lab::capacity::page;
-use bellsill_lab::capacity::report::{Capacity, Finding, SeriesId, figure};
-use bellsill_lab::capacity::wasted::{self, Traffic};
-use bellsill_lab::capacity::{self, Options};
+use bellsill_testbed::capacity::bench::Sizes;
+use bellsill_testbed::capacity::fit::{Fit, Point};
+use bellsill_testbed::capacity::model::failures::{Failure, consequence};
+use bellsill_testbed::capacity::model::ranking::{Ranking, rank};
+use bellsill_testbed::capacity::model::rows::{self, RowId};
+use bellsill_testbed::capacity::model::{Design, Inputs, Slopes};
+use bellsill_testbed::capacity::page;
+use bellsill_testbed::capacity::report::{Capacity, Finding, SeriesId, figure};
+use bellsill_testbed::capacity::wasted::{self, Traffic};
+use bellsill_testbed::capacity::{self, Options};
 use common::dispatcher;
 use serde_json::Value;
 use std::path::Path;
@@ -352,7 +352,7 @@
 
 #[test]
 fn the_page_is_what_the_saved_run_says() {
-    let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs");
+    let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     let saved = capacity::read(&docs.join("lab/capacity.json")).unwrap();
     let made = page::page(&saved).unwrap();
     let stands = std::fs::read_to_string(docs.join("CAPACITY.md")).unwrap();
--- a/lab/tests/cold_returns.rs
+++ b/crates/testbed/tests/cold_returns.rs
@@ -1,10 +1,10 @@
 //! The budget of an endpoint in slow start binds however few or many dispatchers there are, at the usual size and where
 //! destinations are divided among them.
 
-use bellsill_lab::experiment;
-use bellsill_lab::virtual_time;
-use bellsill_lab::world::plan::Plan;
-use bellsill_lab::world::slow_start_budget;
+use bellsill_testbed::experiment;
+use bellsill_testbed::virtual_time;
+use bellsill_testbed::world::plan::Plan;
+use bellsill_testbed::world::slow_start_budget;
 use std::path::Path;
 
 const MESSAGES_OF_A_DISPATCHER: f64 = 5.0;
--- a/lab/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A folder of its own for each test, and the laboratory's program run in it.
 #![allow(dead_code)]
 
-use bellsill_lab::run::{RunLine, lines};
+use bellsill_testbed::run::{RunLine, lines};
 use std::path::PathBuf;
 use std::process::Command;
 
@@ -12,7 +12,7 @@
 impl Lab {
     pub fn new(name: &str, experiment: &str) -> Lab {
         let folder =
-            std::env::temp_dir().join(format!("bellsill-lab-{}-{name}", std::process::id()));
+            std::env::temp_dir().join(format!("bellsill-testbed-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("experiment.toml"), experiment).unwrap();
         Lab { folder }
@@ -20,7 +20,7 @@
 
     /// The program with a sub-command, on the experiment of this folder.
     pub fn command(&self, args: &[&str]) -> Command {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill-testbed"));
         command
             .args(args)
             .arg("experiment.toml")
@@ -70,7 +70,7 @@
 
 pub fn scripted_peer() -> PathBuf {
     built(
-        &["-p", "bellsill-lab", "--example", "scripted_peer"],
+        &["-p", "bellsill-testbed", "--example", "scripted_peer"],
         "examples/scripted_peer",
     )
 }
--- a/lab/tests/growth.rs
+++ b/crates/testbed/tests/growth.rs
@@ -1,11 +1,11 @@
 //! The standing test's table on growth, as far as virtual time can tell it: what a dispatcher needs at sixteen times the
 //! endpoints, over the same day at the usual size.
 
-use bellsill_lab::experiment;
-use bellsill_lab::measure::Results;
-use bellsill_lab::spec::Spec;
-use bellsill_lab::virtual_time;
-use bellsill_lab::world::plan::Plan;
+use bellsill_testbed::experiment;
+use bellsill_testbed::measure::Results;
+use bellsill_testbed::spec::Spec;
+use bellsill_testbed::virtual_time;
+use bellsill_testbed::world::plan::Plan;
 use std::path::Path;
 
 /// Of the table: connections made to endpoints, and the share served.
--- a/lab/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -60,7 +60,7 @@
 fn play(name: &str, scenarios: &str) -> Tables {
     let folder =
         Folder(std::env::temp_dir().join(format!("bellsill-hollow-{}-{name}", std::process::id())));
-    let done = Command::new(env!("CARGO_BIN_EXE_bellsill-lab"))
+    let done = Command::new(env!("CARGO_BIN_EXE_bellsill-testbed"))
         .args([
             "hollow",
             "--dispatchers",
--- a/lab/tests/program.rs
+++ b/crates/testbed/tests/program.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use bellsill_lab::experiment::{self, BadExperiment};
+use bellsill_testbed::experiment::{self, BadExperiment};
 use common::*;
 use rustix::process::{Pid, Signal, kill_process};
 use std::process::Stdio;
--- a/lab/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -1,9 +1,9 @@
 //! The auditor on records that are written down here one by one, for what must be told apart exactly.
 
-use bellsill::interface::*;
-use bellsill_lab::audit::*;
-use bellsill_lab::record::*;
-use bellsill_lab::world::Answer;
+use bellsill_core::interface::*;
+use bellsill_testbed::audit::*;
+use bellsill_testbed::record::*;
+use bellsill_testbed::world::Answer;
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
--- a/lab/tests/subset.rs
+++ b/crates/testbed/tests/subset.rs
@@ -1,8 +1,8 @@
 //! The subset of a large destination's routes: small, spread evenly over the fleet, widened when it is suspended.
 
-use bellsill::control::Dispatcher;
-use bellsill::interface::*;
-use bellsill_lab::recording_outlet::RecordingOutlet;
+use bellsill_core::control::Dispatcher;
+use bellsill_core::interface::*;
+use bellsill_testbed::recording_outlet::RecordingOutlet;
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
--- a/lab/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,12 +1,12 @@
 //! The model, the load and virtual time: equal seeds give equal runs, and the decisions keep the rules in whatever overlaps.
 
-use bellsill::interface::*;
-use bellsill_lab::experiment;
-use bellsill_lab::load::{Arrivals, worth};
-use bellsill_lab::spec::Spec;
-use bellsill_lab::virtual_time;
-use bellsill_lab::world::plan::*;
-use bellsill_lab::world::*;
+use bellsill_core::interface::*;
+use bellsill_testbed::experiment;
+use bellsill_testbed::load::{Arrivals, worth};
+use bellsill_testbed::spec::Spec;
+use bellsill_testbed::virtual_time;
+use bellsill_testbed::world::plan::*;
+use bellsill_testbed::world::*;
 use std::path::{Path, PathBuf};
 
 fn experiments() -> Vec<PathBuf> {
--- a/lab/src/main.rs
+++ /dev/null
@@ -1,3 +0,0 @@
-fn main() -> std::process::ExitCode {
-    bellsill_lab::command_line::main()
-}
