--- /dev/null
+++ b/crates/control-plane/tests/stored_data.rs
@@ -0,0 +1,51 @@
+//! The log and the snapshot that an earlier version (c1890ee) has written are read by this one.
+
+mod common;
+
+use bellsill_directory::line::EndpointState;
+use common::*;
+use std::path::Path;
+
+/// A state directory with the files of that version: a snapshot, and a log of five records after it.
+fn state_directory() -> tempfile::TempDir {
+    let state = tempfile::tempdir().expect("a directory");
+    let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/control-state");
+    for file in std::fs::read_dir(fixture).expect("the fixture") {
+        let file = file.expect("a file");
+        std::fs::copy(file.path(), state.path().join(file.file_name())).expect("a copy");
+    }
+    state
+}
+
+#[test]
+fn a_snapshot_and_the_log_after_it_are_read() {
+    let place = Place::new();
+    let state = state_directory();
+    let writer = place.start_writer(state.path());
+    let figures = writer.figures();
+    for (name, value) in [("version", 5), ("entries", 6), ("epoch", 1), ("members", 4)] {
+        assert_eq!(figures[name], value, "{name}");
+    }
+    assert_eq!(figures["torn_bytes"], 0);
+    assert_eq!(figures["rejected_snapshots"], 0);
+    let mut watch = Watch::open(writer.address, "since=0&dispatcher=north-a");
+    let lines = watch.until_filled(8);
+    assert_eq!(lines[0].log, "d6150c8254e0c9af");
+    let entries = lines.iter().flat_map(|line| &line.servers);
+    let mut states: Vec<(String, EndpointState, u64)> = entries
+        .map(|entry| (entry.id.clone(), entry.state, entry.version.0))
+        .collect();
+    states.sort_by(|a, b| a.0.cmp(&b.0));
+    let up = |id: &str| (id.to_string(), EndpointState::Up, 3);
+    assert_eq!(
+        states,
+        [
+            up("endpoint-0"),
+            up("endpoint-1"),
+            up("endpoint-3"),
+            ("endpoint-4".to_string(), EndpointState::Draining, 5),
+            up("endpoint-5"),
+        ]
+    );
+    assert_eq!(writer.write(&entry(6, EndpointState::Up)), 6);
+}
--- /dev/null
+++ b/crates/daemon/tests/stored_data.rs
@@ -0,0 +1,160 @@
+//! What an earlier version of the program (c1890ee) has written to the state folder is read by this one.
+
+mod common;
+
+use bellsill_core::interface::MessageId;
+use bellsill_daemon::message_journal::{Ending, Kept, KeptMessage, MessageJournal};
+use bellsill_daemon::mgmt::load_held;
+use common::*;
+use std::path::{Path, PathBuf};
+
+const DISK_BYTES: u64 = 10_000_000;
+const SECOND: u64 = 1_000_000_000;
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
+}
+
+/// A folder with copies of the fixture's files; a journal that is opened may be written anew.
+struct Copy(PathBuf);
+
+impl Copy {
+    fn of(name: &str) -> Copy {
+        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("stored-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).unwrap();
+        for file in std::fs::read_dir(fixture(name)).unwrap() {
+            let file = file.unwrap();
+            std::fs::copy(file.path(), folder.join(file.file_name())).unwrap();
+        }
+        Copy(folder)
+    }
+}
+
+impl Drop for Copy {
+    fn drop(&mut self) {
+        std::fs::remove_dir_all(&self.0).unwrap();
+    }
+}
+
+/// The first of the two messages that are pending has two attempts with their outcomes, the second one with none.
+fn assert_pending(messages: &[KeptMessage], first: u64) {
+    let [tagged, once] = messages else {
+        panic!("two pending messages: {messages:?}")
+    };
+    assert_eq!(tagged.id, MessageId(first));
+    assert_eq!(
+        (tagged.class.as_str(), tagged.tag.as_str()),
+        ("notice", "key-1")
+    );
+    assert_eq!((tagged.key, tagged.destination), (first % 3, 7));
+    assert_eq!(tagged.body, b"body 1\r\n\0");
+    let attempts: Vec<_> = tagged
+        .attempts
+        .iter()
+        .map(|attempt| (attempt.zone.as_str(), attempt.may_have_run))
+        .collect();
+    assert_eq!(attempts, [("north", Some(false)), ("south", Some(true))]);
+    assert_eq!(tagged.attempts[1].at - tagged.attempts[0].at, 1_000_000);
+    assert_eq!(once.id, MessageId(first + 1));
+    assert_eq!((once.class.as_str(), once.tag.as_str()), ("payment", ""));
+    assert_eq!(once.key, (first + 1) % 3);
+    assert_eq!(once.body, b"body 2\r\n\0");
+    assert_eq!(once.attempts.len(), 1);
+    assert_eq!(once.attempts[0].zone, "south");
+    assert_eq!(once.attempts[0].may_have_run, None);
+    // Written a moment apart, with lifetimes a second apart.
+    let apart = once.due - tagged.due;
+    assert!((SECOND..SECOND + SECOND / 10).contains(&apart), "{apart}");
+}
+
+fn ended(ids: std::ops::Range<u64>) -> Vec<MessageId> {
+    ids.map(MessageId).collect()
+}
+
+#[test]
+fn a_journal_with_every_kind_of_record_is_read() {
+    let folder = Copy::of("journal");
+    let (mut journal, kept) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    assert_eq!(kept.messages.len(), 4, "two of its own and two adopted");
+    assert_pending(&kept.messages[..2], 0x11);
+    assert_pending(&kept.messages[2..], 0x21);
+    assert_eq!(
+        kept.owed,
+        [
+            (MessageId(0x14), Ending::Bounced),
+            (MessageId(0x15), Ending::Deferred(1_500_000_000)),
+            (MessageId(0x24), Ending::Bounced),
+            (MessageId(0x25), Ending::Deferred(1_500_000_000)),
+        ]
+    );
+    assert_eq!(journal.adopt(), (Kept::default(), false));
+    let all = journal.take_ended();
+    assert_eq!(&all[..4], ended(0x13..0x17));
+}
+
+#[test]
+fn a_journal_with_a_torn_tail_is_read_up_to_it() {
+    let folder = Copy::of("journal-torn");
+    let (_, kept) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    assert_pending(&kept.messages, 0x11);
+    let owed = [
+        (MessageId(0x14), Ending::Bounced),
+        (MessageId(0x15), Ending::Deferred(1_500_000_000)),
+        // That the platform was told of it is what the torn record said.
+        (MessageId(0x16), Ending::Bounced),
+    ];
+    assert_eq!(kept.owed, owed);
+}
+
+#[test]
+fn another_process_journal_is_adopted() {
+    let folder = Copy::of("journal-to-adopt");
+    let (mut journal, kept) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    assert_pending(&kept.messages, 0x11);
+    let (adopted, others_held) = journal.adopt();
+    assert!(!others_held);
+    assert_pending(&adopted.messages, 0x21);
+    assert_eq!(
+        adopted.owed,
+        [
+            (MessageId(0x24), Ending::Bounced),
+            (MessageId(0x25), Ending::Deferred(1_500_000_000)),
+        ]
+    );
+    let all = [ended(0x13..0x17), ended(0x23..0x27)].concat();
+    assert_eq!(journal.take_ended(), all);
+    // A copy, since a process that another test starts just now may still hold the lock on the file itself.
+    let copy = folder.0.join("again");
+    std::fs::create_dir(&copy).unwrap();
+    std::fs::copy(folder.0.join("mails"), copy.join("mails")).unwrap();
+    let (_, again) = MessageJournal::open(&copy, DISK_BYTES).unwrap();
+    assert_eq!((again.messages.len(), again.owed.len()), (4, 4));
+}
+
+#[test]
+fn the_list_of_disabled_endpoints_is_read() {
+    let disabled = load_held(&fixture("disabled")).unwrap();
+    assert!(disabled.iter().eq(["endpoint-2", "s-5be2a07c"]));
+}
+
+#[test]
+fn the_scope_file_is_read() {
+    let mut rig = Rig::new(&[]);
+    rig.json["mgmt"] = rig.mgmt_at(0).into();
+    std::fs::copy(fixture("scope"), rig.folder.join("state/scope")).unwrap();
+    let installation = rig.folder.join("installation.toml");
+    // Nobody listens at the control process's address.
+    let text = "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [\"127.0.0.1:1\"]\nbuckets_per_region = 4\n\
+        cache_destinations = 8\n\
+        zones = [{name = \"north\", region = \"a\"}, {name = \"south\", region = \"b\"}]\n";
+    std::fs::write(&installation, text).unwrap();
+    let mut command = rig.command("serve");
+    command.arg("--installation").arg(&installation);
+    rig.start_by(command);
+    let figure = |name: &str| rig.figure(&format!("scope.{name}"));
+    assert_eq!((figure("destinations"), figure("cached")), (3, 1));
+    assert_eq!((figure("version"), figure("refused_files")), (3, 0));
+}
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -122,3 +122,94 @@
         assert!(error.contains("line") && error.contains(field), "{error}");
     }
 }
+
+/// Every kind of event and outcome, with a batch, a cancelled call, a lost list and a withdrawn message.
+fn recorded_session() -> String {
+    const MS: u64 = 1_000_000;
+    let closed = |id: u32, number: u32, endpoint: &str, more: &str| {
+        format!(
+            "CLOSED_ATTEMPT dispatcher=d/1 txn={id:016x} endpoint={endpoint} round-no={number} wait-time-ns=40000000 {more}\n"
+        )
+    };
+    let list = "DEFINE_LIST bank=3 items=3\n\
+        ITEM endpoint=e-1 locality=norte shape=hooks belongs-to=5 state=SERVING power-hint=20\n\
+        ITEM endpoint=e-2 locality=norte shape=hooks belongs-to=5 state=SERVING power-hint=20\n\
+        ITEM endpoint=e-3 locality=norte shape=bulk belongs-to=6 state=SERVING\n\
+        MEMBERS dispatcher=d/1 bank=3 gen=1 scope=replace\n";
+    let change = "DEFINE_LIST bank=4 items=1\n\
+        ITEM endpoint=e-2 locality=norte shape=hooks belongs-to=5 state=DRAINING\n\
+        MEMBERS dispatcher=d/1 bank=4 gen=2 scope=update\n";
+    let wake = "DEADLINE_HIT dispatcher=d/1 mark=wake\n".to_string();
+    let dispositions = [
+        "200",
+        "502",
+        "429 note=700",
+        "408",
+        "521",
+        "520",
+        "444",
+        "409 note=1",
+        "409 note=0",
+    ];
+    let mut batches = vec![(2, list.to_string())];
+    let mut now = 3 * MS;
+    for (n, disposition) in dispositions.iter().enumerate() {
+        let id = 16 + n as u32;
+        now += 50 * MS;
+        batches.push((now, call(id, "")));
+        now += 40 * MS;
+        let end = ["e-1", "e-2"]
+            .map(|endpoint| closed(id, 0, endpoint, &format!("disposition={disposition}")));
+        batches.push((now, end[n % 2].clone()));
+        now += 900 * MS;
+        batches.push((now, wake.clone()));
+    }
+    batches.push((now + 1, change.to_string()));
+    let many: String = (64..72).map(|id| call(id, "")).collect();
+    batches.push((now + 5 * MS, many.replace("destination=5", "destination=6")));
+    batches.push((
+        now + 6 * MS,
+        closed(64, 0, "e-3", "disposition=200 usage=x1:30 over=1"),
+    ));
+    batches.push((
+        now + 7 * MS,
+        "ABANDONED dispatcher=d/1 txn=0000000000000041\n".to_string(),
+    ));
+    batches.push((
+        now + 8 * MS,
+        "PEER dispatcher=d/1 raw=aGk=\nHEADERS dispatcher=d/1\n".to_string(),
+    ));
+    batches.push((
+        now + 9 * MS,
+        "MEMBERS dispatcher=d/1 bank=0 gen=1 scope=unavailable\n".to_string(),
+    ));
+    for step in 1..40 {
+        batches.push((now + step * 700 * MS, wake.clone()));
+    }
+    batches.push((
+        now + 40_000 * MS,
+        "CRASH_NOW dispatcher=d/1\n".to_string() + &wake,
+    ));
+    let batches: Vec<(u64, &str)> = batches
+        .iter()
+        .map(|(at, text)| (*at, text.as_str()))
+        .collect();
+    let (code, out, error) = play(&batches, settings());
+    // What the log says may be worded anew; that it says something may not change.
+    let mask = |line: &str| match line.split_once(" message=") {
+        Some((head, _)) if head.starts_with("LOG ") => format!("{head}\n"),
+        _ => format!("{line}\n"),
+    };
+    let out: String = out.lines().map(mask).collect();
+    format!("status {code:?}\n{error}{out}")
+}
+
+#[test]
+fn a_whole_session_has_the_recorded_bytes() {
+    let recorded = include_str!("fixtures/session.txt");
+    assert_eq!(
+        recorded_session(),
+        recorded,
+        "the adapter's bytes have changed"
+    );
+}
