--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -2,8 +2,8 @@
 
 use bellsill_directory::watchers::WatcherId;
 use bellsill_net::Nanos;
-use bellsill_net::ring::Ring;
-use bellsill_net::slots::{SlotId, Slots};
+use bellsill_net::ring_buffer::RingBuffer;
+use bellsill_net::slot_table::{SlotId, SlotTable};
 use polling::{Event, Events, Poller};
 use socket2::{Domain, Socket, Type};
 use std::io;
@@ -58,8 +58,8 @@
 pub struct Connection {
     stream: TcpStream,
     pub purpose: Purpose,
-    pub input: Ring,
-    pub output: Ring,
+    pub input: RingBuffer,
+    pub output: RingBuffer,
     /// Its connect is still under way.
     connecting: bool,
     /// The other side sends no more.
@@ -82,7 +82,7 @@
 pub struct Connections {
     poller: Poller,
     events: Events,
-    slots: Slots<ConnectionId, Connection>,
+    slots: SlotTable<ConnectionId, Connection>,
     listener: TcpListener,
     stop: UnixStream,
 }
@@ -114,7 +114,7 @@
         Ok(Connections {
             poller,
             events: Events::new(),
-            slots: Slots::default(),
+            slots: SlotTable::default(),
             listener,
             stop,
         })
@@ -159,8 +159,8 @@
 
     /// Takes the bytes that woke the poller, and has it tell of the next ones.
     pub fn take_stop(&mut self) -> io::Result<()> {
-        let mut bytes = Ring::new(64);
-        bytes.fill(&mut self.stop)?;
+        let mut bytes = RingBuffer::new(64);
+        bytes.read_from(&mut self.stop)?;
         self.poller.modify(&self.stop, Event::readable(STOP))
     }
 
@@ -239,7 +239,7 @@
             connection.stream.peer_addr()?;
             connection.connecting = false;
         }
-        connection.ended |= connection.input.fill(&mut connection.stream)?;
+        connection.ended |= connection.input.read_from(&mut connection.stream)?;
         Ok(())
     }
 
@@ -251,7 +251,7 @@
         };
         if !connection.connecting {
             let before = connection.output.len();
-            connection.output.drain(&mut connection.stream)?;
+            connection.output.write_to(&mut connection.stream)?;
             if connection.output.len() < before {
                 connection.progress = now;
             }
@@ -265,7 +265,7 @@
         let Some(connection) = self.slots.get_mut(id) else {
             return Ok(());
         };
-        let read = !connection.connecting && !connection.ended && connection.input.room() > 0;
+        let read = !connection.connecting && !connection.ended && connection.input.available() > 0;
         let write = connection.connecting || !connection.output.is_empty();
         if connection.armed != Some((read, write)) {
             connection.armed = Some((read, write));
@@ -288,11 +288,11 @@
         let _ = socket.set_tcp_nodelay(true);
         let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_FOR));
         let armed = (!connecting, connecting);
-        let id = self.slots.add(|_| Connection {
+        let id = self.slots.insert(|_| Connection {
             stream,
             purpose,
-            input: Ring::new(input),
-            output: Ring::new(output),
+            input: RingBuffer::new(input),
+            output: RingBuffer::new(output),
             connecting,
             ended: false,
             close_when_written: false,
@@ -331,8 +331,8 @@
 
     /// Lets a longer body come than the input was made for.
     pub fn make_room(&mut self, bound: usize) {
-        let mut larger = Ring::new(bound);
-        larger.push(self.input.bytes());
+        let mut larger = RingBuffer::new(bound);
+        larger.push(self.input.contiguous());
         self.input = larger;
     }
 }
--- a/crates/control-plane/src/follower.rs
+++ b/crates/control-plane/src/follower.rs
@@ -250,7 +250,8 @@
             return Ok(Vec::new());
         };
         if watch.body.is_none() {
-            let Some(head) = http::head(&mut connection.input).map_err(|_| malformed())? else {
+            let Some(head) = http::take_head(&mut connection.input).map_err(|_| malformed())?
+            else {
                 return Ok(Vec::new());
             };
             if head.status != 200 {
--- a/crates/control-plane/src/http_server.rs
+++ b/crates/control-plane/src/http_server.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as a server speaks it: requests in, answers out.
 
-use bellsill_net::ring::Ring;
+use bellsill_net::ring_buffer::RingBuffer;
 use serde::Serialize;
 
 /// The most that the head of a request may take: a dispatcher names its buckets and destinations there.
@@ -43,10 +43,10 @@
 }
 
 /// Takes the next request from the input, once all of it has come.
-pub fn receive(input: &mut Ring) -> Received {
+pub fn receive(input: &mut RingBuffer) -> Received {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let bytes = input.bytes();
+    let bytes = input.contiguous();
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if bytes.len() < LONGEST_HEAD => return Received::Part,
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -198,12 +198,12 @@
         let bodies = self
             .connections
             .iter()
-            .filter(|(_, c)| long(c.input.len() + c.input.room()))
+            .filter(|(_, c)| long(c.input.len() + c.input.available()))
             .count();
         let Some(connection) = self.connections.get_mut(id) else {
             return false;
         };
-        if connection.input.len() + connection.input.room() >= length {
+        if connection.input.len() + connection.input.available() >= length {
             return false;
         }
         if bodies >= MOST_LONG_BODIES {
--- a/crates/core/src/control/discovery.rs
+++ b/crates/core/src/control/discovery.rs
@@ -9,7 +9,7 @@
     /// Schedules the next request for a watch, spread over the time that the settings allow. Its cost: until
     /// then a drain goes unnoticed.
     pub(super) fn schedule_watch_request(&mut self) {
-        let Some(within) = self.facts.watch_within else {
+        let Some(within) = self.settings.watch_request_limit else {
             return;
         };
         // A failed request allows four times as long; requests at shorter intervals would only queue up.
@@ -20,25 +20,25 @@
     }
 
     /// The watch on the list was lost, or a request for one failed.
-    pub fn watch_lost(&mut self, now: Nanos, out: &mut impl Outlet) {
+    pub fn watch_lost(&mut self, now: Nanos, out: &mut impl Actions) {
         self.now = now;
         self.schedule_watch_request();
         self.decide(out);
     }
 
     /// Discovery sent entries of the list.
-    pub fn apply_list(
+    pub fn update_endpoints(
         &mut self,
         now: Nanos,
-        scope: ListScope,
-        entries: &[ListEntry],
-        out: &mut impl Outlet,
+        scope: EndpointUpdate,
+        entries: &[EndpointEntry],
+        out: &mut impl Actions,
     ) {
         self.now = now;
         if self.watch_request_at == NEVER {
             self.watch_request_spread = 0; // The watch is there.
         }
-        if scope == ListScope::Whole {
+        if scope == EndpointUpdate::Snapshot {
             self.routes.unlist(now);
         }
         entries
@@ -47,7 +47,7 @@
         self.decide(out);
     }
 
-    fn apply_entry(&mut self, entry: &ListEntry, out: &mut impl Outlet) {
+    fn apply_entry(&mut self, entry: &EndpointEntry, out: &mut impl Actions) {
         let known = self.routes.find(entry.endpoint);
         let added = || entry.serving.then(|| self.add_route(entry, out));
         let Some(route) = known.or_else(added) else {
@@ -63,7 +63,7 @@
         now: Nanos,
         endpoint: EndpointId,
         to: bool,
-        out: &mut impl Outlet,
+        out: &mut impl Actions,
     ) {
         let changed = if to {
             self.disabled.insert(endpoint)
@@ -77,15 +77,15 @@
         if let Some(route) = self.routes.find(endpoint) {
             self.routes[route].set_disabled(to, now);
             self.routes[route].ejected |= !to; // It was restarted in the meantime, so it returns cold.
-            out.close_idle(endpoint);
+            out.close_idle_connections(endpoint);
         }
         self.decide(out);
     }
 
-    fn add_route(&mut self, entry: &ListEntry, out: &mut impl Outlet) -> usize {
+    fn add_route(&mut self, entry: &EndpointEntry, out: &mut impl Actions) -> usize {
         let separate_limits = self
-            .facts
-            .separate_limits
+            .settings
+            .per_endpoint_limits
             .get(entry.kind.0)
             .copied()
             .unwrap_or(false);
@@ -94,7 +94,7 @@
             .unwrap_or(self.routes.next_number());
         let destination = self.routes.destination_mut(entry.destination);
         let limiter_route = destination.limiter_route(number, separate_limits);
-        let entry = ListEntry {
+        let entry = EndpointEntry {
             serving: !self.disabled.contains(&entry.endpoint),
             ..*entry
         };
@@ -109,11 +109,12 @@
         };
         if let Some(replaced) = self.routes.put(number, route) {
             self.disabled.remove(&replaced);
-            out.forget(replaced);
+            out.endpoint_removed(replaced);
         }
         self.inherit(number);
         let route = &mut self.routes[number];
-        route.suspended_until = route.suspended_until.max(entry.waits_until);
+        let bound_until = entry.retry_after_until.unwrap_or(0);
+        route.suspended_until = route.suspended_until.max(bound_until);
         number
     }
 
--- a/crates/core/src/control/idle_connections.rs
+++ b/crates/core/src/control/idle_connections.rs
@@ -24,7 +24,7 @@
         attempt: &Attempt,
         reset: bool,
         dropped: bool,
-        out: &mut impl Outlet,
+        out: &mut impl Actions,
     ) {
         let kind = self.routes[attempt.route].entry.kind.0;
         let idle = self.idle_connections.entry(kind).or_default();
@@ -47,7 +47,7 @@
                 .routes
                 .iter()
                 .filter(|route| route.entry.kind.0 == kind);
-            routes.for_each(|route| out.close_idle(route.entry.endpoint));
+            routes.for_each(|route| out.close_idle_connections(route.entry.endpoint));
         }
     }
 }
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,5 +1,5 @@
 //! All decisions of a dispatcher: which message goes next, by which route, and when one is given up. Every
-//! event comes with the clock and an [`Outlet`] that acts at once. `docs/design.md` gives the reasons.
+//! event comes with the clock and an [`Actions`] that acts at once. `docs/design.md` gives the reasons.
 
 mod admission;
 mod discovery;
@@ -25,8 +25,8 @@
 
 impl Dispatcher {
     /// Starts an instance.
-    pub fn boot(now: Nanos, facts: BootFacts) -> Self {
-        let mut dispatcher = Self::new(now, facts, timeouts::INITIAL_LATENCY);
+    pub fn new(now: Nanos, settings: Settings) -> Self {
+        let mut dispatcher = Self::with_latency(now, settings, timeouts::INITIAL_LATENCY);
         dispatcher.schedule_watch_request();
         dispatcher
     }
@@ -36,7 +36,7 @@
         &mut self,
         now: Nanos,
         new: impl IntoIterator<Item = NewMessage>,
-        out: &mut impl Outlet,
+        out: &mut impl Actions,
     ) {
         self.now = now;
         new.into_iter()
@@ -44,7 +44,7 @@
         self.decide(out);
     }
 
-    fn accept_one(&mut self, new: NewMessage, out: &mut impl Outlet) {
+    fn accept_one(&mut self, new: NewMessage, out: &mut impl Actions) {
         self.hold(new);
         if !self.may_retry(&self.messages[&new.id]) {
             self.give_up(new.id, out); // A former process used up what it may have.
@@ -52,7 +52,7 @@
     }
 
     /// An attempt has its outcome.
-    pub fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, out: &mut impl Outlet) {
+    pub fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, out: &mut impl Actions) {
         self.now = now;
         let Some(attempt) = self.in_flight.remove(end.message, end.number) else {
             return;
@@ -66,7 +66,7 @@
             .in_flight
             .count_calls(|other| other.call == attempt.call)
             == 0;
-        if call_ended || matches!(end.outcome, Outcome::Full(_)) {
+        if call_ended || matches!(end.outcome, Outcome::RateLimited { .. }) {
             self.observe(attempt, &end, out);
         }
         self.discount(&end);
@@ -74,22 +74,22 @@
         self.continue_message(&end, out);
         self.decide(out);
         if self.avoids_idle_connections(attempt.route) {
-            out.close_idle(self.routes[attempt.route].entry.endpoint);
+            out.close_idle_connections(self.routes[attempt.route].entry.endpoint);
         }
     }
 
     /// The wake that was requested is due.
-    pub fn woken(&mut self, now: Nanos, out: &mut impl Outlet) {
+    pub fn wakeup(&mut self, now: Nanos, out: &mut impl Actions) {
         self.now = now;
         // A wake may come a little early; taken for a stale one its messages would be lost.
-        if self.wake_at <= now + self.facts.tick {
+        if self.wake_at <= now + self.settings.clock_resolution {
             self.wake_at = NEVER;
         }
         self.decide(out);
     }
 
     /// The client wants no answer any more.
-    pub fn message_withdrawn(&mut self, now: Nanos, message: MessageId, out: &mut impl Outlet) {
+    pub fn message_withdrawn(&mut self, now: Nanos, message: MessageId, out: &mut impl Actions) {
         self.now = now;
         if self
             .messages
@@ -102,7 +102,7 @@
     }
 
     /// Takes every decision that the latest event may have changed.
-    fn decide(&mut self, out: &mut impl Outlet) {
+    fn decide(&mut self, out: &mut impl Actions) {
         if self.now >= self.watch_request_at {
             self.watch_request_at = NEVER;
             out.request_watch();
@@ -110,7 +110,7 @@
         self.detect_silence(out);
         self.expire_overdue(out);
         self.send_all(out);
-        if !self.facts.own_admission {
+        if !self.settings.caller_admission {
             self.make_room(out);
         }
         self.free_slot(out);
--- a/crates/core/src/control/outcomes.rs
+++ b/crates/core/src/control/outcomes.rs
@@ -10,28 +10,33 @@
 
 impl Dispatcher {
     /// Draws the conclusions from one observation: the last outcome of a call, or a retry-after.
-    pub(super) fn observe(&mut self, attempt: Attempt, end: &AttemptEnd, out: &mut impl Outlet) {
+    pub(super) fn observe(&mut self, attempt: Attempt, end: &AttemptEnd, out: &mut impl Actions) {
         let (route, outcome) = (attempt.route, end.outcome);
-        self.observe_rate(route, end.reported_limit);
-        let late = end.took > self.silent_after(route, attempt.class);
+        if let Some(rate) = end.reported_limit {
+            self.observe_rate(route, rate);
+        }
+        let late = end.elapsed > self.silent_after(route, attempt.class);
         self.observe_patience(outcome, late);
         self.space_trials(route, end, late);
-        let at_once = outcome == Outcome::Unconnected && end.took < self.facts.connect_timeout / 2;
+        let at_once =
+            outcome == Outcome::ConnectFailed && end.elapsed < self.settings.connect_timeout / 2;
         // A reset as late as an answer is no dropped connection, a repeated refusal no full table.
         let usual = self.usual_latency(self.routes[route].entry.destination, attempt.class);
-        let early_reset = outcome == Outcome::Reset && (end.took as f64) < usual / 2.0;
+        let early_reset = outcome == Outcome::ConnectionReset && (end.elapsed as f64) < usual / 2.0;
         let dropped =
             !attempt.fresh_connection && ((at_once && self.is_sound(route)) || early_reset);
-        self.observe_idle(&attempt, outcome == Outcome::Reset, dropped, out);
+        self.observe_idle(&attempt, outcome == Outcome::ConnectionReset, dropped, out);
         match outcome {
-            Outcome::Relayed => self.observe_delivery(attempt, end.took, late, out),
-            Outcome::Full(retry_after) => self.refused(route, attempt.sent_at, retry_after),
-            Outcome::Unconnected if at_once => self.connection_refused(route),
-            Outcome::Reset if !attempt.fresh_connection && early_reset => {} // Perhaps dropped while idle.
-            Outcome::Unsent(true) | Outcome::NotBegun => {
-                self.no_slot_until = self.now + NO_SLOT_TICKS * self.facts.tick
+            Outcome::Delivered => self.observe_delivery(attempt, end.elapsed, late, out),
+            Outcome::RateLimited { retry_after } => {
+                self.refused(route, attempt.sent_at, retry_after)
+            }
+            Outcome::ConnectFailed if at_once => self.connection_refused(route),
+            Outcome::ConnectionReset if !attempt.fresh_connection && early_reset => {} // Perhaps dropped while idle.
+            Outcome::NotSent { no_capacity: true } | Outcome::NotStarted => {
+                self.no_slot_until = self.now + NO_SLOT_TICKS * self.settings.clock_resolution
             }
-            Outcome::Unsent(false) | Outcome::CalledOff => {}
+            Outcome::NotSent { no_capacity: false } | Outcome::Cancelled => {}
             outcome => self.observe_failure(route, outcome, out),
         }
     }
@@ -41,7 +46,7 @@
         attempt: Attempt,
         took: Nanos,
         late: bool,
-        out: &mut impl Outlet,
+        out: &mut impl Actions,
     ) {
         let route = attempt.route;
         self.narrow_pacing(route);
@@ -69,9 +74,9 @@
         }
     }
 
-    fn observe_failure(&mut self, route: usize, outcome: Outcome, out: &mut impl Outlet) {
+    fn observe_failure(&mut self, route: usize, outcome: Outcome, out: &mut impl Actions) {
         // Any route's answer may be garbled on the way; a route that garbles all is found out later.
-        let garbled = outcome == Outcome::Spoilt;
+        let garbled = outcome == Outcome::MalformedResponse;
         let weight = if garbled {
             FAILURE_WEIGHT / 4.0
         } else {
@@ -80,7 +85,7 @@
         let share = self.routes[route].failure_share * (1.0 - weight) + weight;
         self.routes[route].failure_share = share;
         // Each dispatcher of a large fleet meets a route seldom: one connection timed out, and it is gone.
-        let gone = outcome == Outcome::Unconnected && self.fleet_factor(route) > 1.0;
+        let gone = outcome == Outcome::ConnectFailed && self.fleet_factor(route) > 1.0;
         if (garbled || self.routes[route].is_warm()) && share <= FAILURE_THRESHOLD && !gone {
             return;
         }
--- a/crates/core/src/control/pacing.rs
+++ b/crates/core/src/control/pacing.rs
@@ -22,7 +22,7 @@
 impl Dispatcher {
     /// By how much waits are longer because many dispatchers meet at the same limiter.
     pub(super) fn fleet_factor(&self, route: usize) -> f64 {
-        let many = (f64::from(self.facts.dispatchers) / SMALL_FLEET)
+        let many = (f64::from(self.settings.dispatchers) / SMALL_FLEET)
             .max(1.0)
             .powf(FLEET_POWER);
         if self.contended_interval(route) > 0.0 {
@@ -35,20 +35,19 @@
     /// The time in which the limiter, at its known rate, takes one attempt of each dispatcher; else nought.
     pub(super) fn fair_interval(&self, route: usize) -> f64 {
         let rate = self.routes[route].entry.rate;
-        if rate > 0.0 {
-            f64::from(self.facts.dispatchers) * 1e9 / rate
-        } else {
-            0.0
-        }
+        rate.map_or(0.0, |rate| {
+            f64::from(self.settings.dispatchers) * 1e9 / rate
+        })
     }
 
     /// Whether all dispatchers can have messages for a limiter at once: they wait half their lifetime there.
     fn is_contended(&self, rate: f64) -> bool {
-        rate * self.facts.longest_lifetime() as f64 / 2e9 >= f64::from(self.facts.dispatchers)
+        rate * self.settings.longest_lifetime() as f64 / 2e9 >= f64::from(self.settings.dispatchers)
     }
 
     fn contended_interval(&self, route: usize) -> f64 {
-        if self.is_contended(self.routes[route].entry.rate) {
+        let rate = self.routes[route].entry.rate;
+        if rate.is_some_and(|rate| self.is_contended(rate)) {
             self.fair_interval(route)
         } else {
             0.0
@@ -61,7 +60,7 @@
             let sharing = self.routes.sharing_limiter(route);
             sharing
                 .into_iter()
-                .for_each(|sibling| self.routes[sibling].entry.rate = rate);
+                .for_each(|sibling| self.routes[sibling].entry.rate = Some(rate));
         }
     }
 
@@ -95,15 +94,16 @@
     /// The interval between sends to a cold or ejected route, by the warm part of its capacity and this
     /// dispatcher's former traffic. With next to none, all dispatchers together send one in `least`.
     fn spacing(&self, route: usize, warm: f64, least: Nanos) -> Nanos {
-        let facts = &self.facts;
+        let facts = &self.settings;
         let rate = self.routes[route].traffic / TRAFFIC_SPAN
             * TRAFFIC_HEADROOM
             * warm
-            * facts.tip_multiple;
+            * facts.overload_multiple;
         let spacing = match self.fair_interval(route) {
             0.0 => 1.0 / rate.max(1e-18),
             fair => {
-                fair * self.routes.sharing_limiter(route).len() as f64 / (warm * facts.tip_multiple)
+                fair * self.routes.sharing_limiter(route).len() as f64
+                    / (warm * facts.overload_multiple)
             }
         };
         (spacing.min(f64::from(facts.dispatchers) * least as f64) * self.routes[route].jitter)
@@ -112,10 +112,10 @@
 
     /// When the ramp of a cold route, or the spacing of an ejected one, allows the next send.
     pub(super) fn spaced_until(&self, number: usize) -> Nanos {
-        let (route, cold) = (&self.routes[number], self.facts.cold_share);
+        let (route, cold) = (&self.routes[number], self.settings.cold_capacity_share);
         let mut at = 0;
         if let Some(since) = route.cold_since.filter(|_| !route.suspect) {
-            let ramp = ((self.now - since) as f64 / self.facts.ramp as f64).min(1.0);
+            let ramp = ((self.now - since) as f64 / self.settings.slow_start as f64).min(1.0);
             at = route.sent_at + self.spacing(number, cold + (1.0 - cold) * ramp, COLD_SPACING);
         }
         if route.ejected {
--- a/crates/core/src/control/ranking.rs
+++ b/crates/core/src/control/ranking.rs
@@ -13,8 +13,8 @@
     fn loss_rate(&self, slot_time: f64, class: usize, due: Nanos, horizon: Nanos) -> f64 {
         let at = self.now + slot_time as Nanos;
         let (sent_now, sent_later) = (
-            self.facts.value_at(class, due, at),
-            self.facts.value_at(class, due, at + horizon),
+            self.settings.value_at(class, due, at),
+            self.settings.value_at(class, due, at + horizon),
         );
         ((1.0 + VALUE_WEIGHT) * sent_now - sent_later) / slot_time
     }
@@ -26,7 +26,9 @@
             .waiting
             .iter()
             .map(|(group, queue)| slot_time(group.class, queue.len()));
-        MIN_HORIZON.max((backlog.sum::<f64>() / self.facts.slots as f64 - SHORT_BACKLOG) as Nanos)
+        MIN_HORIZON.max(
+            (backlog.sum::<f64>() / self.settings.max_in_flight as f64 - SHORT_BACKLOG) as Nanos,
+        )
     }
 
     /// The message that loses most by waiting, of those that have an eligible route and their turn.
@@ -43,7 +45,7 @@
                 .iter()
                 .filter(|entry| self.turn_at(entry.id) <= self.now)
             {
-                let loss = self.loss_rate(slot_time, group.class, entry.due, horizon);
+                let loss = self.loss_rate(slot_time, group.class, entry.deadline, horizon);
                 if best.is_none_or(|(most, first)| loss > most || (loss == most && entry < first)) {
                     best = Some((loss, entry));
                 }
@@ -55,8 +57,8 @@
     /// The messages that share a call with the first, as its kind allows. A trial goes alone.
     pub(super) fn batch(&self, first: MessageId, route: usize) -> Vec<MessageId> {
         let most = self
-            .facts
-            .batch
+            .settings
+            .max_batch
             .get(self.routes[route].entry.kind.0)
             .copied()
             .unwrap_or(1);
@@ -73,7 +75,7 @@
             let others = queue
                 .iter()
                 .filter(|entry| entry.id != first && may_go(entry.id));
-            rest.extend(others.map(|&entry| (loss(entry.due), entry)));
+            rest.extend(others.map(|&entry| (loss(entry.deadline), entry)));
         }
         rest.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         std::iter::once(first)
--- a/crates/core/src/control/retries.rs
+++ b/crates/core/src/control/retries.rs
@@ -10,25 +10,25 @@
 
 impl Dispatcher {
     pub(super) fn deadline_margin(&self) -> Nanos {
-        DEADLINE_MARGIN_TICKS * self.facts.tick
+        DEADLINE_MARGIN_TICKS * self.settings.clock_resolution
     }
 
     /// Whether attempts, lifetime and deduplication window allow one more attempt.
     pub(super) fn may_retry(&self, message: &Message) -> bool {
-        message.attempts < self.facts.max_attempts
-            && self.now + self.deadline_margin() < message.due
+        message.attempts < self.settings.max_attempts
+            && self.now + self.deadline_margin() < message.deadline
             && self.is_repeatable(message, None, self.now)
     }
 
     /// Whether the attempts made, and one sent at `then` that may have run, allow one more that begins now.
     pub(super) fn is_repeatable(&self, message: &Message, then: Option<Nanos>, now: Nanos) -> bool {
-        let ran_at = message.ran.map(|(at, _)| at).or(then);
-        match (ran_at, self.facts.classes[message.class].repeat) {
-            (None, _) | (_, Repeat::Idempotent) => true,
-            (Some(at), Repeat::Deduplicated { window, .. }) => {
-                now + self.facts.tick + LONGEST_HOLD_UP < at + window
+        let ran_at = message.possible_run.map(|run| run.sent_at).or(then);
+        match (ran_at, self.settings.classes[message.class].semantics) {
+            (None, _) | (_, DeliverySemantics::Idempotent) => true,
+            (Some(at), DeliverySemantics::IdempotencyKey { window, .. }) => {
+                now + self.settings.clock_resolution + LONGEST_HOLD_UP < at + window
             }
-            (Some(_), Repeat::AtMostOnce) => false,
+            (Some(_), DeliverySemantics::AtMostOnce) => false,
         }
     }
 
@@ -41,16 +41,17 @@
         queue.unresolved -= u32::from(message.stage.ended());
         if matches!(
             end.outcome,
-            Outcome::TimedOut | Outcome::Reset | Outcome::CalledOff
+            Outcome::TimedOut | Outcome::ConnectionReset | Outcome::Cancelled
         ) {
-            queue.cooldown_until = self.now + self.facts.key_cooldown + self.facts.tick;
+            queue.cooldown_until =
+                self.now + self.settings.key_cooldown + self.settings.clock_resolution;
         }
     }
 
     /// Decides what becomes of a message after an attempt.
-    pub(super) fn continue_message(&mut self, end: &AttemptEnd, out: &mut impl Outlet) {
+    pub(super) fn continue_message(&mut self, end: &AttemptEnd, out: &mut impl Actions) {
         let message = &self.messages[&end.message];
-        let done = end.over || end.outcome == Outcome::Relayed;
+        let done = end.message_ended || end.outcome == Outcome::Delivered;
         match message.stage {
             Stage::InFlight if done => self.transition(end.message, Stage::Done, out),
             Stage::InFlight if self.may_retry(message) => {
@@ -62,17 +63,20 @@
     }
 
     /// Gives the final answer: defers the message where its client may hand it in again, else bounces it.
-    pub(super) fn give_up(&mut self, id: MessageId, out: &mut impl Outlet) {
+    pub(super) fn give_up(&mut self, id: MessageId, out: &mut impl Actions) {
         let message = &self.messages[&id];
-        let safe = match (message.ran, self.facts.classes[message.class].repeat) {
-            (None, _) | (_, Repeat::Idempotent) => true,
+        let safe = match (
+            message.possible_run,
+            self.settings.classes[message.class].semantics,
+        ) {
+            (None, _) | (_, DeliverySemantics::Idempotent) => true,
             (
-                Some((at, _)),
-                Repeat::Deduplicated {
+                Some(run),
+                DeliverySemantics::IdempotencyKey {
                     window,
-                    same_zone: false,
+                    scope: DeduplicationScope::Destination,
                 },
-            ) => message.due <= at + window,
+            ) => message.deadline <= run.sent_at + window,
             _ => false,
         };
         let to = if safe && !self.in_flight.has_message(id) {
@@ -97,20 +101,21 @@
             .unwrap_or(0);
         soonest
             .saturating_sub(self.now)
-            .min(self.facts.max_retry_after)
+            .min(self.settings.max_retry_after.unwrap_or(0))
     }
 
     /// Gives up the messages that can no longer be delivered.
-    pub(super) fn expire_overdue(&mut self, out: &mut impl Outlet) {
+    pub(super) fn expire_overdue(&mut self, out: &mut impl Actions) {
         let in_flight = self
             .in_flight
             .iter()
             .map(|attempt| &self.messages[&attempt.message]);
-        let late = in_flight.filter(|held| held.stage == Stage::InFlight && self.now >= held.due);
+        let late =
+            in_flight.filter(|held| held.stage == Stage::InFlight && self.now >= held.deadline);
         let mut overdue: BTreeSet<MessageId> = late.map(|message| message.id).collect();
         for (group, queue) in self.waiting.iter() {
             // A queue ends in the order of its entries, unless windows or keys distinguish its messages.
-            let check_all = group.ran_in.is_some() || self.facts.classes[group.class].ordered;
+            let check_all = group.ran_in.is_some() || self.settings.classes[group.class].ordered;
             for entry in queue {
                 let message = &self.messages[&entry.id];
                 if !self.may_retry(message) || self.blocks_key(message) {
@@ -129,17 +134,17 @@
             .keys
             .get(message.key)
             .map_or(0, |queue| queue.messages.len());
-        let patience = self.facts.classes[message.class].target_delay;
-        let Some((at, zone)) = message.ran.filter(|_| queued > 1) else {
+        let patience = self.settings.classes[message.class].latency_objective;
+        let Some(run) = message.possible_run.filter(|_| queued > 1) else {
             return false;
         };
         let sound =
-            |route: &Route| route.entry.zone == zone && route.entry.serving && !route.suspect;
+            |route: &Route| route.entry.zone == run.zone && route.entry.serving && !route.suspect;
         let mut routes = self
             .routes
             .of(message.destination)
             .iter()
             .map(|&route| &self.routes[route]);
-        self.now >= at + patience && !routes.any(sound)
+        self.now >= run.sent_at + patience && !routes.any(sound)
     }
 }
--- a/crates/core/src/control/routing.rs
+++ b/crates/core/src/control/routing.rs
@@ -8,7 +8,7 @@
 
 impl Dispatcher {
     /// Sends messages while slots are free.
-    pub(super) fn send_all(&mut self, out: &mut impl Outlet) {
+    pub(super) fn send_all(&mut self, out: &mut impl Actions) {
         while self.has_free_slot() && self.now >= self.no_slot_until {
             let Some(id) = self.next_message() else {
                 return;
@@ -25,17 +25,17 @@
     /// From when on a message may go by a route, as things stand; NEVER: not before another event.
     pub(super) fn eligible_at(&self, number: usize, message: &Message) -> Nanos {
         let route = &self.routes[number];
-        let repeat = self.facts.classes[message.class].repeat;
+        let repeat = self.settings.classes[message.class].semantics;
         let zone_bound = matches!(
             repeat,
-            Repeat::Deduplicated {
-                same_zone: true,
+            DeliverySemantics::IdempotencyKey {
+                scope: DeduplicationScope::Zone,
                 ..
             }
         );
         let other_zone = message
-            .ran
-            .is_some_and(|(_, zone)| zone != route.entry.zone);
+            .possible_run
+            .is_some_and(|run| run.zone != route.entry.zone);
         if !route.entry.serving || (zone_bound && other_zone) {
             return NEVER;
         }
@@ -62,7 +62,7 @@
             return false;
         };
         let destination = message.destination;
-        let share = (self.facts.slots as f64 * DESTINATION_SLOT_SHARE) as usize;
+        let share = (self.settings.max_in_flight as f64 * DESTINATION_SLOT_SHARE) as usize;
         let held = self
             .in_flight
             .count_calls(|o| self.routes[o.route].entry.destination == destination);
@@ -108,23 +108,23 @@
         Some(destination.routes[picked])
     }
 
-    fn send(&mut self, id: MessageId, route: usize, out: &mut impl Outlet) {
+    fn send(&mut self, id: MessageId, route: usize, out: &mut impl Actions) {
         let message = &self.messages[&id];
-        let left = message.due - self.now - self.deadline_margin();
+        let left = message.deadline - self.now - self.deadline_margin();
         let timeout = self.timeout(message, route).min(left);
         let fresh_connection = self.avoids_idle_connections(route);
         let endpoint = self.routes[route].entry.endpoint;
         if fresh_connection {
-            out.close_idle(endpoint);
+            out.close_idle_connections(endpoint);
         }
         self.record_send(id, route, fresh_connection);
         self.routes[route].jitter = self.random.range(0.5..1.5);
         self.transition(id, Stage::InFlight, out);
-        out.attempt(id, endpoint, timeout);
+        out.send_attempt(id, endpoint, timeout);
     }
 
     /// Cancels one overdue call if a message waits for a slot. An at-most-once message may be bounced early.
-    pub(super) fn free_slot(&mut self, out: &mut impl Outlet) {
+    pub(super) fn free_slot(&mut self, out: &mut impl Actions) {
         if self.has_free_slot() || self.in_flight.iter().any(|attempt| attempt.cancelled) {
             return;
         }
@@ -145,7 +145,7 @@
             let cancelled = self.in_flight.cancel(call);
             cancelled
                 .into_iter()
-                .for_each(|attempt| out.cancel(attempt.message, attempt.number));
+                .for_each(|attempt| out.cancel_attempt(attempt.message, attempt.number));
         }
     }
 
--- a/crates/core/src/control/subset.rs
+++ b/crates/core/src/control/subset.rs
@@ -28,7 +28,7 @@
         }
         order.sort_unstable_by_key(|&index| {
             let entry = &self.routes[routes[index]].entry;
-            (entry.shared_order, entry.endpoint)
+            (entry.name_hash, entry.endpoint)
         });
         let first = (self.subset_place() * order.len() as f64) as usize;
         let mut narrowed = vec![false; routes.len()];
@@ -43,13 +43,17 @@
     }
 
     fn subset_size(&self, routes: usize) -> usize {
-        let for_all = (USERS_OF_A_ROUTE * routes).div_ceil(self.facts.dispatchers.max(1) as usize);
+        let for_all =
+            (USERS_OF_A_ROUTE * routes).div_ceil(self.settings.dispatchers.max(1) as usize);
         for_all.max(SUBSET_SIZE)
     }
 
     /// Where the subset begins, as a part of the whole.
     fn subset_place(&self) -> f64 {
-        let position = self.facts.position.unwrap_or(self.facts.seed as u32);
+        let position = self
+            .settings
+            .dispatcher_index
+            .unwrap_or(self.settings.seed as u32);
         (f64::from(position) * GOLDEN_TURN).fract()
     }
 }
--- a/crates/core/src/control/suspension.rs
+++ b/crates/core/src/control/suspension.rs
@@ -15,7 +15,8 @@
 impl Dispatcher {
     /// The limiter refused an attempt: suspends all its routes and widens the pacing. Attempts that were in
     /// flight together are one observation.
-    pub(super) fn refused(&mut self, route: usize, sent_at: Nanos, retry_after: Nanos) {
+    pub(super) fn refused(&mut self, route: usize, sent_at: Nanos, retry_after: Option<Nanos>) {
+        let retry_after = retry_after.unwrap_or(0);
         let closed_after = (CLOSED_AFTER as f64 / self.fleet_factor(route)) as Nanos;
         let first_interval = self.first_pacing_interval(route);
         let limiter = self.routes.limiter_mut(route);
@@ -43,7 +44,7 @@
         let (told, fleet_factor) = (retry_after > 0, self.fleet_factor(number));
         let fair = self
             .fair_interval(number)
-            .min(self.facts.longest_lifetime() as f64);
+            .min(self.settings.longest_lifetime() as f64);
         let route = &mut self.routes[number];
         let doublings = route.backoff as f64 / FIRST_BACKOFF as f64;
         let most =
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -30,15 +30,15 @@
     pub(super) fn observe_patience(&mut self, outcome: Outcome, late: bool) {
         if matches!(
             outcome,
-            Outcome::Relayed | Outcome::TimedOut | Outcome::CalledOff
+            Outcome::Delivered | Outcome::TimedOut | Outcome::Cancelled
         ) {
-            let missed = f64::from(u8::from(late || outcome != Outcome::Relayed));
+            let missed = f64::from(u8::from(late || outcome != Outcome::Delivered));
             self.missed_share += MISSED_WEIGHT * (missed - self.missed_share);
         }
     }
 
     /// Holds silent routes before they take all slots. One silent attempt among answered ones is no sign.
-    pub(super) fn detect_silence(&mut self, out: &mut impl Outlet) {
+    pub(super) fn detect_silence(&mut self, out: &mut impl Actions) {
         for attempt in self.in_flight.iter().copied().collect::<Vec<_>>() {
             let route = &self.routes[attempt.route];
             let silent =
@@ -54,7 +54,7 @@
     }
 
     /// Holds a route, or goes on holding it, until its next trial.
-    pub(super) fn suspect(&mut self, number: usize, why: &str, out: &mut impl Outlet) {
+    pub(super) fn suspect(&mut self, number: usize, why: &str, out: &mut impl Actions) {
         self.update_traffic(number, 0.0);
         let route = &mut self.routes[number];
         route.suspended_until = route.suspended_until.max(self.now + TRIAL_INTERVAL);
@@ -65,8 +65,8 @@
 
     /// From when on a message may be the trial of a suspect route. Each has one trial at a time, apart from
     /// silent ones, and all trials together leave slots for the sound routes.
-    pub(super) fn trial_at(&self, route: usize, repeat: Repeat) -> Nanos {
-        let most = ((self.facts.slots as f64 * TRIAL_SLOT_SHARE) as usize).max(1);
+    pub(super) fn trial_at(&self, route: usize, repeat: DeliverySemantics) -> Nanos {
+        let most = ((self.settings.max_in_flight as f64 * TRIAL_SLOT_SHARE) as usize).max(1);
         let trials = self
             .in_flight
             .count_calls(|attempt| self.routes[attempt.route].suspect);
@@ -75,7 +75,7 @@
         if trials >= most || self.in_flight.count_calls(on_trial) > 0 {
             return NEVER;
         }
-        let delay = if repeat == Repeat::AtMostOnce {
+        let delay = if repeat == DeliverySemantics::AtMostOnce {
             AT_MOST_ONCE_DELAY
         } else {
             0
@@ -86,18 +86,19 @@
 
     /// Where the share of the trials is less than one slot, they get that share of one slot's time.
     pub(super) fn space_trials(&mut self, route: usize, end: &AttemptEnd, late: bool) {
-        let share = self.facts.slots as f64 * TRIAL_SLOT_SHARE;
-        if self.routes[route].suspect && share < 1.0 && (late || end.outcome != Outcome::Relayed) {
-            self.trial_until = self.now + (end.took as f64 * (1.0 / share - 1.0)) as Nanos;
+        let share = self.settings.max_in_flight as f64 * TRIAL_SLOT_SHARE;
+        if self.routes[route].suspect && share < 1.0 && (late || end.outcome != Outcome::Delivered)
+        {
+            self.trial_until = self.now + (end.elapsed as f64 * (1.0 / share - 1.0)) as Nanos;
         }
     }
 
     /// A delivery in usual time ends the suspicion, and an ejected route starts its ramp. At a known rate the
     /// dispatchers try at different times: on average the route returned half way since the attempt before.
     /// Some guess too early, so the spacing lasts longer.
-    pub(super) fn recover(&mut self, attempt: Attempt, took: Nanos, out: &mut impl Outlet) {
+    pub(super) fn recover(&mut self, attempt: Attempt, took: Nanos, out: &mut impl Actions) {
         let most = if self.fair_interval(attempt.route) > 0.0 {
-            self.facts.ramp / 2
+            self.settings.slow_start / 2
         } else {
             0
         };
@@ -106,7 +107,7 @@
         let returned_at = self.now - most.min(attempt.idle_for / 2);
         let new_ramp = Some(returned_at).filter(|_| std::mem::take(&mut route.ejected));
         route.cold_since = cold
-            .filter(|since| self.now < since + self.facts.ramp + most)
+            .filter(|since| self.now < since + self.settings.slow_start + most)
             .or(new_ramp);
         let word = match (cold, route.cold_since) {
             (None, Some(_)) => "returns cold",
--- a/crates/core/src/control/timeouts.rs
+++ b/crates/core/src/control/timeouts.rs
@@ -30,14 +30,14 @@
 
     /// How long the answer to an attempt of this message by this route is awaited.
     pub(super) fn timeout(&self, message: &Message, route: usize) -> Nanos {
-        let repeat = self.facts.classes[message.class].repeat;
+        let repeat = self.settings.classes[message.class].semantics;
         let timeout = match repeat {
             // The timeout of an at-most-once message is its bounce; still a hung route must release its slot.
-            Repeat::AtMostOnce => TIMEOUT_CEILING,
+            DeliverySemantics::AtMostOnce => TIMEOUT_CEILING,
             _ if self.routes[route].suspect => TRIAL_TIMEOUT,
             _ => self.usual_timeout(message),
         };
-        let Repeat::Deduplicated { window, .. } = repeat else {
+        let DeliverySemantics::IdempotencyKey { window, .. } = repeat else {
             return timeout;
         };
         let leaves_repeat = window / 3 * 2;
--- a/crates/core/src/control/timers.rs
+++ b/crates/core/src/control/timers.rs
@@ -4,11 +4,11 @@
 
 impl Dispatcher {
     /// Requests a wake, if it is sooner than the one that was requested.
-    pub(super) fn request_wake(&mut self, out: &mut impl Outlet) {
+    pub(super) fn request_wake(&mut self, out: &mut impl Actions) {
         let at = self.next_wake();
         if at < self.wake_at {
             self.wake_at = at;
-            out.wake(at - self.now);
+            out.schedule_wakeup(at - self.now);
         }
     }
 
@@ -21,7 +21,7 @@
             .for_each(|attempt| self.note_attempt(attempt, &mut note));
         for (group, queue) in self.waiting.iter() {
             let Some(first) = queue.first() else { continue };
-            note(first.due - self.deadline_margin().min(first.due));
+            note(first.deadline - self.deadline_margin().min(first.deadline));
             if self.has_free_slot() {
                 self.note_eligibility(group, queue, &mut note);
             }
@@ -36,7 +36,7 @@
         note(2 * silent_at - attempt.sent_at);
         let message = &self.messages[&attempt.message];
         if !message.stage.ended() {
-            note(message.due);
+            note(message.deadline);
         }
     }
 
@@ -50,7 +50,7 @@
         let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else {
             return;
         };
-        let most = if self.facts.classes[group.class].ordered {
+        let most = if self.settings.classes[group.class].ordered {
             queue.len()
         } else {
             1
--- /dev/null
+++ b/crates/core/src/interface/mod.rs
@@ -0,0 +1,18 @@
+//! The interface of the decisions: the settings they start with, the events that go in, and the [`Actions`] that come
+//! out.
+
+mod actions;
+mod attempts;
+mod endpoints;
+mod ids;
+mod messages;
+mod settings;
+
+pub use actions::Actions;
+pub use attempts::{AttemptEnd, Outcome};
+pub use endpoints::{EndpointEntry, EndpointUpdate};
+pub use ids::{
+    AttemptNumber, ClassId, DestinationId, EndpointId, KeyId, KindId, MessageId, Nanos, ZoneId,
+};
+pub use messages::{MessageHistory, NewMessage, PossibleRun};
+pub use settings::{ClassSettings, DeduplicationScope, DeliverySemantics, Settings, ValueDecay};
--- a/crates/core/src/state/messages.rs
+++ b/crates/core/src/state/messages.rs
@@ -33,11 +33,11 @@
     pub key: Option<KeyId>,
     pub destination: DestinationId,
     /// When its queue lifetime is up.
-    pub due: Nanos,
+    pub deadline: Nanos,
     /// How many attempts were made.
     pub attempts: u32,
     /// The first attempt that may have run: when it was sent, and the zone it went to.
-    pub ran: Option<(Nanos, ZoneId)>,
+    pub possible_run: Option<PossibleRun>,
     pub stage: Stage,
 }
 
@@ -49,9 +49,9 @@
             class: new.class.0,
             key,
             destination: new.destination,
-            due: new.due,
-            attempts: new.past.attempts,
-            ran: new.past.ran,
+            deadline: new.deadline,
+            attempts: new.history.attempts,
+            possible_run: new.history.possible_run,
             stage: Stage::Waiting,
         }
     }
@@ -61,14 +61,14 @@
         MessageGroup {
             destination: self.destination,
             class: self.class,
-            ran_in: self.ran.map(|(_, zone)| zone.0),
+            ran_in: self.possible_run.map(|run| run.zone.0),
         }
     }
 
     /// Its entry in that queue.
     pub fn entry(&self) -> QueueEntry {
         QueueEntry {
-            due: self.due,
+            deadline: self.deadline,
             id: self.id,
         }
     }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -19,7 +19,7 @@
 /// One instance. Its state is declared here; the methods that decide are in [`crate::control`].
 #[derive(Default)]
 pub struct Dispatcher {
-    pub(crate) facts: BootFacts,
+    pub(crate) settings: Settings,
     pub(crate) random: Random,
     /// The time of the latest event.
     pub(crate) now: Nanos,
@@ -52,20 +52,20 @@
 
 impl Dispatcher {
     /// The state at the start of an instance.
-    pub(crate) fn new(now: Nanos, facts: BootFacts, initial_latency: f64) -> Self {
+    pub(crate) fn with_latency(now: Nanos, settings: Settings, initial_latency: f64) -> Self {
         Dispatcher {
-            random: Random::seeded(facts.seed),
-            usual_latency: vec![initial_latency; facts.classes.len()],
+            random: Random::seeded(settings.seed),
+            usual_latency: vec![initial_latency; settings.classes.len()],
             now,
             wake_at: NEVER,
             watch_request_at: NEVER,
-            facts,
+            settings,
             ..Self::default()
         }
     }
 
     /// How many listed endpoints are avoided now: disabled by an operator, or held for silence or failures.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_endpoints(&self) -> usize {
         self.routes
             .iter()
             .filter(|route| route.listed && (!route.entry.serving || route.suspect))
@@ -90,7 +90,7 @@
 
     /// Whether one more call may be in flight.
     pub(crate) fn has_free_slot(&self) -> bool {
-        self.in_flight.count_calls(|_| true) < self.facts.slots
+        self.in_flight.count_calls(|_| true) < self.settings.max_in_flight
     }
 
     /// The usual answer time of a class at a destination.
--- a/crates/core/src/state/queues.rs
+++ b/crates/core/src/state/queues.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueEntry {
     /// When its queue lifetime is up.
-    pub due: Nanos,
+    pub deadline: Nanos,
     pub id: MessageId,
 }
 
--- a/crates/core/src/state/routes.rs
+++ b/crates/core/src/state/routes.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub struct Route {
     /// `serving` there is what the list says, unless the endpoint is disabled by an operator.
-    pub entry: ListEntry,
+    pub entry: EndpointEntry,
     pub listed: bool,
     /// The route that stands for the limiter it is subject to: itself, or the first of those that share it.
     pub limiter_route: usize,
@@ -41,10 +41,10 @@
 
 impl Route {
     /// Applies what the list says of the endpoint.
-    pub fn apply(&mut self, entry: &ListEntry, disabled: bool, now: Nanos) {
+    pub fn apply(&mut self, entry: &EndpointEntry, disabled: bool, now: Nanos) {
         self.listed = entry.serving;
-        if entry.rate > 0.0 {
-            self.entry.rate = entry.rate; // Else an answer may have told it.
+        if entry.rate.is_some() {
+            self.entry.rate = entry.rate; // Otherwise an answer may have reported it.
         }
         let serving = entry.serving && !disabled;
         if std::mem::replace(&mut self.entry.serving, serving) != serving {
--- a/crates/core/src/state/transitions.rs
+++ b/crates/core/src/state/transitions.rs
@@ -6,7 +6,9 @@
 impl Dispatcher {
     /// Holds a message that was accepted; it waits to be sent.
     pub(crate) fn hold(&mut self, new: NewMessage) {
-        let key = new.key.filter(|_| self.facts.classes[new.class.0].ordered);
+        let key = new
+            .key
+            .filter(|_| self.settings.classes[new.class.0].ordered);
         if let Some(key) = key {
             self.keys.push(key, new.id);
         }
@@ -20,8 +22,11 @@
         let Some(message) = self.messages.get_mut(&attempt.message) else {
             return;
         };
-        if outcome.may_have_run() && message.ran.is_none() {
-            message.ran = Some((attempt.sent_at, self.routes[attempt.route].entry.zone));
+        if outcome.may_have_run() && message.possible_run.is_none() {
+            message.possible_run = Some(PossibleRun {
+                sent_at: attempt.sent_at,
+                zone: self.routes[attempt.route].entry.zone,
+            });
         }
     }
 
@@ -30,14 +35,14 @@
         if let Some(message) = self
             .messages
             .get_mut(&end.message)
-            .filter(|_| end.outcome == Outcome::NotBegun)
+            .filter(|_| end.outcome == Outcome::NotStarted)
         {
             message.attempts -= 1;
         }
     }
 
     /// The only place where a message changes its stage: sends the final answers and keeps the counts.
-    pub(crate) fn transition(&mut self, id: MessageId, to: Stage, out: &mut impl Outlet) {
+    pub(crate) fn transition(&mut self, id: MessageId, to: Stage, out: &mut impl Actions) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
@@ -49,8 +54,8 @@
         }
         match to {
             Stage::InFlight if from != to => message.attempts += 1,
-            Stage::Deferred if from != to => out.defer(id, self.retry_after(id)),
-            Stage::Bounced if from != to => out.bounce(id),
+            Stage::Deferred if from != to => out.reject(id, self.retry_after(id)),
+            Stage::Bounced if from != to => out.fail(id),
             _ => {}
         }
         if to.ended() {
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -13,14 +13,14 @@
 impl Fleet {
     fn new(dispatchers: u32) -> Fleet {
         let one = |n| {
-            let mut w = World::new(BootFacts {
+            let mut w = World::new(Settings {
                 seed: n,
                 dispatchers,
-                holding_room: 400,
+                queue_capacity: 400,
                 ..facts()
             });
-            w.o.entries.iter_mut().for_each(|e| e.rate = RATE);
-            w.list(ListScope::Whole);
+            w.o.entries.iter_mut().for_each(|e| e.rate = Some(RATE));
+            w.list(EndpointUpdate::Snapshot);
             w
         };
         Fleet((0..u64::from(dispatchers)).map(one).collect())
@@ -97,12 +97,14 @@
     fleet.pass(Way::Answers(100 * MS), 10 * S);
     fleet.pass(Way::Down, 5 * S);
     let (had, from) = (fleet.relayed(), fleet.now());
-    fleet.pass(Way::Answers(100 * MS), facts.tip_window);
-    let bears = RATE * facts.cold_share * facts.tip_multiple * facts.tip_window as f64 / S as f64;
+    fleet.pass(Way::Answers(100 * MS), facts.overload_window);
+    let bears =
+        RATE * facts.cold_capacity_share * facts.overload_multiple * facts.overload_window as f64
+            / S as f64;
     let sent = fleet.sent(from) as f64;
     assert!(sent < 1.25 * bears, "{sent} sent to what bears {bears}");
     // Each of the four endpoints bears a quarter.
-    let space = 4.0 * 100.0 / (RATE * facts.cold_share * facts.tip_multiple);
+    let space = 4.0 * 100.0 / (RATE * facts.cold_capacity_share * facts.overload_multiple);
     fleet.pass(Way::Answers(100 * MS), (1.5 * space * S as f64) as Nanos);
     assert_eq!(fleet.unaware(&had), 0, "not found");
 }
@@ -137,14 +139,14 @@
 /// Found on zone+vast: the ramp of what had been back for seconds began anew at each dispatcher that found it.
 #[test]
 fn what_is_found_to_be_back_came_back_half_way_since_it_was_tried_before() {
-    let mut w = World::new(BootFacts {
+    let mut w = World::new(Settings {
         dispatchers: 10,
-        holding_room: 400,
-        slots: 40,
+        queue_capacity: 400,
+        max_in_flight: 40,
         ..facts()
     });
-    w.o.entries.iter_mut().for_each(|e| e.rate = RATE);
-    w.list(ListScope::Whole);
+    w.o.entries.iter_mut().for_each(|e| e.rate = Some(RATE));
+    w.list(EndpointUpdate::Snapshot);
     w.o.ways[..4].fill(Way::TableFull);
     for _ in 0..20 {
         w.mail(0, 0, None, 3 * S);
@@ -168,7 +170,7 @@
 fn a_clump_refused_at_one_moment_comes_back_over_many_seconds() {
     let mut came = vec![];
     for seed in 0..262 {
-        let mut w = World::lone(BootFacts {
+        let mut w = World::lone(Settings {
             seed,
             dispatchers: 262,
             ..facts()
@@ -196,7 +198,7 @@
 /// mails within 50 ms, before the first was refused; 35 of 41 sends that pushed it over came from those refused there before.
 #[test]
 fn one_mail_of_each_goes_first_to_what_opens_again_in_a_crowd() {
-    let mut w = World::lone(BootFacts {
+    let mut w = World::lone(Settings {
         dispatchers: 313,
         ..facts()
     });
@@ -219,7 +221,7 @@
 #[test]
 fn one_connection_not_had_in_time_is_an_outage_where_a_route_is_met_seldom() {
     for (dispatchers, cold) in [(300, true), (3, false)] {
-        let mut w = World::lone(BootFacts {
+        let mut w = World::lone(Settings {
             dispatchers,
             ..facts()
         });
@@ -244,7 +246,7 @@
 #[test]
 fn two_connections_refused_are_an_outage_where_a_route_is_met_seldom() {
     let sends = |dispatchers| {
-        let mut w = World::lone(BootFacts {
+        let mut w = World::lone(Settings {
             dispatchers,
             ..facts()
         });
@@ -263,7 +265,7 @@
 #[test]
 fn a_told_limit_stands_in_for_a_listed_rate() {
     let between = |limit| {
-        let mut w = World::lone(BootFacts {
+        let mut w = World::lone(Settings {
             dispatchers: 100,
             ..facts()
         });
@@ -275,7 +277,7 @@
         w.pass(110 * MS);
         w.o.ways[8] = Way::Answers(100 * MS);
         w.o.sent.clear();
-        w.serve(9, false, ListScope::Update);
+        w.serve(9, false, EndpointUpdate::Delta);
         w.pass(11 * S);
         w.o.sent[1].at - w.o.sent[0].at
     };
@@ -300,10 +302,10 @@
         let mut fleet = Fleet::new(dispatchers);
         if !listed {
             fleet.0.iter_mut().enumerate().for_each(|(n, w)| {
-                *w = World::new(BootFacts {
+                *w = World::new(Settings {
                     seed: n as u64,
                     dispatchers,
-                    holding_room: 400,
+                    queue_capacity: 400,
                     ..facts.clone()
                 })
             });
@@ -312,7 +314,7 @@
         let down = fleet.now();
         fleet.pass(Way::Down, 6 * S);
         let back = fleet.now();
-        fleet.pass(Way::Answers(100 * MS), facts.ramp);
+        fleet.pass(Way::Answers(100 * MS), facts.slow_start);
         // Four endpoints share what all of them take: the rate that is listed, else a fifth over what they took.
         let takes = if listed { RATE } else { 1.2 * RATE } / 4.0;
         for to in 0..4 {
@@ -333,17 +335,19 @@
             sent.sort();
             let within = |from: Nanos| {
                 sent.iter()
-                    .filter(move |s| (from..from + facts.tip_window).contains(&s.0))
+                    .filter(move |s| (from..from + facts.overload_window).contains(&s.0))
             };
             for from in sent
                 .iter()
                 .map(|s| s.0)
-                .filter(|from| from + facts.tip_window < back + facts.ramp)
+                .filter(|from| from + facts.overload_window < back + facts.slow_start)
             {
-                let warm = facts.cold_share
-                    + (1.0 - facts.cold_share) * (from - back + facts.tip_window / 2) as f64
-                        / facts.ramp as f64;
-                let bears = takes * warm * facts.tip_multiple * facts.tip_window as f64 / S as f64;
+                let warm = facts.cold_capacity_share
+                    + (1.0 - facts.cold_capacity_share)
+                        * (from - back + facts.overload_window / 2) as f64
+                        / facts.slow_start as f64;
+                let bears = takes * warm * facts.overload_multiple * facts.overload_window as f64
+                    / S as f64;
                 let (all, told) = (within(from).count(), within(from).filter(|s| s.1).count());
                 let most = bears + 2.0 * bears.sqrt() + 2.0;
                 let at = (from - back) / MS;
--- a/crates/core/tests/plain.rs
+++ b/crates/core/tests/plain.rs
@@ -123,12 +123,12 @@
     w.o.ways.fill(Way::Refuses(2 * S));
     w.mail(0, 0, None, 12 * S);
     w.pass(100 * MS);
-    w.o.entries.push(ListEntry {
+    w.o.entries.push(EndpointEntry {
         endpoint: EndpointId(12),
         ..w.o.entries[0]
     });
     w.o.ways.push(Way::Answers(100 * MS));
-    w.list(ListScope::Update);
+    w.list(EndpointUpdate::Delta);
     w.pass(S);
     assert_eq!(w.o.sent.len(), 1);
 }
@@ -166,8 +166,8 @@
 #[test]
 fn lost_answers_on_sound_routes_hold_no_slot_that_mails_wait_for() {
     let mut w = World::sized(
-        BootFacts {
-            holding_room: 600,
+        Settings {
+            queue_capacity: 600,
             ..facts()
         },
         24,
@@ -230,9 +230,9 @@
 /// Found on h61c592: a cold route, slow and so held for silence, was taken for open as soon as it answered.
 #[test]
 fn a_cold_route_held_for_silence_stays_cold() {
-    let mut w = World::new(BootFacts {
-        slots: 40,
-        holding_room: 400,
+    let mut w = World::new(Settings {
+        max_in_flight: 40,
+        queue_capacity: 400,
         ..facts()
     });
     for way in [
@@ -261,10 +261,10 @@
 /// Found on i2fdf7c: hundreds of dispatchers sent their backlogs to a replacement the moment that it was listed.
 #[test]
 fn a_newcomer_to_a_struck_destination_is_sent_little() {
-    let mut w = World::new(BootFacts {
+    let mut w = World::new(Settings {
         dispatchers: 300,
-        slots: 40,
-        holding_room: 400,
+        max_in_flight: 40,
+        queue_capacity: 400,
         ..facts()
     });
     w.o.ways[..4].fill(Way::Errs);
@@ -272,13 +272,13 @@
         w.mail(1, 0, None, 12 * S);
         w.pass(50 * MS);
     }
-    w.o.entries.push(ListEntry {
+    w.o.entries.push(EndpointEntry {
         endpoint: EndpointId(12),
         ..w.o.entries[0]
     });
     w.o.ways.push(Way::Answers(100 * MS));
     let waiting = 40 - w.o.relayed.len() - w.o.deferred.len() - w.o.bounced.len();
-    w.list(ListScope::Update);
+    w.list(EndpointUpdate::Delta);
     w.pass(S);
     assert!(
         waiting > 5 && sends(&w, 12) <= 1,
@@ -351,17 +351,17 @@
                     .iter()
                     .rposition(|e| e.destination.0 == dest)
                     .unwrap();
-            w.serve(last as u32, false, ListScope::Update);
-            let next = ListEntry {
+            w.serve(last as u32, false, EndpointUpdate::Delta);
+            let next = EndpointEntry {
                 endpoint: EndpointId(w.o.entries.len() as u32),
                 ..w.o.entries[last]
             };
-            w.o.entries.push(ListEntry {
+            w.o.entries.push(EndpointEntry {
                 serving: true,
                 ..next
             });
             w.o.ways.push(Way::Answers(100 * MS));
-            w.list(ListScope::Update);
+            w.list(EndpointUpdate::Delta);
             w.mail(0, dest, None, 12 * S);
         }
         w.pass(5 * S);
@@ -400,8 +400,8 @@
 /// Found on the day churn on sockets: once the hold was full, each mail went out just before its end.
 #[test]
 fn under_lasting_overload_mails_go_out_well_before_their_end() {
-    let mut w = World::new(BootFacts {
-        holding_room: 900,
+    let mut w = World::new(Settings {
+        queue_capacity: 900,
         ..facts()
     });
     for _ in 0..600 {
@@ -445,8 +445,8 @@
 /// Found on head-office-later rough-1: a mail that could wait went before one whose target delay was near.
 #[test]
 fn a_mail_that_loses_by_waiting_goes_first() {
-    let mut w = World::new(BootFacts {
-        slots: 2,
+    let mut w = World::new(Settings {
+        max_in_flight: 2,
         ..facts()
     });
     for _ in 0..2 {
@@ -467,8 +467,8 @@
 /// Found on nairobi-depot-later rough-1: of two slots the trials of hung destinations held one all the time.
 #[test]
 fn trials_take_their_share_of_two_slots_time() {
-    let mut w = World::new(BootFacts {
-        slots: 2,
+    let mut w = World::new(Settings {
+        max_in_flight: 2,
         ..facts()
     });
     w.o.ways[..8].fill(Way::Hangs);
@@ -490,7 +490,7 @@
 /// route with a full queue, came back within a second and met it at its return.
 #[test]
 fn in_a_large_fleet_few_refusals_strike_a_route() {
-    let mut w = World::new(BootFacts {
+    let mut w = World::new(Settings {
         dispatchers: 300,
         ..facts()
     });
@@ -512,10 +512,13 @@
     );
 }
 
-fn past(connects: u32, ran: Option<Nanos>) -> Past {
-    Past {
+fn past(connects: u32, ran: Option<Nanos>) -> MessageHistory {
+    MessageHistory {
         attempts: connects,
-        ran: ran.map(|at| (at, ZoneId(0))),
+        possible_run: ran.map(|sent_at| PossibleRun {
+            sent_at,
+            zone: ZoneId(0),
+        }),
     }
 }
 
@@ -545,7 +548,7 @@
 fn a_connect_that_comes_up_during_a_drain_or_a_wait_is_turned_back() {
     let mut w = World::new(facts());
     assert!((0..12).all(|e| w.d.is_open(w.o.now, EndpointId(e))));
-    w.serve(0, false, ListScope::Update);
+    w.serve(0, false, EndpointUpdate::Delta);
     w.o.ways[8] = Way::Refuses(3 * S);
     for _ in 0..4 {
         w.mail(0, 2, None, 12 * S);
@@ -564,7 +567,7 @@
 #[test]
 fn a_tagged_mail_that_may_have_run_is_deferred_only_where_its_window_covers_its_lifetime() {
     for (lifetime, deferred) in [(12 * S, false), (5 * S, true)] {
-        let mut w = World::new(BootFacts {
+        let mut w = World::new(Settings {
             max_attempts: 1,
             ..facts()
         });
@@ -635,9 +638,9 @@
     let within = 10 * S;
     let mut first = vec![];
     for seed in 0..40 {
-        let mut w = World::new(BootFacts {
+        let mut w = World::new(Settings {
             seed,
-            watch_within: Some(within),
+            watch_request_limit: Some(within),
             dispatchers: 300,
             ..facts()
         });
@@ -657,7 +660,7 @@
             );
         }
         // It serves for a while; the watch breaks, which is no failed call.
-        w.list(ListScope::Update);
+        w.list(EndpointUpdate::Delta);
         let (lost, calls) = (w.o.now, w.o.asked.len());
         w.d.watch_lost(lost, &mut w.o);
         w.pass(within - 1);
@@ -683,9 +686,9 @@
 /// big-1 of wales-head-office: two slots' worth of a backlog went out one by one, each a call against the limit.
 #[test]
 fn a_backlog_goes_in_one_call_where_its_kind_allows() {
-    let mut w = World::new(BootFacts {
-        batch: vec![1, 4],
-        slots: 2,
+    let mut w = World::new(Settings {
+        max_batch: vec![1, 4],
+        max_in_flight: 2,
         ..facts()
     });
     w.o.ways.fill(Way::Refuses(S));
@@ -718,9 +721,9 @@
 /// told was passed over until the last had come.
 #[test]
 fn a_wait_told_to_any_mail_of_a_batch_binds() {
-    let mut w = World::lone(BootFacts {
-        batch: vec![1, 4],
-        slots: 20,
+    let mut w = World::lone(Settings {
+        max_batch: vec![1, 4],
+        max_in_flight: 20,
         ..facts()
     });
     w.o.ways.fill(Way::Refuses(S));
@@ -738,9 +741,9 @@
 fn a_time_out_leaves_a_tagged_mail_time_to_be_repeated_or_is_as_long_as_a_once_only_one_s() {
     let first = |window, hung: bool| {
         let mut f = facts();
-        f.classes[1].repeat = Repeat::Deduplicated {
+        f.classes[1].semantics = DeliverySemantics::IdempotencyKey {
             window,
-            same_zone: false,
+            scope: DeduplicationScope::Destination,
         };
         let mut w = World::lone(f);
         if hung {
@@ -772,9 +775,12 @@
     const WINDOW: Nanos = 6 * S;
     for (left, sent) in [(100 * MS, false), (140 * MS, false), (200 * MS, true)] {
         let mut w = World::lone(facts());
-        let past = Past {
+        let past = MessageHistory {
             attempts: 1,
-            ran: Some((w.o.now + left - WINDOW, ZoneId(0))),
+            possible_run: Some(PossibleRun {
+                sent_at: w.o.now + left - WINDOW,
+                zone: ZoneId(0),
+            }),
         };
         w.mail_with_past(1, 0, past);
         assert_eq!(
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -33,10 +33,10 @@
     let endpoints = [12, 60][draw / 6 % 2];
     let batch = [vec![], vec![4, 1], vec![3, 20]][draw / 12 % 3].clone();
     let mut w = World::sized(
-        BootFacts {
-            slots,
+        Settings {
+            max_in_flight: slots,
             dispatchers,
-            batch,
+            max_batch: batch,
             ..facts()
         },
         u32::from(endpoints),
@@ -45,8 +45,8 @@
         let to = u32::from(whom % endpoints);
         match what % 32 {
             0 => w.o.ways[to as usize] = way((what / 32).wrapping_add(whom)),
-            1 => w.serve(to, whom % 3 == 0, ListScope::Update),
-            2 => w.serve(to, true, ListScope::Whole),
+            1 => w.serve(to, whom % 3 == 0, EndpointUpdate::Delta),
+            2 => w.serve(to, true, EndpointUpdate::Snapshot),
             3 if whom % 8 == 0 => w.restart(),
             3 if whom % 8 == 1 => w.resume(),
             4 => w.withdraw(MessageId(w.o.sent.last().map_or(1, |s| s.mail.0))),
@@ -85,9 +85,9 @@
 
 /// Rule 4: after an outage seen here, no window holds more than the cold route bears.
 fn returns_gently(way: Way) {
-    let mut w = World::new(BootFacts {
-        slots: 40,
-        holding_room: 400,
+    let mut w = World::new(Settings {
+        max_in_flight: 40,
+        queue_capacity: 400,
         ..facts()
     });
     let ten_a_second = |w: &mut World, tenths: u32| {
@@ -118,14 +118,15 @@
         for (i, &end) in times
             .iter()
             .enumerate()
-            .filter(|(_, end)| **end < back + f.ramp)
+            .filter(|(_, end)| **end < back + f.slow_start)
         {
-            let warm = f.cold_share + (1.0 - f.cold_share) * ((end - back) as f64 / f.ramp as f64);
+            let warm = f.cold_capacity_share
+                + (1.0 - f.cold_capacity_share) * ((end - back) as f64 / f.slow_start as f64);
             // The route took 2.5 a second and could take 3; two more in a window are slack for chance.
-            let bears = 3.0 * f.tip_multiple * warm * (f.tip_window as f64 / 1e9) + 2.0;
+            let bears = 3.0 * f.overload_multiple * warm * (f.overload_window as f64 / 1e9) + 2.0;
             let window = times[..=i]
                 .iter()
-                .filter(|&&t| t + f.tip_window > end)
+                .filter(|&&t| t + f.overload_window > end)
                 .count();
             assert!(
                 window as f64 <= bears,
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -63,8 +63,8 @@
 
 pub struct Outside {
     pub now: Nanos,
-    pub facts: BootFacts,
-    pub entries: Vec<ListEntry>,
+    pub settings: Settings,
+    pub entries: Vec<EndpointEntry>,
     pub ways: Vec<Way>,
     pub sent: Vec<Sent>,
     pub deferred: Vec<(MessageId, Nanos)>,
@@ -86,45 +86,45 @@
 }
 
 /// Four endpoints to each of three destinations; of the last the endpoints are routes apart.
-pub fn facts() -> BootFacts {
-    let class = |importance, repeat, ordered| ClassFacts {
-        importance,
-        target_delay: 2 * S,
+pub fn facts() -> Settings {
+    let class = |importance, repeat, ordered| ClassSettings {
+        priority_weight: importance,
+        latency_objective: 2 * S,
         lifetime: 12 * S,
-        late_share: 0.4,
-        repeat,
+        late_value_share: 0.4,
+        semantics: repeat,
         ordered,
     };
-    let tagged = |same_zone| Repeat::Deduplicated {
+    let tagged = |scope| DeliverySemantics::IdempotencyKey {
         window: 6 * S,
-        same_zone,
+        scope,
     };
-    BootFacts {
-        position: Some(0),
+    Settings {
+        dispatcher_index: Some(0),
         seed: 7,
         dispatchers: 1,
         classes: vec![
-            class(1.0, Repeat::Idempotent, false),
-            class(2.0, tagged(false), false),
-            class(2.0, tagged(true), true),
-            class(4.0, Repeat::AtMostOnce, true),
+            class(1.0, DeliverySemantics::Idempotent, false),
+            class(2.0, tagged(DeduplicationScope::Destination), false),
+            class(2.0, tagged(DeduplicationScope::Zone), true),
+            class(4.0, DeliverySemantics::AtMostOnce, true),
         ],
-        separate_limits: vec![false, true],
-        batch: vec![],
-        halves: false,
-        slots: 8,
-        holding_room: 60,
-        own_admission: false,
+        per_endpoint_limits: vec![false, true],
+        max_batch: vec![],
+        value_decay: ValueDecay::Linear,
+        max_in_flight: 8,
+        queue_capacity: 60,
+        caller_admission: false,
         max_attempts: 6,
         connect_timeout: S,
-        max_retry_after: 2 * S,
-        cold_share: 0.2,
-        ramp: 10 * S,
-        tip_multiple: 2.0,
-        tip_window: 2 * S,
+        max_retry_after: Some(2 * S),
+        cold_capacity_share: 0.2,
+        slow_start: 10 * S,
+        overload_multiple: 2.0,
+        overload_window: 2 * S,
         key_cooldown: 100 * MS,
-        watch_within: None,
-        tick: 5 * MS,
+        watch_request_limit: None,
+        clock_resolution: 5 * MS,
     }
 }
 
@@ -134,7 +134,7 @@
     }
     fn gate(&self, to: u32) -> u64 {
         let e = &self.entries[to as usize];
-        if self.facts.separate_limits[e.kind.0] {
+        if self.settings.per_endpoint_limits[e.kind.0] {
             100 + u64::from(to)
         } else {
             e.destination.0
@@ -146,11 +146,12 @@
     }
     /// What rule 2 says of one more connect, or of a deferral (which names no zone).
     fn may_repeat(&self, mail: &Known, zone: Option<usize>) -> bool {
-        match (mail.ran, self.facts.classes[mail.class].repeat) {
-            (None, _) | (_, Repeat::Idempotent) => true,
-            (Some(_), Repeat::AtMostOnce) => false,
-            (Some((at, first)), Repeat::Deduplicated { window, same_zone }) => {
-                self.now < at + window && (!same_zone || zone == Some(first))
+        match (mail.ran, self.settings.classes[mail.class].semantics) {
+            (None, _) | (_, DeliverySemantics::Idempotent) => true,
+            (Some(_), DeliverySemantics::AtMostOnce) => false,
+            (Some((at, first)), DeliverySemantics::IdempotencyKey { window, scope }) => {
+                let any_zone = scope == DeduplicationScope::Destination;
+                self.now < at + window && (any_zone || zone == Some(first))
             }
         }
     }
@@ -168,8 +169,8 @@
     }
 }
 
-impl Outlet for Outside {
-    fn attempt(&mut self, id: MessageId, endpoint: EndpointId, time_out: Nanos) {
+impl Actions for Outside {
+    fn send_attempt(&mut self, id: MessageId, endpoint: EndpointId, time_out: Nanos) {
         let (now, to) = (self.now, endpoint.0);
         let entry = self.entries[to as usize];
         let mail = &self.mails[&id];
@@ -213,7 +214,12 @@
             }
         }
         // What goes to one endpoint at once is one call, with one slot and one fate, as far as its kind allows.
-        let most = self.facts.batch.get(entry.kind.0).copied().unwrap_or(1);
+        let most = self
+            .settings
+            .max_batch
+            .get(entry.kind.0)
+            .copied()
+            .unwrap_or(1);
         let calls: BTreeSet<u64> = self
             .mails
             .values()
@@ -224,27 +230,30 @@
             .call
             .filter(|c| (c.at, c.to) == (now, to) && c.mails < most && calls.contains(&c.no));
         assert!(
-            same.is_some() || calls.len() < self.facts.slots,
+            same.is_some() || calls.len() < self.settings.max_in_flight,
             "a connect without a slot"
         );
         let mail = self.mails.get_mut(&id).expect("checked above");
         mail.out = Some((to, now));
         mail.connects += 1;
         mail.call = same.map_or(self.seq + 1, |c| c.no);
-        assert!(mail.connects <= self.facts.max_attempts && now + time_out <= mail.due);
+        assert!(mail.connects <= self.settings.max_attempts && now + time_out <= mail.due);
         let (after, outcome) = match self.ways[to as usize] {
-            Way::Answers(after) => (after, Outcome::Relayed),
+            Way::Answers(after) => (after, Outcome::Delivered),
             Way::Hangs => (time_out + 1, Outcome::TimedOut),
-            Way::Errs => (30 * MS, Outcome::Errored),
-            Way::RefusesLate => (100 * MS, Outcome::Full(0)),
-            Way::Refuses(told) => (20 * MS, Outcome::Full(told)),
-            Way::Down => (self.facts.connect_timeout, Outcome::Unconnected),
-            Way::TableFull => (20 * MS, Outcome::Unconnected),
-            Way::Resets => (50 * MS, Outcome::Reset),
-            Way::NoSlot => (1, Outcome::Unsent(true)),
+            Way::Errs => (30 * MS, Outcome::ServerError),
+            Way::RefusesLate => (100 * MS, Outcome::RateLimited { retry_after: None }),
+            Way::Refuses(told) => {
+                let retry_after = Some(told).filter(|&wait| wait > 0);
+                (20 * MS, Outcome::RateLimited { retry_after })
+            }
+            Way::Down => (self.settings.connect_timeout, Outcome::ConnectFailed),
+            Way::TableFull => (20 * MS, Outcome::ConnectFailed),
+            Way::Resets => (50 * MS, Outcome::ConnectionReset),
+            Way::NoSlot => (1, Outcome::NotSent { no_capacity: true }),
             Way::LosesAnswers if id.0.is_multiple_of(3) => (time_out + 1, Outcome::TimedOut),
-            Way::LosesAnswers => (100 * MS, Outcome::Relayed),
-            Way::LosesLate => (100 * MS, Outcome::Reset),
+            Way::LosesAnswers => (100 * MS, Outcome::Delivered),
+            Way::LosesLate => (100 * MS, Outcome::ConnectionReset),
         };
         let fate = same.map_or((after, outcome), |c| c.fate);
         let mails = same.map_or(0, |c| c.mails) + 1;
@@ -270,7 +279,7 @@
         });
         self.later(now + after.max(1), Due::End(id, outcome));
     }
-    fn defer(&mut self, id: MessageId, come_back: Nanos) {
+    fn reject(&mut self, id: MessageId, come_back: Nanos) {
         let mail = &self.mails[&id];
         assert!(
             mail.out.is_none() || mail.ended,
@@ -281,15 +290,15 @@
             self.may_repeat(mail, zone),
             "rule 2: {id:?} deferred though it may have run"
         );
-        assert!(come_back <= self.facts.max_retry_after);
+        assert!(come_back <= self.settings.max_retry_after.unwrap_or(0));
         self.end(id);
         self.deferred.push((id, come_back));
     }
-    fn bounce(&mut self, id: MessageId) {
+    fn fail(&mut self, id: MessageId) {
         self.end(id);
         self.bounced.push(id);
     }
-    fn cancel(&mut self, id: MessageId, no: AttemptNumber) {
+    fn cancel_attempt(&mut self, id: MessageId, no: AttemptNumber) {
         assert_eq!(
             no.0 + 1,
             self.mails[&id].connects,
@@ -297,12 +306,12 @@
         );
         self.due
             .retain(|_, d| !matches!(d, Due::End(m, _) if *m == id));
-        self.later(self.now + 1, Due::End(id, Outcome::CalledOff));
+        self.later(self.now + 1, Due::End(id, Outcome::Cancelled));
     }
-    fn close_idle(&mut self, endpoint: EndpointId) {
+    fn close_idle_connections(&mut self, endpoint: EndpointId) {
         self.hung_up.push(endpoint.0);
     }
-    fn forget(&mut self, endpoint: EndpointId) {
+    fn endpoint_removed(&mut self, endpoint: EndpointId) {
         assert!(
             !self.entries[endpoint.0 as usize].serving,
             "forgotten while it serves"
@@ -317,7 +326,7 @@
     fn request_watch(&mut self) {
         self.asked.push(self.now);
     }
-    fn wake(&mut self, after: Nanos) {
+    fn schedule_wakeup(&mut self, after: Nanos) {
         assert!(after > 0);
         // As the bench does, a little early.
         self.later(self.now + after.max(100) - 99, Due::Wake);
@@ -334,32 +343,32 @@
 }
 
 impl World {
-    pub fn new(facts: BootFacts) -> Self {
+    pub fn new(facts: Settings) -> Self {
         Self::sized(facts, 12)
     }
 
     /// Of the third destination, whose endpoints are routes apart, only endpoint 8 serves.
-    pub fn lone(facts: BootFacts) -> Self {
+    pub fn lone(facts: Settings) -> Self {
         let mut w = Self::new(facts);
-        (9..12).for_each(|to| w.serve(to, false, ListScope::Update));
+        (9..12).for_each(|to| w.serve(to, false, EndpointUpdate::Delta));
         w
     }
 
-    pub fn sized(facts: BootFacts, endpoints: u32) -> Self {
+    pub fn sized(facts: Settings, endpoints: u32) -> Self {
         let now = 1_000 * S;
-        let entry = |i: u32| ListEntry {
+        let entry = |i: u32| EndpointEntry {
             endpoint: EndpointId(i),
             destination: DestinationId(u64::from(i / 4)),
             zone: ZoneId((i % 2) as usize),
             kind: KindId(usize::from(i >= 8)),
             serving: true,
-            rate: 0.0,
-            shared_order: i.wrapping_mul(0x9e37_79b9),
-            waits_until: 0,
+            rate: None,
+            name_hash: i.wrapping_mul(0x9e37_79b9),
+            retry_after_until: None,
         };
         let o = Outside {
             now,
-            facts: facts.clone(),
+            settings: facts.clone(),
             entries: (0..endpoints).map(entry).collect(),
             ways: vec![Way::Answers(100 * MS); endpoints as usize],
             sent: vec![],
@@ -380,27 +389,28 @@
             call: None,
         };
         let mut world = World {
-            d: Dispatcher::boot(now, facts),
+            d: Dispatcher::new(now, facts),
             o,
             taken: 0,
         };
-        world.list(ListScope::Whole);
+        world.list(EndpointUpdate::Snapshot);
         world
     }
 
-    pub fn list(&mut self, scope: ListScope) {
-        let entries: Vec<ListEntry> = self
+    pub fn list(&mut self, scope: EndpointUpdate) {
+        let entries: Vec<EndpointEntry> = self
             .o
             .entries
             .iter()
-            .filter(|e| scope == ListScope::Update || e.serving)
+            .filter(|e| scope == EndpointUpdate::Delta || e.serving)
             .copied()
             .collect();
-        self.d.apply_list(self.o.now, scope, &entries, &mut self.o);
+        self.d
+            .update_endpoints(self.o.now, scope, &entries, &mut self.o);
     }
 
     /// An endpoint starts or stops to serve, and the news of it comes.
-    pub fn serve(&mut self, to: u32, serving: bool, scope: ListScope) {
+    pub fn serve(&mut self, to: u32, serving: bool, scope: EndpointUpdate) {
         self.o.entries[to as usize].serving = serving;
         self.list(scope);
     }
@@ -413,7 +423,7 @@
         lifetime: Nanos,
     ) -> MessageId {
         let key = key
-            .filter(|_| self.o.facts.classes[class].ordered)
+            .filter(|_| self.o.settings.classes[class].ordered)
             .map(KeyId);
         let due = self.o.now + lifetime;
         self.taken += 1;
@@ -431,8 +441,11 @@
         self.hand(MessageId(self.taken), known)
     }
 
-    pub fn mail_with_past(&mut self, class: usize, dest: u64, past: Past) -> MessageId {
-        let (due, ran) = (self.o.now + 12 * S, past.ran.map(|(at, zone)| (at, zone.0)));
+    pub fn mail_with_past(&mut self, class: usize, dest: u64, past: MessageHistory) -> MessageId {
+        let (due, ran) = (
+            self.o.now + 12 * S,
+            past.possible_run.map(|run| (run.sent_at, run.zone.0)),
+        );
         self.taken += 1;
         let known = Known {
             class,
@@ -481,17 +494,20 @@
             self.o.order.entry(key).or_default().push(id);
         }
         let (class, destination) = (ClassId(mail.class), DestinationId(mail.dest));
-        let past = Past {
+        let past = MessageHistory {
             attempts: mail.connects,
-            ran: mail.ran.map(|(at, zone)| (at, ZoneId(zone))),
+            possible_run: mail.ran.map(|(sent_at, zone)| PossibleRun {
+                sent_at,
+                zone: ZoneId(zone),
+            }),
         };
         let new = NewMessage {
             id,
             class,
             key: mail.key,
             destination,
-            due: mail.due,
-            past,
+            deadline: mail.due,
+            history: past,
         };
         self.o.mails.insert(id, mail);
         new
@@ -504,8 +520,8 @@
         self.o.order.clear();
         self.o.rests.clear();
         self.o.told.clear();
-        self.d = Dispatcher::boot(self.o.now, self.o.facts.clone());
-        self.list(ListScope::Whole);
+        self.d = Dispatcher::new(self.o.now, self.o.settings.clone());
+        self.list(EndpointUpdate::Snapshot);
     }
 
     /// Killed and started again with its journal: each mail that is owed its end comes back, in the order in which they
@@ -538,7 +554,7 @@
             let what = self.o.due.remove(&(at, seq)).expect("just seen");
             self.o.now = at;
             match what {
-                Due::Wake => self.d.woken(at, &mut self.o),
+                Due::Wake => self.d.wakeup(at, &mut self.o),
                 Due::End(id, outcome) => self.ended(id, outcome),
             }
             self.check_due();
@@ -573,29 +589,31 @@
             mail.ran.get_or_insert((at, zone));
         }
         let (key, over, no) = (mail.key, mail.ended, AttemptNumber(mail.connects - 1));
-        if let (Outcome::TimedOut | Outcome::CalledOff | Outcome::Reset, Some(key)) = (outcome, key)
+        if let (Outcome::TimedOut | Outcome::Cancelled | Outcome::ConnectionReset, Some(key)) =
+            (outcome, key)
         {
             self.o
                 .rests
-                .insert(key, (now + self.o.facts.key_cooldown, id));
+                .insert(key, (now + self.o.settings.key_cooldown, id));
         }
-        if let Outcome::Full(wait) = outcome {
+        if let Outcome::RateLimited { retry_after } = outcome {
+            let wait = retry_after.unwrap_or(0);
             let gate = self.o.gate(to);
             let until = self.o.told.entry(gate).or_default();
             *until = (*until).max(now + wait);
         }
-        if outcome == Outcome::Relayed && !over {
+        if outcome == Outcome::Delivered && !over {
             self.o.end(id);
             self.o.relayed.push(id);
         }
-        let over = over || outcome == Outcome::Relayed;
+        let over = over || outcome == Outcome::Delivered;
         let end = AttemptEnd {
             message: id,
             number: no,
             outcome,
-            over,
-            took: now - at,
-            reported_limit: self.o.limit,
+            message_ended: over,
+            elapsed: now - at,
+            reported_limit: Some(self.o.limit).filter(|&limit| limit > 0.0),
         };
         self.d.attempt_ended(now, end, &mut self.o);
     }
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -231,11 +231,14 @@
             }
             left -= 1;
             // With no room for an answer, what has come waits until the client has read.
-            if conn.last || conn.input.is_empty() || conn.output.room() < resp::COMMAND_MOST / 2 {
+            if conn.last
+                || conn.input.is_empty()
+                || conn.output.available() < resp::COMMAND_MOST / 2
+            {
                 break;
             }
-            let full = conn.input.room() == 0;
-            let bytes = conn.input.bytes();
+            let full = conn.input.available() == 0;
+            let bytes = conn.input.contiguous();
             let (words, taken) = match resp::command(bytes) {
                 Ok(Some(command)) => command,
                 Ok(None) if !full => break,
--- a/crates/daemon/src/conns.rs
+++ b/crates/daemon/src/conns.rs
@@ -1,7 +1,7 @@
 //! The connections, in a table of numbered slots: the one owner of every socket and of the poller.
 
-use crate::ring::Ring;
-use crate::slots::{SlotId, Slots};
+use crate::ring_buffer::RingBuffer;
+use crate::slot_table::{SlotId, SlotTable};
 use bellsill_core::interface::{EndpointId, Nanos};
 use polling::{Event, Events, Poller};
 use std::io;
@@ -51,8 +51,8 @@
     pub role: Role,
     /// Where it was opened to; none where the other side came.
     pub opened_to: Option<SocketAddr>,
-    pub input: Ring,
-    pub output: Ring,
+    pub input: RingBuffer,
+    pub output: RingBuffer,
     /// Its handshake is still out.
     pub rising: bool,
     /// It is closed once its output is written.
@@ -101,7 +101,7 @@
 pub struct Conns {
     poller: Poller,
     events: Events,
-    slots: Slots<ConnId, Conn>,
+    slots: SlotTable<ConnId, Conn>,
     listener: Option<TcpListener>,
     mgmt: Option<TcpListener>,
     signals: UnixStream,
@@ -138,7 +138,7 @@
         Ok(Conns {
             poller,
             events: Events::new(),
-            slots: Slots::default(),
+            slots: SlotTable::default(),
             listener: Some(listener),
             mgmt: None,
             signals,
@@ -317,12 +317,12 @@
         // Small writes must not wait for acknowledgements; without it the connection still works.
         let _ = stream.set_nodelay(true);
         let armed = (!rising, rising);
-        let id = self.slots.add(|_| Conn {
+        let id = self.slots.insert(|_| Conn {
             stream,
             role,
             opened_to: None,
-            input: Ring::new(bounds.0),
-            output: Ring::new(bounds.1),
+            input: RingBuffer::new(bounds.0),
+            output: RingBuffer::new(bounds.1),
             rising,
             last: false,
             ended: false,
@@ -393,7 +393,7 @@
         let Some(conn) = self.slots.get_mut(id) else {
             return Ok(());
         };
-        conn.ended |= conn.input.fill(&mut conn.stream)?;
+        conn.ended |= conn.input.read_from(&mut conn.stream)?;
         Ok(())
     }
 
@@ -402,7 +402,7 @@
         let Some(conn) = self.slots.get_mut(id).filter(|c| !c.rising) else {
             return Ok(());
         };
-        conn.output.drain(&mut conn.stream)?;
+        conn.output.write_to(&mut conn.stream)?;
         self.arm(id)
     }
 
@@ -412,8 +412,8 @@
         let Some(conn) = self.slots.get_mut(id) else {
             return Ok(());
         };
-        let unread = conn.output.len() > conn.output.room();
-        let read = !conn.rising && !conn.ended && conn.input.room() > 0 && !unread;
+        let unread = conn.output.len() > conn.output.available();
+        let read = !conn.rising && !conn.ended && conn.input.available() > 0 && !unread;
         let wanted = (read, conn.rising || !conn.output.is_empty());
         if conn.armed != Some(wanted) {
             conn.armed = Some(wanted);
@@ -424,8 +424,8 @@
 
     /// Empties the pipe of signals and arms it again.
     pub fn take_signals(&mut self) -> io::Result<()> {
-        let mut ring = Ring::new(64);
-        ring.fill(&mut self.signals)?;
+        let mut ring = RingBuffer::new(64);
+        ring.read_from(&mut self.signals)?;
         self.poller.modify(&self.signals, Event::readable(SIGNALS))
     }
 }
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -2,7 +2,7 @@
 //! happened. Nothing here decides, and nothing here knows messages or the loop.
 
 use crate::conns::{ConnId, Conns, Role};
-use crate::deadlines::Deadlines;
+use crate::timer_queue::TimerQueue;
 use bellsill_discovery_client::{
     Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer,
     Watch,
@@ -30,7 +30,7 @@
 pub struct WatchIo<'a, K> {
     pub now: Nanos,
     pub conns: &'a mut Conns,
-    pub deadlines: &'a mut Deadlines<K>,
+    pub deadlines: &'a mut TimerQueue<K>,
 }
 
 /// The watch, and the connections of its calls.
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! A list of endpoints as discovery writes it: the words of its JSON end here.
 
-use bellsill_settings::Names;
+use bellsill_settings::{InvalidWeight, Names};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     pub serving: bool,
     pub weight: Option<f64>,
     /// What the weight says, by [`Names::rate`].
-    pub rate: f64,
+    pub rate: Option<f64>,
 }
 
 /// A list, whole or of changes.
@@ -98,7 +98,7 @@
     );
     let weight = server.get("weight").filter(|_| serving);
     let weight = weight.map(|w| w.as_f64().ok_or("weight")).transpose()?;
-    let rate = names.rate(weight).ok_or("weight")?;
+    let rate = names.rate(weight).map_err(|InvalidWeight| "weight")?;
     let destination = needed(
         server.get("cell").and_then(Value::as_u64).ok_or("cell"),
         serving,
--- a/crates/daemon/src/endpoints.rs
+++ b/crates/daemon/src/endpoints.rs
@@ -161,7 +161,7 @@
     pub fn place(&mut self, slot: MessageSlot, endpoint: EndpointId) {
         while let Some(conn) = self.endpoints[endpoint].idle.pop() {
             // After a stand-still its time may be up, and its deadline not seen yet.
-            let in_time = !self.deadlines.is_due(Due::Conn(conn), self.now);
+            let in_time = !self.deadlines.is_expired(Due::Conn(conn), self.now);
             self.deadlines.clear(Due::Conn(conn));
             // The other side may have closed it, and the poller not yet told: a call written then would be lost.
             let good = in_time
@@ -178,7 +178,7 @@
         if self.conns.full() {
             self.shed_idle();
         }
-        let bounds = (http::HEAD_MOST, COMMAND_MOST);
+        let bounds = (http::MAX_HEAD_BYTES, COMMAND_MOST);
         let opened = match !self.conns.full() {
             true => self.conns.open(
                 self.endpoints[endpoint].addr,
@@ -199,9 +199,9 @@
             }
             // Nobody was asked: taken for a refusal it would speak against the endpoint.
             Err(e) if self.conns.full() || is_local(&e) => {
-                self.end_call(slot, Outcome::NotBegun, false)
+                self.end_call(slot, Outcome::NotStarted, false)
             }
-            Err(_) => self.end_call(slot, Outcome::Unconnected, false),
+            Err(_) => self.end_call(slot, Outcome::ConnectFailed, false),
         }
     }
 
@@ -263,12 +263,12 @@
             return Err(http::Malformed);
         };
         if answer.head.is_none() {
-            answer.head = http::head(&mut conn.input)?;
+            answer.head = http::take_head(&mut conn.input)?;
         }
         let Some(head) = &mut answer.head else {
             return Ok(false);
         };
-        let whole = head.body.empty(&mut conn.input, &mut answer.left)?;
+        let whole = head.body.discard(&mut conn.input, &mut answer.left)?;
         // Without a length it ends with its connection.
         Ok(whole || (conn.ended && head.body == http::Body::UntilEnd))
     }
@@ -295,39 +295,52 @@
         let first = self
             .conns
             .get_mut(id)
-            .is_some_and(|c| http::says_relayed(c.input.bytes()));
-        let (status, wait) = answer
+            .is_some_and(|c| http::starts_with_success(c.input.contiguous()));
+        let (status, retry_after) = answer
             .head
             .as_ref()
-            .map_or((0, 0), |head| (head.status, head.wait));
+            .map_or((0, None), |head| (head.status, head.retry_after));
         let relayed = status == 200 || (answer.head.is_none() && first);
         let outcome = match status {
-            _ if relayed => Outcome::Relayed,
+            _ if relayed => Outcome::Delivered,
             _ if !read? => {
                 self.endpoints.answers.insert(id, answer);
                 return Ok(false);
             }
-            503 if wait == 0 && answer.head.as_ref().is_some_and(|head| head.over_slots) => {
-                Outcome::Unsent(true)
+            503 if retry_after.is_none()
+                && answer.head.as_ref().is_some_and(|head| head.no_capacity) =>
+            {
+                Outcome::NotSent { no_capacity: true }
             }
             // A server with no place for one more connection takes it, says so and closes it: no limit was met. Could
             // take another refusal for that, where the server closes after each: that route alone then rests.
-            503 if wait == 0 && answer.head.as_ref().is_some_and(|head| head.last) => {
-                Outcome::Unconnected
+            503 if retry_after.is_none()
+                && answer
+                    .head
+                    .as_ref()
+                    .is_some_and(|head| head.closes_connection) =>
+            {
+                Outcome::ConnectFailed
             }
-            429 | 503 => Outcome::Full(wait),
-            504 | 410 => Outcome::Unsent(false),
-            _ => Outcome::Errored,
+            429 | 503 => Outcome::RateLimited { retry_after },
+            504 | 410 => Outcome::NotSent { no_capacity: false },
+            _ => Outcome::ServerError,
         };
         let report = answer
             .head
             .as_ref()
-            .and_then(|head| head.report)
+            .and_then(|head| head.load_report)
             .filter(|_| self.reports_limits);
         self.heed_report(slot, report);
         self.endpoints.calls.remove(&id);
         match read {
-            Ok(whole) if written && !answer.head.as_ref().is_some_and(|head| head.last) => {
+            Ok(whole)
+                if written
+                    && !answer
+                        .head
+                        .as_ref()
+                        .is_some_and(|head| head.closes_connection) =>
+            {
                 self.endpoints.emptying.insert(id, answer);
                 if whole {
                     self.emptied(id);
@@ -342,13 +355,17 @@
     }
 
     /// A report that cannot be read changes nothing; that is said once.
-    fn heed_report(&mut self, slot: MessageSlot, report: Option<Result<f64, http::BadReport>>) {
+    fn heed_report(
+        &mut self,
+        slot: MessageSlot,
+        report: Option<Result<f64, http::InvalidLoadReport>>,
+    ) {
         match (
             report,
             self.messages.get_mut(slot).and_then(|m| m.call.as_mut()),
         ) {
-            (Some(Ok(limit)), Some(call)) => call.limit = limit,
-            (Some(Err(http::BadReport)), _)
+            (Some(Ok(limit)), Some(call)) => call.limit = Some(limit),
+            (Some(Err(http::InvalidLoadReport)), _)
                 if !std::mem::replace(&mut self.bad_report_said, true) =>
             {
                 log::warn!(
@@ -389,12 +406,12 @@
             Ok(false) if !ended && !self.runtime.in_time(slot) => {}
             // Half written, and its window has closed, or a drain or a wait has begun: what is not whole never runs.
             Ok(false) if !ended && self.may_not_end(slot) => {
-                self.runtime.break_call(slot, Outcome::Reset)
+                self.runtime.break_call(slot, Outcome::ConnectionReset)
             }
             Ok(false) if !ended && self.runtime.conns.flush(id).is_ok() => {}
             // The end before an answer: nobody knows whether it ran.
-            Ok(_) => self.runtime.break_call(slot, Outcome::Reset),
-            Err(_) => self.runtime.break_call(slot, Outcome::Spoilt),
+            Ok(_) => self.runtime.break_call(slot, Outcome::ConnectionReset),
+            Err(_) => self.runtime.break_call(slot, Outcome::MalformedResponse),
         }
     }
 
@@ -411,17 +428,18 @@
                     .messages
                     .get(slot)
                     .and_then(|m| Some((m.id, m.call?.endpoint)));
-                let open = call
-                    .is_some_and(|(message, e)| self.dispatcher.may_begin(runtime.now, message, e));
+                let open = call.is_some_and(|(message, e)| {
+                    self.dispatcher.may_start_attempt(runtime.now, message, e)
+                });
                 if open && runtime.in_time(slot) {
                     runtime.write_call(slot, id);
                 } else {
                     runtime.endpoints.calls.remove(&id);
                     runtime.pool(id);
-                    runtime.end_call(slot, Outcome::Unsent(false), false);
+                    runtime.end_call(slot, Outcome::NotSent { no_capacity: false }, false);
                 }
             }
-            Err(_) => runtime.break_call(slot, Outcome::Unconnected),
+            Err(_) => runtime.break_call(slot, Outcome::ConnectFailed),
         }
     }
 
@@ -441,7 +459,7 @@
             .is_some_and(|c| !c.output.is_empty());
         half && !self
             .dispatcher
-            .may_begin(self.runtime.now, id, call.endpoint)
+            .may_start_attempt(self.runtime.now, id, call.endpoint)
     }
 
     fn idle_ready(&mut self, id: ConnId) {
@@ -453,7 +471,12 @@
         good &= !conn.ended;
         let empty = conn.input.is_empty();
         if let Some(mut answer) = runtime.endpoints.emptying.remove(&id) {
-            let last = |answer: &Answer| answer.head.as_ref().is_some_and(|head| head.last);
+            let last = |answer: &Answer| {
+                answer
+                    .head
+                    .as_ref()
+                    .is_some_and(|head| head.closes_connection)
+            };
             match runtime.read_on(id, &mut answer) {
                 Ok(true) if !last(&answer) => return runtime.emptied(id),
                 Ok(false) if good && !last(&answer) => {
@@ -501,12 +524,12 @@
         let mut entries = Vec::with_capacity(list.endpoints.len());
         for listed in &list.endpoints {
             let replaced = runtime.end_replaced(listed);
-            let waits_until =
-                replaced.map_or(0, |old| self.dispatcher.suspended_until(old.endpoint));
+            let retry_after_until =
+                replaced.map(|old| self.dispatcher.suspended_until(old.endpoint));
             entries.extend(replaced);
             match runtime.entry(listed) {
-                Ok(entry) => entries.extend(entry.map(|entry| ListEntry {
-                    waits_until,
+                Ok(entry) => entries.extend(entry.map(|entry| EndpointEntry {
+                    retry_after_until,
                     ..entry
                 })),
                 Err(what) => endpoint_list::warn_of_entry(what),
@@ -534,18 +557,18 @@
             self.dispatcher.set_disabled(runtime.now, id, true, runtime);
         }
         let scope = if list.whole {
-            ListScope::Whole
+            EndpointUpdate::Snapshot
         } else {
-            ListScope::Update
+            EndpointUpdate::Delta
         };
         self.dispatcher
-            .apply_list(runtime.now, scope, &entries, runtime);
+            .update_endpoints(runtime.now, scope, &entries, runtime);
     }
 }
 
 impl Runtime {
     /// What the decisions are told of the endpoint that had a listed one's name and is another by its entry: it is gone.
-    fn end_replaced(&mut self, listed: &ListedEndpoint) -> Option<ListEntry> {
+    fn end_replaced(&mut self, listed: &ListedEndpoint) -> Option<EndpointEntry> {
         if !listed.serving {
             return None;
         }
@@ -555,16 +578,16 @@
             "endpoint {} is another by its entry: it was one of destination {destination}",
             listed.name
         );
-        Some(ListEntry {
+        Some(EndpointEntry {
             endpoint,
             destination: DestinationId(destination),
-            ..ListEntry::default()
+            ..EndpointEntry::default()
         })
     }
 
     /// What the decisions are told of a listed endpoint; nothing of one that never served and does not now, since nothing
     /// hangs on it. Else the field that cannot be read.
-    fn entry(&mut self, listed: &ListedEndpoint) -> Result<Option<ListEntry>, &'static str> {
+    fn entry(&mut self, listed: &ListedEndpoint) -> Result<Option<EndpointEntry>, &'static str> {
         let known = self.endpoints.find(&listed.name);
         let addr = match (listed.addr, known) {
             (Some(addr), _) => addr,
@@ -582,15 +605,15 @@
         let find = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(usize::MAX)
         };
-        Ok(Some(ListEntry {
+        Ok(Some(EndpointEntry {
             endpoint,
-            shared_order: crc32fast::hash(listed.name.as_bytes()),
+            name_hash: crc32fast::hash(listed.name.as_bytes()),
             destination: DestinationId(listed.destination),
             zone: ZoneId(find(&names.zones, &listed.zone)),
             kind: KindId(find(&names.kinds, &listed.kind)),
             serving: listed.serving,
             rate: listed.rate,
-            waits_until: 0,
+            retry_after_until: None,
         }))
     }
 
@@ -598,13 +621,13 @@
     fn set_serving(&mut self, endpoint: EndpointId, serving: bool) {
         self.endpoints[endpoint].serving = serving;
         if !serving {
-            self.close_idle(endpoint);
+            self.close_idle_connections(endpoint);
         }
     }
 
     /// An endpoint listens elsewhere from now on.
     fn move_endpoint(&mut self, endpoint: EndpointId, addr: SocketAddr) {
-        self.close_idle(endpoint);
+        self.close_idle_connections(endpoint);
         self.endpoints[endpoint].addr = addr;
         // What still comes up at the old address would be somebody else's by then.
         let rises = |id: &ConnId| {
@@ -614,7 +637,7 @@
         };
         let calls = self.endpoints.calls.iter().filter(|(id, _)| rises(id));
         for slot in calls.map(|(_, slot)| *slot).collect::<Vec<_>>() {
-            self.break_call(slot, Outcome::Unsent(false));
+            self.break_call(slot, Outcome::NotSent { no_capacity: false });
         }
     }
 }
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -3,7 +3,6 @@
 use crate::backoff::Backoff;
 use crate::clock;
 use crate::conns::{ConnId, Conns, Role, Seen};
-use crate::deadlines::Deadlines;
 use crate::discovery::{Discovery, WatchTimer};
 use crate::endpoint_list;
 use crate::endpoints::Endpoints;
@@ -12,9 +11,10 @@
 use crate::messages::{Due, Runtime, Stage};
 use crate::notices::Notices;
 use crate::scope::{self, SAVE_EVERY, ScopeFile};
-use crate::slots::Slots;
+use crate::slot_table::SlotTable;
 use crate::start::{self, Source, Start};
 use crate::start_retry;
+use crate::timer_queue::TimerQueue;
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::*;
 use bellsill_discovery_client::{Applied, ScopedList, ScopedOptions, Watch};
@@ -51,7 +51,7 @@
 
 /// The watch that a dispatcher keeps, and for a part of the configuration the file in which that lasts.
 fn watch_of(start: &Start) -> (Watch, Option<ScopeFile>) {
-    let facts = &start.boot.facts;
+    let facts = &start.boot.settings;
     let Some(installation) = &start.installation else {
         let backoff = Backoff::new(facts.seed, facts.dispatchers);
         return (Watch::plain(start.discovery, backoff), None);
@@ -122,7 +122,7 @@
 pub struct Daemon {
     pub dispatcher: Dispatcher,
     pub runtime: Runtime,
-    pub classes: Vec<ClassFacts>,
+    pub classes: Vec<ClassSettings>,
     /// There was no place for a client that came last.
     pub turned_away: bool,
     leave: Arc<AtomicBool>,
@@ -151,9 +151,9 @@
         let (watch, scope_file) = watch_of(&start);
         let boot = start.boot;
         let (facts, names) = (
-            BootFacts {
-                own_admission: true,
-                ..boot.facts
+            Settings {
+                caller_admission: true,
+                ..boot.settings
             },
             boot.names,
         );
@@ -179,7 +179,7 @@
         let listener =
             bind.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", start.listen)))?;
         // Kept for calls, the watch and notices.
-        let reserve = facts.slots + 8;
+        let reserve = facts.max_in_flight + 8;
         let mut daemon = Daemon {
             classes: facts.classes.clone(),
             runtime: Runtime {
@@ -191,8 +191,8 @@
                     reserve,
                     start.memory_bytes as usize / 2,
                 )?,
-                deadlines: Deadlines::default(),
-                messages: Slots::default(),
+                deadlines: TimerQueue::default(),
+                messages: SlotTable::default(),
                 slots: BTreeMap::new(),
                 held_for: BTreeMap::new(),
                 endpoints: Endpoints::default(),
@@ -209,7 +209,7 @@
                 held_out,
                 recent: Default::default(),
             },
-            dispatcher: Dispatcher::boot(now, facts),
+            dispatcher: Dispatcher::new(now, facts),
             turned_away: false,
             leave: told.leave,
             reread: told.reread,
@@ -386,7 +386,7 @@
         let wait = self
             .runtime
             .deadlines
-            .next()
+            .next_deadline()
             .map(|at| at.saturating_sub(clock::now()));
         let seen = self.runtime.conns.wait(wait.map(Duration::from_nanos))?;
         for what in seen {
@@ -401,7 +401,7 @@
         }
         self.runtime.now = clock::now();
         let mut wake = false;
-        while let Some(due) = self.runtime.deadlines.take_due(self.runtime.now) {
+        while let Some(due) = self.runtime.deadlines.pop_expired(self.runtime.now) {
             // After a stand-still much is due at once: woken first, the decisions would take attempts for out that have
             // had their time, and bounce what never ran.
             wake |= due == Due::Wake;
@@ -450,15 +450,15 @@
         let runtime = &mut self.runtime;
         let now = runtime.now;
         match due {
-            Due::Wake if self.leaving < Leaving::Ending => self.dispatcher.woken(now, runtime),
+            Due::Wake if self.leaving < Leaving::Ending => self.dispatcher.wakeup(now, runtime),
             Due::Wake => {}
             Due::Call(slot) => runtime.break_call(slot, Outcome::TimedOut),
             Due::Conn(id) => match runtime.conns.get(id).map(|c| c.role) {
                 Some(Role::Endpoint(_)) => match runtime.endpoints.calls.get(&id) {
                     Some(&slot) if runtime.endpoints.answers.contains_key(&id) => {
-                        runtime.break_call(slot, Outcome::Spoilt)
+                        runtime.break_call(slot, Outcome::MalformedResponse)
                     }
-                    Some(&slot) => runtime.break_call(slot, Outcome::Unconnected),
+                    Some(&slot) => runtime.break_call(slot, Outcome::ConnectFailed),
                     None => runtime.drop_idle(id),
                 },
                 Some(Role::Watch) => runtime.watch_timer(WatchTimer::Conn(id)),
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -14,7 +14,7 @@
 #![deny(unsafe_code)]
 
 pub use bellsill_discovery_client::backoff;
-pub use bellsill_net::{deadlines, http, ring, slots};
+pub use bellsill_net::{http, ring_buffer, slot_table, timer_queue};
 
 pub mod clock;
 pub mod command_line;
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -2,14 +2,14 @@
 //! message journal. Nothing here decides; no answer of the decisions calls them again before it returns.
 
 use crate::conns::{ConnId, Conns};
-use crate::deadlines::Deadlines;
 use crate::discovery::{Discovery, WatchIo, WatchTimer};
 use crate::endpoints::Endpoints;
 use crate::event_loop::Daemon;
 use crate::message_journal::{Ending, KeptAttempt, KeptMessage, MessageJournal};
 use crate::notices::Notices;
 use crate::recent_ids::RecentIds;
-use crate::slots::{SlotId, Slots};
+use crate::slot_table::{SlotId, SlotTable};
+use crate::timer_queue::TimerQueue;
 use bellsill_core::interface::*;
 use bellsill_discovery_client::{CacheFull, Knowledge};
 use std::collections::{BTreeMap, VecDeque};
@@ -105,8 +105,8 @@
     pub until: Nanos,
     /// Its first byte may be written, and the journal says so.
     pub begun: bool,
-    /// The limit that its answer told, nought for none.
-    pub limit: f64,
+    /// The limit that its answer reported.
+    pub limit: Option<f64>,
 }
 
 pub struct Held {
@@ -126,8 +126,8 @@
 pub struct Runtime {
     pub now: Nanos,
     pub conns: Conns,
-    pub deadlines: Deadlines<Due>,
-    pub messages: Slots<MessageSlot, Held>,
+    pub deadlines: TimerQueue<Due>,
+    pub messages: SlotTable<MessageSlot, Held>,
     pub slots: BTreeMap<MessageId, MessageSlot>,
     /// How many messages are held for each destination.
     pub held_for: BTreeMap<u64, usize>,
@@ -187,7 +187,7 @@
     pub fn hold(&mut self, message: KeptMessage) {
         let attempts = message.attempts.len() as u32;
         let class = self.class_of(&message.class);
-        let slot = self.messages.add(|_| Held {
+        let slot = self.messages.insert(|_| Held {
             id: message.id,
             destination: message.destination,
             due: message.due,
@@ -281,7 +281,7 @@
         let Some(call) = message.call.take() else {
             return;
         };
-        if outcome == Outcome::NotBegun {
+        if outcome == Outcome::NotStarted {
             message.attempts -= 1;
         }
         let (id, stage) = (message.id, message.stage);
@@ -293,16 +293,16 @@
         );
         self.deadlines.clear(Due::Call(slot));
         let was_over = stage.ended();
-        if call.begun && !was_over && outcome != Outcome::Relayed {
+        if call.begun && !was_over && outcome != Outcome::Delivered {
             // Until it is written the message counts as one that may have run.
             let _ = self.journal.outcome(id, outcome.may_have_run());
         }
-        let over = over || was_over || outcome == Outcome::Relayed;
+        let over = over || was_over || outcome == Outcome::Delivered;
         self.shift(
             slot,
             match outcome {
                 _ if was_over => stage,
-                Outcome::Relayed => Stage::Relayed,
+                Outcome::Delivered => Stage::Relayed,
                 _ if over => Stage::Withdrawn,
                 _ => Stage::Waiting,
             },
@@ -312,8 +312,8 @@
             message: id,
             number: call.no,
             outcome,
-            over,
-            took,
+            message_ended: over,
+            elapsed: took,
             reported_limit: call.limit,
         });
     }
@@ -324,7 +324,7 @@
         let Some(call) = self.messages.get(slot).and_then(|m| m.call) else {
             return;
         };
-        let in_time = matches!(outcome, Outcome::TimedOut | Outcome::CalledOff);
+        let in_time = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
         if let Some(conn) = call.conn.filter(|_| call.begun && in_time) {
             // What cannot be read is as good as not come.
             let _ = self.conns.fill(conn);
@@ -337,9 +337,9 @@
             .and_then(|c| self.conns.get(c))
             .is_some_and(|c| c.output.is_empty());
         let outcome = match outcome {
-            Outcome::Unsent(_) | Outcome::NotBegun => outcome,
+            Outcome::NotSent { .. } | Outcome::NotStarted => outcome,
             // Not all of it was written: it never ran.
-            _ if !call.begun || !written => Outcome::Unconnected,
+            _ if !call.begun || !written => Outcome::ConnectFailed,
             outcome => outcome,
         };
         if let Some(conn) = call.conn {
@@ -361,7 +361,7 @@
         };
         let endpoint = &self.endpoints[call.endpoint];
         let room = self.journal.attempt(message.id, now, &endpoint.zone);
-        let head = crate::http::call(
+        let head = crate::http::event_request(
             message.id.0,
             &message.tag,
             endpoint.addr,
@@ -372,7 +372,7 @@
         if room.is_err() {
             self.endpoints.calls.remove(&conn);
             self.pool(conn);
-            self.end_call(slot, Outcome::NotBegun, false);
+            self.end_call(slot, Outcome::NotStarted, false);
             return;
         }
         call.begun = true;
@@ -392,7 +392,7 @@
         self.endpoints.calls.insert(conn, slot);
         self.shift(slot, Stage::Out);
         if self.conns.flush(conn).is_err() {
-            self.break_call(slot, Outcome::Reset);
+            self.break_call(slot, Outcome::ConnectionReset);
         }
     }
 }
@@ -409,8 +409,8 @@
     }
 }
 
-impl Outlet for Runtime {
-    fn attempt(&mut self, message: MessageId, endpoint: EndpointId, time_out: Nanos) {
+impl Actions for Runtime {
+    fn send_attempt(&mut self, message: MessageId, endpoint: EndpointId, time_out: Nanos) {
         let Some(&slot) = self.slots.get(&message) else {
             return;
         };
@@ -427,21 +427,21 @@
             at,
             until,
             begun: false,
-            limit: 0.0,
+            limit: None,
         });
         self.deadlines.set(Due::Call(slot), until);
         self.place(slot, endpoint);
     }
 
-    fn defer(&mut self, message: MessageId, come_back: Nanos) {
+    fn reject(&mut self, message: MessageId, come_back: Nanos) {
         self.give_up(message, Stage::Deferred(come_back));
     }
 
-    fn bounce(&mut self, message: MessageId) {
+    fn fail(&mut self, message: MessageId) {
         self.give_up(message, Stage::Bounced);
     }
 
-    fn cancel(&mut self, message: MessageId, no: AttemptNumber) {
+    fn cancel_attempt(&mut self, message: MessageId, no: AttemptNumber) {
         let Some(&slot) = self.slots.get(&message) else {
             return;
         };
@@ -451,18 +451,18 @@
             .and_then(|m| m.call)
             .is_some_and(|c| c.no == no)
         {
-            self.break_call(slot, Outcome::CalledOff);
+            self.break_call(slot, Outcome::Cancelled);
         }
     }
 
-    fn close_idle(&mut self, endpoint: EndpointId) {
+    fn close_idle_connections(&mut self, endpoint: EndpointId) {
         for conn in std::mem::take(&mut self.endpoints[endpoint].idle) {
             self.deadlines.clear(Due::Conn(conn));
             self.conns.close(conn);
         }
     }
 
-    fn forget(&mut self, endpoint: EndpointId) {
+    fn endpoint_removed(&mut self, endpoint: EndpointId) {
         let of = |c: &crate::conns::Conn| c.role == crate::conns::Role::Endpoint(endpoint);
         // What the next one of that number finds is its own.
         let conns: Vec<ConnId> = self
@@ -477,7 +477,7 @@
 
     // The watch is kept open here, whatever the settings say.
     fn request_watch(&mut self) {}
-    fn wake(&mut self, after: Nanos) {
+    fn schedule_wakeup(&mut self, after: Nanos) {
         self.deadlines.set(Due::Wake, self.now + after);
     }
 
@@ -499,7 +499,7 @@
             .and_then(|m| m.call)
             .is_some_and(|c| !c.begun)
         {
-            self.break_call(slot, Outcome::Unconnected);
+            self.break_call(slot, Outcome::ConnectFailed);
         }
     }
 }
@@ -531,7 +531,9 @@
             .class_of(&message.class)
             .ok_or(Refusal::UnknownClass)?;
         let facts = &self.classes[class];
-        if message.tag.is_empty() && matches!(facts.repeat, Repeat::Deduplicated { .. }) {
+        if message.tag.is_empty()
+            && matches!(facts.semantics, DeliverySemantics::IdempotencyKey { .. })
+        {
             return Err(Refusal::Untagged);
         }
         if message.due > runtime.now + facts.lifetime + LIFETIME_SLACK {
@@ -593,8 +595,8 @@
                 class,
                 key: Some(KeyId(message.key)).filter(|key| key.0 != 0),
                 destination: DestinationId(message.destination),
-                due: message.due,
-                past: past(&message.attempts, runtime.discovery.zones()),
+                deadline: message.due,
+                history: past(&message.attempts, runtime.discovery.zones()),
             })
         };
         let all: Vec<NewMessage> = messages.iter().filter_map(new).collect();
@@ -603,7 +605,7 @@
 }
 
 /// What the decisions are told of a message's past: an outcome that nobody knows may mean that it ran.
-fn past(attempts: &[KeptAttempt], zones: &[String]) -> Past {
+fn past(attempts: &[KeptAttempt], zones: &[String]) -> MessageHistory {
     let ran = attempts.iter().find(|c| c.may_have_run != Some(false));
     let zone = |c: &KeptAttempt| {
         zones
@@ -611,8 +613,11 @@
             .position(|z| *z == c.zone)
             .unwrap_or(usize::MAX)
     };
-    Past {
+    MessageHistory {
         attempts: attempts.len() as u32,
-        ran: ran.map(|c| (c.at, ZoneId(zone(c)))),
+        possible_run: ran.map(|c| PossibleRun {
+            sent_at: c.at,
+            zone: ZoneId(zone(c)),
+        }),
     }
 }
--- a/crates/daemon/src/mgmt.rs
+++ b/crates/daemon/src/mgmt.rs
@@ -264,7 +264,7 @@
             let Some(conn) = self.runtime.conns.get_mut(id) else {
                 return;
             };
-            let bytes = conn.input.bytes();
+            let bytes = conn.input.contiguous();
             let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
                 if conn.input.len() >= LINE_MOST {
                     conn.output.push(format!("FAILURE {TOO_LONG}\n").as_bytes());
@@ -328,7 +328,7 @@
                         .ids()
                         .filter(|&e| self.runtime.endpoints[e].serving)
                         .count(),
-                    unavailable: self.dispatcher.avoided(),
+                    unavailable: self.dispatcher.unavailable_endpoints(),
                 };
                 let text = render(&self.runtime.figures, &self.runtime.class_names, &gauges);
                 self.with_scope(text)
--- a/crates/daemon/src/notices.rs
+++ b/crates/daemon/src/notices.rs
@@ -92,12 +92,12 @@
         if n.out.is_empty() {
             return;
         }
-        let request = http::notices(n.addr, &n.lines());
+        let request = http::notification_request(n.addr, &n.lines());
         let id = match n.conn {
             Some(id) => id,
             None => match self
                 .conns
-                .open(n.addr, Role::Notices, (http::HEAD_MOST, BYTES_MOST))
+                .open(n.addr, Role::Notices, (http::MAX_HEAD_BYTES, BYTES_MOST))
             {
                 Ok(id) => id,
                 Err(_) => return self.notices_broke(),
@@ -158,12 +158,12 @@
             return Ok(());
         };
         if self.notices.head.is_none() {
-            self.notices.head = http::head(&mut conn.input)?;
+            self.notices.head = http::take_head(&mut conn.input)?;
         }
         if let Some(head) = &mut self.notices.head {
             head.body.take(&mut conn.input, |_| {})?;
             if head.body == Body::Done {
-                let (status, last) = (head.status, head.last);
+                let (status, last) = (head.status, head.closes_connection);
                 self.notices.head = None;
                 if status != 204 && status != 200 {
                     log::warn!("notices: {} were answered {status}", self.notices.out.len());
--- a/crates/daemon/src/scope.rs
+++ b/crates/daemon/src/scope.rs
@@ -172,7 +172,7 @@
 }
 
 fn listed(entry: &EndpointEntry, names: &Names) -> Option<ListedEndpoint> {
-    let Some(rate) = names.rate(entry.weight) else {
+    let Ok(rate) = names.rate(entry.weight) else {
         crate::endpoint_list::warn_of_entry("weight");
         return None;
     };
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher is told at its start: the platform's file, and the folder that lasts.
 
 use crate::installation::{Installation, InstallationError};
-use bellsill_settings::{BadField, Boot, Reader};
+use bellsill_settings::{InvalidField, PlatformSettings, Reader};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
     pub disk_bytes: u64,
     /// The list of endpoints as it was held last.
     pub known: Value,
-    pub boot: Boot,
+    pub boot: PlatformSettings,
     pub state: PathBuf,
     /// Where it holds a part of the configuration alone; none where discovery tells it everything.
     pub installation: Option<Installation>,
@@ -41,7 +41,7 @@
 /// Why a dispatcher cannot start.
 #[derive(Debug)]
 pub enum BadStart {
-    Field(BadField),
+    Field(InvalidField),
     File(PathBuf, String),
     Installation(InstallationError),
 }
@@ -52,8 +52,8 @@
     }
 }
 
-impl From<BadField> for BadStart {
-    fn from(bad: BadField) -> Self {
+impl From<InvalidField> for BadStart {
+    fn from(bad: InvalidField) -> Self {
         BadStart::Field(bad)
     }
 }
@@ -107,7 +107,7 @@
     })
 }
 
-pub fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, BadField> {
+pub fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, InvalidField> {
     let r = Reader { json, place: "" };
     let address = |field: &str| {
         r.need(field, "an address such as 127.0.0.1:6379", |v| {
@@ -129,7 +129,7 @@
             .into(),
     };
     let boot = bellsill_settings::read(settings, seed, "settings")?;
-    if boot.facts.batch.iter().any(|most| *most > 1) {
+    if boot.settings.max_batch.iter().any(|most| *most > 1) {
         return Err(r.bad(
             "settings.family-info.per-call",
             "1 for each kind: a call to an endpoint carries one message",
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -2,7 +2,6 @@
 
 use bellsill_core::interface::{MessageId, Nanos};
 use bellsill_daemon::backoff::{Backoff, FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
-use bellsill_daemon::deadlines::Deadlines;
 use bellsill_daemon::discovery::KEPT_FOR;
 use bellsill_daemon::endpoint_list::ListedEndpoint;
 use bellsill_daemon::endpoints::Endpoints;
@@ -11,8 +10,9 @@
     Ending, Kept, KeptAttempt, KeptMessage, MessageJournal, NoRoom,
 };
 use bellsill_daemon::resp;
-use bellsill_daemon::ring::Ring;
-use bellsill_daemon::slots::{SlotId, Slots};
+use bellsill_daemon::ring_buffer::RingBuffer;
+use bellsill_daemon::slot_table::{SlotId, SlotTable};
+use bellsill_daemon::timer_queue::TimerQueue;
 use quickcheck::{Gen, QuickCheck, Testable};
 use std::io::Write;
 use std::path::PathBuf;
@@ -52,7 +52,7 @@
 #[test]
 fn a_ring_keeps_order_and_bound() {
     fn property(steps: Vec<(bool, Vec<u8>)>) -> bool {
-        let (mut ring, mut model) = (Ring::new(300), Vec::<u8>::new());
+        let (mut ring, mut model) = (RingBuffer::new(300), Vec::<u8>::new());
         steps.into_iter().all(|(push, bytes)| {
             if push {
                 let fits = model.len() + bytes.len() <= 300;
@@ -62,7 +62,7 @@
                 ring.consume(bytes.len());
                 model.drain(..bytes.len().min(model.len()));
             }
-            ring.bytes() == model && ring.room() == 300 - model.len()
+            ring.contiguous() == model && ring.available() == 300 - model.len()
         })
     }
     check(200, property as fn(Vec<(bool, Vec<u8>)>) -> bool);
@@ -84,10 +84,10 @@
 fn a_number_of_a_slot_given_back_hits_nothing() {
     fn property(steps: Vec<(bool, usize)>) -> bool {
         let (mut slots, mut open, mut stale) =
-            (Slots::<Id, usize>::default(), Vec::new(), Vec::new());
+            (SlotTable::<Id, usize>::default(), Vec::new(), Vec::new());
         steps.into_iter().all(|(add, n)| {
             if add || open.is_empty() {
-                open.push((slots.add(|_| n), n));
+                open.push((slots.insert(|_| n), n));
             } else {
                 let (id, n) = open.swap_remove(n % open.len());
                 assert_eq!(slots.remove(id), Some(n));
@@ -104,7 +104,7 @@
 #[test]
 fn deadlines_come_in_order_each_once_at_the_time_set_last() {
     fn property(sets: Vec<(u8, u16)>) -> bool {
-        let (mut deadlines, mut model) = (Deadlines::default(), std::collections::BTreeMap::new());
+        let (mut deadlines, mut model) = (TimerQueue::default(), std::collections::BTreeMap::new());
         for &(what, at) in &sets {
             deadlines.set(what, Nanos::from(at));
             model.insert(what, Nanos::from(at));
@@ -117,10 +117,10 @@
             model.into_iter().map(|(what, at)| (at, what)).collect();
         expected.sort();
         expected.into_iter().all(|(at, what)| {
-            deadlines.next() == Some(at)
-                && (at == 0 || deadlines.take_due(at - 1).is_none())
-                && deadlines.take_due(at) == Some(what)
-        }) && deadlines.next().is_none()
+            deadlines.next_deadline() == Some(at)
+                && (at == 0 || deadlines.pop_expired(at - 1).is_none())
+                && deadlines.pop_expired(at) == Some(what)
+        }) && deadlines.next_deadline().is_none()
     }
     check(200, property as fn(Vec<(u8, u16)>) -> bool);
 }
@@ -167,13 +167,13 @@
         }
         for bytes in [&bytes, &like] {
             let _ = resp::command(bytes);
-            let mut ring = Ring::new(64 * 1024);
+            let mut ring = RingBuffer::new(64 * 1024);
             ring.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n");
             ring.push(bytes);
-            if let Ok(Some(mut head)) = http::head(&mut ring) {
+            if let Ok(Some(mut head)) = http::take_head(&mut ring) {
                 let _ = head.body.take(&mut ring, |_| {});
             }
-            let mut ring = Ring::new(64 * 1024);
+            let mut ring = RingBuffer::new(64 * 1024);
             ring.push(bytes);
             let _ = Body::Chunked(0).take(&mut ring, |_| {});
         }
@@ -203,7 +203,7 @@
             wire.extend(&content);
         }
         wire.extend(b"NEXT");
-        let (mut ring, mut head, mut read) = (Ring::new(1 << 20), None, Vec::<u8>::new());
+        let (mut ring, mut head, mut read) = (RingBuffer::new(1 << 20), None, Vec::<u8>::new());
         let mut sizes = pieces.iter().cycle();
         let mut rest = wire.as_slice();
         while !rest.is_empty() {
@@ -214,7 +214,7 @@
             ring.push(&rest[..n]);
             rest = &rest[n..];
             if head.is_none() {
-                head = http::head(&mut ring).unwrap();
+                head = http::take_head(&mut ring).unwrap();
             }
             if let Some(head) = &mut head {
                 head.body
@@ -223,30 +223,38 @@
             }
         }
         let head = head.unwrap();
-        head.body == Body::Done && !head.last && read == content && ring.bytes() == b"NEXT"
+        head.body == Body::Done
+            && !head.closes_connection
+            && read == content
+            && ring.contiguous() == b"NEXT"
     }
     check(200, property as fn(Vec<Vec<u8>>, Vec<u8>, bool) -> bool);
 }
 
 #[test]
 fn a_retry_after_is_read_with_its_decimals() {
-    let mut ring = Ring::new(1000);
+    let mut ring = RingBuffer::new(1000);
     ring.push(
         b"HTTP/1.1 429 Busy\r\nretry-after: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
     );
-    let head = http::head(&mut ring).unwrap().unwrap();
+    let head = http::take_head(&mut ring).unwrap().unwrap();
     assert_eq!(
-        (head.status, head.wait, head.last, head.over_slots),
-        (429, 250_000_000, true, false)
+        (
+            head.status,
+            head.retry_after,
+            head.closes_connection,
+            head.no_capacity
+        ),
+        (429, Some(250_000_000), true, false)
     );
 }
 
 #[test]
 fn a_load_report_tells_a_limit_or_is_known_for_bad() {
     let report = |text: &str| {
-        let mut ring = Ring::new(1000);
+        let mut ring = RingBuffer::new(1000);
         ring.push(format!("HTTP/1.1 503 Busy\r\n{text}Content-Length: 0\r\n\r\n").as_bytes());
-        http::head(&mut ring).unwrap().unwrap().report
+        http::take_head(&mut ring).unwrap().unwrap().load_report
     };
     let named = |value: &str| report(&format!("endpoint-load-metrics: {value}\r\n"));
     assert_eq!(report(""), None);
@@ -257,7 +265,7 @@
     for bad in [
         "", "x0=0.4", "x1=", "x1=-1", "x1=NaN", "x1=inf", "x1=2e9", "x11=3", "x1:25",
     ] {
-        assert_eq!(named(bad), Some(Err(http::BadReport)), "{bad}");
+        assert_eq!(named(bad), Some(Err(http::InvalidLoadReport)), "{bad}");
     }
 }
 
@@ -500,7 +508,7 @@
         destination,
         serving: true,
         weight: None,
-        rate: 0.0,
+        rate: None,
     }
 }
 
--- a/crates/discovery-client/src/call.rs
+++ b/crates/discovery-client/src/call.rs
@@ -3,7 +3,7 @@
 use crate::documents::DocumentReader;
 use bellsill_net::Nanos;
 use bellsill_net::http::{self, Body};
-use bellsill_net::ring::Ring;
+use bellsill_net::ring_buffer::RingBuffer;
 
 /// Names one connection attempt to a server of the watch; used once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -77,12 +77,12 @@
     /// Takes what has come from `input`; `ended` says that nothing comes after it.
     pub fn read(
         &mut self,
-        input: &mut Ring,
+        input: &mut RingBuffer,
         ended: bool,
         limit: LineLimit,
     ) -> Result<Lines, CallFailure> {
         if self.body.is_none() {
-            let Some(head) = http::head(input).map_err(|_| CallFailure::NoAnswer)? else {
+            let Some(head) = http::take_head(input).map_err(|_| CallFailure::NoAnswer)? else {
                 return match ended {
                     true => Err(CallFailure::NoAnswer),
                     false => Ok(Lines {
@@ -101,7 +101,7 @@
 
     fn read_lines(
         &mut self,
-        input: &mut Ring,
+        input: &mut RingBuffer,
         ended: bool,
         limit: LineLimit,
     ) -> Result<Lines, CallFailure> {
--- a/crates/discovery-client/src/lookup.rs
+++ b/crates/discovery-client/src/lookup.rs
@@ -5,7 +5,7 @@
 use bellsill_directory::line::ScopedLine;
 use bellsill_net::Nanos;
 use bellsill_net::http::{self, Body};
-use bellsill_net::ring::Ring;
+use bellsill_net::ring_buffer::RingBuffer;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -52,11 +52,11 @@
     /// Takes what has come from `input`; `ended` says that nothing comes after it. None: more has to come.
     pub fn read(
         &mut self,
-        input: &mut Ring,
+        input: &mut RingBuffer,
         ended: bool,
     ) -> Result<Option<ScopedLine>, LookupFailure> {
         if self.body.is_none() {
-            match http::head(input).map_err(|_| LookupFailure::NoAnswer)? {
+            match http::take_head(input).map_err(|_| LookupFailure::NoAnswer)? {
                 Some(head) if head.status != 200 => return Err(LookupFailure::Status(head.status)),
                 Some(head) => self.body = Some(head.body),
                 None => {
--- a/crates/discovery-client/src/watch.rs
+++ b/crates/discovery-client/src/watch.rs
@@ -7,7 +7,7 @@
 use crate::scoped_list::{Applied, CacheFull, ScopedLineError, ScopedList};
 use crate::server_order::ServerOrder;
 use bellsill_directory::line::LONGEST_LINE;
-use bellsill_net::ring::Ring;
+use bellsill_net::ring_buffer::RingBuffer;
 use bellsill_net::{Nanos, http};
 use std::net::SocketAddr;
 
@@ -281,7 +281,7 @@
         &mut self,
         now: Nanos,
         call: CallId,
-        input: &mut Ring,
+        input: &mut RingBuffer,
         ended: bool,
     ) -> Received {
         if self.is_lookup(call) {
@@ -362,7 +362,7 @@
         self.counters.calls += 1;
         let (address, request, documents) = match &mut self.source {
             Source::Plain(source) => {
-                let request = http::watch(source.address, source.version);
+                let request = http::watch_request(source.address, source.version);
                 (
                     source.address,
                     request,
@@ -373,7 +373,7 @@
                 let address = source.servers.current();
                 let query = source.list.query(&source.dispatcher);
                 source.list.asked_anew();
-                let request = http::get(address, &format!("/api/targets?follow=1&{query}"));
+                let request = http::get_request(address, &format!("/api/targets?follow=1&{query}"));
                 (address, request, DocumentReader::Lines)
             }
         };
@@ -462,7 +462,7 @@
         }
         let forget = source.list.to_forget();
         let target = ScopedList::lookup_target(&source.dispatcher, &destinations, &forget);
-        let request = http::get(address, &target).into_bytes();
+        let request = http::get_request(address, &target).into_bytes();
         let call = CallId(self.next_call);
         self.next_call += 1;
         self.counters.lookups += 1;
@@ -477,7 +477,7 @@
         ]
     }
 
-    fn lookup_received(&mut self, now: Nanos, input: &mut Ring, ended: bool) -> Received {
+    fn lookup_received(&mut self, now: Nanos, input: &mut RingBuffer, ended: bool) -> Received {
         let Source::Scoped(source) = &mut self.source else {
             return Received::default();
         };
--- a/crates/discovery-client/tests/calls.rs
+++ b/crates/discovery-client/tests/calls.rs
@@ -6,7 +6,7 @@
 use bellsill_discovery_client::watch::{KEPT_FOR, LONGEST_SCOPED_LINE, SCOPED_SILENT_FOR};
 use bellsill_discovery_client::{CallId, Command, Received, ScopedOptions, Timer, Watch};
 use bellsill_net::Nanos;
-use bellsill_net::ring::Ring;
+use bellsill_net::ring_buffer::RingBuffer;
 use common::*;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,7 +64,7 @@
 }
 
 fn receives(watch: &mut Watch, now: Nanos, call: CallId, text: &str) -> Received {
-    let mut input = Ring::new(text.len().max(1));
+    let mut input = RingBuffer::new(text.len().max(1));
     assert!(input.push(text.as_bytes()));
     watch.received(now, call, &mut input, false)
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,21 +1,10 @@
 //! What every program of the installation that speaks over sockets needs, itself without sockets, clock or decisions:
-//! ring buffers, numbered slots, deadlines and the HTTP/1.1 that is spoken.
-// Not finished yet: see docs/ROADMAP.md.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::cognitive_complexity,
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::too_many_lines,
-    clippy::type_complexity,
-    clippy::wildcard_imports
-)]
+//! ring buffers, tables with generational ids, a timer queue and an HTTP/1.1 codec.
 
-pub mod deadlines;
 pub mod http;
-pub mod ring;
-pub mod slots;
+pub mod ring_buffer;
+pub mod slot_table;
+pub mod timer_queue;
 
-/// Nanoseconds: since the start of the wall clock's count where a time is meant.
+/// A time or a duration, in whole nanoseconds.
 pub type Nanos = u64;
--- a/crates/net/src/ring.rs
+++ b/crates/net/src/ring_buffer.rs
@@ -3,48 +3,53 @@
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
 
-/// What an empty ring may keep of its memory.
-const AT_REST: usize = 1024;
+/// How much memory an empty buffer may keep.
+const EMPTY_CAPACITY: usize = 1024;
 
-pub struct Ring {
+/// A buffer that grows up to a bound.
+pub struct RingBuffer {
     bytes: VecDeque<u8>,
     bound: usize,
 }
 
-impl Ring {
+impl RingBuffer {
+    /// An empty buffer for this many bytes at most.
     pub fn new(bound: usize) -> Self {
-        Ring {
+        RingBuffer {
             bytes: VecDeque::new(),
             bound,
         }
     }
 
+    /// How many bytes it holds.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
+    /// Whether it holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    pub fn room(&self) -> usize {
+    /// How many more bytes it takes.
+    pub fn available(&self) -> usize {
         self.bound.saturating_sub(self.bytes.len())
     }
 
-    /// Takes all of the bytes, or none where they pass the bound.
+    /// Appends all of the bytes, or none of them where they exceed the bound. Returns whether they were appended.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        let fits = bytes.len() <= self.room();
+        let fits = bytes.len() <= self.available();
         if fits {
             self.bytes.extend(bytes);
         }
         fits
     }
 
-    /// Reads until the source has no more for now, has ended (true), or the ring is full.
-    pub fn fill(&mut self, from: &mut impl Read) -> io::Result<bool> {
+    /// Reads until the source would block or has ended, or the buffer is full. Returns whether the source has ended.
+    pub fn read_from(&mut self, from: &mut impl Read) -> io::Result<bool> {
         let mut part = [0; 16 * 1024];
-        while self.room() > 0 {
-            let most = self.room().min(part.len());
+        while self.available() > 0 {
+            let most = self.available().min(part.len());
             match from.read(&mut part[..most]) {
                 Ok(0) => return Ok(true),
                 Ok(n) => {
@@ -60,8 +65,8 @@
         Ok(false)
     }
 
-    /// Writes as much as the sink takes.
-    pub fn drain(&mut self, to: &mut impl Write) -> io::Result<()> {
+    /// Writes as much as the sink takes without blocking.
+    pub fn write_to(&mut self, to: &mut impl Write) -> io::Result<()> {
         while !self.is_empty() {
             match to.write(self.bytes.as_slices().0) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -74,15 +79,16 @@
         Ok(())
     }
 
-    /// All that it holds, in one piece.
-    pub fn bytes(&mut self) -> &[u8] {
+    /// All bytes that it holds, moved into one slice.
+    pub fn contiguous(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
+    /// Removes this many bytes from the front, or all where it holds fewer.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
         if self.bytes.is_empty() {
-            self.bytes.shrink_to(AT_REST);
+            self.bytes.shrink_to(EMPTY_CAPACITY);
         }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings that an instance gets at its start: JSON under the platform's names, read into [`BootFacts`].
+//! The settings that an instance gets at its start: JSON under the platform's names, read into [`Settings`].
 // Not finished yet: see docs/ROADMAP.md.
 #![allow(
     missing_docs,
@@ -16,17 +16,21 @@
 
 /// A field of the settings that is missing or of the wrong form.
 #[derive(Debug, PartialEq)]
-pub struct BadField {
+pub struct InvalidField {
     pub field: String,
     pub expected: String,
 }
 
-impl std::fmt::Display for BadField {
+impl std::fmt::Display for InvalidField {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "field {}: expected {}", self.field, self.expected)
     }
 }
 
+/// A weight of an endpoint list that is no rate.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InvalidWeight;
+
 /// The platform's names for what the decisions know by number, and what the weights of its lists mean.
 pub struct Names {
     pub classes: Vec<String>,
@@ -39,13 +43,16 @@
 }
 
 impl Names {
-    /// The rate that a weight in a list tells, nought for none; nothing for a weight that makes no sense.
-    pub fn rate(&self, weight: Option<f64>) -> Option<f64> {
+    /// The rate that a weight in an endpoint list states, if it states one.
+    pub fn rate(&self, weight: Option<f64>) -> Result<Option<f64>, InvalidWeight> {
         match weight {
             Some(weight) if self.weights_are_rates => {
-                Some(weight).filter(|w| (0.0..=MOST).contains(w))
+                if !(0.0..=MOST).contains(&weight) {
+                    return Err(InvalidWeight);
+                }
+                Ok(Some(weight).filter(|&rate| rate > 0.0))
             }
-            _ => Some(0.0),
+            _ => Ok(None),
         }
     }
 }
@@ -55,8 +62,8 @@
 const MOST: f64 = 1e9;
 
 /// All that the settings say.
-pub struct Boot {
-    pub facts: BootFacts,
+pub struct PlatformSettings {
+    pub settings: Settings,
     pub names: Names,
     /// How long an idle connection to an endpoint stays good.
     pub keep_alive: Nanos,
@@ -74,9 +81,9 @@
 }
 
 impl<'a> Reader<'a> {
-    pub fn bad(&self, path: &str, expected: &str) -> BadField {
+    pub fn bad(&self, path: &str, expected: &str) -> InvalidField {
         let dot = if self.place.is_empty() { "" } else { "." };
-        BadField {
+        InvalidField {
             field: format!("{}{dot}{path}", self.place),
             expected: expected.to_string(),
         }
@@ -89,39 +96,39 @@
         path: &str,
         expected: &str,
         read: impl Fn(&'a Value) -> Option<T>,
-    ) -> Result<T, BadField> {
+    ) -> Result<T, InvalidField> {
         self.at(path)
             .and_then(read)
             .ok_or_else(|| self.bad(path, expected))
     }
-    pub fn num(&self, path: &str) -> Result<f64, BadField> {
+    pub fn num(&self, path: &str) -> Result<f64, InvalidField> {
         self.need(path, "a number", Value::as_f64)
     }
     /// A number between these.
-    pub fn within(&self, least: f64, most: f64, path: &str) -> Result<f64, BadField> {
+    pub fn within(&self, least: f64, most: f64, path: &str) -> Result<f64, InvalidField> {
         let expected = format!("a number from {least} to {most}");
         self.need(path, &expected, |v| {
             v.as_f64().filter(|n| (least..=most).contains(n))
         })
     }
-    pub fn count(&self, path: &str) -> Result<u64, BadField> {
+    pub fn count(&self, path: &str) -> Result<u64, InvalidField> {
         self.need(path, "a whole number", Value::as_u64)
     }
     /// A whole number that is no less than this.
-    pub fn from(&self, least: u64, path: &str) -> Result<u64, BadField> {
+    pub fn from(&self, least: u64, path: &str) -> Result<u64, InvalidField> {
         let expected = format!("a whole number from {least}");
         self.need(path, &expected, |v| v.as_u64().filter(|n| *n >= least))
     }
-    pub fn word(&self, path: &str) -> Result<&'a str, BadField> {
+    pub fn word(&self, path: &str) -> Result<&'a str, InvalidField> {
         self.need(path, "a word", Value::as_str)
     }
     pub fn flag(&self, path: &str) -> bool {
         self.at(path).and_then(Value::as_bool).unwrap_or(false)
     }
-    pub fn list(&self, path: &str) -> Result<&'a [Value], BadField> {
+    pub fn list(&self, path: &str) -> Result<&'a [Value], InvalidField> {
         self.need(path, "a list", |v| v.as_array().map(Vec::as_slice))
     }
-    pub fn words(&self, path: &str) -> Result<Vec<String>, BadField> {
+    pub fn words(&self, path: &str) -> Result<Vec<String>, InvalidField> {
         let word = |v: &Value| {
             v.as_str()
                 .map(str::to_string)
@@ -131,30 +138,33 @@
     }
 }
 
-fn class(json: &Value, place: &str) -> Result<(String, ClassFacts), BadField> {
+fn class(json: &Value, place: &str) -> Result<(String, ClassSettings), InvalidField> {
     let r = Reader { json, place };
-    let repeat = match r.word("repeat")? {
-        "idempotent" => Repeat::Idempotent,
-        "deduplicated" => Repeat::Deduplicated {
+    let semantics = match r.word("repeat")? {
+        "idempotent" => DeliverySemantics::Idempotent,
+        "deduplicated" => DeliverySemantics::IdempotencyKey {
             window: r.count("window-ns")?,
-            same_zone: r.word("dedup-scope")? != "all",
+            scope: match r.word("dedup-scope")? {
+                "all" => DeduplicationScope::Destination,
+                _ => DeduplicationScope::Zone,
+            },
         },
-        "at_most_once" => Repeat::AtMostOnce,
+        "at_most_once" => DeliverySemantics::AtMostOnce,
         _ => return Err(r.bad("repeat", "idempotent, deduplicated or at_most_once")),
     };
-    let facts = ClassFacts {
-        importance: r.within(0.0, MOST, "worth")?,
-        target_delay: r.from(1, "aim-ns")?,
+    let facts = ClassSettings {
+        priority_weight: r.within(0.0, MOST, "worth")?,
+        latency_objective: r.from(1, "aim-ns")?,
         lifetime: r.count("deadline-ns")?,
-        late_share: r.within(0.0, 1.0, "late-share")?,
-        repeat,
+        late_value_share: r.within(0.0, 1.0, "late-share")?,
+        semantics,
         ordered: r.flag("in-turn"),
     };
     Ok((r.word("name")?.to_string(), facts))
 }
 
 /// Reads the settings; `place` names the object in messages.
-pub fn read(json: &Value, seed: u64, place: &str) -> Result<Boot, BadField> {
+pub fn read(json: &Value, seed: u64, place: &str) -> Result<PlatformSettings, InvalidField> {
     let r = Reader { json, place };
     let services = r.list("services")?.iter().enumerate();
     let classes = services
@@ -195,43 +205,46 @@
         most.map(|n| n as usize)
             .ok_or_else(|| r.bad("family-info.per-call", "whole numbers from 1"))
     };
-    let facts = BootFacts {
+    let settings = Settings {
         seed,
         dispatchers: r.need("balancers", "a whole number from 1 to 4294967295", |v| {
             u32::try_from(v.as_u64()?).ok().filter(|n| *n > 0)
         })?,
-        position: r
+        dispatcher_index: r
             .at("position")
             .and_then(Value::as_u64)
             .and_then(|n| u32::try_from(n).ok()),
         classes,
-        separate_limits: own.iter().map(|v| v.as_bool().unwrap_or(false)).collect(),
-        batch: batch.iter().map(most).collect::<Result<_, _>>()?,
-        halves: r.word("family-info.decay")? == "halves",
-        slots: r.from(1, "family-info.workers")? as usize,
-        holding_room: r.from(1, "limits.max-open")? as usize,
-        own_admission: false,
+        per_endpoint_limits: own.iter().map(|v| v.as_bool().unwrap_or(false)).collect(),
+        max_batch: batch.iter().map(most).collect::<Result<_, _>>()?,
+        value_decay: match r.word("family-info.decay")? {
+            "halves" => ValueDecay::Halving,
+            _ => ValueDecay::Linear,
+        },
+        max_in_flight: r.from(1, "family-info.workers")? as usize,
+        queue_capacity: r.from(1, "limits.max-open")? as usize,
+        caller_admission: false,
         max_attempts: r.from(1, "limits.max-attempts")? as u32,
         connect_timeout: r.count("limits.connect-timeout-ns")?,
         max_retry_after: if r.flag("limits.retry-after") {
-            r.count("limits.max-retry-after-ns")?
+            Some(r.count("limits.max-retry-after-ns")?)
         } else {
-            0
+            None
         },
-        cold_share: r.within(LEAST_PART, 1.0, "guarantees.cold-share")?,
-        ramp: r.count("guarantees.ramp-time-ns")?,
-        tip_multiple: r.within(LEAST_PART, MOST, "guarantees.tip-multiple")?,
-        tip_window: r.count("guarantees.overload-for-ns")?,
+        cold_capacity_share: r.within(LEAST_PART, 1.0, "guarantees.cold-share")?,
+        slow_start: r.count("guarantees.ramp-time-ns")?,
+        overload_multiple: r.within(LEAST_PART, MOST, "guarantees.tip-multiple")?,
+        overload_window: r.count("guarantees.overload-for-ns")?,
         key_cooldown: r
             .at("guarantees.turn-gap-ns")
             .and_then(Value::as_u64)
             .unwrap_or(0),
-        watch_within: match r.at("discovery").map(Value::as_str) {
+        watch_request_limit: match r.at("discovery").map(Value::as_str) {
             None | Some(Some("pushed")) => None,
             Some(Some("on_request")) => Some(r.from(1, "guarantees.ask-within-ns")?),
             _ => return Err(r.bad("discovery", "pushed or on_request")),
         },
-        tick: r.from(1, "tick-ns")?,
+        clock_resolution: r.from(1, "tick-ns")?,
     };
     let keep_alive = r.count("limits.keepalive-ns")?;
     let drain_grace = match r.at("guarantees.drain-grace-ns") {
@@ -242,8 +255,8 @@
     let columns = r.at("report.columns").and_then(Value::as_array);
     let tells = columns.is_some_and(|all| all.iter().any(|name| name.as_str() == Some("x1")));
     let reports_limits = tells && matches!(r.word("report.how"), Ok("inline"));
-    Ok(Boot {
-        facts,
+    Ok(PlatformSettings {
+        settings,
         names,
         keep_alive,
         drain_grace,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -16,7 +16,7 @@
 use base64::Engine;
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::*;
-use bellsill_settings::Names;
+use bellsill_settings::{InvalidWeight, Names};
 use line::{Bad, Line};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -43,8 +43,8 @@
     }
 }
 
-impl Outlet for Writer<'_> {
-    fn attempt(&mut self, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
+impl Actions for Writer<'_> {
+    fn send_attempt(&mut self, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
         let to = &self.endpoints[endpoint.0 as usize];
         self.action(
             "SEND",
@@ -54,31 +54,31 @@
             ),
         );
     }
-    fn defer(&mut self, mail: MessageId, come_back: Nanos) {
+    fn reject(&mut self, mail: MessageId, come_back: Nanos) {
         self.action(
             "OVERLOAD_REPLY",
             format_args!(" txn={:016x} backoff-ns={come_back}", mail.0),
         );
     }
-    fn bounce(&mut self, mail: MessageId) {
+    fn fail(&mut self, mail: MessageId) {
         self.action("END_FAILED", format_args!(" txn={:016x}", mail.0));
     }
-    fn cancel(&mut self, mail: MessageId, no: AttemptNumber) {
+    fn cancel_attempt(&mut self, mail: MessageId, no: AttemptNumber) {
         self.action(
             "CALL_OFF",
             format_args!(" txn={:016x} round-no={}", mail.0, no.0),
         );
     }
-    fn close_idle(&mut self, endpoint: EndpointId) {
+    fn close_idle_connections(&mut self, endpoint: EndpointId) {
         let to = &self.endpoints[endpoint.0 as usize];
         self.action("SHUT_IDLE", format_args!(" endpoint={to}"));
     }
     // The bench's days are short: a name keeps its number.
-    fn forget(&mut self, _: EndpointId) {}
+    fn endpoint_removed(&mut self, _: EndpointId) {}
     fn request_watch(&mut self) {
         self.action("LISTEN", format_args!(" want=1"));
     }
-    fn wake(&mut self, after: Nanos) {
+    fn schedule_wakeup(&mut self, after: Nanos) {
         self.action("ARM", format_args!(" mark=wake sleep-for-ns={after}"));
     }
     fn log(&mut self, line: &str) {
@@ -113,7 +113,7 @@
         match line.name {
             "BOOT" => {
                 let boot = read_boot(line)?;
-                let (dispatcher, names) = (Dispatcher::boot(now, boot.facts), boot.names);
+                let (dispatcher, names) = (Dispatcher::new(now, boot.settings), boot.names);
                 let fresh = Instance {
                     dispatcher,
                     names,
@@ -150,7 +150,7 @@
         let decided = catch_unwind(AssertUnwindSafe(|| -> Result<(), Bad> {
             match line.name {
                 "MEMBERS" => match news.flatten() {
-                    Some((scope, entries)) => d.apply_list(now, scope, &entries, out),
+                    Some((scope, entries)) => d.update_endpoints(now, scope, &entries, out),
                     None => d.watch_lost(now, out),
                 },
                 "CALL" => {
@@ -160,8 +160,8 @@
                         class: ClassId(read_class(names, line)?),
                         key: line.maybe_num("resource")?.map(KeyId),
                         destination: DestinationId(line.num("destination")?),
-                        due: line.num("due-ns")?,
-                        past: Past::default(),
+                        deadline: line.num("due-ns")?,
+                        history: MessageHistory::default(),
                     };
                     d.accept(now, [mail], out);
                 }
@@ -171,8 +171,8 @@
                         message: line.hex("txn")?,
                         number: AttemptNumber(line.num("round-no")? as u32),
                         outcome: outcome(line, note)?,
-                        over: line.get("over") == Some("1"),
-                        took: line.maybe_num("wait-time-ns")?.unwrap_or(0),
+                        message_ended: line.get("over") == Some("1"),
+                        elapsed: line.maybe_num("wait-time-ns")?.unwrap_or(0),
                         reported_limit: told_limit(line)?,
                     };
                     d.attempt_ended(now, end, out);
@@ -186,7 +186,7 @@
                     note.map_err(|_| line.bad("raw", "base64"))?;
                 }
                 "ABANDONED" => d.message_withdrawn(now, line.hex("txn")?, out),
-                "DEADLINE_HIT" => d.woken(now, out),
+                "DEADLINE_HIT" => d.wakeup(now, out),
                 // Streams do not occur here.
                 _ => {}
             }
@@ -211,7 +211,7 @@
     }
 }
 
-fn read_boot(line: &Line) -> Result<bellsill_settings::Boot, Bad> {
+fn read_boot(line: &Line) -> Result<bellsill_settings::PlatformSettings, Bad> {
     let seed = line.num("salt")?;
     let json = serde_json::from_str(line.text("boot-info")?)
         .map_err(|e| line.bad("boot-info", &format!("JSON ({e})")))?;
@@ -236,39 +236,43 @@
 }
 
 /// What an answer tells of the limit there, in calls a second.
-fn told_limit(line: &Line) -> Result<f64, Bad> {
+fn told_limit(line: &Line) -> Result<Option<f64>, Bad> {
     let told = line
         .get("usage")
         .unwrap_or("")
         .split(',')
         .find_map(|pair| pair.strip_prefix("x1:"));
     match told.map(str::parse::<f64>) {
-        None => Ok(0.0),
-        Some(Ok(limit)) if (0.0..=1e9).contains(&limit) => Ok(limit),
+        None => Ok(None),
+        Some(Ok(limit)) if (0.0..=1e9).contains(&limit) => Ok(Some(limit)),
         Some(_) => Err(line.bad("usage", "x1 as a rate")),
     }
 }
 
 fn outcome(line: &Line, note: u64) -> Result<Outcome, Bad> {
     Ok(match line.num("disposition")? {
-        200 => Outcome::Relayed,
-        502 => Outcome::Errored,
-        429 => Outcome::Full(note.saturating_mul(1_000_000)),
+        200 => Outcome::Delivered,
+        502 => Outcome::ServerError,
+        429 => Outcome::RateLimited {
+            retry_after: Some(note.saturating_mul(1_000_000)).filter(|&wait| wait > 0),
+        },
         408 => Outcome::TimedOut,
-        521 => Outcome::Unconnected,
-        520 => Outcome::Reset,
-        444 => Outcome::CalledOff,
-        409 => Outcome::Unsent(note == 1),
+        521 => Outcome::ConnectFailed,
+        520 => Outcome::ConnectionReset,
+        444 => Outcome::Cancelled,
+        409 => Outcome::NotSent {
+            no_capacity: note == 1,
+        },
         _ => return Err(line.bad("disposition", "a known outcome code")),
     })
 }
 
-type News = Option<(ListScope, Vec<ListEntry>)>;
+type News = Option<(EndpointUpdate, Vec<EndpointEntry>)>;
 
 fn read_news(line: &Line, lists: &HashMap<u64, Vec<Item>>, it: &mut Instance) -> Result<News, Bad> {
     let scope = match line.text("scope")? {
-        "update" => ListScope::Update,
-        "replace" | "restored" => ListScope::Whole,
+        "update" => EndpointUpdate::Delta,
+        "replace" | "restored" => EndpointUpdate::Snapshot,
         "unavailable" => return Ok(None),
         _ => return Err(line.bad("scope", "update, replace, restored or unavailable")),
     };
@@ -285,9 +289,9 @@
                 it.endpoints.push(item.endpoint.clone());
                 next
             });
-        entries.push(ListEntry {
+        entries.push(EndpointEntry {
             endpoint,
-            shared_order: crc32fast::hash(item.endpoint.as_bytes()),
+            name_hash: crc32fast::hash(item.endpoint.as_bytes()),
             destination: item.belongs_to,
             zone: ZoneId(
                 it.names
@@ -307,8 +311,8 @@
             rate: it
                 .names
                 .rate(item.weight)
-                .ok_or_else(|| line.bad("power-hint", "a rate"))?,
-            waits_until: 0,
+                .map_err(|InvalidWeight| line.bad("power-hint", "a rate"))?,
+            retry_after_until: None,
         });
     }
     Ok(Some((scope, entries)))
--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -106,7 +106,7 @@
 /// What the auditor must know of the world; all else it sees.
 #[derive(Clone, Debug)]
 pub struct Facts {
-    pub classes: Vec<ClassFacts>,
+    pub classes: Vec<ClassSettings>,
     /// The zone of each endpoint, and what its waits bind: equal for endpoints that share them.
     pub endpoints: Vec<(usize, usize)>,
     pub drain_grace: Nanos,
@@ -585,23 +585,26 @@
             );
         }
         if let Some((_, first, first_zone)) = ran {
-            let why = match class.repeat {
-                Repeat::Idempotent => None,
-                Repeat::AtMostOnce => {
+            let why = match class.semantics {
+                DeliverySemantics::Idempotent => None,
+                DeliverySemantics::AtMostOnce => {
                     Some("it is once-only and an earlier connect may have run".to_string())
                 }
-                Repeat::Deduplicated { window, .. } if begun >= first + window + slack.time => {
+                DeliverySemantics::IdempotencyKey { window, .. }
+                    if begun >= first + window + slack.time =>
+                {
                     Some(format!(
                         "its first connect was sent {:.3} s before",
                         (begun - first) as f64 / 1e9
                     ))
                 }
-                Repeat::Deduplicated {
-                    same_zone: true, ..
+                DeliverySemantics::IdempotencyKey {
+                    scope: DeduplicationScope::Zone,
+                    ..
                 } if zone != first_zone => Some(format!(
                     "its first connect went to zone {first_zone}, this one to {zone}"
                 )),
-                Repeat::Deduplicated { .. } => None,
+                DeliverySemantics::IdempotencyKey { .. } => None,
             };
             if let Some(why) = why {
                 let out = self
@@ -780,8 +783,8 @@
         else {
             return;
         };
-        let forbidden = match self.facts.classes[mail.hand_in.class].repeat {
-            Repeat::AtMostOnce => !mail.ran.is_empty(),
+        let forbidden = match self.facts.classes[mail.hand_in.class].semantics {
+            DeliverySemantics::AtMostOnce => !mail.ran.is_empty(),
             _ => false,
         };
         if forbidden || mail.connects >= most {
@@ -803,9 +806,9 @@
         };
         let (arrival, repeat) = (
             mail.hand_in.arrival,
-            self.facts.classes[mail.hand_in.class].repeat,
+            self.facts.classes[mail.hand_in.class].semantics,
         );
-        if repeat == Repeat::Idempotent || !fresh {
+        if repeat == DeliverySemantics::Idempotent || !fresh {
             return;
         }
         self.effects
--- a/crates/testbed/src/capacity/decisions.rs
+++ b/crates/testbed/src/capacity/decisions.rs
@@ -3,7 +3,7 @@
 use super::bench::Bench;
 use super::fit::Point;
 use super::report::{Series, SeriesId};
-use crate::recording_outlet::RecordingOutlet;
+use crate::recording_actions::RecordingActions;
 use anyhow::Result;
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::*;
@@ -22,42 +22,42 @@
 const DOWN_FOR: Nanos = 3_600 * SECOND;
 
 /// The facts of a dispatcher of the full fleet, with one queue class.
-pub fn facts(seed: u64, dispatchers: u32) -> BootFacts {
-    let class = ClassFacts {
-        importance: 1.0,
-        target_delay: 2 * SECOND,
+pub fn facts(seed: u64, dispatchers: u32) -> Settings {
+    let class = ClassSettings {
+        priority_weight: 1.0,
+        latency_objective: 2 * SECOND,
         lifetime: LIFETIME,
-        late_share: 0.4,
-        repeat: Repeat::Idempotent,
+        late_value_share: 0.4,
+        semantics: DeliverySemantics::Idempotent,
         ordered: false,
     };
-    BootFacts {
+    Settings {
         seed,
         dispatchers,
         classes: vec![class],
-        separate_limits: vec![false],
-        slots: 64,
-        holding_room: 4_000_000,
-        own_admission: true,
+        per_endpoint_limits: vec![false],
+        max_in_flight: 64,
+        queue_capacity: 4_000_000,
+        caller_admission: true,
         max_attempts: 1_000_000,
         connect_timeout: SECOND,
-        max_retry_after: LIFETIME,
-        cold_share: 0.2,
-        ramp: 10 * SECOND,
-        tip_multiple: 2.0,
-        tip_window: 3 * SECOND,
-        tick: 5 * MILLISECOND,
-        ..BootFacts::default()
+        max_retry_after: Some(LIFETIME),
+        cold_capacity_share: 0.2,
+        slow_start: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: 3 * SECOND,
+        clock_resolution: 5 * MILLISECOND,
+        ..Settings::default()
     }
 }
 
 /// An entry of the list for the one endpoint of a destination.
-pub fn entry(destination: u32) -> ListEntry {
-    ListEntry {
+pub fn entry(destination: u32) -> EndpointEntry {
+    EndpointEntry {
         endpoint: EndpointId(destination),
         destination: DestinationId(u64::from(destination)),
         serving: true,
-        ..ListEntry::default()
+        ..EndpointEntry::default()
     }
 }
 
@@ -68,14 +68,14 @@
         class: ClassId(0),
         key: None,
         destination: DestinationId(u64::from(destination)),
-        due,
-        past: Past::default(),
+        deadline: due,
+        history: MessageHistory::default(),
     }
 }
 
 struct Bed {
     dispatcher: Dispatcher,
-    answers: RecordingOutlet,
+    answers: RecordingActions,
     now: Nanos,
     next_id: u64,
 }
@@ -83,10 +83,10 @@
 impl Bed {
     /// A dispatcher that knows `known` destinations, the last `down` of which are down.
     fn new(known: u32) -> Bed {
-        let mut answers = RecordingOutlet::default();
-        let mut dispatcher = Dispatcher::boot(START, facts(1, 1_900));
-        let entries: Vec<ListEntry> = (1..=known).map(entry).collect();
-        dispatcher.apply_list(START, ListScope::Whole, &entries, &mut answers);
+        let mut answers = RecordingActions::default();
+        let mut dispatcher = Dispatcher::new(START, facts(1, 1_900));
+        let entries: Vec<EndpointEntry> = (1..=known).map(entry).collect();
+        dispatcher.update_endpoints(START, EndpointUpdate::Snapshot, &entries, &mut answers);
         Bed {
             dispatcher,
             answers,
@@ -104,14 +104,14 @@
     /// Answers all attempts that are out.
     fn answer(&mut self, outcome: Outcome, took: Nanos) {
         for (mail, _) in std::mem::take(&mut self.answers.attempts) {
-            let over = outcome == Outcome::Relayed;
+            let over = outcome == Outcome::Delivered;
             let end = AttemptEnd {
                 message: mail,
                 number: AttemptNumber(0),
                 outcome,
-                over,
-                took,
-                reported_limit: 0.0,
+                message_ended: over,
+                elapsed: took,
+                reported_limit: None,
             };
             self.dispatcher
                 .attempt_ended(self.now, end, &mut self.answers);
@@ -122,7 +122,12 @@
     fn hold(&mut self, known: u32, down: u32, held: u32) {
         for i in 0..held {
             self.take(known - i % down);
-            self.answer(Outcome::Full(DOWN_FOR), MILLISECOND);
+            self.answer(
+                Outcome::RateLimited {
+                    retry_after: Some(DOWN_FOR),
+                },
+                MILLISECOND,
+            );
         }
         self.now = LOADED;
     }
@@ -132,7 +137,7 @@
         self.now += SPACE;
         self.take(destination);
         self.now += ANSWER_AFTER;
-        self.answer(Outcome::Relayed, ANSWER_AFTER);
+        self.answer(Outcome::Delivered, ANSWER_AFTER);
     }
 }
 
--- a/crates/testbed/src/capacity/wasted.rs
+++ b/crates/testbed/src/capacity/wasted.rs
@@ -5,7 +5,7 @@
 use super::decisions::{entry, facts, message};
 use super::fit::Point;
 use super::report::{Finding, Series, SeriesId};
-use crate::recording_outlet::RecordingOutlet;
+use crate::recording_actions::RecordingActions;
 use anyhow::Result;
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::*;
@@ -105,18 +105,18 @@
 
 impl Fleet {
     fn new(traffic: Traffic, dispatchers: u32) -> Fleet {
-        let entries: Vec<ListEntry> = (1..=traffic.destinations).map(entry).collect();
+        let entries: Vec<EndpointEntry> = (1..=traffic.destinations).map(entry).collect();
         let boot = |i: u32| {
-            let facts = BootFacts {
-                own_admission: false,
+            let facts = Settings {
+                caller_admission: false,
                 ..facts(traffic.seed + u64::from(i), dispatchers)
             };
-            let mut dispatcher = Dispatcher::boot(START, facts);
-            dispatcher.apply_list(
+            let mut dispatcher = Dispatcher::new(START, facts);
+            dispatcher.update_endpoints(
                 START,
-                ListScope::Whole,
+                EndpointUpdate::Snapshot,
                 &entries,
-                &mut RecordingOutlet::default(),
+                &mut RecordingActions::default(),
             );
             dispatcher
         };
@@ -150,7 +150,7 @@
                 self.next_id += 1;
                 self.ask(dispatcher, |d, out| d.accept(now, [new], out));
             }
-            Event::Wake { dispatcher } => self.ask(dispatcher, |d, out| d.woken(now, out)),
+            Event::Wake { dispatcher } => self.ask(dispatcher, |d, out| d.wakeup(now, out)),
             Event::Answer {
                 dispatcher,
                 mail,
@@ -158,16 +158,16 @@
                 relayed,
             } => {
                 let (outcome, took) = match relayed {
-                    true => (Outcome::Relayed, ANSWER_AFTER),
-                    false => (Outcome::Unconnected, 0),
+                    true => (Outcome::Delivered, ANSWER_AFTER),
+                    false => (Outcome::ConnectFailed, 0),
                 };
                 let end = AttemptEnd {
                     message: mail,
                     number: AttemptNumber(attempt),
                     outcome,
-                    over: relayed,
-                    took,
-                    reported_limit: 0.0,
+                    message_ended: relayed,
+                    elapsed: took,
+                    reported_limit: None,
                 };
                 self.ask(dispatcher, |d, out| d.attempt_ended(now, end, out));
             }
@@ -175,8 +175,12 @@
     }
 
     /// One call on a dispatcher's decisions, and what comes of their answers.
-    fn ask(&mut self, dispatcher: usize, call: impl FnOnce(&mut Dispatcher, &mut RecordingOutlet)) {
-        let mut answers = RecordingOutlet::default();
+    fn ask(
+        &mut self,
+        dispatcher: usize,
+        call: impl FnOnce(&mut Dispatcher, &mut RecordingActions),
+    ) {
+        let mut answers = RecordingActions::default();
         call(&mut self.dispatchers[dispatcher], &mut answers);
         for (mail, endpoint) in answers.attempts {
             let relayed = endpoint.0 > self.traffic.down;
--- a/crates/testbed/src/hollow/dispatcher.rs
+++ b/crates/testbed/src/hollow/dispatcher.rs
@@ -11,7 +11,7 @@
 use bellsill_discovery_client::{
     Applied, BucketMap, CallId, Command, ScopedList, ScopedOptions, Timer, Watch,
 };
-use bellsill_net::ring::Ring;
+use bellsill_net::ring_buffer::RingBuffer;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -155,7 +155,7 @@
         now: Nanos,
         surroundings: &Surroundings,
         call: CallId,
-        input: &mut Ring,
+        input: &mut RingBuffer,
         ended: bool,
     ) {
         let received = self.watch.received(now, call, input, ended);
--- a/crates/testbed/src/hollow/routes.rs
+++ b/crates/testbed/src/hollow/routes.rs
@@ -3,10 +3,11 @@
 
 use super::messages::BucketDigest;
 use super::plan::{DispatcherIndex, Plan};
-use crate::recording_outlet::RecordingOutlet;
+use crate::recording_actions::RecordingActions;
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::*;
-use bellsill_directory::line::{EndpointEntry, EndpointState};
+use bellsill_directory::line;
+use bellsill_directory::line::EndpointState;
 use bellsill_placement::BucketId;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -32,25 +33,25 @@
 
 impl RouteTable {
     pub fn new(now: Nanos, seed: u64, dispatchers: usize) -> Self {
-        let facts = BootFacts {
+        let facts = Settings {
             seed,
             dispatchers: dispatchers as u32,
             classes: vec![queue_class()],
-            separate_limits: vec![false],
-            batch: vec![1],
-            slots: 64,
-            holding_room: 10_000,
-            own_admission: true,
+            per_endpoint_limits: vec![false],
+            max_batch: vec![1],
+            max_in_flight: 64,
+            queue_capacity: 10_000,
+            caller_admission: true,
             max_attempts: 3,
             connect_timeout: 1_000_000_000,
-            cold_share: 0.2,
-            ramp: 10_000_000_000,
-            tip_multiple: 2.0,
-            tip_window: 1_000_000_000,
-            tick: 1_000_000,
-            ..BootFacts::default()
+            cold_capacity_share: 0.2,
+            slow_start: 10_000_000_000,
+            overload_multiple: 2.0,
+            overload_window: 1_000_000_000,
+            clock_resolution: 1_000_000,
+            ..Settings::default()
         };
-        let decisions = Dispatcher::boot(now, facts);
+        let decisions = Dispatcher::new(now, facts);
         RouteTable {
             decisions,
             routes: BTreeMap::new(),
@@ -66,8 +67,8 @@
 
     pub fn woken(&mut self, now: Nanos) {
         self.wake_at = None;
-        let mut outlet = RecordingOutlet::default();
-        self.decisions.woken(now, &mut outlet);
+        let mut outlet = RecordingActions::default();
+        self.decisions.wakeup(now, &mut outlet);
         self.follow(now, outlet);
     }
 
@@ -76,23 +77,23 @@
         &mut self,
         now: Nanos,
         plan: &Plan,
-        changed: impl IntoIterator<Item = &'a EndpointEntry>,
+        changed: impl IntoIterator<Item = &'a line::EndpointEntry>,
         dropped: &[String],
     ) {
-        let mut entries: Vec<ListEntry> =
+        let mut entries: Vec<EndpointEntry> =
             dropped.iter().filter_map(|name| self.gone(name)).collect();
         entries.extend(
             changed
                 .into_iter()
                 .filter_map(|entry| self.listed(plan, entry)),
         );
-        let mut outlet = RecordingOutlet::default();
+        let mut outlet = RecordingActions::default();
         self.decisions
-            .apply_list(now, ListScope::Update, &entries, &mut outlet);
+            .update_endpoints(now, EndpointUpdate::Delta, &entries, &mut outlet);
         self.follow(now, outlet);
     }
 
-    fn follow(&mut self, now: Nanos, outlet: RecordingOutlet) {
+    fn follow(&mut self, now: Nanos, outlet: RecordingActions) {
         if let Some(after) = outlet.wake_after {
             self.wake_at = Some(now + after);
         }
@@ -104,14 +105,14 @@
         self.free.extend(outlet.forgotten);
     }
 
-    fn gone(&mut self, name: &str) -> Option<ListEntry> {
+    fn gone(&mut self, name: &str) -> Option<EndpointEntry> {
         let route = self.routes.get_mut(name)?;
         route.serving = false;
         Some(list_entry(route))
     }
 
     /// None for an endpoint that never served and does not now.
-    fn listed(&mut self, plan: &Plan, entry: &EndpointEntry) -> Option<ListEntry> {
+    fn listed(&mut self, plan: &Plan, entry: &line::EndpointEntry) -> Option<EndpointEntry> {
         let serving = entry.state == EndpointState::Up;
         if !serving && !self.routes.contains_key(&entry.id) {
             return None;
@@ -161,26 +162,26 @@
     }
 }
 
-fn queue_class() -> ClassFacts {
-    ClassFacts {
-        importance: 1.0,
-        target_delay: 5_000_000_000,
+fn queue_class() -> ClassSettings {
+    ClassSettings {
+        priority_weight: 1.0,
+        latency_objective: 5_000_000_000,
         lifetime: 60_000_000_000,
-        late_share: 0.5,
-        repeat: Repeat::Idempotent,
+        late_value_share: 0.5,
+        semantics: DeliverySemantics::Idempotent,
         ordered: false,
     }
 }
 
-fn list_entry(route: &Route) -> ListEntry {
-    ListEntry {
+fn list_entry(route: &Route) -> EndpointEntry {
+    EndpointEntry {
         endpoint: route.endpoint,
         destination: DestinationId(route.destination),
         zone: route.zone,
         kind: KindId(0),
         serving: route.serving,
-        rate: 0.0,
-        ..ListEntry::default()
+        rate: None,
+        ..EndpointEntry::default()
     }
 }
 
--- a/crates/testbed/src/hollow/worker.rs
+++ b/crates/testbed/src/hollow/worker.rs
@@ -10,7 +10,7 @@
 use bellsill_core::interface::Nanos;
 use bellsill_directory::line::Version;
 use bellsill_discovery_client::CallId;
-use bellsill_net::ring::Ring;
+use bellsill_net::ring_buffer::RingBuffer;
 use polling::{Event, Events, PollMode, Poller};
 use slotmap::{DefaultKey, Key, KeyData, SlotMap};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -35,7 +35,7 @@
     call: CallId,
     server: SocketAddr,
     rising: bool,
-    input: Ring,
+    input: RingBuffer,
     /// What is to be written of the request.
     output: Vec<u8>,
 }
@@ -299,7 +299,7 @@
     fn read(&mut self, key: DefaultKey) -> Result<()> {
         let connection = &mut self.connections[key];
         let before = connection.input.len();
-        let filled = connection.input.fill(&mut connection.socket);
+        let filled = connection.input.read_from(&mut connection.socket);
         let count = connection.input.len() - before;
         let now = clock::now();
         let (index, call, server) = (connection.dispatcher, connection.call, connection.server);
@@ -417,7 +417,7 @@
             }
             return Ok(());
         }
-        let input = Ring::new(INPUT_ROOM);
+        let input = RingBuffer::new(INPUT_ROOM);
         let connection = Connection {
             socket,
             dispatcher,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod load;
 pub mod measure;
 pub mod record;
-pub mod recording_outlet;
+pub mod recording_actions;
 pub mod report;
 pub mod run;
 pub mod sockets;
--- a/crates/testbed/src/recording_outlet.rs
+++ b/crates/testbed/src/recording_actions.rs
@@ -4,7 +4,7 @@
 
 /// What the decisions answered.
 #[derive(Default)]
-pub struct RecordingOutlet {
+pub struct RecordingActions {
     /// The attempts that they ordered, in their order.
     pub attempts: Vec<(MessageId, EndpointId)>,
     /// How long until they want to be woken, as they said last.
@@ -13,26 +13,26 @@
     pub forgotten: Vec<EndpointId>,
 }
 
-impl Outlet for RecordingOutlet {
-    fn attempt(&mut self, message: MessageId, endpoint: EndpointId, _: Nanos) {
+impl Actions for RecordingActions {
+    fn send_attempt(&mut self, message: MessageId, endpoint: EndpointId, _: Nanos) {
         self.attempts.push((message, endpoint));
     }
 
-    fn defer(&mut self, _: MessageId, _: Nanos) {}
+    fn reject(&mut self, _: MessageId, _: Nanos) {}
 
-    fn bounce(&mut self, _: MessageId) {}
+    fn fail(&mut self, _: MessageId) {}
 
-    fn cancel(&mut self, _: MessageId, _: AttemptNumber) {}
+    fn cancel_attempt(&mut self, _: MessageId, _: AttemptNumber) {}
 
-    fn close_idle(&mut self, _: EndpointId) {}
+    fn close_idle_connections(&mut self, _: EndpointId) {}
 
-    fn forget(&mut self, endpoint: EndpointId) {
+    fn endpoint_removed(&mut self, endpoint: EndpointId) {
         self.forgotten.push(endpoint);
     }
 
     fn request_watch(&mut self) {}
 
-    fn wake(&mut self, after: Nanos) {
+    fn schedule_wakeup(&mut self, after: Nanos) {
         self.wake_after = Some(after);
     }
 
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -497,19 +497,20 @@
             "balancers": d.count,
             "dcs": plan.spec.world.zones,
             "flavors": plan.spec.kinds.iter().map(|k| &k.name).collect::<Vec<_>>(),
-            "family-info": {"decay": "halves", "own-limits": facts.separate_limits, "workers": facts.slots},
+            "family-info": {"decay": "halves", "own-limits": facts.per_endpoint_limits, "workers": facts.max_in_flight},
             "services": plan.spec.classes.iter().map(class).collect::<Vec<_>>(),
             "limits": {
-                "max-open": facts.holding_room, "max-attempts": facts.max_attempts,
+                "max-open": facts.queue_capacity, "max-attempts": facts.max_attempts,
                 "connect-timeout-ns": facts.connect_timeout, "keepalive-ns": ms(d.keep_alive_ms),
-                "retry-after": facts.max_retry_after > 0, "max-retry-after-ns": facts.max_retry_after,
+                "retry-after": facts.max_retry_after.is_some(),
+                "max-retry-after-ns": facts.max_retry_after.unwrap_or(0),
             },
             "guarantees": {
                 "cold-share": r.cold_share, "ramp-time-ns": ms(r.ramp_ms), "tip-multiple": r.tip_multiple,
                 "overload-for-ns": ms(r.tip_window_ms), "drain-grace-ns": ms(r.drain_grace_ms),
                 "turn-gap-ns": ms(r.key_rest_ms),
             },
-            "tick-ns": facts.tick,
+            "tick-ns": facts.clock_resolution,
         }
     })
 }
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -38,27 +38,27 @@
     now: Nanos,
 }
 
-impl Outlet for Answers {
-    fn attempt(&mut self, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
+impl Actions for Answers {
+    fn send_attempt(&mut self, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
         self.commands
             .push(Command::Connect(mail, endpoint, time_out));
     }
-    fn defer(&mut self, mail: MessageId, come_back: Nanos) {
+    fn reject(&mut self, mail: MessageId, come_back: Nanos) {
         self.commands.push(Command::Defer(mail, come_back));
     }
-    fn bounce(&mut self, mail: MessageId) {
+    fn fail(&mut self, mail: MessageId) {
         self.commands.push(Command::Bounce(mail));
     }
-    fn cancel(&mut self, mail: MessageId, no: AttemptNumber) {
+    fn cancel_attempt(&mut self, mail: MessageId, no: AttemptNumber) {
         self.commands.push(Command::CallOff(mail, no));
     }
-    fn close_idle(&mut self, endpoint: EndpointId) {
+    fn close_idle_connections(&mut self, endpoint: EndpointId) {
         self.commands.push(Command::HangUp(endpoint));
     }
-    fn forget(&mut self, _: EndpointId) {}
+    fn endpoint_removed(&mut self, _: EndpointId) {}
     // The model's lists come by themselves.
     fn request_watch(&mut self) {}
-    fn wake(&mut self, after: Nanos) {
+    fn schedule_wakeup(&mut self, after: Nanos) {
         self.commands.push(Command::Wake(after));
     }
     fn log(&mut self, line: &str) {
@@ -80,7 +80,7 @@
     due: Nanos,
     taken: u64,
     connects: u32,
-    ran: Option<(Nanos, ZoneId)>,
+    possible_run: Option<PossibleRun>,
     out: Option<Out>,
     ended: bool,
 }
@@ -258,7 +258,7 @@
                     let out = self.hosts[host].mails.get(&mail).and_then(|m| m.out);
                     if out.is_some_and(|out| out.no == no) {
                         self.close_call(host, mail);
-                        self.end_call(host, mail, AttemptOutcome::CalledOff);
+                        self.end_call(host, mail, AttemptOutcome::Cancelled);
                     }
                 }
                 Command::HangUp(endpoint) => self.hang_up(host, endpoint),
@@ -305,7 +305,7 @@
             due,
             taken: host.taken,
             connects: 0,
-            ran: None,
+            possible_run: None,
             out: None,
             ended: false,
         };
@@ -341,7 +341,7 @@
                 }
             }
             Event::Wake { host, count } if self.hosts[host].wake == count => {
-                self.ask(host, |d, now, out| d.woken(now, out))
+                self.ask(host, |d, now, out| d.wakeup(now, out))
             }
             Event::Wake { .. } => {}
             Event::TimeOut {
@@ -357,7 +357,7 @@
                     }
                     self.close_call(host, mail);
                     let outcome = if unconnected {
-                        AttemptOutcome::Unconnected
+                        AttemptOutcome::ConnectFailed
                     } else {
                         AttemptOutcome::TimedOut
                     };
@@ -396,7 +396,9 @@
                     self.ledger.measure.opened(now);
                     conn
                 }
-                Opening::Refused => return self.end_call(host, mail, AttemptOutcome::Unconnected),
+                Opening::Refused => {
+                    return self.end_call(host, mail, AttemptOutcome::ConnectFailed);
+                }
                 Opening::Never => {
                     let at = now + time_out.min(connect_timeout);
                     return self.later(
@@ -453,7 +455,7 @@
                     call,
                     by_endpoint: true,
                 });
-                self.end_call(host, mail, AttemptOutcome::Reset);
+                self.end_call(host, mail, AttemptOutcome::ConnectionReset);
             }
         }
     }
@@ -527,16 +529,19 @@
         let Some(out) = held.out.take() else { return };
         if outcome.may_have_run() {
             let zone = ZoneId(self.world.endpoint(out.endpoint).zone);
-            held.ran.get_or_insert((out.at, zone));
+            held.possible_run.get_or_insert(PossibleRun {
+                sent_at: out.at,
+                zone,
+            });
         }
-        let over = held.ended || outcome == AttemptOutcome::Relayed;
+        let over = held.ended || outcome == AttemptOutcome::Delivered;
         if over {
             if !held.ended {
                 h.held -= 1;
             }
             let arrival = held.arrival.no;
             h.mails.remove(&mail);
-            if outcome == AttemptOutcome::Relayed {
+            if outcome == AttemptOutcome::Delivered {
                 self.open.remove(&arrival);
             }
         }
@@ -544,9 +549,9 @@
             message: mail,
             number: out.no,
             outcome,
-            over,
-            took: now - out.at,
-            reported_limit: 0.0,
+            message_ended: over,
+            elapsed: now - out.at,
+            reported_limit: None,
         };
         self.ended.push_back((host, end));
     }
@@ -585,10 +590,12 @@
                 }
                 let out = self.hosts[host].mails.get(&mail).and_then(|m| m.out);
                 let outcome = match answer {
-                    Answer::Relayed => AttemptOutcome::Relayed,
-                    Answer::Errored => AttemptOutcome::Errored,
-                    Answer::Full(wait) => AttemptOutcome::Full(wait.unwrap_or(0)),
-                    Answer::Spoilt => AttemptOutcome::Spoilt,
+                    Answer::Relayed => AttemptOutcome::Delivered,
+                    Answer::Errored => AttemptOutcome::ServerError,
+                    Answer::Full(wait) => AttemptOutcome::RateLimited {
+                        retry_after: wait.filter(|&wait| wait > 0),
+                    },
+                    Answer::Spoilt => AttemptOutcome::MalformedResponse,
                 };
                 match (answer, out) {
                     (Answer::Spoilt, _) | (_, None) => self.world.close(conn),
@@ -611,7 +618,7 @@
                         by_endpoint: true,
                     });
                 }
-                self.end_call(host, mail, AttemptOutcome::Reset);
+                self.end_call(host, mail, AttemptOutcome::ConnectionReset);
             }
             Effect::Applied { call, fresh, .. } => {
                 if let Some(call) = self.call_nos.get(&call).copied() {
@@ -671,21 +678,21 @@
             }
         }
         self.ask(host, |d, now, out| {
-            d.apply_list(now, ListScope::Update, &entries, out)
+            d.update_endpoints(now, EndpointUpdate::Delta, &entries, out)
         });
     }
 
-    fn entry(&self, endpoint: EndpointId, serving: bool) -> ListEntry {
+    fn entry(&self, endpoint: EndpointId, serving: bool) -> EndpointEntry {
         let plan = self.world.endpoint(endpoint);
-        ListEntry {
+        EndpointEntry {
             endpoint,
-            shared_order: crc32fast::hash(&endpoint.0.to_le_bytes()),
+            name_hash: crc32fast::hash(&endpoint.0.to_le_bytes()),
             destination: DestinationId(plan.destination as u64),
             zone: ZoneId(plan.zone),
             kind: KindId(plan.kind),
             serving,
-            rate: 0.0,
-            waits_until: 0,
+            rate: None,
+            retry_after_until: None,
         }
     }
 
@@ -715,7 +722,10 @@
             };
             if let Some(out) = held.out.take().filter(|out| out.call.is_some()) {
                 let zone = ZoneId(self.world.endpoint(out.endpoint).zone);
-                held.ran.get_or_insert((out.at, zone));
+                held.possible_run.get_or_insert(PossibleRun {
+                    sent_at: out.at,
+                    zone,
+                });
             }
         }
         self.hosts[host].mails.retain(|_, held| !held.ended);
@@ -734,15 +744,15 @@
         h.leaving = false;
         h.takes_from = self.now + START_TAKES;
         let facts = self.world.plan.boot_facts(host, h.starts);
-        h.d = Some(Dispatcher::boot(self.now, facts));
+        h.d = Some(Dispatcher::new(self.now, facts));
         let list = self.world.listing(self.hosts[host].version);
-        let entries: Vec<ListEntry> = list
+        let entries: Vec<EndpointEntry> = list
             .iter()
             .map(|(e, listed)| self.entry(*e, *listed == Listed::Up))
             .collect();
         self.see(Seen::Started { dispatcher: host });
         self.ask(host, |d, now, out| {
-            d.apply_list(now, ListScope::Whole, &entries, out)
+            d.update_endpoints(now, EndpointUpdate::Snapshot, &entries, out)
         });
         let mut kept: Vec<(u64, NewMessage)> = self.hosts[host]
             .mails
@@ -763,10 +773,10 @@
         class: ClassId(held.arrival.class),
         key: held.arrival.key.map(KeyId),
         destination: DestinationId(held.arrival.destination as u64),
-        due: held.due,
-        past: Past {
+        deadline: held.due,
+        history: MessageHistory {
             attempts: held.connects,
-            ran: held.ran,
+            possible_run: held.possible_run,
         },
     }
 }
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,7 +1,9 @@
 //! What a world is made of, drawn from an experiment and a seed: equal seeds give equal plans.
 
 use crate::spec::*;
-use bellsill_core::interface::{BootFacts, ClassFacts, Nanos, Repeat};
+use bellsill_core::interface::{
+    ClassSettings, DeduplicationScope, DeliverySemantics, Nanos, Settings, ValueDecay,
+};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -276,44 +278,47 @@
     }
 
     /// What the decisions of one dispatcher are told at its start.
-    pub fn boot_facts(&self, dispatcher: usize, start: u32) -> BootFacts {
+    pub fn boot_facts(&self, dispatcher: usize, start: u32) -> Settings {
         let (d, r) = (&self.spec.dispatchers, &self.spec.rules);
-        let class = |c: &Class| ClassFacts {
-            importance: c.importance,
-            target_delay: ms(c.target_ms),
+        let class = |c: &Class| ClassSettings {
+            priority_weight: c.importance,
+            latency_objective: ms(c.target_ms),
             lifetime: ms(c.lifetime_ms),
-            late_share: c.late_share,
-            repeat: match c.repeat {
-                RepeatWord::Redeliverable => Repeat::Idempotent,
-                RepeatWord::Tagged => Repeat::Deduplicated {
+            late_value_share: c.late_share,
+            semantics: match c.repeat {
+                RepeatWord::Redeliverable => DeliverySemantics::Idempotent,
+                RepeatWord::Tagged => DeliverySemantics::IdempotencyKey {
                     window: ms(c.window_ms),
-                    same_zone: c.same_zone,
+                    scope: match c.same_zone {
+                        true => DeduplicationScope::Zone,
+                        false => DeduplicationScope::Destination,
+                    },
                 },
-                RepeatWord::OnceOnly => Repeat::AtMostOnce,
+                RepeatWord::OnceOnly => DeliverySemantics::AtMostOnce,
             },
             ordered: c.ordered_keys > 0,
         };
-        BootFacts {
+        Settings {
             seed: self.dispatcher_seed(dispatcher, start),
             dispatchers: d.count as u32,
-            position: Some(dispatcher as u32),
+            dispatcher_index: Some(dispatcher as u32),
             classes: self.spec.classes.iter().map(class).collect(),
-            separate_limits: self.spec.kinds.iter().map(|k| k.apart).collect(),
-            batch: vec![],
-            halves: true,
-            slots: self.slots(),
-            holding_room: self.hold(),
-            own_admission: false,
+            per_endpoint_limits: self.spec.kinds.iter().map(|k| k.apart).collect(),
+            max_batch: vec![],
+            value_decay: ValueDecay::Halving,
+            max_in_flight: self.slots(),
+            queue_capacity: self.hold(),
+            caller_admission: false,
             max_attempts: d.max_connects,
             connect_timeout: ms(d.connect_timeout_ms),
-            max_retry_after: ms(d.max_come_back_ms),
-            cold_share: r.cold_share,
-            ramp: ms(r.ramp_ms),
-            tip_multiple: r.tip_multiple,
-            tip_window: ms(r.tip_window_ms),
+            max_retry_after: Some(ms(d.max_come_back_ms)).filter(|&most| most > 0),
+            cold_capacity_share: r.cold_share,
+            slow_start: ms(r.ramp_ms),
+            overload_multiple: r.tip_multiple,
+            overload_window: ms(r.tip_window_ms),
             key_cooldown: ms(r.key_rest_ms),
-            watch_within: None,
-            tick: 5 * MS,
+            watch_request_limit: None,
+            clock_resolution: 5 * MS,
         }
     }
 
--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -8,13 +8,13 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-fn class(repeat: Repeat, ordered: bool) -> ClassFacts {
-    ClassFacts {
-        importance: 1.0,
-        target_delay: S,
+fn class(repeat: DeliverySemantics, ordered: bool) -> ClassSettings {
+    ClassSettings {
+        priority_weight: 1.0,
+        latency_objective: S,
         lifetime: 10 * S,
-        late_share: 0.4,
-        repeat,
+        late_value_share: 0.4,
+        semantics: repeat,
         ordered,
     }
 }
@@ -23,16 +23,16 @@
 fn auditor() -> Auditor {
     Auditor::new(Facts {
         classes: vec![
-            class(Repeat::Idempotent, false),
+            class(DeliverySemantics::Idempotent, false),
             class(
-                Repeat::Deduplicated {
+                DeliverySemantics::IdempotencyKey {
                     window: 4 * S,
-                    same_zone: true,
+                    scope: DeduplicationScope::Zone,
                 },
                 false,
             ),
-            class(Repeat::AtMostOnce, false),
-            class(Repeat::AtMostOnce, true),
+            class(DeliverySemantics::AtMostOnce, false),
+            class(DeliverySemantics::AtMostOnce, true),
         ],
         endpoints: vec![(0, 0), (0, 1), (1, 2), (1, 3)],
         drain_grace: 2 * S,
