--- a/crates/testbed/tests/subset.rs
+++ b/crates/testbed/tests/subset.rs
@@ -2,7 +2,7 @@
 
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::*;
-use bellsill_testbed::recording_outlet::RecordingOutlet;
+use bellsill_testbed::recording_actions::RecordingActions;
 use std::collections::BTreeMap;
 
 const MS: Nanos = 1_000_000;
@@ -11,7 +11,7 @@
 
 struct Fleet {
     dispatcher: Dispatcher,
-    out: RecordingOutlet,
+    out: RecordingActions,
     now: Nanos,
     next: u64,
 }
@@ -19,37 +19,37 @@
 impl Fleet {
     /// One dispatcher of a fleet, with so many routes to one destination, each with a limit of its own.
     fn member(dispatchers: u32, position: u32, routes: u32) -> Fleet {
-        let class = ClassFacts {
-            importance: 1.0,
-            target_delay: 2 * S,
+        let class = ClassSettings {
+            priority_weight: 1.0,
+            latency_objective: 2 * S,
             lifetime: 10 * S,
-            late_share: 0.5,
-            repeat: Repeat::Idempotent,
+            late_value_share: 0.5,
+            semantics: DeliverySemantics::Idempotent,
             ordered: false,
         };
-        let facts = BootFacts {
+        let facts = Settings {
             seed: u64::from(position) + 1,
             dispatchers,
-            position: Some(position),
+            dispatcher_index: Some(position),
             classes: vec![class],
-            separate_limits: vec![true],
-            slots: 64,
-            holding_room: 100,
-            own_admission: true,
+            per_endpoint_limits: vec![true],
+            max_in_flight: 64,
+            queue_capacity: 100,
+            caller_admission: true,
             max_attempts: 6,
             connect_timeout: S,
-            cold_share: 0.2,
-            ramp: 10 * S,
-            tip_multiple: 2.0,
-            tip_window: 3 * S,
-            tick: 5 * MS,
-            ..BootFacts::default()
+            cold_capacity_share: 0.2,
+            slow_start: 10 * S,
+            overload_multiple: 2.0,
+            overload_window: 3 * S,
+            clock_resolution: 5 * MS,
+            ..Settings::default()
         };
         let now = 1_000 * S;
-        let mut out = RecordingOutlet::default();
-        let mut dispatcher = Dispatcher::boot(now, facts);
-        let entries: Vec<ListEntry> = (0..routes).map(entry).collect();
-        dispatcher.apply_list(now, ListScope::Whole, &entries, &mut out);
+        let mut out = RecordingActions::default();
+        let mut dispatcher = Dispatcher::new(now, facts);
+        let entries: Vec<EndpointEntry> = (0..routes).map(entry).collect();
+        dispatcher.update_endpoints(now, EndpointUpdate::Snapshot, &entries, &mut out);
         Fleet {
             dispatcher,
             out,
@@ -67,8 +67,8 @@
             class: ClassId(0),
             key: None,
             destination: DESTINATION,
-            due: self.now + 10 * S,
-            past: Past::default(),
+            deadline: self.now + 10 * S,
+            history: MessageHistory::default(),
         };
         self.dispatcher.accept(self.now, [message], &mut self.out);
         *self.out.attempts.last().unwrap()
@@ -79,9 +79,9 @@
             message,
             number: AttemptNumber(0),
             outcome,
-            over: outcome == Outcome::Relayed,
-            took: 50 * MS,
-            reported_limit: 0.0,
+            message_ended: outcome == Outcome::Delivered,
+            elapsed: 50 * MS,
+            reported_limit: None,
         };
         self.dispatcher.attempt_ended(self.now, end, &mut self.out);
     }
@@ -92,19 +92,19 @@
         for _ in 0..messages {
             let sent = self.send();
             *used.entry(sent.1).or_default() += 1;
-            self.ends(sent, Outcome::Relayed);
+            self.ends(sent, Outcome::Delivered);
         }
         used
     }
 }
 
-fn entry(endpoint: u32) -> ListEntry {
-    ListEntry {
+fn entry(endpoint: u32) -> EndpointEntry {
+    EndpointEntry {
         endpoint: EndpointId(endpoint),
-        shared_order: endpoint.wrapping_mul(0x9e37_79b9),
+        name_hash: endpoint.wrapping_mul(0x9e37_79b9),
         destination: DESTINATION,
         serving: true,
-        ..ListEntry::default()
+        ..EndpointEntry::default()
     }
 }
 
@@ -147,7 +147,12 @@
         // Each refusal moves its message to another route at once.
         let sent = fleet.send();
         assert!(subset.contains_key(&sent.1));
-        fleet.ends(sent, Outcome::Full(60 * S));
+        fleet.ends(
+            sent,
+            Outcome::RateLimited {
+                retry_after: Some(60 * S),
+            },
+        );
     }
     let last = *fleet.out.attempts.last().unwrap();
     assert!(
@@ -157,6 +162,6 @@
     for _ in 0..20 {
         let sent = fleet.send();
         assert!(!subset.contains_key(&sent.1), "a told wait was not kept");
-        fleet.ends(sent, Outcome::Relayed);
+        fleet.ends(sent, Outcome::Delivered);
     }
 }
