--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::conns::ConnId;
 use crate::event_loop::Daemon;
-use crate::message_journal::KeptMessage;
+use crate::journal::JournaledMessage;
 use crate::messages::{Due, Refusal, Runtime};
 use crate::resp;
 use bellsill_core::interface::*;
@@ -341,16 +341,16 @@
         // side early and yet listens.
         let listens = self.runtime.conns.get(conn).is_some_and(|c| !c.ended);
         let class = self.runtime.class_of(&put.class);
-        let message = KeptMessage {
+        let message = JournaledMessage {
             id: MessageId(put.id),
             class: put.class,
             key: put.key,
             destination: put.destination,
-            due: self
+            deadline: self
                 .runtime
                 .now
                 .saturating_add(put.lifetime_ms.saturating_mul(1_000_000)),
-            tag: put.tag,
+            idempotency_key: put.tag,
             body,
             attempts: vec![],
         };
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -6,8 +6,8 @@
 use crate::discovery::{Discovery, WatchTimer};
 use crate::endpoint_list;
 use crate::endpoints::Endpoints;
+use crate::journal::{MessageJournal, Recovered};
 use crate::leaving::{LET_IN_FOR, Leaving};
-use crate::message_journal::{Kept, MessageJournal};
 use crate::messages::{Due, Runtime, Stage};
 use crate::notices::Notices;
 use crate::scope::{self, SAVE_EVERY, ScopeFile};
@@ -173,7 +173,8 @@
         let held_out = start_retry::wait_out(&told.leave, || crate::mgmt::load_held(&start.state))
             .map_err(in_folder)?;
         kept.messages.extend(adopted.messages);
-        kept.owed.extend(adopted.owed);
+        kept.pending_notifications
+            .extend(adopted.pending_notifications);
         let held_stamp = crate::mgmt::held_stamp(&start.state);
         let bind = start_retry::wait_out(&told.leave, || shared_listener(start.listen));
         let listener =
@@ -327,16 +328,16 @@
     }
 
     /// Messages go back to the decisions with their past; notices are owed until they are answered.
-    fn recover(&mut self, kept: Kept) {
-        for id in self.runtime.journal.take_ended() {
+    fn recover(&mut self, kept: Recovered) {
+        for id in self.runtime.journal.take_resolved() {
             self.runtime.recent.note(self.runtime.now, id);
         }
-        for (id, ending) in kept.owed {
+        for (id, ending) in kept.pending_notifications {
             self.runtime.notices.owe(id, ending);
         }
         // One met twice, in two journals, is taken once.
-        let mut kept = Kept {
-            owed: Vec::new(),
+        let mut kept = Recovered {
+            pending_notifications: Vec::new(),
             ..kept
         };
         kept.messages
@@ -353,7 +354,7 @@
             }
         }
         let known =
-            |m: &crate::message_journal::KeptMessage| self.runtime.class_of(&m.class).is_some();
+            |m: &crate::journal::JournaledMessage| self.runtime.class_of(&m.class).is_some();
         let (known, unknown): (Vec<_>, Vec<_>) = kept.messages.into_iter().partition(known);
         for message in unknown {
             if let Some(&slot) = self.runtime.slots.get(&message.id) {
--- a/crates/daemon/src/message_journal/live.rs
+++ b/crates/daemon/src/journal/live.rs
@@ -1,7 +1,7 @@
 //! The records that still count, by message, as they stand in the journal or are to be written: from them alone a file
 //! is written anew.
 
-use super::{Kept, record};
+use super::{Recovered, record};
 use bellsill_core::interface::MessageId;
 use std::collections::BTreeMap;
 
@@ -20,12 +20,12 @@
 }
 
 impl LiveRecords {
-    pub fn of(kept: &Kept) -> LiveRecords {
+    pub fn of(kept: &Recovered) -> LiveRecords {
         let mut live = LiveRecords::default();
         kept.messages
             .iter()
             .for_each(|message| live.put(message.id, record::message(message)));
-        kept.owed
+        kept.pending_notifications
             .iter()
             .for_each(|&(id, ending)| live.put(id, record::ended(id, Some(ending))));
         live
--- a/crates/daemon/src/message_journal/mod.rs
+++ b/crates/daemon/src/journal/mod.rs
@@ -34,39 +34,44 @@
 
 /// How a message ended that was not relayed: the notice that it is owed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
-    Deferred(Nanos),
-    Bounced,
+pub enum Resolution {
+    /// Its client may send it again after this time.
+    Rejected {
+        /// In nanoseconds; zero: at once.
+        retry_after: Nanos,
+    },
+    /// It failed.
+    Failed,
 }
 
 /// An attempt whose first byte may have been written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeptAttempt {
-    pub at: Nanos,
+pub struct JournaledAttempt {
+    pub sent_at: Nanos,
     pub zone: String,
     /// None: no outcome is known.
     pub may_have_run: Option<bool>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct KeptMessage {
+pub struct JournaledMessage {
     pub id: MessageId,
     pub class: String,
     pub key: u64,
     pub destination: u64,
     /// On the dispatcher's clock.
-    pub due: Nanos,
-    pub tag: String,
+    pub deadline: Nanos,
+    pub idempotency_key: String,
     pub body: Vec<u8>,
-    pub attempts: Vec<KeptAttempt>,
+    pub attempts: Vec<JournaledAttempt>,
 }
 
 /// What a journal holds that still counts.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct Recovered {
     /// In the order in which they were taken.
-    pub messages: Vec<KeptMessage>,
-    pub owed: Vec<(MessageId, Ending)>,
+    pub messages: Vec<JournaledMessage>,
+    pub pending_notifications: Vec<(MessageId, Resolution)>,
 }
 
 /// Nothing was written: the disk limit leaves no place, or the disk took no more.
@@ -111,7 +116,7 @@
 impl MessageJournal {
     /// Opens the first journal of this folder that no other process holds and tells what it holds; `room` is the disk
     /// limit in bytes. The others are taken in by [`MessageJournal::adopt`].
-    pub fn open(folder: &Path, room: u64) -> io::Result<(MessageJournal, Kept)> {
+    pub fn open(folder: &Path, room: u64) -> io::Result<(MessageJournal, Recovered)> {
         std::fs::create_dir_all(folder)?;
         let journals = Journals::new(folder);
         let (own, mut file) = journals.open_own()?;
@@ -167,9 +172,9 @@
     /// into this one, and only then are they removed. True beside: another one is still held, or cannot be taken in yet.
     /// One is taken in whole or not at all: of one half taken, messages that have ended here since would be taken for
     /// new. What is known already is not taken again.
-    pub fn adopt(&mut self) -> (Kept, bool) {
+    pub fn adopt(&mut self) -> (Recovered, bool) {
         self.emptying.retain_mut(|emptying| !emptying.try_again());
-        let (mut all, mut again) = (Kept::default(), !self.emptying.is_empty());
+        let (mut all, mut again) = (Recovered::default(), !self.emptying.is_empty());
         for other in self.journals.others(self.own) {
             if self
                 .emptying
@@ -184,7 +189,7 @@
                 Ok(Adoption::Taken(kept)) => {
                     again |= !self.emptying.is_empty();
                     all.messages.extend(kept.messages);
-                    all.owed.extend(kept.owed);
+                    all.pending_notifications.extend(kept.pending_notifications);
                 }
                 Err(e) => {
                     log::error!("message journal: another's cannot be taken over yet: {e}");
@@ -211,7 +216,8 @@
         self.ended.extend(read.ended);
         let mut kept = read.kept;
         kept.messages.retain(|m| !self.live.contains(m.id));
-        kept.owed.retain(|(id, _)| !self.live.contains(*id));
+        kept.pending_notifications
+            .retain(|(id, _)| !self.live.contains(*id));
         let live = LiveRecords::of(&kept);
         if live.total() > 0 {
             let record = record::adopted(Extent::of(&bytes), &live.bytes());
@@ -241,13 +247,13 @@
     }
 
     /// The messages that had ended before, by the journals read since the last call.
-    pub fn take_ended(&mut self) -> Vec<MessageId> {
+    pub fn take_resolved(&mut self) -> Vec<MessageId> {
         std::mem::take(&mut self.ended)
     }
 
     /// A new message, before its client hears of it. A quarter of the room is left to what follows for the messages held, also
     /// beside another process's journal.
-    pub fn taken(&mut self, message: &KeptMessage) -> Result<(), NoRoom> {
+    pub fn append_accepted(&mut self, message: &JournaledMessage) -> Result<(), NoRoom> {
         let record = record::taken(message);
         let size = record.len() as u64;
         if 2 * (blocks(self.live.total() + size) + BLOCK) > self.room / 4 * 3 {
@@ -266,21 +272,29 @@
     }
 
     /// An attempt, before its first byte.
-    pub fn attempt(&mut self, id: MessageId, at: Nanos, zone: &str) -> Result<(), NoRoom> {
+    pub fn append_attempt(&mut self, id: MessageId, at: Nanos, zone: &str) -> Result<(), NoRoom> {
         let record = record::attempt(id, at, zone);
         self.append(&record)?;
         self.live.extend(id, &record);
         Ok(())
     }
 
-    pub fn outcome(&mut self, id: MessageId, may_have_run: bool) -> Result<(), NotYetWritten> {
+    pub fn append_outcome(
+        &mut self,
+        id: MessageId,
+        may_have_run: bool,
+    ) -> Result<(), NotYetWritten> {
         let record = record::outcome(id, may_have_run);
         self.live.extend(id, &record);
         self.append_or_keep(record)
     }
 
     /// The end of a message; a notice is owed from then on, if an ending is named.
-    pub fn ended(&mut self, id: MessageId, ending: Option<Ending>) -> Result<(), NotYetWritten> {
+    pub fn append_resolved(
+        &mut self,
+        id: MessageId,
+        ending: Option<Resolution>,
+    ) -> Result<(), NotYetWritten> {
         let record = record::ended(id, ending);
         self.live.remove(id);
         if ending.is_some() {
@@ -290,18 +304,18 @@
     }
 
     /// The platform has taken the message's notice.
-    pub fn told(&mut self, id: MessageId) -> Result<(), NotYetWritten> {
+    pub fn append_notified(&mut self, id: MessageId) -> Result<(), NotYetWritten> {
         self.live.remove(id);
         self.append_or_keep(record::told(id))
     }
 
     /// Whether writing failed last, or something that has happened is not written yet.
-    pub fn is_behind(&self) -> bool {
+    pub fn has_unwritten(&self) -> bool {
         self.failing || self.torn || self.must_write_anew || !self.unwritten.is_empty()
     }
 
     /// Writes what could not be written before. With nothing to write, it finds out whether writes go again.
-    pub fn catch_up(&mut self) -> Result<(), NoRoom> {
+    pub fn write_pending(&mut self) -> Result<(), NoRoom> {
         if self.must_write_anew {
             return self.replace_file();
         }
@@ -339,7 +353,7 @@
 
     fn append(&mut self, record: &[u8]) -> Result<(), NoRoom> {
         if self.must_write_anew || !self.unwritten.is_empty() {
-            self.catch_up()?;
+            self.write_pending()?;
         }
         self.make_room(record.len() as u64)?;
         self.write(record)
@@ -494,11 +508,11 @@
     Nothing,
     /// A process still holds it, or this journal takes no more now.
     Held,
-    Taken(Kept),
+    Taken(Recovered),
 }
 
 fn warn_of_translation(translation: Translation, read: &Replayed) {
-    if translation != Translation::Same && read.kept != Kept::default() {
+    if translation != Translation::Same && read.kept != Recovered::default() {
         let why = if read.clock.is_some() {
             "another boot of the machine"
         } else {
--- a/crates/daemon/src/message_journal/record.rs
+++ b/crates/daemon/src/journal/record.rs
@@ -1,6 +1,6 @@
 //! The records of the message journal: a length, a checksum and a payload, which is a kind and its fields.
 
-use super::{Ending, KeptAttempt, KeptMessage};
+use super::{JournaledAttempt, JournaledMessage, Resolution};
 use crate::clock::ClockReading;
 use bellsill_core::interface::{MessageId, Nanos};
 
@@ -13,10 +13,10 @@
     /// The clock that all times of the file are on; first in the file. Older journals have none: theirs are on the wall
     /// clock.
     Clock(ClockReading),
-    Taken(KeptMessage),
+    Taken(JournaledMessage),
     Attempt {
         id: MessageId,
-        attempt: KeptAttempt,
+        attempt: JournaledAttempt,
     },
     Outcome {
         id: MessageId,
@@ -24,7 +24,7 @@
     },
     Ended {
         id: MessageId,
-        ending: Option<Ending>,
+        ending: Option<Resolution>,
     },
     Told {
         id: MessageId,
@@ -87,13 +87,13 @@
     sealed(p)
 }
 
-pub fn taken(message: &KeptMessage) -> Vec<u8> {
+pub fn taken(message: &JournaledMessage) -> Vec<u8> {
     let mut p = begin(b'M', message.id);
-    for number in [message.key, message.destination, message.due] {
+    for number in [message.key, message.destination, message.deadline] {
         p.extend(number.to_le_bytes());
     }
     put_bytes(&mut p, message.class.as_bytes());
-    put_bytes(&mut p, message.tag.as_bytes());
+    put_bytes(&mut p, message.idempotency_key.as_bytes());
     put_bytes(&mut p, &message.body);
     sealed(p)
 }
@@ -111,12 +111,12 @@
     sealed(p)
 }
 
-pub fn ended(id: MessageId, ending: Option<Ending>) -> Vec<u8> {
+pub fn ended(id: MessageId, ending: Option<Resolution>) -> Vec<u8> {
     let mut p = begin(b'E', id);
     let (how, wait) = match ending {
         None => (0, 0),
-        Some(Ending::Bounced) => (1, 0),
-        Some(Ending::Deferred(wait)) => (2, wait),
+        Some(Resolution::Failed) => (1, 0),
+        Some(Resolution::Rejected { retry_after: wait }) => (2, wait),
     };
     p.push(how);
     p.extend(wait.to_le_bytes());
@@ -136,10 +136,14 @@
 }
 
 /// All records that say anew what is kept of a message.
-pub fn message(message: &KeptMessage) -> Vec<u8> {
+pub fn message(message: &JournaledMessage) -> Vec<u8> {
     let mut bytes = taken(message);
     for attempt_made in &message.attempts {
-        bytes.extend(attempt(message.id, attempt_made.at, &attempt_made.zone));
+        bytes.extend(attempt(
+            message.id,
+            attempt_made.sent_at,
+            &attempt_made.zone,
+        ));
         if let Some(may_have_run) = attempt_made.may_have_run {
             bytes.extend(outcome(message.id, may_have_run));
         }
@@ -199,20 +203,20 @@
         b'M' => {
             let (key, destination, due) = (f.number()?, f.number()?, f.number()?);
             let (class, tag, body) = (f.text()?, f.text()?, f.bytes()?.to_vec());
-            Record::Taken(KeptMessage {
+            Record::Taken(JournaledMessage {
                 id,
                 class,
                 key,
                 destination,
-                due,
-                tag,
+                deadline: due,
+                idempotency_key: tag,
                 body,
                 attempts: vec![],
             })
         }
         b'C' => {
-            let attempt = KeptAttempt {
-                at: f.number()?,
+            let attempt = JournaledAttempt {
+                sent_at: f.number()?,
                 zone: f.text()?,
                 may_have_run: None,
             };
@@ -226,8 +230,8 @@
             let (how, wait) = (f.byte()?, f.number()?);
             let ending = match how {
                 0 => None,
-                1 => Some(Ending::Bounced),
-                _ => Some(Ending::Deferred(wait)),
+                1 => Some(Resolution::Failed),
+                _ => Some(Resolution::Rejected { retry_after: wait }),
             };
             Record::Ended { id, ending }
         }
--- a/crates/daemon/src/message_journal/replay.rs
+++ b/crates/daemon/src/journal/replay.rs
@@ -1,7 +1,7 @@
 //! Reads a journal: what still counts of its records, and what stands between them that is none.
 
 use super::record::{self, Extent, Record};
-use super::{Kept, KeptMessage};
+use super::{JournaledMessage, Recovered};
 use crate::clock::{ClockReading, Translation};
 use crate::recent_ids;
 use bellsill_core::interface::MessageId;
@@ -10,7 +10,7 @@
 /// What a journal's bytes came to.
 #[derive(Debug, Default)]
 pub struct Replayed {
-    pub kept: Kept,
+    pub kept: Recovered,
     /// How many bytes come before the first that belong to no whole record.
     pub good: usize,
     /// Bytes of no record that whole records follow: damage, where a torn end would be what a kill leaves.
@@ -26,16 +26,16 @@
 /// Collects what still counts while records are read in order.
 #[derive(Default)]
 struct Replay {
-    messages: Vec<Option<KeptMessage>>,
+    messages: Vec<Option<JournaledMessage>>,
     place: BTreeMap<MessageId, usize>,
-    owed: Vec<(MessageId, super::Ending)>,
+    owed: Vec<(MessageId, super::Resolution)>,
     clock: Option<ClockReading>,
     adopted: Vec<Extent>,
     ended: VecDeque<MessageId>,
 }
 
 impl Replay {
-    fn message(&mut self, id: MessageId) -> Option<&mut KeptMessage> {
+    fn message(&mut self, id: MessageId) -> Option<&mut JournaledMessage> {
         self.messages[*self.place.get(&id)?].as_mut()
     }
 
@@ -101,9 +101,9 @@
         }
     }
     Replayed {
-        kept: Kept {
+        kept: Recovered {
             messages: all.messages.into_iter().flatten().collect(),
-            owed: all.owed,
+            pending_notifications: all.owed,
         },
         good: good.unwrap_or(bytes.len()),
         damaged,
@@ -121,9 +121,9 @@
             None => reading.translation_from_wall(),
         };
         for message in &mut self.kept.messages {
-            message.due = translation.apply(message.due);
+            message.deadline = translation.apply(message.deadline);
             for attempt in &mut message.attempts {
-                attempt.at = translation.apply(attempt.at);
+                attempt.sent_at = translation.apply(attempt.sent_at);
             }
         }
         translation
--- a/crates/daemon/src/leaving.rs
+++ b/crates/daemon/src/leaving.rs
@@ -41,7 +41,7 @@
             .conns
             .iter()
             .any(|(_, c)| c.role == Role::Client);
-        let recorded = !self.runtime.journal.is_behind();
+        let recorded = !self.runtime.journal.has_unwritten();
         let quiet = self.runtime.messages.is_empty()
             && self.runtime.notices.owed() == 0
             && !inside
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{Discovery, WatchIo, WatchTimer};
 use crate::endpoints::Endpoints;
 use crate::event_loop::Daemon;
-use crate::message_journal::{Ending, KeptAttempt, KeptMessage, MessageJournal};
+use crate::journal::{JournaledAttempt, JournaledMessage, MessageJournal, Resolution};
 use crate::notices::Notices;
 use crate::recent_ids::RecentIds;
 use crate::slot_table::{SlotId, SlotTable};
@@ -170,8 +170,8 @@
     }
 
     /// Holds a message that is new to the journal. False: there is no room.
-    fn take(&mut self, message: KeptMessage) -> bool {
-        if self.journal.taken(&message).is_err() {
+    fn take(&mut self, message: JournaledMessage) -> bool {
+        if self.journal.append_accepted(&message).is_err() {
             return false;
         }
         self.hold(message);
@@ -184,15 +184,15 @@
     }
 
     /// Holds a message that the journal knows.
-    pub fn hold(&mut self, message: KeptMessage) {
+    pub fn hold(&mut self, message: JournaledMessage) {
         let attempts = message.attempts.len() as u32;
         let class = self.class_of(&message.class);
         let slot = self.messages.insert(|_| Held {
             id: message.id,
             destination: message.destination,
-            due: message.due,
+            due: message.deadline,
             class,
-            tag: message.tag,
+            tag: message.idempotency_key,
             body: message.body,
             stage: Stage::Waiting,
             attempts,
@@ -215,7 +215,7 @@
 
     /// Has the journal try again while it is behind.
     pub fn watch_journal(&mut self) {
-        if self.journal.is_behind() {
+        if self.journal.has_unwritten() {
             self.deadlines
                 .set_if_unset(Due::Journal, self.now + JOURNAL_AGAIN);
         } else {
@@ -226,7 +226,7 @@
     /// The journal tries again.
     pub fn catch_up_journal(&mut self) {
         // Whether it went shows when it is looked at again.
-        let _ = self.journal.catch_up();
+        let _ = self.journal.write_pending();
     }
 
     /// The only place where a message changes its stage: keeps the journal, the notices owed and the tables true.
@@ -241,8 +241,10 @@
         );
         if to.ended() && !from.ended() {
             let ending = match to {
-                Stage::Deferred(come_back) => Some(Ending::Deferred(come_back)),
-                Stage::Bounced => Some(Ending::Bounced),
+                Stage::Deferred(come_back) => Some(Resolution::Rejected {
+                    retry_after: come_back,
+                }),
+                Stage::Bounced => Some(Resolution::Failed),
                 _ => None,
             };
             let counted = match to {
@@ -256,7 +258,7 @@
             }
             message.body = Vec::new();
             // A notice that went ahead of its record would be forgotten by a kill, and the message sent after it.
-            let recorded = self.journal.ended(id, ending).is_ok();
+            let recorded = self.journal.append_resolved(id, ending).is_ok();
             match ending {
                 Some(ending) if recorded => self.notices.owe(id, ending),
                 Some(ending) => self.notices.owe_once_recorded(id, ending, due),
@@ -295,7 +297,7 @@
         let was_over = stage.ended();
         if call.begun && !was_over && outcome != Outcome::Delivered {
             // Until it is written the message counts as one that may have run.
-            let _ = self.journal.outcome(id, outcome.may_have_run());
+            let _ = self.journal.append_outcome(id, outcome.may_have_run());
         }
         let over = over || was_over || outcome == Outcome::Delivered;
         self.shift(
@@ -360,7 +362,7 @@
             return;
         };
         let endpoint = &self.endpoints[call.endpoint];
-        let room = self.journal.attempt(message.id, now, &endpoint.zone);
+        let room = self.journal.append_attempt(message.id, now, &endpoint.zone);
         let head = crate::http::event_request(
             message.id.0,
             &message.tag,
@@ -522,7 +524,7 @@
     /// decisions begin. One that is held already, or has ended of late, is answered like one that was just taken.
     pub fn accept(
         &mut self,
-        message: KeptMessage,
+        message: JournaledMessage,
         answer: impl FnOnce(&mut Runtime),
     ) -> Result<(), Refusal> {
         let takes = self.accepts_messages();
@@ -531,12 +533,12 @@
             .class_of(&message.class)
             .ok_or(Refusal::UnknownClass)?;
         let facts = &self.classes[class];
-        if message.tag.is_empty()
+        if message.idempotency_key.is_empty()
             && matches!(facts.semantics, DeliverySemantics::IdempotencyKey { .. })
         {
             return Err(Refusal::Untagged);
         }
-        if message.due > runtime.now + facts.lifetime + LIFETIME_SLACK {
+        if message.deadline > runtime.now + facts.lifetime + LIFETIME_SLACK {
             return Err(Refusal::TooLong);
         }
         if !runtime.may_serve(message.destination) {
@@ -585,9 +587,9 @@
 
     /// Takes messages that are held to the decisions, with what a former process did for them. Those of no class that is
     /// known are not among them: their end is given where they are found.
-    pub fn decide_on(&mut self, messages: &[KeptMessage]) {
+    pub fn decide_on(&mut self, messages: &[JournaledMessage]) {
         let runtime = &mut self.runtime;
-        let new = |message: &KeptMessage| {
+        let new = |message: &JournaledMessage| {
             // By another class's rules it might run twice.
             let class = ClassId(runtime.class_of(&message.class)?);
             Some(NewMessage {
@@ -595,7 +597,7 @@
                 class,
                 key: Some(KeyId(message.key)).filter(|key| key.0 != 0),
                 destination: DestinationId(message.destination),
-                deadline: message.due,
+                deadline: message.deadline,
                 history: past(&message.attempts, runtime.discovery.zones()),
             })
         };
@@ -605,9 +607,9 @@
 }
 
 /// What the decisions are told of a message's past: an outcome that nobody knows may mean that it ran.
-fn past(attempts: &[KeptAttempt], zones: &[String]) -> MessageHistory {
+fn past(attempts: &[JournaledAttempt], zones: &[String]) -> MessageHistory {
     let ran = attempts.iter().find(|c| c.may_have_run != Some(false));
-    let zone = |c: &KeptAttempt| {
+    let zone = |c: &JournaledAttempt| {
         zones
             .iter()
             .position(|z| *z == c.zone)
@@ -616,7 +618,7 @@
     MessageHistory {
         attempts: attempts.len() as u32,
         possible_run: ran.map(|c| PossibleRun {
-            sent_at: c.at,
+            sent_at: c.sent_at,
             zone: ZoneId(zone(c)),
         }),
     }
--- a/crates/daemon/src/notices.rs
+++ b/crates/daemon/src/notices.rs
@@ -2,7 +2,7 @@
 
 use crate::conns::{ConnId, Role};
 use crate::http::{self, Body, Head};
-use crate::message_journal::Ending;
+use crate::journal::Resolution;
 use crate::messages::{Due, Runtime};
 use bellsill_core::interface::{MessageId, Nanos};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 
 pub struct Notices {
     addr: SocketAddr,
-    owed: BTreeMap<MessageId, Ending>,
+    owed: BTreeMap<MessageId, Resolution>,
     /// Those whose records are not written yet: until then, or until this time, they wait.
     unrecorded_until: BTreeMap<MessageId, Nanos>,
     /// Those of the request that is out.
@@ -44,13 +44,13 @@
         }
     }
 
-    pub fn owe(&mut self, id: MessageId, ending: Ending) {
+    pub fn owe(&mut self, id: MessageId, ending: Resolution) {
         self.owed.insert(id, ending);
     }
 
     /// Owes a notice whose record could not be written. Sent at once, a kill would forget it, and the message would go out
     /// after its notice. At `due` it is sent in any case: nothing goes out for the message from then on.
-    pub fn owe_once_recorded(&mut self, id: MessageId, ending: Ending, due: Nanos) {
+    pub fn owe_once_recorded(&mut self, id: MessageId, ending: Resolution, due: Nanos) {
         self.owe(id, ending);
         self.unrecorded_until.insert(id, due);
     }
@@ -66,8 +66,8 @@
 
     fn lines(&self) -> String {
         let line = |id: &MessageId| match self.owed[id] {
-            Ending::Bounced => format!("{{\"ref\":\"{:016x}\",\"result\":\"dead\"}}\n", id.0),
-            Ending::Deferred(wait) => {
+            Resolution::Failed => format!("{{\"ref\":\"{:016x}\",\"result\":\"dead\"}}\n", id.0),
+            Resolution::Rejected { retry_after: wait } => {
                 let ms = wait.div_ceil(1_000_000);
                 format!(
                     "{{\"ref\":\"{:016x}\",\"result\":\"bounced\",\"wait_ms\":{ms}}}\n",
@@ -175,7 +175,7 @@
                     self.notices.owed.remove(&message);
                     self.notices.unrecorded_until.remove(&message);
                     // Until it is written, a restart would tell it once more.
-                    let _ = self.journal.told(message);
+                    let _ = self.journal.append_notified(message);
                 }
                 if last {
                     return Err(http::Malformed);
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -265,7 +265,7 @@
         .count();
     let kept = rig.kept();
     assert_eq!(
-        (kept.messages.len(), kept.owed.len()),
+        (kept.messages.len(), kept.pending_notifications.len()),
         (taken, 0),
         "one given up while it could wait"
     );
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub mod ledger;
 pub mod soak;
 
-use bellsill_daemon::message_journal::{Kept, MessageJournal};
+use bellsill_daemon::journal::{MessageJournal, Recovered};
 use faults::Faults;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -329,12 +329,12 @@
     }
 
     /// What the journal holds at this moment.
-    pub fn kept(&self) -> Kept {
+    pub fn kept(&self) -> Recovered {
         self.kept_in("mails")
     }
 
     /// What that journal of the folder holds at this moment.
-    pub fn kept_in(&self, journal: &str) -> Kept {
+    pub fn kept_in(&self, journal: &str) -> Recovered {
         // A folder of its own each time: a process that another test starts just now holds a lock on the last one's file
         // until it is the program, and the journal would be taken for another's and found empty.
         let copy = self
--- a/crates/daemon/tests/endings.rs
+++ b/crates/daemon/tests/endings.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use bellsill_daemon::message_journal::Kept;
+use bellsill_daemon::journal::Recovered;
 use common::*;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -252,7 +252,10 @@
         messages.insert(client.message(class, 7 + n as u64 / 2 % 2, ms, "x"));
     }
     let held = rig.kept();
-    assert!(held.messages.iter().all(|m| m.attempts.is_empty()) && held.owed.is_empty());
+    assert!(
+        held.messages.iter().all(|m| m.attempts.is_empty())
+            && held.pending_notifications.is_empty()
+    );
     assert_eq!(kept_ids(&rig), messages);
     rig.kill();
     assert_eq!(kept_ids(&rig), messages);
@@ -262,7 +265,7 @@
     wait_for("all of them", || {
         messages.iter().all(|id| sound.calls_of(id) > 0)
     });
-    wait_for("their ends", || rig.kept() == Kept::default());
+    wait_for("their ends", || rig.kept() == Recovered::default());
     assert!(
         messages.iter().all(|id| sound.calls_of(id) == 1),
         "each once"
@@ -306,7 +309,7 @@
     forward(&addr, &sound.addr);
     wait_for("all ends", || {
         assert_eq!(other.says(b"PING\r\n"), "+PONG");
-        rig.kept() == Kept::default()
+        rig.kept() == Recovered::default()
     });
     for id in &ids {
         let (relayed, told) = (sound.calls_of(id), rig.platform.notice(id).is_some());
@@ -332,14 +335,18 @@
     let before = old.told(&dead);
     assert_eq!(rig.client().says(b"PING\r\n"), "+PONG");
     rig.kill();
-    assert_eq!(rig.kept().owed.len(), 1);
+    assert_eq!(rig.kept().pending_notifications.len(), 1);
     let new = Place::start();
     rig.json["discovery"] = new.addr.clone().into();
     rig.start();
     wait_for("the notice again", || new.told(&dead) >= 2);
-    assert_eq!(rig.kept().owed.len(), 1, "it has no answer");
+    assert_eq!(
+        rig.kept().pending_notifications.len(),
+        1,
+        "it has no answer"
+    );
     new.answers.store(true, Ordering::SeqCst);
-    wait_for("its end", || rig.kept() == Kept::default());
+    wait_for("its end", || rig.kept() == Recovered::default());
     assert!(new.posts.lock().unwrap().iter().all(|lines| {
         let line: Value = serde_json::from_str(lines).unwrap();
         line == json!({"ref": dead, "result": "dead"})
@@ -470,7 +477,7 @@
     );
     let mut third = accept(&endpoint);
     answer(&mut third, &d);
-    wait_for("all to be over", || rig.kept() == Kept::default());
+    wait_for("all to be over", || rig.kept() == Recovered::default());
     assert_eq!(rig.platform.notices(), Vec::<Value>::new());
 }
 
@@ -495,7 +502,7 @@
         rig.platform.notice(&once).is_some()
     });
     assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
-    wait_for("all to be over", || rig.kept() == Kept::default());
+    wait_for("all to be over", || rig.kept() == Recovered::default());
     let last = rig.client().message("payment", 7, 20_000, "x");
     wait_for("a later message", || hung.calls_of(&last) == 1);
     assert_eq!(hung.calls_of(&once), 1, "it may have run");
@@ -517,7 +524,7 @@
     let attempts = held
         .messages
         .first()
-        .map(|m| m.attempts.iter().map(|c| c.at).collect::<Vec<_>>());
+        .map(|m| m.attempts.iter().map(|c| c.sent_at).collect::<Vec<_>>());
     let before = attempts
         .as_ref()
         .map_or_else(|| hung.calls_of(&id), Vec::len);
--- a/crates/daemon/tests/journal.rs
+++ b/crates/daemon/tests/journal.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use bellsill_daemon::message_journal::Kept;
+use bellsill_daemon::journal::Recovered;
 use common::*;
 use serde_json::json;
 use std::sync::atomic::Ordering;
@@ -43,7 +43,7 @@
         1,
         "it may have run"
     );
-    wait_for("all to be over", || rig.kept() == Kept::default());
+    wait_for("all to be over", || rig.kept() == Recovered::default());
     assert_eq!(
         rig.platform.notices().len(),
         1,
@@ -131,7 +131,7 @@
     // What was taken over is not done again by the process after it. Killed before it has read the platform's answer, this
     // one would leave the notice owed, to be told once more: that does no harm, but is not what is shown here.
     wait_for("the ends in the journal", || {
-        rig.kept_in("mails.1") == Kept::default()
+        rig.kept_in("mails.1") == Recovered::default()
     });
     rig.kill();
     rig.start();
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -6,8 +6,8 @@
 use bellsill_daemon::endpoint_list::ListedEndpoint;
 use bellsill_daemon::endpoints::Endpoints;
 use bellsill_daemon::http::{self, Body};
-use bellsill_daemon::message_journal::{
-    Ending, Kept, KeptAttempt, KeptMessage, MessageJournal, NoRoom,
+use bellsill_daemon::journal::{
+    JournaledAttempt, JournaledMessage, MessageJournal, NoRoom, Recovered, Resolution,
 };
 use bellsill_daemon::resp;
 use bellsill_daemon::ring_buffer::RingBuffer;
@@ -272,37 +272,39 @@
 /// Does one step on the journal and on what it should hold.
 fn step(
     journal: &mut MessageJournal,
-    model: &mut Kept,
+    model: &mut Recovered,
     (what, whom, size): (u8, u8, u16),
 ) -> Result<(), NoRoom> {
     let id = MessageId(u64::from(whom % 16));
     let place = model.messages.iter().position(|m| m.id == id);
     match (what % 6, place) {
-        (0 | 1, None) if !model.owed.iter().any(|o| o.0 == id) => {
-            let message = KeptMessage {
+        (0 | 1, None) if !model.pending_notifications.iter().any(|o| o.0 == id) => {
+            let message = JournaledMessage {
                 id,
                 class: "notice".into(),
                 key: u64::from(what),
                 destination: u64::from(size),
-                due: Nanos::from(size) * 1_000,
-                tag: format!("t{whom}"),
+                deadline: Nanos::from(size) * 1_000,
+                idempotency_key: format!("t{whom}"),
                 body: vec![what; usize::from(size % 4096)],
                 attempts: vec![],
             };
-            journal.taken(&message)?;
+            journal.append_accepted(&message)?;
             model.messages.push(message);
         }
         (2, Some(place)) => {
-            journal.attempt(id, Nanos::from(size), "north")?;
-            let attempt = KeptAttempt {
-                at: Nanos::from(size),
+            journal.append_attempt(id, Nanos::from(size), "north")?;
+            let attempt = JournaledAttempt {
+                sent_at: Nanos::from(size),
                 zone: "north".into(),
                 may_have_run: None,
             };
             model.messages[place].attempts.push(attempt);
         }
         (3, Some(place)) if !model.messages[place].attempts.is_empty() => {
-            journal.outcome(id, size % 2 == 0).map_err(|_| NoRoom)?;
+            journal
+                .append_outcome(id, size % 2 == 0)
+                .map_err(|_| NoRoom)?;
             model.messages[place]
                 .attempts
                 .last_mut()
@@ -312,16 +314,18 @@
         (4, Some(place)) => {
             let ending = [
                 None,
-                Some(Ending::Bounced),
-                Some(Ending::Deferred(Nanos::from(size))),
+                Some(Resolution::Failed),
+                Some(Resolution::Rejected {
+                    retry_after: Nanos::from(size),
+                }),
             ][size as usize % 3];
-            journal.ended(id, ending).map_err(|_| NoRoom)?;
+            journal.append_resolved(id, ending).map_err(|_| NoRoom)?;
             model.messages.remove(place);
-            model.owed.extend(ending.map(|e| (id, e)));
+            model.pending_notifications.extend(ending.map(|e| (id, e)));
         }
-        (5, _) if model.owed.iter().any(|o| o.0 == id) => {
-            journal.told(id).map_err(|_| NoRoom)?;
-            model.owed.retain(|o| o.0 != id);
+        (5, _) if model.pending_notifications.iter().any(|o| o.0 == id) => {
+            journal.append_notified(id).map_err(|_| NoRoom)?;
+            model.pending_notifications.retain(|o| o.0 != id);
         }
         _ => {}
     }
@@ -351,8 +355,8 @@
                     .write_all(&torn)
                     .unwrap();
                 let (opened, mut kept) = MessageJournal::open(&folder.0, ROOM).unwrap();
-                kept.owed.sort_by_key(|o| o.0);
-                model.owed.sort_by_key(|o| o.0);
+                kept.pending_notifications.sort_by_key(|o| o.0);
+                model.pending_notifications.sort_by_key(|o| o.0);
                 assert_eq!(kept, model);
                 journal = opened;
             }
@@ -388,10 +392,10 @@
         step(&mut old, &mut model, one).unwrap();
     }
     let (mut new, kept) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    assert_eq!(kept, Kept::default());
+    assert_eq!(kept, Recovered::default());
     // While the old one is held, nothing of it is taken.
     let (adopted, held) = new.adopt();
-    assert!(held && adopted == Kept::default());
+    assert!(held && adopted == Recovered::default());
     drop(old);
     let (adopted, held) = new.adopt();
     assert!(!held && adopted == model && !folder.0.join("mails").exists());
@@ -399,7 +403,7 @@
     drop(new);
     let (mut again, kept) = MessageJournal::open(&folder.0, 60_000).unwrap();
     let (adopted, held) = again.adopt();
-    assert!(!held && kept == Kept::default() && adopted == model);
+    assert!(!held && kept == Recovered::default() && adopted == model);
 }
 
 /// Half taken over, the rest of it would have been forgotten, and messages ended since taken for new.
@@ -411,12 +415,12 @@
         step(&mut old, &mut model, (0, n, 4_000)).unwrap();
     }
     let (mut new, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    let mut own = Kept::default();
+    let mut own = Recovered::default();
     for n in 8..13 {
         step(&mut new, &mut own, (0, n, 4_000)).unwrap();
     }
     drop(old);
-    assert_eq!(new.adopt(), (Kept::default(), true));
+    assert_eq!(new.adopt(), (Recovered::default(), true));
     for n in 8..13 {
         step(&mut new, &mut own, (4, n, 0)).unwrap();
     }
@@ -424,14 +428,14 @@
 }
 
 /// A message as a test takes it, due in the far future of the dispatcher's clock.
-fn message(id: u64) -> KeptMessage {
-    KeptMessage {
+fn message(id: u64) -> JournaledMessage {
+    JournaledMessage {
         id: MessageId(id),
         class: "payment".into(),
         key: 0,
         destination: 7,
-        due: bellsill_daemon::clock::now() + 1_000_000_000_000,
-        tag: String::new(),
+        deadline: bellsill_daemon::clock::now() + 1_000_000_000_000,
+        idempotency_key: String::new(),
         body: vec![b'x'; 300],
         attempts: vec![],
     }
@@ -450,7 +454,7 @@
     let folder = Folder::new("tear");
     let path = folder.0.join("mails");
     let (mut journal, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    (1..=3).for_each(|id| journal.taken(&message(id)).unwrap());
+    (1..=3).for_each(|id| journal.append_accepted(&message(id)).unwrap());
     drop(journal);
     let mut bytes = std::fs::read(&path).unwrap();
     let record = (bytes.len() - 80) / 3;
@@ -488,7 +492,7 @@
     for _ in 0..2 {
         let (_, kept) = MessageJournal::open(&folder.0, 60_000).unwrap();
         let left = kept.messages[0]
-            .due
+            .deadline
             .saturating_sub(bellsill_daemon::clock::now());
         assert!(
             (50_000_000_000..=60_000_000_000).contains(&left),
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bellsill_core::interface::MessageId;
-use bellsill_daemon::message_journal::{Ending, Kept, KeptMessage, MessageJournal};
+use bellsill_daemon::journal::{JournaledMessage, MessageJournal, Recovered, Resolution};
 use bellsill_daemon::mgmt::load_held;
 use common::*;
 use std::path::{Path, PathBuf};
@@ -40,13 +40,13 @@
 }
 
 /// The first of the two messages that are pending has two attempts with their outcomes, the second one with none.
-fn assert_pending(messages: &[KeptMessage], first: u64) {
+fn assert_pending(messages: &[JournaledMessage], first: u64) {
     let [tagged, once] = messages else {
         panic!("two pending messages: {messages:?}")
     };
     assert_eq!(tagged.id, MessageId(first));
     assert_eq!(
-        (tagged.class.as_str(), tagged.tag.as_str()),
+        (tagged.class.as_str(), tagged.idempotency_key.as_str()),
         ("notice", "key-1")
     );
     assert_eq!((tagged.key, tagged.destination), (first % 3, 7));
@@ -57,16 +57,22 @@
         .map(|attempt| (attempt.zone.as_str(), attempt.may_have_run))
         .collect();
     assert_eq!(attempts, [("north", Some(false)), ("south", Some(true))]);
-    assert_eq!(tagged.attempts[1].at - tagged.attempts[0].at, 1_000_000);
+    assert_eq!(
+        tagged.attempts[1].sent_at - tagged.attempts[0].sent_at,
+        1_000_000
+    );
     assert_eq!(once.id, MessageId(first + 1));
-    assert_eq!((once.class.as_str(), once.tag.as_str()), ("payment", ""));
+    assert_eq!(
+        (once.class.as_str(), once.idempotency_key.as_str()),
+        ("payment", "")
+    );
     assert_eq!(once.key, (first + 1) % 3);
     assert_eq!(once.body, b"body 2\r\n\0");
     assert_eq!(once.attempts.len(), 1);
     assert_eq!(once.attempts[0].zone, "south");
     assert_eq!(once.attempts[0].may_have_run, None);
     // Written a moment apart, with lifetimes a second apart.
-    let apart = once.due - tagged.due;
+    let apart = once.deadline - tagged.deadline;
     assert!((SECOND..SECOND + SECOND / 10).contains(&apart), "{apart}");
 }
 
@@ -82,16 +88,26 @@
     assert_pending(&kept.messages[..2], 0x11);
     assert_pending(&kept.messages[2..], 0x21);
     assert_eq!(
-        kept.owed,
+        kept.pending_notifications,
         [
-            (MessageId(0x14), Ending::Bounced),
-            (MessageId(0x15), Ending::Deferred(1_500_000_000)),
-            (MessageId(0x24), Ending::Bounced),
-            (MessageId(0x25), Ending::Deferred(1_500_000_000)),
+            (MessageId(0x14), Resolution::Failed),
+            (
+                MessageId(0x15),
+                Resolution::Rejected {
+                    retry_after: 1_500_000_000
+                }
+            ),
+            (MessageId(0x24), Resolution::Failed),
+            (
+                MessageId(0x25),
+                Resolution::Rejected {
+                    retry_after: 1_500_000_000
+                }
+            ),
         ]
     );
-    assert_eq!(journal.adopt(), (Kept::default(), false));
-    let all = journal.take_ended();
+    assert_eq!(journal.adopt(), (Recovered::default(), false));
+    let all = journal.take_resolved();
     assert_eq!(&all[..4], ended(0x13..0x17));
 }
 
@@ -101,12 +117,17 @@
     let (_, kept) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
     assert_pending(&kept.messages, 0x11);
     let owed = [
-        (MessageId(0x14), Ending::Bounced),
-        (MessageId(0x15), Ending::Deferred(1_500_000_000)),
+        (MessageId(0x14), Resolution::Failed),
+        (
+            MessageId(0x15),
+            Resolution::Rejected {
+                retry_after: 1_500_000_000,
+            },
+        ),
         // That the platform was told of it is what the torn record said.
-        (MessageId(0x16), Ending::Bounced),
+        (MessageId(0x16), Resolution::Failed),
     ];
-    assert_eq!(kept.owed, owed);
+    assert_eq!(kept.pending_notifications, owed);
 }
 
 #[test]
@@ -118,20 +139,28 @@
     assert!(!others_held);
     assert_pending(&adopted.messages, 0x21);
     assert_eq!(
-        adopted.owed,
+        adopted.pending_notifications,
         [
-            (MessageId(0x24), Ending::Bounced),
-            (MessageId(0x25), Ending::Deferred(1_500_000_000)),
+            (MessageId(0x24), Resolution::Failed),
+            (
+                MessageId(0x25),
+                Resolution::Rejected {
+                    retry_after: 1_500_000_000
+                }
+            ),
         ]
     );
     let all = [ended(0x13..0x17), ended(0x23..0x27)].concat();
-    assert_eq!(journal.take_ended(), all);
+    assert_eq!(journal.take_resolved(), all);
     // A copy, since a process that another test starts just now may still hold the lock on the file itself.
     let copy = folder.0.join("again");
     std::fs::create_dir(&copy).unwrap();
     std::fs::copy(folder.0.join("mails"), copy.join("mails")).unwrap();
     let (_, again) = MessageJournal::open(&copy, DISK_BYTES).unwrap();
-    assert_eq!((again.messages.len(), again.owed.len()), (4, 4));
+    assert_eq!(
+        (again.messages.len(), again.pending_notifications.len()),
+        (4, 4)
+    );
 }
 
 #[test]
--- a/crates/testbed/src/capacity/model/rows.rs
+++ b/crates/testbed/src/capacity/model/rows.rs
@@ -546,7 +546,7 @@
             value: |i| i.slopes.journal_by_held.slope * i.size.backlog_per_dispatcher(),
             mechanism: Mechanism::InPlace {
                 name: "one file a dispatcher",
-                file: "crates/daemon/src/message_journal/",
+                file: "crates/daemon/src/journal/",
             },
             ..row
         },
@@ -561,7 +561,7 @@
             },
             mechanism: Mechanism::InPlace {
                 name: "MessageJournal::open",
-                file: "crates/daemon/src/message_journal/",
+                file: "crates/daemon/src/journal/",
             },
             ..row
         },
