--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,7 +1,7 @@
 //! A toy world for a dispatcher started with `examples/config.json`: discovery, notices and three endpoints.
 //!
 //!     cargo run --example toy                        plays the world and prints what comes
-//!     cargo run --example toy put notice 7 hello     hands in one mail: queue class, destination, body
+//!     cargo run --example toy put notice 7 hello     hands in one message: queue class, destination, body
 //!
 //! An endpoint answers by what the body begins with: `refuse` 429, `fail` 500, `hang` nothing, `break` the end of the
 //! connection, anything else 200.
@@ -127,7 +127,7 @@
                 .iter()
                 .for_each(|at| listen(at, move |stream| endpoint(at, stream)));
             println!(
-                "the toy world stands; hand in mails with: cargo run --example toy put notice 7 hello"
+                "the toy world stands; hand in messages with: cargo run --example toy put notice 7 hello"
             );
             loop {
                 std::thread::park();
