--- a/crates/config-log/src/codec.rs
+++ b/crates/config-log/src/codec.rs
@@ -1,61 +1,61 @@
-//! The bytes of a log: the header of its files and of its records. All integers are little-endian.
+//! The encoding of a log: the headers of its files and records. All integers are little-endian.
 
-/// The format of logs and snapshots; another one is refused.
+/// The format version of logs and snapshots; any other one is rejected.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// The longest payload of a record, and of a record of a snapshot. A longer one is refused in writing and in reading.
-pub const LONGEST_RECORD: usize = 16 * 1024 * 1024;
+/// The longest payload of a record or of a snapshot's record, in bytes. A longer one is rejected when writing and reading.
+pub const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
 
 /// The first bytes of a log.
 pub(crate) const LOG_MAGIC: [u8; 8] = *b"bsl-log\n";
 /// The first bytes of a snapshot.
 pub(crate) const SNAPSHOT_MAGIC: [u8; 8] = *b"bsl-snp\n";
 
-/// Reads integers one after the other; `None` where the bytes end.
+/// Reads integers one after the other; `None` at the end of the bytes.
 #[derive(Clone)]
 pub(crate) struct Reader<'a> {
     bytes: &'a [u8],
 }
 
 impl<'a> Reader<'a> {
-    pub fn new(bytes: &'a [u8]) -> Reader<'a> {
+    pub(crate) fn new(bytes: &'a [u8]) -> Reader<'a> {
         Reader { bytes }
     }
 
-    pub fn take(&mut self, length: usize) -> Option<&'a [u8]> {
+    pub(crate) fn take(&mut self, length: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.bytes.split_at_checked(length)?;
         self.bytes = rest;
         Some(taken)
     }
 
-    pub fn u32(&mut self) -> Option<u32> {
+    pub(crate) fn u32(&mut self) -> Option<u32> {
         self.array().map(u32::from_le_bytes)
     }
 
-    pub fn u64(&mut self) -> Option<u64> {
+    pub(crate) fn u64(&mut self) -> Option<u64> {
         self.array().map(u64::from_le_bytes)
     }
 
-    pub fn array<const LENGTH: usize>(&mut self) -> Option<[u8; LENGTH]> {
+    pub(crate) fn array<const LENGTH: usize>(&mut self) -> Option<[u8; LENGTH]> {
         self.take(LENGTH)?.try_into().ok()
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 }
 
-/// The header of a log: what file this is, and the index that its records come after.
+/// The header of a segment: its format, and the index that its records come after.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FileHeader {
-    pub format: u32,
-    pub after: u64,
+    pub(crate) format: u32,
+    pub(crate) after: u64,
 }
 
 impl FileHeader {
-    pub const LENGTH: usize = 24;
+    pub(crate) const LENGTH: usize = 24;
 
-    pub fn encode(self) -> Vec<u8> {
+    pub(crate) fn encode(self) -> Vec<u8> {
         let mut bytes = LOG_MAGIC.to_vec();
         bytes.extend(self.format.to_le_bytes());
         bytes.extend(self.after.to_le_bytes());
@@ -63,7 +63,7 @@
         bytes
     }
 
-    pub fn decode(bytes: &[u8]) -> Option<FileHeader> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<FileHeader> {
         let mut reader = Reader::new(bytes);
         let checked = reader.clone().take(Self::LENGTH - 4)?;
         let magic: [u8; 8] = reader.array()?;
@@ -79,17 +79,17 @@
 /// The header of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RecordHeader {
-    pub length: u32,
-    pub index: u64,
-    /// How much of the file was durable when the record was written: damage before that is no torn write.
-    pub durable: u64,
-    pub payload_checksum: u32,
+    pub(crate) length: u32,
+    pub(crate) index: u64,
+    /// How many bytes of the file were durable when the record was written: damage before that is not a torn write.
+    pub(crate) durable: u64,
+    pub(crate) payload_checksum: u32,
 }
 
 impl RecordHeader {
-    pub const LENGTH: usize = 28;
+    pub(crate) const LENGTH: usize = 28;
 
-    pub fn encode(self) -> [u8; Self::LENGTH] {
+    pub(crate) fn encode(self) -> [u8; Self::LENGTH] {
         let mut bytes = [0; Self::LENGTH];
         bytes[..4].copy_from_slice(&self.length.to_le_bytes());
         bytes[4..12].copy_from_slice(&self.index.to_le_bytes());
@@ -100,8 +100,8 @@
         bytes
     }
 
-    /// The header at the beginning of the bytes, where its checksum matches.
-    pub fn decode(bytes: &[u8]) -> Option<RecordHeader> {
+    /// Decodes the header at the start of the bytes, if its checksum matches.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<RecordHeader> {
         let mut reader = Reader::new(bytes);
         let checked = reader.clone().take(Self::LENGTH - 4)?;
         let header = RecordHeader {
--- a/crates/config-log/src/directory.rs
+++ b/crates/config-log/src/directory.rs
@@ -1,7 +1,6 @@
-//! The directory of a log: the names of its files, its lock, and files that appear whole or not at all.
+//! The directory of a log: the names of its files, its lock, and atomic creation of files.
 
-use crate::LogError;
-use crate::error::io_error;
+use crate::error::{LogError, io_error};
 use std::fs::{self, File, TryLockError};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -19,17 +18,19 @@
     _lock: File,
 }
 
-/// What a directory has, in the order of the indices.
+/// The files of a directory, in the order of their indices.
 #[derive(Default)]
 pub(crate) struct Listing {
-    pub logs: Vec<u64>,
-    pub snapshots: Vec<u64>,
-    pub temporary: Vec<PathBuf>,
+    /// The index that each segment comes after.
+    pub(crate) logs: Vec<u64>,
+    pub(crate) snapshots: Vec<u64>,
+    /// Files whose writing was not finished.
+    pub(crate) temporary: Vec<PathBuf>,
 }
 
 impl Directory {
-    /// Makes the directory where it is not there, and locks it.
-    pub fn open(path: &Path) -> Result<Directory, LogError> {
+    /// Creates the directory if it doesn't exist, and locks it.
+    pub(crate) fn open(path: &Path) -> Result<Directory, LogError> {
         fs::create_dir_all(path).map_err(io_error("create", path))?;
         let lock_path = path.join(LOCK_NAME);
         let lock = File::create(&lock_path).map_err(io_error("create", &lock_path))?;
@@ -45,19 +46,19 @@
         }
     }
 
-    pub fn path(&self) -> &Path {
+    pub(crate) fn path(&self) -> &Path {
         &self.path
     }
 
-    pub fn log_path(&self, after: u64) -> PathBuf {
+    pub(crate) fn log_path(&self, after: u64) -> PathBuf {
         self.path.join(format!("{LOG_PREFIX}{after:020}"))
     }
 
-    pub fn snapshot_path(&self, index: u64) -> PathBuf {
+    pub(crate) fn snapshot_path(&self, index: u64) -> PathBuf {
         self.path.join(format!("{SNAPSHOT_PREFIX}{index:020}"))
     }
 
-    pub fn list(&self) -> Result<Listing, LogError> {
+    pub(crate) fn list(&self) -> Result<Listing, LogError> {
         let mut listing = Listing::default();
         for entry in fs::read_dir(&self.path).map_err(io_error("list", &self.path))? {
             let path = entry.map_err(io_error("list", &self.path))?.path();
@@ -78,8 +79,8 @@
         Ok(listing)
     }
 
-    /// Writes a file under a temporary name, makes it durable, and gives it its name.
-    pub fn write_whole(
+    /// Writes a file under a temporary name, makes it durable, and renames it to its final name.
+    pub(crate) fn write_atomically(
         &self,
         path: &Path,
         write: impl FnOnce(&mut File, &Path) -> Result<(), LogError>,
@@ -89,20 +90,20 @@
         let temporary = PathBuf::from(temporary);
         let written = write_durably(&temporary, write);
         if written.is_err() {
-            // The error of the write is the one to report; an unfinished file is also removed at the next opening.
-            let _ = fs::remove_file(&temporary);
+            // The write's error is the one to report; recovery removes unfinished files too.
+            fs::remove_file(&temporary).ok();
         }
         written?;
         fs::rename(&temporary, path).map_err(io_error("rename", &temporary))?;
         self.sync()
     }
 
-    pub fn remove(&self, path: &Path) -> Result<(), LogError> {
+    pub(crate) fn remove(&self, path: &Path) -> Result<(), LogError> {
         fs::remove_file(path).map_err(io_error("remove", path))
     }
 
     /// Makes the names of the files durable.
-    pub fn sync(&self) -> Result<(), LogError> {
+    pub(crate) fn sync(&self) -> Result<(), LogError> {
         let synced = File::open(&self.path).and_then(|directory| directory.sync_all());
         synced.map_err(io_error("sync", &self.path))
     }
--- a/crates/config-log/src/snapshot.rs
+++ b/crates/config-log/src/snapshot.rs
@@ -1,10 +1,9 @@
 //! A snapshot file, `snapshot.INDEX`: a magic number, the format, the index, the records each with its length, their
 //! number, and the checksum of all of it.
 
-use crate::codec::{FORMAT_VERSION, LONGEST_RECORD, Reader, SNAPSHOT_MAGIC};
+use crate::codec::{FORMAT_VERSION, MAX_RECORD_BYTES, Reader, SNAPSHOT_MAGIC};
 use crate::directory::{Directory, write_all};
-use crate::error::io_error;
-use crate::{LogError, RejectReason};
+use crate::error::{LogError, RejectReason, io_error};
 use crc32fast::Hasher;
 use std::fs::{self, File};
 use std::io::{BufWriter, Write};
@@ -13,20 +12,22 @@
 const CHECKSUM_LENGTH: usize = 4;
 const COUNT_LENGTH: usize = 8;
 
-/// All that the records up to an index lead to.
+/// The complete state that the records up to an index lead to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
+    /// The index of the last record that it includes.
     pub index: u64,
+    /// The state, in the caller's encoding.
     pub records: Vec<Vec<u8>>,
 }
 
-/// Writes a snapshot; its file has its name once it is durable.
+/// Writes a snapshot; the file gets its final name once it is durable.
 pub(crate) fn write(
     directory: &Directory,
     index: u64,
     records: impl Iterator<Item = Vec<u8>>,
 ) -> Result<(), LogError> {
-    directory.write_whole(&directory.snapshot_path(index), |file, path| {
+    directory.write_atomically(&directory.snapshot_path(index), |file, path| {
         let mut writer = ChecksummedWriter {
             file: BufWriter::new(file),
             path,
@@ -45,16 +46,22 @@
     })
 }
 
-/// Reads the snapshot of an index; `Ok(Err(_))` where the file can be read but is none.
-pub(crate) fn read(path: &Path, index: u64) -> Result<Result<Snapshot, RejectReason>, LogError> {
+/// What a snapshot file turned out to be.
+pub(crate) enum SnapshotFile {
+    /// It is complete and undamaged.
+    Usable(Snapshot),
+    /// It could be read, but is not the snapshot that its name states.
+    Rejected(RejectReason),
+}
+
+/// Reads the snapshot file of an index.
+pub(crate) fn read(path: &Path, index: u64) -> Result<SnapshotFile, LogError> {
     let bytes = fs::read(path).map_err(io_error("read", path))?;
-    Ok(decode(&bytes).and_then(|snapshot| {
-        if snapshot.index == index {
-            Ok(snapshot)
-        } else {
-            Err(RejectReason::Index)
-        }
-    }))
+    Ok(match decode(&bytes) {
+        Ok(snapshot) if snapshot.index == index => SnapshotFile::Usable(snapshot),
+        Ok(_) => SnapshotFile::Rejected(RejectReason::Index),
+        Err(reason) => SnapshotFile::Rejected(reason),
+    })
 }
 
 fn decode(bytes: &[u8]) -> Result<Snapshot, RejectReason> {
@@ -85,7 +92,7 @@
     let mut records = Vec::new();
     for _ in 0..count {
         let length = reader.u32().ok_or(RejectReason::Count)? as usize;
-        if length > LONGEST_RECORD {
+        if length > MAX_RECORD_BYTES {
             return Err(RejectReason::TooLong);
         }
         records.push(reader.take(length).ok_or(RejectReason::Count)?.to_vec());
@@ -112,7 +119,7 @@
     }
 
     fn write_record(&mut self, record: &[u8]) -> Result<(), LogError> {
-        if record.len() > LONGEST_RECORD {
+        if record.len() > MAX_RECORD_BYTES {
             return Err(LogError::RecordTooLong {
                 length: record.len(),
             });
--- a/crates/config-log/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -1,6 +1,9 @@
-//! Logs that are opened again: whole, torn, damaged, half-snapshotted, too long and missing.
+//! Reopening logs: complete, with a torn tail, damaged, with partial snapshots, too long records and missing files.
 
-use bellsill_config_log::*;
+use bellsill_config_log::{
+    ConfigLog, Damage, LogError, MAX_RECORD_BYTES, NewRecord, OpenedLog, Record, Recovered,
+    RejectReason, Rejected,
+};
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
@@ -13,18 +16,22 @@
     format!("record {index}").into_bytes()
 }
 
+fn new_record(index: u64, payload: &[u8]) -> NewRecord<'_> {
+    NewRecord { index, payload }
+}
+
 fn state(index: u64) -> Vec<Vec<u8>> {
     (1..=index).map(payload).collect()
 }
 
-fn open(directory: &TempDir) -> (ConfigLog, Recovered) {
+fn open(directory: &TempDir) -> OpenedLog {
     ConfigLog::open(directory.path()).unwrap()
 }
 
-fn refusal(directory: &TempDir) -> LogError {
+fn open_error(directory: &TempDir) -> LogError {
     ConfigLog::open(directory.path())
         .err()
-        .expect("the log is refused")
+        .expect("the log is rejected")
 }
 
 /// Appends records up to an index, each durable before the next.
@@ -101,19 +108,19 @@
 #[test]
 fn a_new_log_is_empty() {
     let directory = TempDir::new().unwrap();
-    let (log, recovered) = open(&directory);
+    let OpenedLog { log, recovered } = open(&directory);
     assert_holds(&recovered, None, 0);
     assert_eq!((log.last_index(), log.bytes()), (0, FILE_HEADER as u64));
 }
 
 #[test]
-fn records_are_there_again() {
+fn appended_records_are_recovered_after_reopening() {
     let directory = TempDir::new().unwrap();
     for last in [3, 3, 7] {
-        append_to(&mut open(&directory).0, last);
-        assert_holds(&open(&directory).1, None, last);
+        append_to(&mut open(&directory).log, last);
+        assert_holds(&open(&directory).recovered, None, last);
     }
-    let (log, recovered) = open(&directory);
+    let OpenedLog { log, recovered } = open(&directory);
     let bytes = FILE_HEADER + 7 * (RECORD_HEADER + payload(1).len());
     assert_eq!(log.bytes(), bytes as u64);
     assert_eq!(
@@ -123,10 +130,11 @@
 }
 
 #[test]
-fn indices_rise() {
+fn an_index_that_does_not_rise_is_rejected_and_a_batch_is_atomic() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
-    log.append_batch(&[(5, b"five"), (9, b"")]).unwrap();
+    let mut log = open(&directory).log;
+    log.append_batch(&[new_record(5, b"five"), new_record(9, b"")])
+        .unwrap();
     for wrong in [0, 5, 9] {
         assert!(matches!(
             log.append(wrong, b""),
@@ -134,78 +142,82 @@
         ));
     }
     assert!(
-        log.append_batch(&[(10, b"ten"), (10, b"ten")]).is_err(),
+        log.append_batch(&[new_record(10, b"ten"), new_record(10, b"ten")])
+            .is_err(),
         "all or none"
     );
     drop(log);
-    let (_, recovered) = open(&directory);
+    let recovered = open(&directory).recovered;
     let records =
         [(5, b"five".to_vec()), (9, Vec::new())].map(|(index, payload)| Record { index, payload });
     assert_eq!(recovered.records, records);
 }
 
 #[test]
-fn a_second_process_is_kept_out() {
+fn a_log_in_use_cannot_be_opened_a_second_time() {
     let directory = TempDir::new().unwrap();
-    let (log, _) = open(&directory);
-    assert!(matches!(refusal(&directory), LogError::InUse { .. }));
+    let log = open(&directory).log;
+    assert!(matches!(open_error(&directory), LogError::InUse { .. }));
     drop(log);
     open(&directory);
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_counted_wherever_it_ends() {
+fn a_torn_tail_is_truncated_and_counted_at_every_length() {
     let record = RECORD_HEADER + payload(3).len();
     for left in 1..record {
         let directory = TempDir::new().unwrap();
-        append_to(&mut open(&directory).0, 3);
+        append_to(&mut open(&directory).log, 3);
         cut(
             &file_of(&directory, "log", 0),
             FILE_HEADER + 2 * record + left,
         );
-        let (mut log, recovered) = open(&directory);
+        let OpenedLog { mut log, recovered } = open(&directory);
         assert_holds(&recovered, None, 2);
         assert_eq!(recovered.report.torn_bytes, left as u64);
         append_to(&mut log, 5);
         drop(log);
-        let (_, recovered) = open(&directory);
+        let recovered = open(&directory).recovered;
         assert_holds(&recovered, None, 5);
         assert_eq!(recovered.report.torn_bytes, 0);
     }
 }
 
 #[test]
-fn pages_of_an_unsynced_batch_may_be_missing_anywhere() {
+fn an_unsynced_batch_with_missing_pages_is_truncated() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     append_to(&mut log, 2);
     let durable = log.bytes() as usize;
     let payloads: Vec<Vec<u8>> = (3..=6).map(payload).collect();
-    let batch: Vec<(u64, &[u8])> = (3..).zip(payloads.iter().map(Vec::as_slice)).collect();
+    let batch: Vec<NewRecord> = (3..)
+        .zip(&payloads)
+        .map(|(index, payload)| new_record(index, payload))
+        .collect();
     log.append_batch(&batch).unwrap();
     drop(log);
     let file = file_of(&directory, "log", 0);
     let mut bytes = fs::read(&file).unwrap();
     bytes[durable + 10..durable + 50].fill(0);
     fs::write(&file, &bytes).unwrap();
-    let (_, recovered) = open(&directory);
+    let recovered = open(&directory).recovered;
     assert_holds(&recovered, None, 2);
     assert_eq!(recovered.report.torn_bytes, (bytes.len() - durable) as u64);
 }
 
 #[test]
-fn a_flipped_bit_in_the_middle_refuses_the_log() {
+fn a_flipped_bit_before_the_last_record_is_reported_as_corruption() {
     let record = RECORD_HEADER + payload(1).len();
-    let whole = TempDir::new().unwrap();
-    append_to(&mut open(&whole).0, 4);
-    let bytes = fs::read(file_of(&whole, "log", 0)).unwrap();
+    let complete = TempDir::new().unwrap();
+    append_to(&mut open(&complete).log, 4);
+    let bytes = fs::read(file_of(&complete, "log", 0)).unwrap();
     for byte in 0..FILE_HEADER + 3 * record {
         let directory = TempDir::new().unwrap();
         let file = file_of(&directory, "log", 0);
         fs::write(&file, &bytes).unwrap();
         flip_bit(&file, byte);
         let damaged = fs::read(&file).unwrap();
-        let error = refusal(&directory);
+        let error = open_error(&directory);
         let LogError::Corrupt {
             file: named,
             offset,
@@ -229,9 +241,9 @@
 }
 
 #[test]
-fn an_earlier_log_that_is_cut_refuses() {
+fn a_truncated_earlier_segment_is_reported_as_corruption() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     snapshot_at(&mut log, 3);
     append_to(&mut log, 5);
     drop(log);
@@ -239,7 +251,7 @@
     cut(&first, fs::read(&first).unwrap().len() - 1);
     flip_bit(&file_of(&directory, "snapshot", 3), 30);
     assert!(matches!(
-        refusal(&directory),
+        open_error(&directory),
         LogError::Corrupt {
             damage: Damage::Incomplete,
             ..
@@ -248,7 +260,7 @@
 }
 
 #[test]
-fn another_format_is_refused() {
+fn an_unknown_format_version_is_rejected() {
     let directory = TempDir::new().unwrap();
     drop(open(&directory));
     let file = file_of(&directory, "log", 0);
@@ -258,22 +270,22 @@
     bytes[FILE_HEADER - 4..].copy_from_slice(&checksum.to_le_bytes());
     fs::write(&file, bytes).unwrap();
     assert!(matches!(
-        refusal(&directory),
+        open_error(&directory),
         LogError::UnknownFormat { found: 2, .. }
     ));
 }
 
 #[test]
-fn a_snapshot_takes_the_place_of_records() {
+fn a_snapshot_replaces_the_records_before_it() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     for index in [4, 9, 15, 22] {
         snapshot_at(&mut log, index);
         assert_eq!(log.bytes(), FILE_HEADER as u64);
         append_to(&mut log, index + 2);
     }
     drop(log);
-    assert_holds(&open(&directory).1, Some(22), 24);
+    assert_holds(&open(&directory).recovered, Some(22), 24);
     let kept = [15, 22].map(|index| file_of(&directory, "snapshot", index));
     assert_eq!(files(&directory, "snapshot"), kept);
     assert_eq!(
@@ -285,7 +297,7 @@
 #[test]
 fn a_snapshot_of_an_earlier_index_keeps_the_records_after_it() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     append_to(&mut log, 10);
     for index in [6, 8, 8, 9] {
         log.write_snapshot(index, state(index).into_iter()).unwrap();
@@ -296,20 +308,20 @@
     ));
     append_to(&mut log, 12);
     drop(log);
-    assert_holds(&open(&directory).1, Some(9), 12);
+    assert_holds(&open(&directory).recovered, Some(9), 12);
 }
 
 #[test]
-fn a_snapshot_from_elsewhere_may_be_ahead_of_the_records() {
+fn a_snapshot_may_be_ahead_of_the_records() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     append_to(&mut log, 2);
     log.write_snapshot(50, state(50).into_iter()).unwrap();
     append_to(&mut log, 52);
     drop(log);
-    assert_holds(&open(&directory).1, Some(50), 52);
+    assert_holds(&open(&directory).recovered, Some(50), 52);
     flip_bit(&file_of(&directory, "snapshot", 50), 40);
-    let error = refusal(&directory);
+    let error = open_error(&directory);
     assert!(
         matches!(
             error,
@@ -323,16 +335,16 @@
     );
 }
 
-/// Every way in which a snapshot may be half there.
+/// Every truncation and every flipped byte.
 #[test]
-fn a_damaged_snapshot_is_counted_and_the_one_before_used() {
-    let whole = TempDir::new().unwrap();
-    let (mut log, _) = open(&whole);
+fn a_damaged_snapshot_is_counted_and_the_previous_one_used() {
+    let complete = TempDir::new().unwrap();
+    let mut log = open(&complete).log;
     snapshot_at(&mut log, 4);
     snapshot_at(&mut log, 7);
     append_to(&mut log, 9);
     drop(log);
-    let bytes = fs::read(file_of(&whole, "snapshot", 7)).unwrap();
+    let bytes = fs::read(file_of(&complete, "snapshot", 7)).unwrap();
     let cuts = (0..bytes.len()).map(|length| bytes[..length].to_vec());
     let flips = (0..bytes.len()).map(|byte| {
         let mut flipped = bytes.clone();
@@ -340,32 +352,32 @@
         flipped
     });
     for damaged in cuts.chain(flips) {
-        let file = file_of(&whole, "snapshot", 7);
+        let file = file_of(&complete, "snapshot", 7);
         fs::write(&file, damaged).unwrap();
-        let (_, recovered) = open(&whole);
+        let recovered = open(&complete).recovered;
         assert_holds(&recovered, Some(4), 9);
         assert_eq!(recovered.report.rejected.len(), 1);
         assert_eq!(recovered.report.rejected[0].file, file);
     }
-    let (mut log, _) = open(&whole);
+    let mut log = open(&complete).log;
     snapshot_at(&mut log, 11);
-    let kept = [4, 11].map(|index| file_of(&whole, "snapshot", index));
+    let kept = [4, 11].map(|index| file_of(&complete, "snapshot", index));
     assert_eq!(
-        files(&whole, "snapshot"),
+        files(&complete, "snapshot"),
         kept,
         "the damaged one is removed"
     );
 }
 
 #[test]
-fn a_snapshot_that_was_not_finished_is_counted_and_removed() {
+fn an_unfinished_snapshot_is_counted_and_removed() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     snapshot_at(&mut log, 4);
     drop(log);
     let unfinished = directory.path().join("snapshot.00000000000000000009.tmp");
     fs::write(&unfinished, b"bsl-snp\n").unwrap();
-    let (_, recovered) = open(&directory);
+    let recovered = open(&directory).recovered;
     assert_holds(&recovered, Some(4), 4);
     assert_eq!(
         recovered.report.rejected,
@@ -381,7 +393,7 @@
 #[test]
 fn a_crash_between_the_steps_of_a_snapshot_loses_nothing() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     snapshot_at(&mut log, 3);
     append_to(&mut log, 6);
     drop(log);
@@ -389,31 +401,31 @@
         .into_iter()
         .map(|file| (file.clone(), fs::read(file).unwrap()));
     let before: Vec<(PathBuf, Vec<u8>)> = before.collect();
-    snapshot_at(&mut open(&directory).0, 6);
+    snapshot_at(&mut open(&directory).log, 6);
     // The snapshot has its name, the next log is not there yet.
     fs::remove_file(file_of(&directory, "log", 6)).unwrap();
     before
         .iter()
         .for_each(|(file, bytes)| fs::write(file, bytes).unwrap());
-    let (mut log, recovered) = open(&directory);
+    let OpenedLog { mut log, recovered } = open(&directory);
     assert_holds(&recovered, Some(6), 6);
     append_to(&mut log, 8);
     drop(log);
-    assert_holds(&open(&directory).1, Some(6), 8);
+    assert_holds(&open(&directory).recovered, Some(6), 8);
     flip_bit(&file_of(&directory, "snapshot", 6), 25);
-    assert_holds(&open(&directory).1, Some(3), 8);
+    assert_holds(&open(&directory).recovered, Some(3), 8);
 }
 
 #[test]
-fn a_missing_log_refuses() {
+fn a_missing_segment_is_reported() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     snapshot_at(&mut log, 3);
     append_to(&mut log, 5);
     drop(log);
     fs::remove_file(file_of(&directory, "snapshot", 3)).unwrap();
     fs::remove_file(file_of(&directory, "log", 0)).unwrap();
-    let error = refusal(&directory);
+    let error = open_error(&directory);
     assert!(
         matches!(
             error,
@@ -429,28 +441,30 @@
 }
 
 #[test]
-fn a_record_that_is_too_long_is_refused_both_ways() {
+fn a_record_that_is_too_long_is_rejected_when_writing_and_reading() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
-    let longest = vec![7; LONGEST_RECORD];
-    let too_long = vec![7; LONGEST_RECORD + 1];
+    let mut log = open(&directory).log;
+    let longest = vec![7; MAX_RECORD_BYTES];
+    let too_long = vec![7; MAX_RECORD_BYTES + 1];
     log.append(1, &longest).unwrap();
-    let refused = log.append(2, &too_long);
-    assert!(matches!(refused, Err(LogError::RecordTooLong { length }) if length == too_long.len()));
-    let refused = log.write_snapshot(1, [longest.clone(), too_long].into_iter());
-    assert!(matches!(refused, Err(LogError::RecordTooLong { .. })));
+    let rejected = log.append(2, &too_long);
+    assert!(
+        matches!(rejected, Err(LogError::RecordTooLong { length }) if length == too_long.len())
+    );
+    let rejected = log.write_snapshot(1, [longest.clone(), too_long].into_iter());
+    assert!(matches!(rejected, Err(LogError::RecordTooLong { .. })));
     assert!(files(&directory, "snapshot").is_empty());
     append_to(&mut log, 2);
     drop(log);
     // The length of the second record, with a checksum of its header that matches.
     let file = file_of(&directory, "log", 0);
     let mut bytes = fs::read(&file).unwrap();
-    let second = FILE_HEADER + RECORD_HEADER + LONGEST_RECORD;
-    bytes[second..second + 4].copy_from_slice(&(LONGEST_RECORD as u32 + 1).to_le_bytes());
+    let second = FILE_HEADER + RECORD_HEADER + MAX_RECORD_BYTES;
+    bytes[second..second + 4].copy_from_slice(&(MAX_RECORD_BYTES as u32 + 1).to_le_bytes());
     let checksum = crc32fast::hash(&bytes[second..second + 24]);
     bytes[second + 24..second + 28].copy_from_slice(&checksum.to_le_bytes());
     fs::write(&file, bytes).unwrap();
-    let error = refusal(&directory);
+    let error = open_error(&directory);
     assert!(
         matches!(
             error,
@@ -464,18 +478,18 @@
 }
 
 #[test]
-fn a_crash_before_the_log_of_a_snapshot_ahead_hides_no_gap() {
+fn a_gap_is_reported_after_a_crash_before_the_segment_of_a_snapshot_ahead() {
     let directory = TempDir::new().unwrap();
-    let (mut log, _) = open(&directory);
+    let mut log = open(&directory).log;
     append_to(&mut log, 2);
     log.write_snapshot(50, state(50).into_iter()).unwrap();
     drop(log);
     fs::remove_file(file_of(&directory, "log", 50)).unwrap();
-    append_to(&mut open(&directory).0, 52);
-    assert_holds(&open(&directory).1, Some(50), 52);
+    append_to(&mut open(&directory).log, 52);
+    assert_holds(&open(&directory).recovered, Some(50), 52);
     flip_bit(&file_of(&directory, "snapshot", 50), 40);
     assert!(matches!(
-        refusal(&directory),
+        open_error(&directory),
         LogError::MissingRecords {
             after: 50,
             reached: 2,
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,6 +1,8 @@
 //! The state directory: a log of records with snapshots, kept by `bellsill-config-log`.
 
-use bellsill_config_log::{ConfigLog, LogError, RecoveryReport, RejectReason, Rejected, Snapshot};
+use bellsill_config_log::{
+    ConfigLog, LogError, NewRecord, OpenedLog, RecoveryReport, RejectReason, Rejected, Snapshot,
+};
 use bellsill_directory::record::{self, InvalidRecord, LoggedRecord};
 use bellsill_directory::snapshot::{SnapshotError, SnapshotReader, encoded_parts};
 use bellsill_directory::state::{ApplyError, Directory, Keeping};
@@ -65,7 +67,7 @@
         layout: Layout,
         keeping: Keeping,
     ) -> Result<(Storage, Option<Directory>), StorageError> {
-        let (log, recovered) = ConfigLog::open(path)?;
+        let OpenedLog { log, recovered } = ConfigLog::open(path)?;
         log_report(path, &recovered.report);
         let mut directory = match recovered.snapshot {
             Some(snapshot) => Some(read_snapshot(path, snapshot, layout, keeping)?),
@@ -118,7 +120,10 @@
     pub fn append(&mut self, records: &[LoggedRecord]) -> Result<(), StorageError> {
         let payloads: Vec<Vec<u8>> = records.iter().map(record::encode).collect();
         let indices = self.log.last_index() + 1..;
-        let batch: Vec<(u64, &[u8])> = indices.zip(payloads.iter().map(Vec::as_slice)).collect();
+        let batch: Vec<NewRecord> = indices
+            .zip(&payloads)
+            .map(|(index, payload)| NewRecord { index, payload })
+            .collect();
         self.log.append_batch(&batch)?;
         Ok(self.log.sync()?)
     }
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -100,7 +100,7 @@
 
 /// Adds a record to a log, as a process would that is mistaken.
 fn add_record(state: &Path, payload: &[u8]) {
-    let (mut log, _) = ConfigLog::open(state).expect("a log");
+    let mut log = ConfigLog::open(state).expect("a log").log;
     log.append(log.last_index() + 1, payload)
         .expect("an appended record");
     log.sync().expect("a synced record");
