--- a/crates/control-plane/src/config.rs
+++ b/crates/control-plane/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a control process, read and checked as a whole.
+//! The configuration file of a control process: reading and validation.
 
 use bellsill_directory::entry::is_member_name;
 use bellsill_directory::feed::FILL_PACE;
@@ -10,52 +10,69 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a dispatcher may be away before its buckets move, unless configured otherwise.
-const RESTART_GRACE_SECONDS: u64 = 30;
-/// The longest restart grace that makes sense.
-const LONGEST_RESTART_GRACE_SECONDS: u64 = 24 * 3600;
-/// The most buckets of all regions together: a change of all their holders fits on a line among control processes.
-const MOST_BUCKETS: u32 = 24_000;
-/// How much more than a second's bytes may be told at once.
+/// How long a dispatcher may be absent before its buckets move, by default.
+const DEFAULT_RESTART_GRACE_SECONDS: u64 = 30;
+/// The longest restart grace that is accepted.
+const MAX_RESTART_GRACE_SECONDS: u64 = 24 * 3600;
+/// The most buckets of all regions together: a reassignment of them all fits on one line between control processes.
+const MAX_BUCKETS: u32 = 24_000;
+/// How many seconds' worth of fill bytes may be sent in one burst.
 const BURST_SECONDS: u64 = 2;
 
-/// What a control process does with writes.
+/// How a control process handles writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes them. One process of an installation has this role.
-    Writer,
-    /// Follows the writer at this address.
-    Follower { writer: SocketAddr },
+    /// Accepts them. One process of an installation has this role, `writer` in the file.
+    Leader,
+    /// Replicates another process and accepts no writes.
+    Follower {
+        /// The address of the leader.
+        leader: SocketAddr,
+    },
 }
 
-/// All that a control process is told at its start.
+/// The settings of a control process.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// The process's name in log lines.
     pub name: String,
+    /// The address for clients and other control processes.
     pub listen: SocketAddr,
-    /// The directory that holds the log and snapshots. One process at a time uses it.
+    /// The directory for the log and snapshots. One process at a time uses it.
     pub state: PathBuf,
+    /// Whether the process is the leader or a follower.
     pub role: Role,
+    /// The zones, regions and buckets.
     pub layout: Layout,
+    /// How long a dispatcher may be absent before its buckets move.
     pub restart_grace: Duration,
+    /// The rate limit for sending a watcher the content of its buckets.
     pub fill_pace: PaceLimits,
 }
 
-/// Why a configuration is not taken.
+/// Why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
+    /// The file can't be read.
     #[error("{path}: cannot be read: {source}")]
     Unreadable {
+        /// The file.
         path: PathBuf,
+        /// The operating system's error.
         source: std::io::Error,
     },
+    /// The file is not TOML, or has unknown, missing or mistyped fields.
     #[error("not as a configuration has to be: {0}")]
     Malformed(String),
+    /// The value of a field is invalid.
     #[error("field {field}: expected {expected}")]
     Field {
+        /// The name of the field.
         field: &'static str,
+        /// What it has to be.
         expected: String,
     },
+    /// The zones and buckets are inconsistent.
     #[error("field zones or buckets_per_region: {0}")]
     Layout(#[from] LayoutError),
 }
@@ -81,7 +98,8 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum RoleName {
-    Writer,
+    #[serde(rename = "writer")]
+    Leader,
     Follower,
 }
 
@@ -97,7 +115,7 @@
 }
 
 fn default_restart_grace_seconds() -> u64 {
-    RESTART_GRACE_SECONDS
+    DEFAULT_RESTART_GRACE_SECONDS
 }
 
 fn default_fill_bytes_per_second() -> u64 {
@@ -132,9 +150,9 @@
             "a directory that lasts",
         )?;
         check(
-            (1..=LONGEST_RESTART_GRACE_SECONDS).contains(&file.restart_grace_seconds),
+            (1..=MAX_RESTART_GRACE_SECONDS).contains(&file.restart_grace_seconds),
             "restart_grace_seconds",
-            &format!("a whole number from 1 to {LONGEST_RESTART_GRACE_SECONDS}"),
+            &format!("a whole number from 1 to {MAX_RESTART_GRACE_SECONDS}"),
         )?;
         check(
             file.fill_bytes_per_second > 0,
@@ -160,9 +178,9 @@
 impl File {
     fn role(&self) -> Result<Role, ConfigError> {
         match (&self.role, self.writer) {
-            (RoleName::Writer, None) => Ok(Role::Writer),
-            (RoleName::Follower, Some(writer)) => Ok(Role::Follower { writer }),
-            (RoleName::Writer, Some(_)) => Err(field(
+            (RoleName::Leader, None) => Ok(Role::Leader),
+            (RoleName::Follower, Some(leader)) => Ok(Role::Follower { leader }),
+            (RoleName::Leader, Some(_)) => Err(field(
                 "writer",
                 "no such field where the role is writer; remove it, or set role to follower",
             )),
@@ -191,9 +209,9 @@
             .map(|zone| (ZoneName(zone.name.clone()), RegionName(zone.region.clone())));
         let layout = Layout::new(zones, self.buckets_per_region)?;
         check(
-            layout.buckets() <= MOST_BUCKETS,
+            layout.buckets() <= MAX_BUCKETS,
             "buckets_per_region",
-            &format!("so many that all regions together have no more than {MOST_BUCKETS}"),
+            &format!("so many that all regions together have no more than {MAX_BUCKETS}"),
         )?;
         Ok(layout)
     }
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -1,4 +1,4 @@
-//! The connections: the one owner of every socket and of the poller.
+//! The sockets and the poller of a process. Every socket is owned here.
 
 use bellsill_directory::watchers::WatcherId;
 use bellsill_net::Nanos;
@@ -6,6 +6,7 @@
 use bellsill_net::slot_table::{SlotId, SlotTable};
 use polling::{Event, Events, Poller};
 use socket2::{Domain, Socket, Type};
+use std::collections::BTreeSet;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -13,24 +14,24 @@
 use std::time::Duration;
 
 /// The most connections at a time; one more is closed as soon as it is accepted.
-pub const MOST_CONNECTIONS: usize = 8192;
-/// Bytes written that the other side has not acknowledged end a connection after so long: a watch has something written
-/// twice a second, so a machine that is gone is noticed.
-const UNACKNOWLEDGED_FOR: Duration = Duration::from_secs(5);
-/// Connections that may wait to be accepted.
+const MAX_CONNECTIONS: usize = 8192;
+/// A connection fails if written bytes are not acknowledged for this long. Something is written to a watch twice a second,
+/// so the failure of its machine is noticed.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The length of the listener's accept queue.
 const BACKLOG: i32 = 1024;
-/// What a non-blocking connect answers while it is under way.
+/// The error of a non-blocking connect that is in progress.
 const EINPROGRESS: i32 = 115;
 
-/// The poller's keys of what is no connection; the numbers of connections stay far below.
-const LISTENER: usize = usize::MAX - 1;
-const STOP: usize = usize::MAX - 2;
-/// The number of a connection goes through the poller as a key.
+/// The poller keys of the listener and the stop socket; connection ids stay far below.
+const LISTENER_KEY: usize = usize::MAX - 1;
+const STOP_KEY: usize = usize::MAX - 2;
+/// A connection id is used as a poller key.
 const _: () = assert!(usize::BITS == 64);
 
-/// Names a connection; never used for another one.
+/// Identifies a connection; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionId(u64);
+pub(crate) struct ConnectionId(u64);
 
 impl SlotId for ConnectionId {
     fn from_raw(raw: u64) -> Self {
@@ -41,61 +42,97 @@
     }
 }
 
-/// Whom a connection is with, and what for.
+/// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
-    /// Somebody who sends requests.
+pub(crate) enum Purpose {
+    /// Requests of a client.
     Client,
-    /// A client that has a watch.
+    /// The watch of a client.
     Watch(WatcherId),
-    /// This process's watch on the writer.
-    WriterWatch,
-    /// A call that tells the writer which dispatchers have a watch here.
-    PresenceCall,
+    /// This process's watch on the leader.
+    LeaderWatch,
+    /// A call that sends the leader heartbeats of the dispatchers that have a watch here.
+    HeartbeatCall,
 }
 
 /// One connection.
-pub struct Connection {
+pub(crate) struct Connection {
     stream: TcpStream,
-    pub purpose: Purpose,
-    pub input: RingBuffer,
-    pub output: RingBuffer,
-    /// Its connect is still under way.
+    pub(crate) purpose: Purpose,
+    pub(crate) input: RingBuffer,
+    pub(crate) output: RingBuffer,
+    /// Whether its connect is still in progress.
     connecting: bool,
-    /// The other side sends no more.
-    pub ended: bool,
-    /// It is closed once its output is written.
-    pub close_when_written: bool,
-    /// When it was accepted, a request was answered, or output was taken last.
-    pub progress: Nanos,
-    armed: Option<(bool, bool)>,
+    /// The peer sends nothing more.
+    pub(crate) ended: bool,
+    /// Whether it is closed once its output is written.
+    pub(crate) close_when_written: bool,
+    /// When it was accepted, a request was answered, or output was written, whichever was last.
+    pub(crate) last_progress: Nanos,
+    /// What the poller watches for; none after it has reported an event.
+    armed: Option<Interest>,
 }
 
-/// What the poller saw.
-pub enum Seen {
+/// A socket that is ready.
+pub(crate) enum PollEvent {
     Listener,
     Stop,
     Connection(ConnectionId),
 }
 
+/// What the poller watches a connection for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Interest {
+    readable: bool,
+    writable: bool,
+}
+
+impl Interest {
+    fn event(self, id: ConnectionId) -> Event {
+        Event::new(id.0 as usize, self.readable, self.writable)
+    }
+}
+
+/// How many bytes the buffers of a connection may hold.
+#[derive(Clone, Copy)]
+pub(crate) struct BufferBounds {
+    pub(crate) input: usize,
+    pub(crate) output: usize,
+}
+
+/// What a write leaves to do with a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Written {
+    /// The connection stays open.
+    Open,
+    /// All output is written, and the connection was to be closed then.
+    Complete,
+}
+
+/// The output of a connection has no capacity for more bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct OutputFull;
+
 /// All connections.
-pub struct Connections {
+pub(crate) struct Connections {
     poller: Poller,
     events: Events,
     slots: SlotTable<ConnectionId, Connection>,
     listener: TcpListener,
     stop: UnixStream,
+    /// Connections whose output is written, and whose interest is renewed, at the end of the iteration.
+    unflushed: BTreeSet<ConnectionId>,
 }
 
-/// The one place where the poller is handed a source.
+/// The only place where a source is added to the poller.
 #[allow(unsafe_code)]
 fn add(poller: &Poller, source: &impl AsRawFd, event: Event) -> io::Result<()> {
-    // SAFETY: whatever is added is owned by `Connections`, which deletes it from the poller before it is closed.
+    // SAFETY: every added source is owned by `Connections`, which deletes it from the poller before it is closed.
     unsafe { poller.add(source, event) }
 }
 
-/// A listener that can be opened again at once after a process has ended.
-pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+/// Opens a listener whose address can be reused as soon as the process has ended.
+pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -104,76 +141,87 @@
 }
 
 impl Connections {
-    /// Accepts on the listener; a byte on `stop` wakes the poller.
-    pub fn new(listener: TcpListener, stop: UnixStream) -> io::Result<Connections> {
+    /// Takes over a listener; a byte on `stop` wakes the poller.
+    pub(crate) fn new(listener: TcpListener, stop: UnixStream) -> io::Result<Connections> {
         let poller = Poller::new()?;
         listener.set_nonblocking(true)?;
         stop.set_nonblocking(true)?;
-        add(&poller, &listener, Event::readable(LISTENER))?;
-        add(&poller, &stop, Event::readable(STOP))?;
+        add(&poller, &listener, Event::readable(LISTENER_KEY))?;
+        add(&poller, &stop, Event::readable(STOP_KEY))?;
         Ok(Connections {
             poller,
             events: Events::new(),
             slots: SlotTable::default(),
             listener,
             stop,
+            unflushed: BTreeSet::new(),
         })
     }
 
-    /// Waits for something to happen, no longer than this.
-    pub fn wait(&mut self, most: Duration) -> io::Result<Vec<Seen>> {
+    /// Waits until a socket is ready, for at most the timeout.
+    pub(crate) fn wait(&mut self, timeout: Duration) -> io::Result<Vec<PollEvent>> {
         self.events.clear();
-        match self.poller.wait(&mut self.events, Some(most)) {
+        match self.poller.wait(&mut self.events, Some(timeout)) {
             Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
             _ => {}
         }
-        let mut seen = Vec::new();
+        let mut events = Vec::new();
         for event in self.events.iter() {
             match event.key {
-                LISTENER => seen.push(Seen::Listener),
-                STOP => seen.push(Seen::Stop),
+                LISTENER_KEY => events.push(PollEvent::Listener),
+                STOP_KEY => events.push(PollEvent::Stop),
                 key => {
                     let id = ConnectionId(key as u64);
                     if let Some(connection) = self.slots.get_mut(id) {
-                        // The poller tells once, then waits to be armed again.
+                        // The poller reports an event once, and then has to be armed again.
                         connection.armed = None;
-                        seen.push(Seen::Connection(id));
+                        events.push(PollEvent::Connection(id));
                     }
                 }
             }
         }
-        Ok(seen)
+        Ok(events)
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    /// Has the output of a connection written at the end of the iteration.
+    pub(crate) fn mark_unflushed(&mut self, id: ConnectionId) {
+        self.unflushed.insert(id);
+    }
+
+    /// The connections to be flushed, each once.
+    pub(crate) fn take_unflushed(&mut self) -> BTreeSet<ConnectionId> {
+        std::mem::take(&mut self.unflushed)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.slots.get_mut(id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         self.slots.iter()
     }
 
-    /// Takes the bytes that woke the poller, and has it tell of the next ones.
-    pub fn take_stop(&mut self) -> io::Result<()> {
+    /// Reads the bytes that woke the poller, and arms it for the next ones.
+    pub(crate) fn drain_stop(&mut self) -> io::Result<()> {
         let mut bytes = RingBuffer::new(64);
         bytes.read_from(&mut self.stop)?;
-        self.poller.modify(&self.stop, Event::readable(STOP))
+        self.poller.modify(&self.stop, Event::readable(STOP_KEY))
     }
 
-    /// The next connection that waits to be accepted. Its rings have these bounds.
-    pub fn accept(
+    /// Accepts the next waiting connection, if there is one.
+    pub(crate) fn accept(
         &mut self,
-        bounds: (usize, usize),
+        bounds: BufferBounds,
         now: Nanos,
     ) -> io::Result<Option<ConnectionId>> {
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) if self.len() >= MOST_CONNECTIONS => {
-                    log::warn!("there are {MOST_CONNECTIONS} connections: one more is closed");
+                Ok((stream, _)) if self.len() >= MAX_CONNECTIONS => {
+                    log::warn!("limit of {MAX_CONNECTIONS} connections reached: closing a new one");
                     drop(stream);
                 }
                 Ok((stream, _)) => {
@@ -183,7 +231,7 @@
                         .map(Some);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-                // The other side has given up meanwhile.
+                // The client has given up before it was accepted.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
@@ -191,18 +239,18 @@
         }
     }
 
-    /// Has the poller tell of the next connection to accept.
-    pub fn arm_listener(&mut self) -> io::Result<()> {
+    /// Arms the poller for the next connection to accept.
+    pub(crate) fn arm_listener(&mut self) -> io::Result<()> {
         self.poller
-            .modify(&self.listener, Event::readable(LISTENER))
+            .modify(&self.listener, Event::readable(LISTENER_KEY))
     }
 
     /// Starts a connection to another control process.
-    pub fn open(
+    pub(crate) fn open(
         &mut self,
         to: SocketAddr,
         purpose: Purpose,
-        bounds: (usize, usize),
+        bounds: BufferBounds,
         now: Nanos,
     ) -> io::Result<ConnectionId> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, None)?;
@@ -219,15 +267,17 @@
         self.admit(socket.into(), purpose, bounds, true, now)
     }
 
-    /// The one place where a connection is given back.
-    pub fn close(&mut self, id: ConnectionId) -> Option<Purpose> {
+    /// Closes a connection; its purpose, if it was open. The only place where that happens.
+    pub(crate) fn close(&mut self, id: ConnectionId) -> Option<Purpose> {
         let connection = self.slots.remove(id)?;
-        let _ = self.poller.delete(&connection.stream);
+        self.unflushed.remove(&id);
+        // Dropping the socket ends its registration in any case.
+        self.poller.delete(&connection.stream).ok();
         Some(connection.purpose)
     }
 
-    /// Reads what has come; an error where the connection has failed.
-    pub fn read(&mut self, id: ConnectionId) -> io::Result<()> {
+    /// Reads what has arrived; an error if the connection has failed.
+    pub(crate) fn read(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(connection) = self.slots.get_mut(id) else {
             return Ok(());
         };
@@ -235,7 +285,7 @@
             if let Some(error) = connection.stream.take_error()? {
                 return Err(error);
             }
-            // It is told once the handshake is over: one that has no other side then has failed.
+            // The event means that the handshake is over: without a peer address it has failed.
             connection.stream.peer_addr()?;
             connection.connecting = false;
         }
@@ -243,34 +293,40 @@
         Ok(())
     }
 
-    /// Writes what can be written, and has the poller watch for what the connection waits for. True: all is written and
-    /// it was to be closed then.
-    pub fn write(&mut self, id: ConnectionId, now: Nanos) -> io::Result<bool> {
+    /// Writes as much output as possible, and arms the poller for what the connection waits for.
+    pub(crate) fn write(&mut self, id: ConnectionId, now: Nanos) -> io::Result<Written> {
         let Some(connection) = self.slots.get_mut(id) else {
-            return Ok(false);
+            return Ok(Written::Open);
         };
         if !connection.connecting {
             let before = connection.output.len();
             connection.output.write_to(&mut connection.stream)?;
             if connection.output.len() < before {
-                connection.progress = now;
+                connection.last_progress = now;
             }
         }
-        let done = connection.output.is_empty() && connection.close_when_written;
+        let complete = connection.output.is_empty() && connection.close_when_written;
         self.arm(id)?;
-        Ok(done)
+        Ok(if complete {
+            Written::Complete
+        } else {
+            Written::Open
+        })
     }
 
     fn arm(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(connection) = self.slots.get_mut(id) else {
             return Ok(());
         };
-        let read = !connection.connecting && !connection.ended && connection.input.available() > 0;
-        let write = connection.connecting || !connection.output.is_empty();
-        if connection.armed != Some((read, write)) {
-            connection.armed = Some((read, write));
-            self.poller
-                .modify(&connection.stream, Event::new(id.0 as usize, read, write))?;
+        let interest = Interest {
+            readable: !connection.connecting
+                && !connection.ended
+                && connection.input.available() > 0,
+            writable: connection.connecting || !connection.output.is_empty(),
+        };
+        if connection.armed != Some(interest) {
+            connection.armed = Some(interest);
+            self.poller.modify(&connection.stream, interest.event(id))?;
         }
         Ok(())
     }
@@ -279,32 +335,31 @@
         &mut self,
         stream: TcpStream,
         purpose: Purpose,
-        (input, output): (usize, usize),
+        bounds: BufferBounds,
         connecting: bool,
         now: Nanos,
     ) -> io::Result<ConnectionId> {
-        // Without these the connection still works: small lines come later, a machine that is gone is noticed later.
+        // Without these options the connection still works: short lines are delayed, and a failed machine is noticed later.
         let socket = socket2::SockRef::from(&stream);
-        let _ = socket.set_tcp_nodelay(true);
-        let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_FOR));
-        let armed = (!connecting, connecting);
+        socket.set_tcp_nodelay(true).ok();
+        socket.set_tcp_user_timeout(Some(ACKNOWLEDGE_TIMEOUT)).ok();
+        let interest = Interest {
+            readable: !connecting,
+            writable: connecting,
+        };
         let id = self.slots.insert(|_| Connection {
             stream,
             purpose,
-            input: RingBuffer::new(input),
-            output: RingBuffer::new(output),
+            input: RingBuffer::new(bounds.input),
+            output: RingBuffer::new(bounds.output),
             connecting,
             ended: false,
             close_when_written: false,
-            progress: now,
-            armed: Some(armed),
+            last_progress: now,
+            armed: Some(interest),
         });
         let connection = self.slots.get(id).expect("it was just added");
-        if let Err(error) = add(
-            &self.poller,
-            &connection.stream,
-            Event::new(id.0 as usize, armed.0, armed.1),
-        ) {
+        if let Err(error) = add(&self.poller, &connection.stream, interest.event(id)) {
             self.close(id);
             return Err(error);
         }
@@ -318,19 +373,35 @@
         for id in open {
             self.close(id);
         }
-        let _ = self.poller.delete(&self.listener);
-        let _ = self.poller.delete(&self.stop);
+        // The poller itself is dropped next.
+        self.poller.delete(&self.listener).ok();
+        self.poller.delete(&self.stop).ok();
     }
 }
 
 impl Connection {
-    /// Queues bytes to be written; false where there is no room for them.
-    pub fn send(&mut self, bytes: &[u8]) -> bool {
-        self.output.push(bytes)
+    /// Queues all of the bytes to be written, or none of them.
+    pub(crate) fn send(&mut self, bytes: &[u8]) -> Result<(), OutputFull> {
+        if self.output.push(bytes) {
+            Ok(())
+        } else {
+            Err(OutputFull)
+        }
+    }
+
+    /// Drops everything that has arrived.
+    pub(crate) fn discard_input(&mut self) {
+        let length = self.input.len();
+        self.input.consume(length);
+    }
+
+    /// How many bytes the input may hold.
+    pub(crate) fn input_bound(&self) -> usize {
+        self.input.len() + self.input.available()
     }
 
-    /// Lets a longer body come than the input was made for.
-    pub fn make_room(&mut self, bound: usize) {
+    /// Raises the bound of the input.
+    pub(crate) fn grow_input(&mut self, bound: usize) {
         let mut larger = RingBuffer::new(bound);
         larger.push(self.input.contiguous());
         self.input = larger;
--- a/crates/control-plane/src/http_server.rs
+++ b/crates/control-plane/src/http_server.rs
@@ -1,63 +1,65 @@
-//! HTTP/1.1 as a server speaks it: requests in, answers out.
+//! The server side of HTTP/1.1: parsing requests and encoding responses.
 
 use bellsill_net::ring_buffer::RingBuffer;
 use serde::Serialize;
 
-/// The most that the head of a request may take: a dispatcher names its buckets and destinations there.
-pub const LONGEST_HEAD: usize = 160 * 1024;
-/// The most that the body of a request may take.
-pub const LONGEST_BODY: usize = 4 * 1024 * 1024;
+/// The longest head of a request, in bytes: a dispatcher names its buckets and destinations there.
+pub(crate) const MAX_HEAD_BYTES: usize = 160 * 1024;
+/// The longest body of a request, in bytes.
+pub(crate) const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// The most header fields of a request.
-const MOST_HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
-/// What a request is for.
+/// The method of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Method {
+pub(crate) enum Method {
     Get,
     Post,
     Other,
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Request {
-    pub method: Method,
-    pub path: String,
+pub(crate) struct Request {
+    pub(crate) method: Method,
+    pub(crate) path: String,
     /// What follows the question mark.
-    pub query: String,
-    pub body: Vec<u8>,
-    /// The connection is kept for another one.
-    pub keep_alive: bool,
+    pub(crate) query: String,
+    pub(crate) body: Vec<u8>,
+    /// Whether the client wants to send another request on the connection.
+    pub(crate) keep_alive: bool,
 }
 
-/// What has come of a request.
+/// What the input contains of the next request.
 #[derive(Debug, PartialEq)]
-pub enum Received {
-    /// More has to come.
-    Part,
-    /// More has to come, and the input needs room for so much.
-    NeedsRoom(usize),
-    Whole(Request),
-    /// It cannot be served, and nobody knows where the next one begins.
-    Unreadable(Response),
+pub(crate) enum Received {
+    /// More bytes have to arrive.
+    Incomplete,
+    /// More bytes have to arrive, and the input needs a capacity of this many.
+    NeedsCapacity(usize),
+    Complete(Request),
+    /// It cannot be served, and where the next one would start is unknown.
+    Malformed(Response),
 }
 
-/// Takes the next request from the input, once all of it has come.
-pub fn receive(input: &mut RingBuffer) -> Received {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Removes the next request from the input, once all of it has arrived.
+pub(crate) fn receive(input: &mut RingBuffer) -> Received {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let bytes = input.contiguous();
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() < LONGEST_HEAD => return Received::Part,
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => {
+            return Received::Incomplete;
+        }
         Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-            return Received::Unreadable(Response::error(
+            return Received::Malformed(Response::error(
                 431,
                 "the head of the request is too long",
             ));
         }
         Err(error) => {
-            return Received::Unreadable(Response::error(
+            return Received::Malformed(Response::error(
                 400,
                 &format!("no HTTP/1.1 request: {error}"),
             ));
@@ -65,14 +67,14 @@
     };
     let body_length = match body_length(head.headers) {
         Ok(length) => length,
-        Err(response) => return Received::Unreadable(response),
+        Err(response) => return Received::Malformed(response),
     };
-    let whole = length + body_length;
-    if bytes.len() < whole {
-        return if whole > LONGEST_HEAD {
-            Received::NeedsRoom(whole)
+    let total = length + body_length;
+    if bytes.len() < total {
+        return if total > MAX_HEAD_BYTES {
+            Received::NeedsCapacity(total)
         } else {
-            Received::Part
+            Received::Incomplete
         };
     }
     let target = head.path.unwrap_or("/");
@@ -85,15 +87,15 @@
         },
         path: path.to_string(),
         query: query.to_string(),
-        body: bytes[length..whole].to_vec(),
-        keep_alive: keeps_alive(&head),
+        body: bytes[length..total].to_vec(),
+        keep_alive: wants_keep_alive(&head),
     };
-    input.consume(whole);
-    Received::Whole(request)
+    input.consume(total);
+    Received::Complete(request)
 }
 
 fn body_length(headers: &[httparse::Header]) -> Result<usize, Response> {
-    let mut told = None;
+    let mut stated = None;
     for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(Response::error(411, "a body needs its Content-Length"));
@@ -104,7 +106,7 @@
                 .and_then(|text| text.trim().parse::<usize>().ok());
             let length = length
                 .ok_or_else(|| Response::error(400, "Content-Length: expected a whole number"))?;
-            if told.replace(length).is_some_and(|other| other != length) {
+            if stated.replace(length).is_some_and(|other| other != length) {
                 return Err(Response::error(
                     400,
                     "Content-Length: told twice, differently",
@@ -112,16 +114,16 @@
             }
         }
     }
-    let length = told.unwrap_or(0);
-    if length > LONGEST_BODY {
+    let length = stated.unwrap_or(0);
+    if length > MAX_BODY_BYTES {
         let why =
-            format!("the body has more than {LONGEST_BODY} bytes: send it in several requests");
+            format!("the body has more than {MAX_BODY_BYTES} bytes: send it in several requests");
         return Err(Response::error(413, &why));
     }
     Ok(length)
 }
 
-fn keeps_alive(head: &httparse::Request) -> bool {
+fn wants_keep_alive(head: &httparse::Request) -> bool {
     let connection = head
         .headers
         .iter()
@@ -133,14 +135,14 @@
     }
 }
 
-/// An answer with a body of JSON.
+/// A response with a JSON body.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Response {
-    pub status: u16,
+pub(crate) struct Response {
+    pub(crate) status: u16,
     /// JSON.
-    pub body: Vec<u8>,
-    /// The connection ends after it.
-    pub close: bool,
+    pub(crate) body: Vec<u8>,
+    /// Whether the connection is closed after it.
+    pub(crate) close: bool,
 }
 
 #[derive(Serialize)]
@@ -149,8 +151,8 @@
 }
 
 impl Response {
-    /// The status 200 with this body.
-    pub fn json(body: &impl Serialize) -> Response {
+    /// A response with status 200.
+    pub(crate) fn json(body: &impl Serialize) -> Response {
         Response {
             status: 200,
             body: serde_json::to_vec(body).unwrap_or_default(),
@@ -158,16 +160,16 @@
         }
     }
 
-    /// Says why a request is not served.
-    pub fn error(status: u16, why: &str) -> Response {
+    /// An error response that states the reason.
+    pub(crate) fn error(status: u16, why: &str) -> Response {
         Response {
             status,
             ..Response::json(&ErrorBody { error: why })
         }
     }
 
-    /// The answer's bytes.
-    pub fn into_bytes(self) -> Vec<u8> {
+    /// Encodes the response.
+    pub(crate) fn into_bytes(self) -> Vec<u8> {
         let retry = if matches!(self.status, 429 | 503) {
             "Retry-After: 1\r\n"
         } else {
@@ -188,12 +190,12 @@
     }
 }
 
-/// The head of an answer whose body stays open.
-pub const WATCH_HEAD: &[u8] =
+/// The head of a response whose body is a stream of lines.
+pub(crate) const WATCH_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A line as a chunk of a body that stays open.
-pub fn chunk(line: &[u8]) -> Vec<u8> {
+/// Encodes a line as one chunk of a streamed body.
+pub(crate) fn chunk(line: &[u8]) -> Vec<u8> {
     let size = format!("{:x}\r\n", line.len());
     [size.as_bytes(), line, b"\r\n"].concat()
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,30 +1,26 @@
-//! A control process: one thread that keeps the configuration as a versioned log on disk, and tells dispatchers and other
-//! control processes what changes. `docs/configuration.md` is the protocol; [`config`] reads what a process is told at its
-//! start, [`run`] runs it.
-// Not finished yet: see docs/ROADMAP.md.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::cognitive_complexity,
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::too_many_lines,
-    clippy::type_complexity,
-    clippy::wildcard_imports
-)]
+//! A control process: one thread that keeps the configuration as a versioned log on disk, and sends its changes to
+//! dispatchers and other control processes. `docs/configuration.md` is the protocol; [`config`] reads the settings of a
+//! process, [`run`] runs it.
 #![deny(unsafe_code)]
 
 pub mod config;
-pub mod figures;
 pub mod presence;
 pub mod process;
 
+mod clients;
 mod connections;
-mod disk;
+mod context;
 mod follower;
 mod http_server;
+mod leader;
+mod metrics;
+mod replica;
+mod replication;
 mod server;
-mod writer;
+mod storage;
+mod time;
+mod write_request;
 
 pub use config::Config;
 pub use process::{RunError, Stop, run};
+pub use storage::StorageError;
--- a/crates/control-plane/src/presence.rs
+++ b/crates/control-plane/src/presence.rs
@@ -1,42 +1,53 @@
-//! Which dispatchers have a watch, as the writer hears it, and which of them count as present.
+//! Which dispatchers have a watch at any control process, as the leader learns it, and which of them count as present.
 
+use crate::time::SECOND;
 use bellsill_net::Nanos;
 use bellsill_placement::{Member, MemberName};
+use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A process that looked last so long before was itself away: nothing of that time counts as a dispatcher's absence.
-const AWAY: Nanos = 3_000_000_000;
+/// If the last check is longer ago, the process itself was suspended: that time does not count as any dispatcher's absence.
+const SUSPENDED_AFTER: Nanos = 3 * SECOND;
 
-/// When each dispatcher was heard of last.
+/// A line of `POST /v2/presence`: a dispatcher has a watch at a follower.
+#[derive(Serialize, Deserialize)]
+pub(crate) struct Heartbeat {
+    pub(crate) dispatcher: MemberName,
+}
+
+/// When each dispatcher was last seen.
 pub struct Presence {
-    heard: HashMap<MemberName, Nanos>,
-    /// Who was never heard of counts from here.
+    last_seen: HashMap<MemberName, Nanos>,
+    /// The absence of a dispatcher that was never seen counts from here.
     started: Nanos,
     grace: Nanos,
-    looked: Nanos,
+    last_check: Nanos,
 }
 
 impl Presence {
+    /// No dispatcher has been seen yet; one counts as absent after the grace.
     pub fn new(now: Nanos, grace: Nanos) -> Presence {
         Presence {
-            heard: HashMap::new(),
+            last_seen: HashMap::new(),
             started: now,
             grace,
-            looked: now,
+            last_check: now,
         }
     }
 
-    /// A dispatcher has a watch somewhere, or was declared just now.
-    pub fn heard_of(&mut self, member: &MemberName, now: Nanos) {
-        match self.heard.get_mut(member) {
-            Some(heard) => *heard = now,
-            None => drop(self.heard.insert(member.clone(), now)),
+    /// A dispatcher has a watch at some process, or was declared just now.
+    pub fn record_seen(&mut self, member: &MemberName, now: Nanos) {
+        match self.last_seen.get_mut(member) {
+            Some(last_seen) => *last_seen = now,
+            None => {
+                self.last_seen.insert(member.clone(), now);
+            }
         }
     }
 
-    /// The members whose presence is another than it is said to be, as they are now. To be called each second.
+    /// The members whose presence differs from what is recorded, with their new presence. To be called each second.
     pub fn changed(&mut self, members: &[Member], now: Nanos) -> Vec<Member> {
-        self.pass_over_own_absence(now);
+        self.discount_suspension(now);
         let changed = members
             .iter()
             .filter(|member| member.present != self.is_present(member, now));
@@ -48,24 +59,24 @@
             .collect()
     }
 
-    /// A process that stood still heard nobody: all would seem gone at once, and every bucket would move.
-    fn pass_over_own_absence(&mut self, now: Nanos) {
-        let away = now.saturating_sub(self.looked);
-        self.looked = now;
-        if away > AWAY {
-            self.started += away;
-            self.heard
+    /// A suspended process sees nobody: all dispatchers would seem absent at once, and every bucket would move.
+    fn discount_suspension(&mut self, now: Nanos) {
+        let suspended = now.saturating_sub(self.last_check);
+        self.last_check = now;
+        if suspended > SUSPENDED_AFTER {
+            self.started += suspended;
+            self.last_seen
                 .values_mut()
-                .for_each(|heard| *heard = now.min(*heard + away));
+                .for_each(|last_seen| *last_seen = now.min(*last_seen + suspended));
         }
     }
 
-    /// Who is out comes in once heard of; who is in goes out after the grace.
+    /// An absent member becomes present once it is seen; a present one becomes absent after the grace.
     fn is_present(&self, member: &Member, now: Nanos) -> bool {
-        let heard = self.heard.get(&member.name).copied();
+        let last_seen = self.last_seen.get(&member.name).copied();
         let counted_from = match member.present {
-            true => Some(heard.unwrap_or(self.started)),
-            false => heard,
+            true => Some(last_seen.unwrap_or(self.started)),
+            false => last_seen,
         };
         counted_from.is_some_and(|from| now.saturating_sub(from) <= self.grace)
     }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -1,54 +1,67 @@
-//! The process: one thread, one loop that reads, writes to disk, and only then tells.
+//! The process: one thread, one loop that reads requests, writes records to disk, and only then sends responses and lines.
+//! It alone knows all roles, and carries out the effects that the request server returns.
 
+use crate::clients::Clients;
 use crate::config::{Config, Role};
-use crate::connections::{self, ConnectionId, Connections, Purpose, Seen};
-use crate::disk::{Storage, StorageError};
-use crate::figures::Figures;
+use crate::connections::{self, ConnectionId, Connections, PollEvent, Purpose};
+use crate::context::Context;
 use crate::follower::Follower;
-use crate::writer::Writer;
-use bellsill_directory::record::LoggedRecord;
-use bellsill_directory::state::{Applied, ApplyError, Directory, Keeping, LogId};
-use bellsill_directory::watchers::{WatcherId, Watchers};
+use crate::http_server::{Request, Response};
+use crate::leader::Leader;
+use crate::metrics::Metrics;
+use crate::replica::Replica;
+use crate::replication::LineEffect;
+use crate::server::{self, Effect, ReadView, WatchStart, Write};
+use crate::storage::StorageError;
+use crate::time::{MILLISECOND, SECOND};
+use bellsill_directory::request::{LookUpRequest, WatchRequest};
+use bellsill_directory::state::{ApplyError, Directory, Keeping, LogId};
+use bellsill_directory::watchers::WatcherId;
 use bellsill_net::Nanos;
-use std::collections::{BTreeSet, HashMap};
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-const MILLISECOND: Nanos = 1_000_000;
-pub(crate) const SECOND: Nanos = 1_000 * MILLISECOND;
-/// Between looks at what falls due with time: empty lines, fillings, silence of the writer.
+/// The interval of what depends on time: keep-alive lines, filling of buckets, silence of the leader.
 const TICK: Nanos = 100 * MILLISECOND;
-/// A turn of the loop that takes longer is logged.
-const SLOW_TURN: Duration = Duration::from_millis(100);
+/// A longer iteration of the loop is logged.
+const SLOW_ITERATION: Duration = Duration::from_millis(100);
 
-/// What tells a control process to end: the flag says so, and a byte on the socket has it look.
+/// Requests a control process to stop.
 pub struct Stop {
+    /// A byte on it makes the process check `requested`.
     pub wake: UnixStream,
+    /// Whether the process is to stop.
     pub requested: Arc<AtomicBool>,
 }
 
-/// Why a control process cannot start, or cannot go on.
+/// Why a control process cannot start or continue.
 #[derive(Debug, Error)]
 pub enum RunError {
+    /// The listener can't be opened.
     #[error("field listen: {address}: {source}")]
     Listen {
+        /// The configured address.
         address: SocketAddr,
+        /// The operating system's error.
         source: io::Error,
     },
+    /// The state directory can't be read or written.
     #[error("field state: {0}")]
     Storage(#[from] StorageError),
+    /// A record of this process does not follow from its own configuration.
     #[error("a record that was taken cannot be applied: {0}")]
     Apply(#[from] ApplyError),
+    /// The operating system reported an error.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// Runs a control process until it is told to end. What it answered is on disk.
+/// Runs a control process until it is requested to stop. Everything that it has answered is on disk.
 pub fn run(config: Config, stop: Stop) -> Result<(), RunError> {
     let listener = connections::listen(config.listen);
     let listener = listener.map_err(|source| RunError::Listen {
@@ -58,249 +71,311 @@
     run_on(listener, config, stop)
 }
 
-/// As [`run`], on a listener that is already open.
-pub fn run_on(listener: std::net::TcpListener, config: Config, stop: Stop) -> Result<(), RunError> {
+/// Like [`run`], on a listener that is already open.
+pub fn run_on(listener: TcpListener, config: Config, stop: Stop) -> Result<(), RunError> {
     let mut process = ControlProcess::start(listener, config, stop)?;
     while !process.stopped {
-        process.turn()?;
+        process.iterate()?;
     }
     log::info!(
-        "{} ends at version {}",
-        process.config.name,
-        process.version()
+        "{} stops at version {}",
+        process.name,
+        process.context.replica.version().0
     );
     Ok(())
 }
 
-/// What the process does with writes.
-pub(crate) enum RoleState {
-    Writer(Writer),
+/// The role of a process, with its state.
+enum RoleState {
+    Leader(Leader),
     Follower(Follower),
 }
 
-/// One control process.
-pub(crate) struct ControlProcess {
-    pub config: Config,
-    pub now: Nanos,
-    pub connections: Connections,
-    /// None in a follower that has not been told the configuration yet.
-    pub directory: Option<Directory>,
-    pub watchers: Watchers,
-    /// The connection of each watcher.
-    pub watching: HashMap<WatcherId, ConnectionId>,
-    /// Connections with output to be written at the end of the turn.
-    pub touched: BTreeSet<ConnectionId>,
-    pub storage: Storage,
-    /// Records that are applied, but not yet on disk. Nothing is written to a connection before they are.
-    pub unsynced: Vec<LoggedRecord>,
-    pub role: RoleState,
-    pub figures: Figures,
+struct ControlProcess {
+    name: String,
+    context: Context,
+    clients: Clients,
+    role: RoleState,
     clock: Instant,
     next_tick: Nanos,
     next_second: Nanos,
-    stop: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
     stopped: bool,
 }
 
-/// How long the parts of a turn took.
-#[derive(Default)]
-struct TurnTimes {
-    handling: Duration,
-    disk: Duration,
-    telling: Duration,
+/// What came of a request.
+enum Outcome {
+    Respond(Response),
+    WatchOpened(WatcherId),
+}
+
+/// How long the parts of an iteration took.
+struct IterationTimes {
+    events: Duration,
+    storage: Duration,
+    sending: Duration,
+}
+
+impl IterationTimes {
+    fn total(&self) -> Duration {
+        self.events + self.storage + self.sending
+    }
 }
 
 impl ControlProcess {
     fn start(
-        listener: std::net::TcpListener,
+        listener: TcpListener,
         config: Config,
         stop: Stop,
     ) -> Result<ControlProcess, RunError> {
-        let begun = Instant::now();
-        let (mut storage, mut directory) = Storage::open(
-            &config.state,
-            &config.name,
-            config.layout.clone(),
-            Keeping::default(),
-        )?;
-        if directory.is_none() && config.role == Role::Writer {
-            let new = Directory::new(config.layout.clone(), new_log_id()?, Keeping::default());
-            storage.begin_with(&new)?;
-            directory = Some(new);
-        }
-        if let Some(directory) = directory.as_ref().filter(|_| storage.is_log_long()) {
-            storage.write_snapshot(directory)?;
+        let started = Instant::now();
+        let mut replica = Replica::open(&config)?;
+        if replica.directory().is_none() && config.role == Role::Leader {
+            let layout = config.layout.clone();
+            replica.replace(Directory::new(layout, new_log_id()?, Keeping::default()))?;
         }
+        replica.shorten_log_at_start()?;
         let role = match config.role {
-            Role::Writer => RoleState::Writer(Writer::new(0, config.restart_grace)),
-            Role::Follower { writer } => RoleState::Follower(Follower::new(writer, 0)),
-        };
-        let figures = Figures {
-            torn_bytes: storage.torn_bytes(),
-            rejected_snapshots: storage.rejected_snapshots(),
-            ..Figures::default()
+            Role::Leader => RoleState::Leader(Leader::new(0, config.restart_grace)),
+            Role::Follower { leader } => {
+                RoleState::Follower(Follower::new(leader, config.layout, 0))
+            }
         };
-        let process = ControlProcess {
-            now: 0,
-            connections: Connections::new(listener, stop.wake)?,
-            directory,
-            watchers: Watchers::new(config.fill_pace),
-            watching: HashMap::new(),
-            touched: BTreeSet::new(),
-            storage,
-            unsynced: Vec::new(),
+        let connections = Connections::new(listener, stop.wake)?;
+        let entries = replica
+            .directory()
+            .map_or(0, |directory| directory.entries().len());
+        log::info!(
+            "{} listens on {}, at version {} with {entries} endpoints, started in {} ms",
+            config.name,
+            config.listen,
+            replica.version().0,
+            started.elapsed().as_millis()
+        );
+        Ok(ControlProcess {
+            name: config.name,
+            context: Context {
+                connections,
+                replica,
+                metrics: Metrics::default(),
+                now: 0,
+            },
+            clients: Clients::default(),
             role,
-            figures,
             clock: Instant::now(),
             next_tick: 0,
             next_second: 0,
-            stop: stop.requested,
+            stop_requested: stop.requested,
             stopped: false,
-            config,
-        };
-        let entries = process
-            .directory
-            .as_ref()
-            .map_or(0, |directory| directory.entries().len());
-        log::info!(
-            "{} listens on {}, at version {} with {entries} endpoints, started in {} ms",
-            process.config.name,
-            process.config.listen,
-            process.version(),
-            begun.elapsed().as_millis()
-        );
-        Ok(process)
+        })
     }
 
-    pub fn version(&self) -> u64 {
-        self.directory
-            .as_ref()
-            .map_or(0, |directory| directory.version().0)
+    fn iterate(&mut self) -> Result<(), RunError> {
+        let timeout = self.next_tick.saturating_sub(self.context.now);
+        let events = self
+            .context
+            .connections
+            .wait(Duration::from_nanos(timeout))?;
+        let started = Instant::now();
+        self.update_clock();
+        for event in events {
+            self.handle_event(event)?;
+        }
+        if self.context.now >= self.next_tick {
+            self.tick()?;
+        }
+        let handled = Instant::now();
+        self.context.replica.sync()?;
+        let synced = Instant::now();
+        self.clients.flush(&mut self.context);
+        self.count_iteration(&IterationTimes {
+            events: handled - started,
+            storage: synced - handled,
+            sending: synced.elapsed(),
+        });
+        self.update_clock();
+        Ok(())
     }
 
-    /// Takes in a record. It is told once it is on disk.
-    pub fn apply(&mut self, logged: LoggedRecord) -> Result<(), ApplyError> {
-        let Some(directory) = &mut self.directory else {
-            return Ok(());
-        };
-        let applied: Applied = directory.apply(&logged)?;
-        self.watchers.applied(&applied, directory);
-        self.unsynced.push(logged);
-        Ok(())
+    fn update_clock(&mut self) {
+        self.context.now = self.clock.elapsed().as_nanos() as Nanos;
     }
 
-    /// Has the records that were taken in on disk.
-    pub fn sync(&mut self) -> Result<(), RunError> {
-        if self.unsynced.is_empty() {
-            return Ok(());
-        }
-        self.storage.append(&self.unsynced)?;
-        self.figures.records += self.unsynced.len() as u64;
-        self.figures.syncs += 1;
-        self.unsynced.clear();
-        if let Some(directory) = self
-            .directory
-            .as_ref()
-            .filter(|_| self.storage.is_log_too_long())
-        {
-            self.storage.write_snapshot(directory)?;
+    fn count_iteration(&mut self, times: &IterationTimes) {
+        let total = times.total();
+        let metrics = &mut self.context.metrics;
+        metrics.longest_iteration_ms = metrics.longest_iteration_ms.max(total.as_millis() as u64);
+        if total > SLOW_ITERATION {
+            metrics.slow_iterations += 1;
+            log::warn!(
+                "slow iteration: {} ms, of which {} handling events, {} on disk, {} sending to {} watchers",
+                total.as_millis(),
+                times.events.as_millis(),
+                times.storage.as_millis(),
+                times.sending.as_millis(),
+                self.context.replica.watchers().len()
+            );
         }
-        Ok(())
     }
 
-    fn turn(&mut self) -> Result<(), RunError> {
-        let seen = self.connections.wait(Duration::from_nanos(
-            self.next_tick.saturating_sub(self.now),
-        ))?;
-        let (begun, mut times) = (Instant::now(), TurnTimes::default());
-        self.now = self.clock.elapsed().as_nanos() as Nanos;
-        for what in seen {
-            match what {
-                Seen::Listener => self.accept(),
-                Seen::Stop => {
-                    self.connections.take_stop()?;
-                    self.stopped = self.stop.load(Ordering::SeqCst);
+    fn tick(&mut self) -> Result<(), RunError> {
+        let now = self.context.now;
+        self.next_tick = now + TICK;
+        self.context.replica.watchers_mut().mark_all_ready();
+        if let RoleState::Follower(follower) = &mut self.role {
+            follower.tick(&mut self.context);
+        }
+        if now >= self.next_second {
+            self.next_second = now + SECOND;
+            match &mut self.role {
+                RoleState::Leader(leader) => {
+                    let Context {
+                        replica, metrics, ..
+                    } = &mut self.context;
+                    leader.every_second(replica, metrics, now)?;
                 }
-                Seen::Connection(id) => self.ready(id)?,
+                RoleState::Follower(follower) => follower.every_second(&mut self.context),
             }
+            self.clients.close_overdue(&mut self.context);
         }
-        if self.now >= self.next_tick {
-            self.tick()?;
-        }
-        times.handling = begun.elapsed();
-        self.sync()?;
-        times.disk = begun.elapsed() - times.handling;
-        self.tell();
-        times.telling = begun.elapsed() - times.handling - times.disk;
-        self.count_turn(begun.elapsed(), &times);
-        self.now = self.clock.elapsed().as_nanos() as Nanos;
         Ok(())
     }
 
-    fn count_turn(&mut self, took: Duration, times: &TurnTimes) {
-        self.figures.longest_turn_ms = self.figures.longest_turn_ms.max(took.as_millis() as u64);
-        if took > SLOW_TURN {
-            self.figures.slow_turns += 1;
-            log::warn!(
-                "a slow turn: {} ms, of these {} handling requests, {} on disk, {} telling {} watchers",
-                took.as_millis(),
-                times.handling.as_millis(),
-                times.disk.as_millis(),
-                times.telling.as_millis(),
-                self.watchers.len()
-            );
+    fn handle_event(&mut self, event: PollEvent) -> Result<(), RunError> {
+        match event {
+            PollEvent::Listener => self.clients.accept(&mut self.context),
+            PollEvent::Stop => {
+                self.context.connections.drain_stop()?;
+                self.stopped = self.stop_requested.load(Ordering::SeqCst);
+            }
+            PollEvent::Connection(id) => self.connection_ready(id)?,
         }
+        Ok(())
     }
 
-    fn tick(&mut self) -> Result<(), RunError> {
-        self.next_tick = self.now + TICK;
-        self.watchers.mark_all_ready();
-        self.follower_tick();
-        if self.now >= self.next_second {
-            self.next_second = self.now + SECOND;
-            self.writer_second()?;
-            self.follower_second();
-            self.close_overdue();
+    fn connection_ready(&mut self, id: ConnectionId) -> Result<(), RunError> {
+        let context = &mut self.context;
+        let Some(connection) = context.connections.get_mut(id) else {
+            return Ok(());
+        };
+        match (connection.purpose, &mut self.role) {
+            (Purpose::Client, _) => self.client_ready(id),
+            (Purpose::Watch(watcher), _) => self.clients.watch_ready(context, id, watcher),
+            (Purpose::LeaderWatch, RoleState::Follower(follower)) => {
+                if follower.watch_ready(context, id)? == LineEffect::ConfigurationReplaced {
+                    self.clients.close_watches(context);
+                }
+            }
+            (Purpose::HeartbeatCall, RoleState::Follower(follower)) => {
+                follower.heartbeat_call_ready(context, id);
+            }
+            // A leader opens no connections to another process.
+            (Purpose::LeaderWatch | Purpose::HeartbeatCall, RoleState::Leader(_)) => {}
         }
         Ok(())
     }
 
-    fn accept(&mut self) {
-        loop {
-            match self
-                .connections
-                .accept(crate::server::CLIENT_BOUNDS, self.now)
-            {
-                Ok(Some(id)) => drop(self.touched.insert(id)),
-                Ok(None) => break,
-                Err(error) => {
-                    log::error!("a connection cannot be accepted: {error}");
+    fn client_ready(&mut self, id: ConnectionId) {
+        self.clients.receive(&mut self.context, id);
+        while let Some(request) = self.clients.next_request(&mut self.context, id) {
+            match self.serve(&request) {
+                Outcome::Respond(response) => {
+                    let response = Response {
+                        close: !request.keep_alive,
+                        ..response
+                    };
+                    self.clients.respond(&mut self.context, id, response);
+                }
+                Outcome::WatchOpened(watcher) => {
+                    self.clients.start_watch(&mut self.context, id, watcher);
                     break;
                 }
             }
         }
-        if let Err(error) = self.connections.arm_listener() {
-            log::error!("connections cannot be listened for: {error}");
+        self.clients.finish_requests(&mut self.context, id);
+    }
+
+    /// Serves a request, and carries out its effect.
+    fn serve(&mut self, request: &Request) -> Outcome {
+        let view = ReadView {
+            replica: &self.context.replica,
+            metrics: &self.context.metrics,
+            connections: self.context.connections.len(),
+            leader: match &self.role {
+                RoleState::Leader(_) => None,
+                RoleState::Follower(follower) => Some(follower.leader()),
+            },
+        };
+        match server::serve(request, &view) {
+            Effect::Respond(response) => Outcome::Respond(response),
+            Effect::OpenWatch(watch, start) => self.open_watch(watch, start),
+            Effect::LookUp(look_up) => Outcome::Respond(self.look_up(&look_up)),
+            Effect::Write(write) => Outcome::Respond(self.write(write, &request.body)),
         }
     }
 
-    fn ready(&mut self, id: ConnectionId) -> Result<(), RunError> {
-        match self
-            .connections
-            .get_mut(id)
-            .map(|connection| connection.purpose)
+    fn open_watch(&mut self, request: WatchRequest, start: WatchStart) -> Outcome {
+        let opened = match self.context.replica.open_watch(request, self.context.now) {
+            Some(Ok(opened)) => opened,
+            Some(Err(reason)) => return Outcome::Respond(server::watch_rejection(reason)),
+            None => return Outcome::Respond(server::no_configuration()),
+        };
+        let metrics = &mut self.context.metrics;
+        metrics.watches_opened += 1;
+        match start {
+            WatchStart::Dispatcher | WatchStart::Follower => {}
+            WatchStart::RestartedDispatcher => metrics.watches_restarted += 1,
+            WatchStart::FollowerTransfer => metrics.transfers_started += 1,
+        }
+        if let (WatchStart::Follower | WatchStart::FollowerTransfer, RoleState::Leader(leader)) =
+            (start, &mut self.role)
         {
-            Some(Purpose::Client) => self.client_ready(id),
-            Some(Purpose::Watch(watcher)) => self.watch_ready(id, watcher),
-            Some(Purpose::WriterWatch) => self.writer_watch_ready(id)?,
-            Some(Purpose::PresenceCall) => self.presence_call_ready(id),
-            None => {}
+            leader.follower_connected();
         }
-        Ok(())
+        if let Some(replaced) = opened.replaced {
+            self.clients.close_replaced(&mut self.context, replaced);
+        }
+        Outcome::WatchOpened(opened.id)
+    }
+
+    fn look_up(&mut self, request: &LookUpRequest) -> Response {
+        let Context {
+            replica, metrics, ..
+        } = &mut self.context;
+        if let Err(reason) = replica.watchers_mut().change_cells(request) {
+            return server::watch_rejection(reason);
+        }
+        let Some(directory) = replica.directory() else {
+            return server::no_configuration();
+        };
+        metrics.lookups += request.cells.len() as u64;
+        server::look_up_response(directory, request)
+    }
+
+    fn write(&mut self, write: Write, body: &[u8]) -> Response {
+        let Context {
+            replica,
+            metrics,
+            now,
+            ..
+        } = &mut self.context;
+        let leader = match &mut self.role {
+            RoleState::Leader(leader) => leader,
+            RoleState::Follower(follower) => return server::not_leader(follower.leader()),
+        };
+        let written = match write {
+            Write::Endpoints => leader.write_endpoints(replica, body),
+            Write::Members => leader.write_members(replica, body, *now),
+            Write::Heartbeats => leader.record_heartbeats(replica, body, *now),
+        };
+        if written.is_ok() && write != Write::Heartbeats {
+            metrics.writes += 1;
+        }
+        server::write_response(written)
     }
 }
 
-/// A name for a history that no other one has.
+/// An id for a history that no other one has.
 fn new_log_id() -> io::Result<LogId> {
     let number = getrandom::u64().map_err(|error| io::Error::other(error.to_string()))?;
     Ok(LogId(format!("{number:016x}")))
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/storage.rs
@@ -1,4 +1,4 @@
-//! The state directory: a log of records with snapshots, kept by `bellsill-config-log`.
+//! The state directory: the log of the configuration's records with snapshots.
 
 use bellsill_config_log::{
     ConfigLog, LogError, NewRecord, OpenedLog, RecoveryReport, RejectReason, Rejected, Snapshot,
@@ -11,67 +11,98 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A log that is longer is followed by a snapshot when the process starts, so that the next start is short.
-const LONG_LOG: u64 = 16 * 1024 * 1024;
-/// A log that is longer is followed by a snapshot while the process runs; up to twice as long, by the process's name: all
-/// processes have the same records, and would else all stand still for a snapshot at the same moment.
-const LONGEST_LOG: u64 = 64 * 1024 * 1024;
+/// A longer log, in bytes, is replaced by a snapshot when the process starts, so that the next start is short.
+const MAX_LOG_BYTES_AT_START: u64 = 16 * 1024 * 1024;
+/// A longer log, in bytes, is replaced by a snapshot while the process runs. The actual limit is up to twice as high,
+/// depending on the process's name: all processes have the same records, and would otherwise pause for a snapshot at the
+/// same moment.
+const MIN_LOG_LIMIT_BYTES: u64 = 64 * 1024 * 1024;
 
 /// Why the state directory cannot be used.
 #[derive(Debug, Error)]
 pub enum StorageError {
+    /// The log can't be read or written.
     #[error("{0}")]
     Log(#[from] LogError),
+    /// All snapshots are damaged.
     #[error(
         "{}: {}, and there is no other snapshot; copy the directory of another control process over this one, \
          or begin with an empty one", rejected.file.display(), rejected.reason
     )]
-    NoSnapshot { rejected: Rejected },
+    NoSnapshot {
+        /// The damaged snapshot.
+        rejected: Rejected,
+    },
+    /// A record can't be decoded.
     #[error("{}: record {index} is refused: {error}", directory.display())]
     Record {
+        /// The state directory.
         directory: PathBuf,
+        /// The index in the log.
         index: u64,
+        /// What is wrong with it.
         error: InvalidRecord,
     },
+    /// A record can't be applied to the configuration before it.
     #[error("{}: record {index} does not follow: {error}", directory.display())]
     Apply {
+        /// The state directory.
         directory: PathBuf,
+        /// The index in the log.
         index: u64,
+        /// What is wrong with it.
         error: ApplyError,
     },
+    /// There are records, but no snapshot that they follow.
     #[error("{}: record {index} is before any snapshot", directory.display())]
-    NothingBefore { directory: PathBuf, index: u64 },
+    NothingBefore {
+        /// The state directory.
+        directory: PathBuf,
+        /// The index in the log.
+        index: u64,
+    },
+    /// A snapshot can't be decoded.
     #[error("{}: snapshot {index} is refused: {error}", directory.display())]
     Snapshot {
+        /// The state directory.
         directory: PathBuf,
+        /// The index in the log.
         index: u64,
+        /// What is wrong with it.
         error: SnapshotError,
     },
 }
 
-/// The log of one control process. Its indices rise by one for each record, over all histories of the configuration:
-/// versions begin anew in another one.
-pub struct Storage {
+/// The log of one control process. Its indices rise by one for each record, over all histories of the configuration,
+/// whereas versions start again with each history.
+pub(crate) struct Storage {
     log: ConfigLog,
     /// What was left out when the log was opened.
     report: RecoveryReport,
-    longest_log: u64,
+    max_log_bytes: u64,
+}
+
+/// An opened state directory.
+pub(crate) struct OpenedStorage {
+    pub(crate) storage: Storage,
+    /// None if the state directory is empty.
+    pub(crate) directory: Option<Directory>,
 }
 
 impl Storage {
-    /// Opens a state directory, and reads what it holds; no configuration where it is empty. A record whose writing was
-    /// cut short at the end of the log was never told to anybody, and is dropped.
-    pub fn open(
+    /// Opens a state directory and reads it. An incomplete record at the end of the log was never sent to anyone, and is
+    /// dropped.
+    pub(crate) fn open(
         path: &Path,
         process_name: &str,
         layout: Layout,
         keeping: Keeping,
-    ) -> Result<(Storage, Option<Directory>), StorageError> {
+    ) -> Result<OpenedStorage, StorageError> {
         let OpenedLog { log, recovered } = ConfigLog::open(path)?;
         log_report(path, &recovered.report);
         let mut directory = match recovered.snapshot {
             Some(snapshot) => Some(read_snapshot(path, snapshot, layout, keeping)?),
-            None => no_snapshot(&recovered.report)?,
+            None => check_empty(&recovered.report)?,
         };
         for logged in recovered.records {
             let index = logged.index;
@@ -95,29 +126,29 @@
                     error,
                 })?;
         }
-        let longest_log = LONGEST_LOG + hash(process_name) % LONGEST_LOG;
-        Ok((
-            Storage {
+        let max_log_bytes = MIN_LOG_LIMIT_BYTES + hash(process_name) % MIN_LOG_LIMIT_BYTES;
+        Ok(OpenedStorage {
+            storage: Storage {
                 log,
                 report: recovered.report,
-                longest_log,
+                max_log_bytes,
             },
             directory,
-        ))
+        })
     }
 
     /// Bytes at the end of the log that were dropped when it was opened.
-    pub fn torn_bytes(&self) -> u64 {
+    pub(crate) fn torn_bytes(&self) -> u64 {
         self.report.torn_bytes
     }
 
     /// Snapshots that were not used when the log was opened.
-    pub fn rejected_snapshots(&self) -> usize {
+    pub(crate) fn rejected_snapshots(&self) -> usize {
         self.report.rejected.len()
     }
 
     /// Appends records, and returns once they are on disk.
-    pub fn append(&mut self, records: &[LoggedRecord]) -> Result<(), StorageError> {
+    pub(crate) fn append(&mut self, records: &[LoggedRecord]) -> Result<(), StorageError> {
         let payloads: Vec<Vec<u8>> = records.iter().map(record::encode).collect();
         let indices = self.log.last_index() + 1..;
         let batch: Vec<NewRecord> = indices
@@ -128,25 +159,25 @@
         Ok(self.log.sync()?)
     }
 
-    /// Whether the log is so long that a process that starts writes a snapshot.
-    pub fn is_log_long(&self) -> bool {
-        self.log.bytes() > LONG_LOG
+    /// Whether a process that starts should write a snapshot.
+    pub(crate) fn needs_snapshot_at_start(&self) -> bool {
+        self.log.bytes() > MAX_LOG_BYTES_AT_START
     }
 
-    /// Whether the log is so long that a process that runs writes a snapshot.
-    pub fn is_log_too_long(&self) -> bool {
-        self.log.bytes() > self.longest_log
+    /// Whether a running process should write a snapshot.
+    pub(crate) fn needs_snapshot_while_running(&self) -> bool {
+        self.log.bytes() > self.max_log_bytes
     }
 
-    /// Writes a snapshot of what the records have led to.
-    pub fn write_snapshot(&mut self, directory: &Directory) -> Result<(), StorageError> {
+    /// Writes a snapshot of the configuration that the records have led to.
+    pub(crate) fn write_snapshot(&mut self, directory: &Directory) -> Result<(), StorageError> {
         Ok(self
             .log
             .write_snapshot(self.log.last_index(), encoded_parts(directory))?)
     }
 
-    /// Begins anew with a configuration that the records have not led to.
-    pub fn begin_with(&mut self, directory: &Directory) -> Result<(), StorageError> {
+    /// Replaces the state by a configuration that does not follow from the records.
+    pub(crate) fn replace_state(&mut self, directory: &Directory) -> Result<(), StorageError> {
         Ok(self
             .log
             .write_snapshot(self.log.last_index() + 1, encoded_parts(directory))?)
@@ -162,18 +193,22 @@
 fn log_report(path: &Path, report: &RecoveryReport) {
     if report.torn_bytes > 0 {
         log::warn!(
-            "{}: {} bytes of records whose writing was cut short are dropped",
+            "{}: dropped {} bytes of incomplete records at the end of the log",
             path.display(),
             report.torn_bytes
         );
     }
     for rejected in &report.rejected {
-        log::warn!("{}: not used: {}", rejected.file.display(), rejected.reason);
+        log::warn!(
+            "{}: snapshot not used: {}",
+            rejected.file.display(),
+            rejected.reason
+        );
     }
 }
 
-/// An empty directory has no snapshot; one whose only snapshot is damaged must not pass for empty.
-fn no_snapshot(report: &RecoveryReport) -> Result<Option<Directory>, StorageError> {
+/// A directory whose only snapshot is damaged must not be taken for an empty one.
+fn check_empty(report: &RecoveryReport) -> Result<Option<Directory>, StorageError> {
     let damaged = report
         .rejected
         .iter()
@@ -192,14 +227,14 @@
     keeping: Keeping,
 ) -> Result<Directory, StorageError> {
     let index = snapshot.index;
-    let refused = |error| StorageError::Snapshot {
+    let rejected = |error| StorageError::Snapshot {
         directory: path.to_path_buf(),
         index,
         error,
     };
     let mut reader = SnapshotReader::new(layout, keeping);
     for part in snapshot.records {
-        reader.part(&part).map_err(refused)?;
+        reader.part(&part).map_err(rejected)?;
     }
-    reader.finish().map_err(refused)
+    reader.finish().map_err(rejected)
 }
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -15,9 +15,9 @@
 use std::time::{Duration, Instant};
 
 /// How long a test waits for something before it fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
 
-pub const MEMBERS: &str = "\
+pub(crate) const MEMBERS: &str = "\
 {\"name\":\"north-a\",\"zone\":\"north-1\"}
 {\"name\":\"north-b\",\"zone\":\"north-2\"}
 {\"name\":\"south-a\",\"zone\":\"south-1\",\"weight\":1.0}
@@ -25,20 +25,20 @@
 ";
 
 /// An address that stays the same over restarts: the listener is kept open here.
-pub struct Place {
+pub(crate) struct Place {
     listener: TcpListener,
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
 }
 
 impl Place {
-    pub fn new() -> Place {
+    pub(crate) fn new() -> Place {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("an address");
         Place { listener, address }
     }
 
     /// Starts a process here, with more lines for its configuration.
-    pub fn start(&self, state: &Path, role: &str, more: &str) -> Running {
+    pub(crate) fn start(&self, state: &Path, role: &str, more: &str) -> Running {
         let config =
             Config::parse(&config_text(self.address, state, role, more)).expect("a configuration");
         let (wake, waker) = UnixStream::pair().expect("a pair of sockets");
@@ -59,20 +59,20 @@
         }
     }
 
-    pub fn start_writer(&self, state: &Path) -> Running {
+    pub(crate) fn start_leader(&self, state: &Path) -> Running {
         self.start(state, "role = \"writer\"", "")
     }
 
-    pub fn start_follower(&self, state: &Path, writer: SocketAddr) -> Running {
+    pub(crate) fn start_follower(&self, state: &Path, leader: SocketAddr) -> Running {
         self.start(
             state,
-            &format!("role = \"follower\"\nwriter = \"{writer}\""),
+            &format!("role = \"follower\"\nwriter = \"{leader}\""),
             "",
         )
     }
 }
 
-pub fn config_text(listen: SocketAddr, state: &Path, role: &str, more: &str) -> String {
+pub(crate) fn config_text(listen: SocketAddr, state: &Path, role: &str, more: &str) -> String {
     let state = state.display();
     format!(
         "name = \"control\"\nlisten = \"{listen}\"\nstate = \"{state}\"\n{role}\nbuckets_per_region = 8\n{more}\n\
@@ -82,8 +82,8 @@
 }
 
 /// A control process that runs in a thread.
-pub struct Running {
-    pub address: SocketAddr,
+pub(crate) struct Running {
+    pub(crate) address: SocketAddr,
     thread: Option<JoinHandle<Result<(), String>>>,
     waker: UnixStream,
     requested: Arc<AtomicBool>,
@@ -91,12 +91,12 @@
 
 impl Running {
     /// Ends it, and waits until it has ended.
-    pub fn stop(mut self) -> Result<(), String> {
+    pub(crate) fn stop(mut self) -> Result<(), String> {
         self.end()
     }
 
     /// Waits until it ends by itself.
-    pub fn ended(mut self) -> Result<(), String> {
+    pub(crate) fn ended(mut self) -> Result<(), String> {
         self.thread
             .take()
             .expect("it runs")
@@ -106,58 +106,60 @@
 
     fn end(&mut self) -> Result<(), String> {
         self.requested.store(true, Ordering::SeqCst);
-        let _ = self.waker.write_all(b"x");
+        // A process that has ended by itself has closed its side.
+        self.waker.write_all(b"x").ok();
         self.thread
             .take()
             .map_or(Ok(()), |thread| thread.join().expect("no panic"))
     }
 
-    pub fn figures(&self) -> Value {
+    pub(crate) fn metrics(&self) -> Value {
         request(self.address, "GET", "/v2/figures", "").1
     }
 
     /// Waits until a figure is as wanted.
-    pub fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+    pub(crate) fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
         let begun = Instant::now();
         loop {
-            let figures = self.figures();
-            if wanted(&figures) {
-                return figures;
+            let metrics = self.metrics();
+            if wanted(&metrics) {
+                return metrics;
             }
-            assert!(begun.elapsed() < PATIENCE, "{what} did not come: {figures}");
+            assert!(begun.elapsed() < PATIENCE, "{what} did not come: {metrics}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    pub fn wait_for_version(&self, version: u64) -> Value {
-        self.wait_for("the version", |figures| {
-            figures["version"].as_u64() >= Some(version)
+    pub(crate) fn wait_for_version(&self, version: u64) -> Value {
+        self.wait_for("the version", |metrics| {
+            metrics["version"].as_u64() >= Some(version)
         })
     }
 
-    pub fn write(&self, body: &str) -> u64 {
+    pub(crate) fn write(&self, body: &str) -> u64 {
         let (status, answer) = request(self.address, "POST", "/api/targets", body);
         assert_eq!(status, 200, "{answer}");
         answer["version"].as_u64().expect("a version")
     }
 
     /// Declares the members, and waits until buckets are assigned to them.
-    pub fn declare(&self) {
+    pub(crate) fn declare(&self) {
         let (status, answer) = request(self.address, "POST", "/v2/members", MEMBERS);
         assert_eq!(status, 200, "{answer}");
-        self.wait_for("the assignment", |figures| {
-            figures["epoch"].as_u64() >= Some(1)
+        self.wait_for("the assignment", |metrics| {
+            metrics["epoch"].as_u64() >= Some(1)
         });
     }
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        let _ = self.end();
+        // A test that expects an error calls `stop` or `ended`.
+        self.end().ok();
     }
 }
 
-pub fn entry(number: u64, state: EndpointState) -> String {
+pub(crate) fn entry(number: u64, state: EndpointState) -> String {
     let state = serde_json::to_string(&state).expect("a state");
     let port = 1000 + number % 60_000;
     format!(
@@ -166,18 +168,18 @@
     )
 }
 
-pub fn entries(numbers: std::ops::Range<u64>, state: EndpointState) -> String {
+pub(crate) fn entries(numbers: std::ops::Range<u64>, state: EndpointState) -> String {
     numbers.map(|number| entry(number, state)).collect()
 }
 
-pub fn connect(address: SocketAddr) -> TcpStream {
+pub(crate) fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
     stream
 }
 
 /// One request on a connection of its own: the status, and the body as JSON.
-pub fn request(address: SocketAddr, method: &str, target: &str, body: &str) -> (u16, Value) {
+pub(crate) fn request(address: SocketAddr, method: &str, target: &str, body: &str) -> (u16, Value) {
     let mut stream = connect(address);
     let length = body.len();
     let head = format!(
@@ -189,7 +191,7 @@
     read_answer(&mut stream)
 }
 
-pub fn read_answer(stream: &mut TcpStream) -> (u16, Value) {
+pub(crate) fn read_answer(stream: &mut TcpStream) -> (u16, Value) {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
@@ -202,12 +204,12 @@
 }
 
 /// A dispatcher's watch.
-pub struct Watch {
+pub(crate) struct Watch {
     reader: BufReader<TcpStream>,
 }
 
 impl Watch {
-    pub fn open(address: SocketAddr, query: &str) -> Watch {
+    pub(crate) fn open(address: SocketAddr, query: &str) -> Watch {
         let mut reader = BufReader::new(connect(address));
         let request = format!("GET /api/targets?follow=1&{query} HTTP/1.1\r\nHost: x\r\n\r\n");
         reader
@@ -227,7 +229,7 @@
     }
 
     /// The next line that is not empty; none once the watch has ended.
-    pub fn next(&mut self) -> Option<ScopedLine> {
+    pub(crate) fn next(&mut self) -> Option<ScopedLine> {
         loop {
             let size = self.text_line();
             if size.is_empty() {
@@ -244,7 +246,7 @@
     }
 
     /// Reads until the wanted line has come, and returns all up to it.
-    pub fn until(&mut self, wanted: impl Fn(&ScopedLine) -> bool) -> Vec<ScopedLine> {
+    pub(crate) fn until(&mut self, wanted: impl Fn(&ScopedLine) -> bool) -> Vec<ScopedLine> {
         let begun = Instant::now();
         let mut lines: Vec<ScopedLine> = Vec::new();
         loop {
@@ -265,7 +267,7 @@
     }
 
     /// Reads until these many buckets have been filled.
-    pub fn until_filled(&mut self, buckets: usize) -> Vec<ScopedLine> {
+    pub(crate) fn until_filled(&mut self, buckets: usize) -> Vec<ScopedLine> {
         let mut lines = Vec::new();
         while lines
             .iter()
@@ -279,7 +281,7 @@
     }
 }
 
-pub fn ids(lines: &[ScopedLine]) -> Vec<String> {
+pub(crate) fn ids(lines: &[ScopedLine]) -> Vec<String> {
     lines
         .iter()
         .flat_map(|line| line.servers.iter().map(|entry| entry.id.clone()))
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file: what is taken, and what operators are told of what is not.
+//! The configuration file: defaults, and the errors that operators see.
 
 use bellsill_control_plane::config::{Config, Role};
 
@@ -13,9 +13,9 @@
 ";
 
 #[test]
-fn what_is_not_said_has_its_usual_value() {
+fn omitted_fields_have_their_defaults() {
     let config = Config::parse(GOOD).expect("a configuration");
-    assert_eq!(config.role, Role::Writer);
+    assert_eq!(config.role, Role::Leader);
     assert_eq!(config.restart_grace.as_secs(), 30);
     assert_eq!(config.fill_pace.bytes_per_second, 8192);
     assert_eq!(
@@ -25,20 +25,20 @@
 }
 
 #[test]
-fn a_follower_names_its_writer() {
+fn a_follower_states_the_address_of_its_leader() {
     let text = GOOD.replace(
         "role = \"writer\"",
         "role = \"follower\"\nwriter = \"10.0.0.1:7400\"",
     );
-    let writer = "10.0.0.1:7400".parse().expect("an address");
+    let leader = "10.0.0.1:7400".parse().expect("an address");
     assert_eq!(
         Config::parse(&text).expect("a configuration").role,
-        Role::Follower { writer }
+        Role::Follower { leader }
     );
 }
 
 #[test]
-fn errors_name_the_field() {
+fn errors_name_the_invalid_field() {
     let with = |line: &str| GOOD.replace("[[zones]]", &format!("{line}\n[[zones]]"));
     for (text, named) in [
         (GOOD.replace("\"writer\"", "\"follower\""), "field writer"),
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/disk.rs
@@ -7,19 +7,19 @@
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_directory::line::{EndpointEntry, Version};
 use bellsill_directory::record::{self, LoggedRecord, Record};
-use common::*;
+use common::{Place, config_text, entries, entry};
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// A writer's state directory with a snapshot and a log after it, and the version that it is at.
+/// A leader's state directory with a snapshot and a log after it, and the version that it is at.
 fn state_with_log(place: &Place) -> (TempDir, u64) {
     let state = tempfile::tempdir().expect("a directory");
-    let writer = place.start_writer(state.path());
-    writer.declare();
-    writer.write(&entries(0..250, Up));
-    let version = writer.write(&entry(7, Draining));
-    writer.stop().expect("an end");
+    let leader = place.start_leader(state.path());
+    leader.declare();
+    leader.write(&entries(0..250, Up));
+    let version = leader.write(&entry(7, Draining));
+    leader.stop().expect("an end");
     (state, version)
 }
 
@@ -52,39 +52,39 @@
 }
 
 fn refusal(place: &Place, state: &Path) -> String {
-    place.start_writer(state).ended().expect_err("a refusal")
+    place.start_leader(state).ended().expect_err("a refusal")
 }
 
 #[test]
-fn a_record_cut_short_at_the_end_is_dropped_and_the_versions_go_on() {
+fn an_incomplete_last_record_is_dropped_and_its_version_is_used_again() {
     let place = Place::new();
     for cut in [1, 13, 100] {
         let (state, version) = state_with_log(&place);
         change(&log_file(state.path()), |bytes| {
             bytes.truncate(bytes.len() - cut)
         });
-        let writer = place.start_writer(state.path());
-        let figures = writer.figures();
-        assert_eq!(figures["version"], version - 1);
-        assert!(figures["torn_bytes"].as_u64() > Some(0));
-        assert_eq!(writer.write(&entry(8, Draining)), version);
-        writer.stop().expect("an end");
-        let writer = place.start_writer(state.path());
-        assert_eq!(writer.figures()["version"], version);
+        let leader = place.start_leader(state.path());
+        let metrics = leader.metrics();
+        assert_eq!(metrics["version"], version - 1);
+        assert!(metrics["torn_bytes"].as_u64() > Some(0));
+        assert_eq!(leader.write(&entry(8, Draining)), version);
+        leader.stop().expect("an end");
+        let leader = place.start_leader(state.path());
+        assert_eq!(leader.metrics()["version"], version);
     }
 }
 
 #[test]
-fn empty_bytes_behind_the_log_are_dropped() {
+fn zero_bytes_after_the_log_are_dropped() {
     let place = Place::new();
     let (state, version) = state_with_log(&place);
     change(&log_file(state.path()), |bytes| bytes.extend([0; 4096]));
-    let writer = place.start_writer(state.path());
-    assert_eq!(writer.figures()["version"], version);
+    let leader = place.start_leader(state.path());
+    assert_eq!(leader.metrics()["version"], version);
 }
 
 #[test]
-fn a_damaged_log_is_refused_and_left_as_it_is() {
+fn a_damaged_log_is_rejected_and_left_unchanged() {
     let place = Place::new();
     let (state, _) = state_with_log(&place);
     let good = fs::read(log_file(state.path())).expect("a log");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn records_that_cannot_be_read_or_do_not_follow_are_refused() {
+fn records_that_cannot_be_decoded_or_do_not_follow_are_rejected() {
     let place = Place::new();
     let (state, version) = state_with_log(&place);
     for skipped in [0, 2] {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_half_snapshot_is_refused() {
+fn a_truncated_only_snapshot_is_rejected() {
     let place = Place::new();
     let (state, _) = state_with_log(&place);
     let snapshot = file(state.path(), "snapshot.");
@@ -157,23 +157,23 @@
 }
 
 #[test]
-fn a_snapshot_that_was_not_finished_is_passed_over() {
+fn an_unfinished_snapshot_is_ignored_and_counted() {
     let place = Place::new();
     let (state, version) = state_with_log(&place);
     fs::write(state.path().join("snapshot.99.tmp"), b"half").expect("a written file");
-    let writer = place.start_writer(state.path());
-    let figures = writer.figures();
+    let leader = place.start_leader(state.path());
+    let metrics = leader.metrics();
     assert_eq!(
         (
-            figures["version"].as_u64(),
-            figures["rejected_snapshots"].as_u64()
+            metrics["version"].as_u64(),
+            metrics["rejected_snapshots"].as_u64()
         ),
         (Some(version), Some(1))
     );
 }
 
 #[test]
-fn another_layout_and_a_second_process_are_refused() {
+fn another_layout_and_a_second_process_are_rejected() {
     let place = Place::new();
     let (state, _) = state_with_log(&place);
     let other = place.start(state.path(), "role = \"writer\"", "").stop();
@@ -190,7 +190,7 @@
     let error =
         bellsill_control_plane::process::run_on(listener, config, stop).expect_err("a refusal");
     assert!(error.to_string().contains("buckets_per_region"), "{error}");
-    let first = place.start_writer(state.path());
+    let first = place.start_leader(state.path());
     first.wait_for_version(1);
     let error = refusal(&Place::new(), state.path());
     assert!(error.contains("in use by another process"), "{error}");
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -5,7 +5,7 @@
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_discovery_client::ScopedList;
 use bellsill_placement::{Layout, RegionName, ZoneName};
-use common::*;
+use common::{Place, Watch, entries, entry};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn a_dispatcher_whose_control_process_dies_goes_on_at_another_without_a_whole_list() {
+fn a_dispatcher_continues_at_another_control_process_without_a_complete_transfer() {
     let places = [Place::new(), Place::new(), Place::new()];
     let states = [(); 3].map(|()| tempfile::tempdir().expect("a directory"));
-    let writer = places[0].start_writer(states[0].path());
-    writer.declare();
-    let version = writer.write(&entries(0..100, Up));
+    let leader = places[0].start_leader(states[0].path());
+    leader.declare();
+    let version = leader.write(&entries(0..100, Up));
     let followers = [1, 2].map(|n| places[n].start_follower(states[n].path(), places[0].address));
     followers
         .iter()
@@ -53,7 +53,7 @@
     assert_eq!(list.entries().count(), 100);
     let [first, second] = followers;
     first.stop().expect("an end");
-    let version = writer.write(&entries(0..10, Draining));
+    let version = leader.write(&entries(0..10, Draining));
     assert_eq!(watch_until(&mut list, places[2].address, version), 0);
     assert_eq!(
         list.entries()
@@ -61,21 +61,21 @@
             .count(),
         10
     );
-    assert_eq!(second.figures()["watches_told_anew"], 0);
+    assert_eq!(second.metrics()["watches_told_anew"], 0);
 
     // All die; one comes back alone, with what it had.
-    writer.stop().expect("an end");
+    leader.stop().expect("an end");
     second.stop().expect("an end");
     let first = places[1].start_follower(states[1].path(), places[0].address);
     let mut behind = Watch::open(places[1].address, &list.query("north-a"));
-    let writer = places[0].start_writer(states[0].path());
+    let leader = places[0].start_leader(states[0].path());
     first.wait_for_version(version);
     let line = behind.next().expect("a line");
     assert!(
         line.gained.is_empty() && line.version.0 == version,
         "nothing older is told: {line:?}"
     );
-    let version = writer.write(&entry(50, Draining));
+    let version = leader.write(&entry(50, Draining));
     assert_eq!(watch_until(&mut list, places[1].address, version), 0);
     assert_eq!(list.counters().duplicate_entries, 0);
 }
--- a/crates/control-plane/tests/presence.rs
+++ b/crates/control-plane/tests/presence.rs
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn who_is_not_heard_of_goes_out_after_the_grace_and_comes_in_when_heard_of() {
+fn an_unseen_member_is_absent_after_the_grace_and_present_once_seen() {
     let mut presence = Presence::new(0, GRACE * SECOND);
     let members = [member("heard", true), member("never", true)];
-    presence.heard_of(&"heard".into(), 5 * SECOND);
+    presence.record_seen(&"heard".into(), 5 * SECOND);
     assert_eq!(changed(&mut presence, &members, 1..=30), []);
     assert_eq!(
         changed(&mut presence, &members, 31..=31),
@@ -41,7 +41,7 @@
     );
     let out = [member("heard", false), member("never", false)];
     assert_eq!(changed(&mut presence, &out, 37..=40), []);
-    presence.heard_of(&"never".into(), 41 * SECOND);
+    presence.record_seen(&"never".into(), 41 * SECOND);
     assert_eq!(
         changed(&mut presence, &out, 41..=41),
         [(41, member("never", true))]
@@ -49,10 +49,10 @@
 }
 
 #[test]
-fn the_writers_own_standstill_is_nobodys_absence() {
+fn a_suspension_of_the_leader_counts_as_nobodys_absence() {
     let mut presence = Presence::new(0, GRACE * SECOND);
     let members = [member("heard", true), member("never", true)];
-    presence.heard_of(&"heard".into(), 10 * SECOND);
+    presence.record_seen(&"heard".into(), 10 * SECOND);
     assert_eq!(changed(&mut presence, &members, 1..=10), []);
     assert_eq!(changed(&mut presence, &members, 500..=519), []);
     assert_eq!(
--- a/crates/control-plane/tests/random.rs
+++ b/crates/control-plane/tests/random.rs
@@ -80,7 +80,7 @@
 
 struct Case {
     random: Pcg64Mcg,
-    writer: Server,
+    leader: Server,
     follower: Server,
     /// What the follower is behind.
     behind: Vec<LoggedRecord>,
@@ -93,7 +93,7 @@
     fn new(seed: u64, keeping: Keeping) -> Case {
         let mut case = Case {
             random: Pcg64Mcg::seed_from_u64(seed),
-            writer: Server::new(keeping),
+            leader: Server::new(keeping),
             follower: Server::new(keeping),
             behind: Vec::new(),
             list: ScopedList::new(Arc::new(layout()), 4),
@@ -111,14 +111,14 @@
     }
 
     fn write(&mut self, record: Record) {
-        let version = Version(self.writer.directory.version().0 + 1);
+        let version = Version(self.leader.directory.version().0 + 1);
         let logged = LoggedRecord { version, record };
-        self.writer.apply(&logged);
+        self.leader.apply(&logged);
         self.behind.push(logged);
     }
 
     fn assign(&mut self) {
-        if let Some(change) = self.writer.directory.plan().expect("a plan") {
+        if let Some(change) = self.leader.directory.plan().expect("a plan") {
             self.write(Record::AssignmentChanged(change));
         }
     }
@@ -130,21 +130,21 @@
         }
     }
 
-    fn server(&mut self, is_writer: bool) -> &mut Server {
-        if is_writer {
-            &mut self.writer
+    fn server(&mut self, is_leader: bool) -> &mut Server {
+        if is_leader {
+            &mut self.leader
         } else {
             &mut self.follower
         }
     }
 
     fn break_watch(&mut self) {
-        if let Some((is_writer, id)) = self.watch.take() {
-            self.server(is_writer).watchers.close(id);
+        if let Some((is_leader, id)) = self.watch.take() {
+            self.server(is_leader).watchers.close(id);
         }
     }
 
-    fn ask(&mut self, is_writer: bool) {
+    fn ask(&mut self, is_leader: bool) {
         self.break_watch();
         let query = format!("follow=1&{}", self.list.query(DISPATCHER));
         self.list.asked_anew();
@@ -152,22 +152,22 @@
             panic!("{query}")
         };
         let now = self.now;
-        let server = self.server(is_writer);
+        let server = self.server(is_leader);
         let opened = server
             .watchers
             .open(request, &server.directory, now)
             .expect("a watch");
-        self.watch = Some((is_writer, opened.id));
+        self.watch = Some((is_leader, opened.id));
     }
 
     /// Reads some lines; false once there is nothing but an empty one.
     fn read(&mut self, most: usize) -> bool {
-        let Some((is_writer, id)) = self.watch else {
+        let Some((is_leader, id)) = self.watch else {
             return false;
         };
         for _ in 0..most {
             let now = self.now;
-            let server = self.server(is_writer);
+            let server = self.server(is_leader);
             match server.watchers.next_line(id, &server.directory, now) {
                 Some(line) if line.kind == LineKind::Empty => return false,
                 Some(line) => drop(
@@ -183,7 +183,7 @@
 
     fn look_up(&mut self) {
         let destination = self.random.random_range(0..ENDPOINTS / 4);
-        let Some((is_writer, _)) = self.watch else {
+        let Some((is_leader, _)) = self.watch else {
             return;
         };
         if self.list.knowledge(destination) != Knowledge::Unknown || self.list.log().is_empty() {
@@ -201,7 +201,7 @@
         let Ok(TargetsRequest::LookUp(request)) = TargetsRequest::parse(&query) else {
             panic!("{query}")
         };
-        let server = self.server(is_writer);
+        let server = self.server(is_leader);
         if server.watchers.change_cells(&request).is_err() {
             self.list.cancel(destination);
             return;
@@ -242,8 +242,8 @@
                 self.assign();
             }
             7 => {
-                let is_writer = self.random.random_range(0..2) == 0;
-                self.ask(is_writer);
+                let is_leader = self.random.random_range(0..2) == 0;
+                self.ask(is_leader);
             }
             8 => {
                 let most = self.random.random_range(0..5);
@@ -267,7 +267,7 @@
 
     /// What the list has to be, and what it is.
     fn both(&self) -> (BTreeMap<String, Version>, BTreeMap<String, Version>) {
-        let directory = &self.writer.directory;
+        let directory = &self.leader.directory;
         let held = directory.held_by(&DISPATCHER.into());
         let entries = directory.entries();
         let wanted = entries.after(None).filter(|index| {
@@ -304,7 +304,7 @@
         case.step(look_up);
     }
     case.finish();
-    let held = case.writer.directory.held_by(&DISPATCHER.into());
+    let held = case.leader.directory.held_by(&DISPATCHER.into());
     assert_eq!(
         case.list.complete_buckets().collect::<Vec<_>>(),
         held.into_iter().collect::<Vec<_>>(),
@@ -315,12 +315,12 @@
 }
 
 #[test]
-fn a_list_ends_as_the_directory_is() {
+fn a_list_converges_to_the_directory() {
     (0..CASES).for_each(|seed| run(seed, Keeping::default(), true));
 }
 
 #[test]
-fn a_list_ends_as_the_directory_is_when_removals_are_forgotten() {
+fn a_list_converges_to_the_directory_when_removals_are_forgotten() {
     (0..CASES).for_each(|seed| {
         run(
             seed,
--- a/crates/control-plane/tests/serving.rs
+++ b/crates/control-plane/tests/serving.rs
@@ -3,37 +3,39 @@
 mod common;
 
 use bellsill_directory::line::EndpointState::{Draining, Removed, Up};
-use common::*;
+use common::{Place, Watch, connect, entries, entry, ids, read_answer, request};
+use std::collections::BTreeSet;
 use std::io::{Read, Write};
+use std::net::SocketAddr;
 
 #[test]
-fn a_dispatcher_is_filled_and_told_changes_as_they_are_written() {
+fn a_dispatcher_is_sent_its_buckets_and_then_changes() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let writer = place.start_writer(state.path());
-    writer.declare();
-    writer.write(&entries(0..40, Up));
+    let leader = place.start_leader(state.path());
+    leader.declare();
+    leader.write(&entries(0..40, Up));
     let mut watch = Watch::open(place.address, "since=0&dispatcher=north-a");
     let lines = watch.until_filled(8);
     assert!(!lines[0].log.is_empty());
     assert_eq!(lines[0].gained.len(), 8);
     assert_eq!(ids(&lines).len(), 40);
-    let version = writer.write(&entry(7, Draining));
+    let version = leader.write(&entry(7, Draining));
     let line = watch.next().expect("a line");
     assert_eq!(
         (line.version.0, ids(&[line])),
         (version, vec!["endpoint-7".to_string()])
     );
-    let version = writer.write(&entry(7, Removed));
+    let version = leader.write(&entry(7, Removed));
     let line = watch.next().expect("a line");
     assert_eq!((line.version.0, line.servers[0].state), (version, Removed));
 }
 
 #[test]
-fn a_destination_that_is_looked_up_is_told_from_then_on() {
+fn changes_of_a_looked_up_destination_are_sent_until_it_is_forgotten() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let writer = place.start_writer(state.path());
-    writer.declare();
-    writer.write(&entries(0..40, Up));
+    let leader = place.start_leader(state.path());
+    leader.declare();
+    leader.write(&entries(0..40, Up));
     let look_up =
         |target: &str| request(place.address, "GET", &format!("/api/targets?{target}"), "");
     assert_eq!(look_up("dispatcher=south-a&cells=17").0, 409);
@@ -49,12 +51,12 @@
         (status, answer["servers"].as_array().map(Vec::len)),
         (200, Some(0))
     );
-    writer.write(&entry(17, Draining));
+    leader.write(&entry(17, Draining));
     assert_eq!(ids(&[watch.next().expect("a line")]), ["endpoint-17"]);
     assert_eq!(look_up("dispatcher=south-a&forget=17").0, 200);
-    writer.write(&entry(17, Up));
+    leader.write(&entry(17, Up));
     look_up("dispatcher=south-a&cells=18");
-    writer.write(&entry(18, Draining));
+    leader.write(&entry(18, Draining));
     assert_eq!(ids(&[watch.next().expect("a line")]), ["endpoint-18"]);
     let many: Vec<String> = (0..5000).map(|cell: u32| cell.to_string()).collect();
     assert_eq!(
@@ -63,33 +65,87 @@
     );
 }
 
+/// The names of the metrics as operators know them (c1890ee).
+const METRIC_NAMES: [&str; 30] = [
+    "version",
+    "epoch",
+    "entries",
+    "members",
+    "members_present",
+    "watchers",
+    "connections",
+    "change_lines",
+    "filling_lines",
+    "empty_lines",
+    "change_bytes",
+    "filling_bytes",
+    "watches_begun",
+    "watches_told_anew",
+    "transfers_begun",
+    "lookups",
+    "writes",
+    "records",
+    "syncs",
+    "torn_bytes",
+    "rejected_snapshots",
+    "seconds_without_followers",
+    "refused",
+    "closed_slow",
+    "closed_silent",
+    "writer_watches_broken",
+    "transfers_taken",
+    "writer_lines_refused",
+    "slow_turns",
+    "longest_turn_ms",
+];
+/// The names of the counters under `refused`.
+const REJECTION_NAMES: [&str; 7] = [
+    "malformed",
+    "not_found",
+    "no_watch",
+    "too_large",
+    "not_the_writer",
+    "too_many",
+    "unavailable",
+];
+
 #[test]
-fn requests_that_make_no_sense_are_refused_and_counted() {
+fn the_names_of_the_metrics_are_those_of_the_protocol() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let writer = place.start_writer(state.path());
-    writer.declare();
-    let before = writer.figures();
-    let status =
-        |method: &str, target: &str, body: &str| request(place.address, method, target, body).0;
-    assert_eq!(
-        status("GET", "/api/targets?follow=1&dispatcher=nobody", ""),
-        404
-    );
+    let leader = place.start_leader(state.path());
+    let metrics = leader.metrics();
+    let names = |value: &serde_json::Value| -> BTreeSet<String> {
+        let object = value.as_object().expect("an object");
+        object.keys().cloned().collect()
+    };
+    assert_eq!(names(&metrics), METRIC_NAMES.map(String::from).into());
     assert_eq!(
-        status("GET", "/api/targets?dispatcher=nobody&cells=1", ""),
-        404
+        names(&metrics["refused"]),
+        REJECTION_NAMES.map(String::from).into()
     );
-    assert_eq!(status("GET", "/elsewhere", ""), 404);
-    assert_eq!(status("PUT", "/api/targets", ""), 405);
-    assert_eq!(
-        status(
+}
+
+/// Requests for paths, methods and queries that there are not.
+fn assert_unknown_targets_are_rejected(address: SocketAddr) {
+    for (expected, method, target) in [
+        (404, "GET", "/api/targets?follow=1&dispatcher=nobody"),
+        (404, "GET", "/api/targets?dispatcher=nobody&cells=1"),
+        (404, "GET", "/elsewhere"),
+        (405, "PUT", "/api/targets"),
+        (
+            400,
             "GET",
             "/api/targets?follow=1&since=x&dispatcher=north-a",
-            ""
         ),
-        400
-    );
-    let bad = [
+    ] {
+        let (status, answer) = request(address, method, target, "");
+        assert_eq!(status, expected, "{method} {target}: {answer}");
+    }
+}
+
+/// Bodies of endpoints with a fault, each answered with what is wrong; how many there are.
+fn assert_invalid_endpoints_are_rejected(address: SocketAddr) -> usize {
+    let invalid = [
         (format!("{}no JSON\n", entry(1, Up)), "line 2"),
         (entry(1, Up).replace("north-1", "west-1"), "west-1"),
         (entry(1, Up).replace("10.0.0.1:1001", "nowhere"), "addr"),
@@ -103,48 +159,55 @@
         ),
         (entry(1, Up).replace("\"up\"", "\"away\""), "away"),
     ];
-    for (body, named) in &bad {
-        let (status, answer) = request(place.address, "POST", "/api/targets", body);
+    for (body, named) in &invalid {
+        let (status, answer) = request(address, "POST", "/api/targets", body);
         let error = answer["error"].as_str().unwrap_or_default();
         assert!(status == 400 && error.contains(named), "{status} {answer}");
     }
+    invalid.len()
+}
+
+/// Bodies of members with a fault; how many there are.
+fn assert_invalid_members_are_rejected(address: SocketAddr) -> usize {
+    let invalid = [
+        "{\"name\":\"a b\",\"zone\":\"north-1\"}",
+        "{\"name\":\"a\",\"zone\":\"north-1\",\"weight\":-1}",
+        "{\"name\":\"a\",\"zone\":\"north-1\",\"extra\":1}",
+    ];
+    for body in invalid {
+        let (status, answer) = request(address, "POST", "/v2/members", body);
+        assert_eq!(status, 400, "{body}: {answer}");
+    }
+    invalid.len()
+}
+
+#[test]
+fn invalid_requests_are_rejected_and_counted_and_change_nothing() {
+    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let leader = place.start_leader(state.path());
+    leader.declare();
+    let before = leader.metrics();
+    assert_unknown_targets_are_rejected(place.address);
+    let invalid_endpoints = assert_invalid_endpoints_are_rejected(place.address);
+    let invalid_members = assert_invalid_members_are_rejected(place.address);
+    let after = leader.metrics();
     assert_eq!(
-        status(
-            "POST",
-            "/v2/members",
-            "{\"name\":\"a b\",\"zone\":\"north-1\"}"
-        ),
-        400
-    );
-    assert_eq!(
-        status(
-            "POST",
-            "/v2/members",
-            "{\"name\":\"a\",\"zone\":\"north-1\",\"weight\":-1}"
-        ),
-        400
-    );
-    assert_eq!(
-        status(
-            "POST",
-            "/v2/members",
-            "{\"name\":\"a\",\"zone\":\"north-1\",\"extra\":1}"
-        ),
-        400
+        after["version"], before["version"],
+        "nothing of an invalid request is applied"
     );
-    let after = writer.figures();
+    let invalid_queries = 1;
+    assert_eq!(invalid_members, 3);
     assert_eq!(
-        after["version"], before["version"],
-        "nothing of a bad request is taken"
+        after["refused"]["malformed"],
+        invalid_queries + invalid_endpoints + invalid_members
     );
-    assert_eq!(after["refused"]["malformed"], 1 + bad.len() + 3);
     assert_eq!(after["refused"]["not_found"], 4);
 }
 
 #[test]
-fn heads_and_bodies_are_bounded() {
+fn heads_and_bodies_that_are_too_long_are_rejected() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let _writer = place.start_writer(state.path());
+    let _writer = place.start_leader(state.path());
     let raw = |bytes: &[u8]| {
         let mut stream = connect(place.address);
         stream.write_all(bytes).expect("a request");
@@ -171,9 +234,9 @@
 }
 
 #[test]
-fn requests_on_one_connection_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let _writer = place.start_writer(state.path());
+    let _writer = place.start_leader(state.path());
     let mut stream = connect(place.address);
     let both =
         b"GET /nowhere HTTP/1.1\r\n\r\nGET /v2/figures HTTP/1.1\r\nConnection: close\r\n\r\n";
@@ -185,32 +248,32 @@
 }
 
 #[test]
-fn a_watcher_that_reads_nothing_is_parted_with() {
+fn a_watcher_that_reads_nothing_is_closed() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let writer = place.start(
+    let leader = place.start(
         state.path(),
         "role = \"writer\"",
         "fill_bytes_per_second = 1000000000",
     );
-    writer.declare();
+    leader.declare();
     for start in (0..60_000).step_by(20_000) {
-        writer.write(&entries(start..start + 20_000, Up));
+        leader.write(&entries(start..start + 20_000, Up));
     }
     let watch = Watch::open(place.address, "since=0&dispatcher=north-a");
-    writer.wait_for("the end of the watch", |figures| {
-        figures["closed_slow"] == 1 && figures["watchers"] == 0
+    leader.wait_for("the end of the watch", |metrics| {
+        metrics["closed_slow"] == 1 && metrics["watchers"] == 0
     });
     drop(watch);
 }
 
 #[test]
-fn a_second_watch_of_a_dispatcher_ends_the_first() {
+fn a_second_watch_of_a_dispatcher_closes_the_first() {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
-    let writer = place.start_writer(state.path());
-    writer.declare();
+    let leader = place.start_leader(state.path());
+    leader.declare();
     let mut first = Watch::open(place.address, "since=0&dispatcher=north-a");
     let mut second = Watch::open(place.address, "since=0&dispatcher=north-a");
     while first.next().is_some() {}
     second.until_filled(8);
-    assert_eq!(writer.figures()["watchers"], 1);
+    assert_eq!(leader.metrics()["watchers"], 1);
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bellsill_directory::line::EndpointState;
-use common::*;
+use common::{Place, Watch, entry};
 use std::path::Path;
 
 /// A state directory with the files of that version: a snapshot, and a log of five records after it.
@@ -21,14 +21,14 @@
 fn a_snapshot_and_the_log_after_it_are_read() {
     let place = Place::new();
     let state = state_directory();
-    let writer = place.start_writer(state.path());
-    let figures = writer.figures();
+    let leader = place.start_leader(state.path());
+    let metrics = leader.metrics();
     for (name, value) in [("version", 5), ("entries", 6), ("epoch", 1), ("members", 4)] {
-        assert_eq!(figures[name], value, "{name}");
+        assert_eq!(metrics[name], value, "{name}");
     }
-    assert_eq!(figures["torn_bytes"], 0);
-    assert_eq!(figures["rejected_snapshots"], 0);
-    let mut watch = Watch::open(writer.address, "since=0&dispatcher=north-a");
+    assert_eq!(metrics["torn_bytes"], 0);
+    assert_eq!(metrics["rejected_snapshots"], 0);
+    let mut watch = Watch::open(leader.address, "since=0&dispatcher=north-a");
     let lines = watch.until_filled(8);
     assert_eq!(lines[0].log, "d6150c8254e0c9af");
     let entries = lines.iter().flat_map(|line| &line.servers);
@@ -47,5 +47,5 @@
             up("endpoint-5"),
         ]
     );
-    assert_eq!(writer.write(&entry(6, EndpointState::Up)), 6);
+    assert_eq!(leader.write(&entry(6, EndpointState::Up)), 6);
 }
