--- a/crates/config-log/src/codec.rs
+++ b/crates/config-log/src/codec.rs
@@ -6,13 +6,14 @@
 /// The longest payload of a record or of a snapshot's record, in bytes. A longer one is rejected when writing and reading.
 pub const MAX_RECORD_BYTES: usize = 16 * 1024 * 1024;
 
+/// The length of a CRC-32 checksum.
+pub(crate) const CHECKSUM_BYTES: usize = 4;
 /// The first bytes of a log.
 pub(crate) const LOG_MAGIC: [u8; 8] = *b"bsl-log\n";
 /// The first bytes of a snapshot.
 pub(crate) const SNAPSHOT_MAGIC: [u8; 8] = *b"bsl-snp\n";
 
 /// Reads integers one after the other; `None` at the end of the bytes.
-#[derive(Clone)]
 pub(crate) struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -22,6 +23,7 @@
         Reader { bytes }
     }
 
+    /// The next `length` bytes.
     pub(crate) fn take(&mut self, length: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.bytes.split_at_checked(length)?;
         self.bytes = rest;
@@ -45,6 +47,12 @@
     }
 }
 
+/// The content of a header of this length, if the checksum at its end matches.
+fn checked_content(bytes: &[u8], length: usize) -> Option<Reader<'_>> {
+    let (content, checksum) = bytes.get(..length)?.split_last_chunk::<CHECKSUM_BYTES>()?;
+    (u32::from_le_bytes(*checksum) == crc32fast::hash(content)).then_some(Reader::new(content))
+}
+
 /// The header of a segment: its format, and the index that its records come after.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FileHeader {
@@ -53,6 +61,7 @@
 }
 
 impl FileHeader {
+    /// The length of the encoded header in bytes.
     pub(crate) const LENGTH: usize = 24;
 
     pub(crate) fn encode(self) -> Vec<u8> {
@@ -64,15 +73,13 @@
     }
 
     pub(crate) fn decode(bytes: &[u8]) -> Option<FileHeader> {
-        let mut reader = Reader::new(bytes);
-        let checked = reader.clone().take(Self::LENGTH - 4)?;
+        let mut reader = checked_content(bytes, Self::LENGTH)?;
         let magic: [u8; 8] = reader.array()?;
         let header = FileHeader {
             format: reader.u32()?,
             after: reader.u64()?,
         };
-        let intact = magic == LOG_MAGIC && reader.u32()? == crc32fast::hash(checked);
-        intact.then_some(header)
+        (magic == LOG_MAGIC).then_some(header)
     }
 }
 
@@ -87,6 +94,7 @@
 }
 
 impl RecordHeader {
+    /// The length of the encoded header in bytes.
     pub(crate) const LENGTH: usize = 28;
 
     pub(crate) fn encode(self) -> [u8; Self::LENGTH] {
@@ -102,14 +110,12 @@
 
     /// Decodes the header at the start of the bytes, if its checksum matches.
     pub(crate) fn decode(bytes: &[u8]) -> Option<RecordHeader> {
-        let mut reader = Reader::new(bytes);
-        let checked = reader.clone().take(Self::LENGTH - 4)?;
-        let header = RecordHeader {
+        let mut reader = checked_content(bytes, Self::LENGTH)?;
+        Some(RecordHeader {
             length: reader.u32()?,
             index: reader.u64()?,
             durable: reader.u64()?,
             payload_checksum: reader.u32()?,
-        };
-        (reader.u32()? == crc32fast::hash(checked)).then_some(header)
+        })
     }
 }
--- a/crates/config-log/src/snapshot.rs
+++ b/crates/config-log/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! A snapshot file, `snapshot.INDEX`: a magic number, the format, the index, the records each with its length, their
 //! number, and the checksum of all of it.
 
-use crate::codec::{FORMAT_VERSION, MAX_RECORD_BYTES, Reader, SNAPSHOT_MAGIC};
+use crate::codec::{CHECKSUM_BYTES, FORMAT_VERSION, MAX_RECORD_BYTES, Reader, SNAPSHOT_MAGIC};
 use crate::directory::{Directory, write_all};
 use crate::error::{LogError, RejectReason, io_error};
 use crc32fast::Hasher;
@@ -9,8 +9,8 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-const CHECKSUM_LENGTH: usize = 4;
-const COUNT_LENGTH: usize = 8;
+/// The length of the number of records, which precedes the checksum.
+const COUNT_BYTES: usize = 8;
 
 /// The complete state that the records up to an index lead to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 fn decode(bytes: &[u8]) -> Result<Snapshot, RejectReason> {
     let too_short = RejectReason::NotASnapshot;
     let (content, checksum) = bytes
-        .split_last_chunk::<CHECKSUM_LENGTH>()
+        .split_last_chunk::<CHECKSUM_BYTES>()
         .ok_or(too_short)?;
     let mut reader = Reader::new(content);
     if reader.array() != Some(SNAPSHOT_MAGIC) {
@@ -81,9 +81,7 @@
         other => return Err(RejectReason::UnknownFormat(other)),
     }
     let index = reader.u64().ok_or(too_short)?;
-    let (_, count) = content
-        .split_last_chunk::<COUNT_LENGTH>()
-        .ok_or(too_short)?;
+    let (_, count) = content.split_last_chunk::<COUNT_BYTES>().ok_or(too_short)?;
     let records = decode_records(&mut reader, u64::from_le_bytes(*count))?;
     Ok(Snapshot { index, records })
 }
@@ -97,7 +95,7 @@
         }
         records.push(reader.take(length).ok_or(RejectReason::Count)?.to_vec());
     }
-    let rest = reader.take(COUNT_LENGTH);
+    let rest = reader.take(COUNT_BYTES);
     if rest.is_some() && reader.is_empty() {
         Ok(records)
     } else {
--- a/crates/config-log/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -53,24 +53,24 @@
         recovered.snapshot.as_ref().map(|snapshot| snapshot.index),
         snapshot
     );
-    let mut held = recovered
+    let mut found = recovered
         .snapshot
         .clone()
         .map_or_else(Vec::new, |snapshot| snapshot.records);
-    let first = held.len() as u64 + 1;
+    let first = found.len() as u64 + 1;
     let indices: Vec<u64> = recovered
         .records
         .iter()
         .map(|record| record.index)
         .collect();
     assert_eq!(indices, (first..=last).collect::<Vec<u64>>());
-    held.extend(
+    found.extend(
         recovered
             .records
             .iter()
             .map(|record| record.payload.clone()),
     );
-    assert_eq!(held, state(last));
+    assert_eq!(found, state(last));
 }
 
 fn files(directory: &TempDir, prefix: &str) -> Vec<PathBuf> {
--- a/crates/control-plane/src/clients.rs
+++ b/crates/control-plane/src/clients.rs
@@ -1,6 +1,6 @@
 //! The connections of clients: reading requests, writing responses, and sending watchers their lines.
 
-use crate::connections::{BufferBounds, ConnectionId, Purpose, Written};
+use crate::connections::{BufferBounds, ConnectionId, Purpose, WriteOutcome};
 use crate::context::Context;
 use crate::http_server::{self, MAX_HEAD_BYTES, Received, Request, Response, WATCH_HEAD};
 use crate::time::SECOND;
@@ -160,8 +160,8 @@
         }
         for id in context.connections.take_unflushed() {
             match context.connections.write(id, context.now) {
-                Ok(Written::Open) => {}
-                Ok(Written::Complete) | Err(_) => self.close(context, id),
+                Ok(WriteOutcome::Open) => {}
+                Ok(WriteOutcome::Complete) | Err(_) => self.close(context, id),
             }
         }
     }
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -102,7 +102,7 @@
 
 /// What a write leaves to do with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Written {
+pub(crate) enum WriteOutcome {
     /// The connection stays open.
     Open,
     /// All output is written, and the connection was to be closed then.
@@ -294,9 +294,9 @@
     }
 
     /// Writes as much output as possible, and arms the poller for what the connection waits for.
-    pub(crate) fn write(&mut self, id: ConnectionId, now: Nanos) -> io::Result<Written> {
+    pub(crate) fn write(&mut self, id: ConnectionId, now: Nanos) -> io::Result<WriteOutcome> {
         let Some(connection) = self.slots.get_mut(id) else {
-            return Ok(Written::Open);
+            return Ok(WriteOutcome::Open);
         };
         if !connection.connecting {
             let before = connection.output.len();
@@ -308,9 +308,9 @@
         let complete = connection.output.is_empty() && connection.close_when_written;
         self.arm(id)?;
         Ok(if complete {
-            Written::Complete
+            WriteOutcome::Complete
         } else {
-            Written::Open
+            WriteOutcome::Open
         })
     }
 
--- a/crates/control-plane/src/follower.rs
+++ b/crates/control-plane/src/follower.rs
@@ -67,6 +67,26 @@
     Line(#[from] LineError),
 }
 
+/// Why an event of the watch can't be handled.
+#[derive(Debug, Error)]
+enum WatchError {
+    /// The watch ends; another one is opened later.
+    #[error(transparent)]
+    Failed(#[from] WatchFailure),
+    /// The process cannot continue.
+    #[error(transparent)]
+    Storage(#[from] StorageError),
+}
+
+impl From<ReplicationError> for WatchError {
+    fn from(error: ReplicationError) -> Self {
+        match error {
+            ReplicationError::Rejected(error) => WatchError::Failed(error.into()),
+            ReplicationError::Storage(error) => WatchError::Storage(error),
+        }
+    }
+}
+
 impl WatchFailure {
     /// Whether the leader sent something that is rejected, rather than nothing.
     fn is_rejection(&self) -> bool {
@@ -151,9 +171,13 @@
         id: ConnectionId,
     ) -> Result<LineEffect, StorageError> {
         let mut effect = LineEffect::Applied;
-        if let Err(failure) = self.read_and_apply(context, id, &mut effect)? {
-            self.end_watch(context, &failure);
-            return Ok(effect);
+        match self.read_and_apply(context, id, &mut effect) {
+            Ok(()) => {}
+            Err(WatchError::Failed(failure)) => {
+                self.end_watch(context, &failure);
+                return Ok(effect);
+            }
+            Err(WatchError::Storage(error)) => return Err(error),
         }
         context.connections.mark_unflushed(id);
         if context
@@ -166,29 +190,23 @@
         Ok(effect)
     }
 
-    /// Applies the lines that have arrived. The inner error ends the watch, the outer one the process.
+    /// Applies the lines that have arrived. The effect also counts if a later line is rejected.
     fn read_and_apply(
         &mut self,
         context: &mut Context,
         id: ConnectionId,
         effect: &mut LineEffect,
-    ) -> Result<Result<(), WatchFailure>, StorageError> {
-        let lines = match self.read_lines(&mut context.connections, id, context.now) {
-            Ok(lines) => lines,
-            Err(failure) => return Ok(Err(failure)),
-        };
-        for line in lines {
-            match self.replication.apply_line(&line, &mut context.replica) {
-                Ok(LineEffect::Applied) => {}
-                Ok(LineEffect::ConfigurationReplaced) => {
+    ) -> Result<(), WatchError> {
+        for line in self.read_lines(&mut context.connections, id, context.now)? {
+            match self.replication.apply_line(&line, &mut context.replica)? {
+                LineEffect::Applied => {}
+                LineEffect::ConfigurationReplaced => {
                     context.metrics.transfers_completed += 1;
                     *effect = LineEffect::ConfigurationReplaced;
                 }
-                Err(ReplicationError::Rejected(error)) => return Ok(Err(error.into())),
-                Err(ReplicationError::Storage(error)) => return Err(error),
             }
         }
-        Ok(Ok(()))
+        Ok(())
     }
 
     /// Reads what has arrived of the watch, as complete lines.
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 use crate::replica::Replica;
 use crate::replication::LineEffect;
-use crate::server::{self, Effect, ReadView, WatchStart, Write};
+use crate::server::{self, Effect, ReadView, WatchStart, WriteKind};
 use crate::storage::StorageError;
 use crate::time::{MILLISECOND, SECOND};
 use bellsill_directory::request::{LookUpRequest, WatchRequest};
@@ -352,7 +352,7 @@
         server::look_up_response(directory, request)
     }
 
-    fn write(&mut self, write: Write, body: &[u8]) -> Response {
+    fn write(&mut self, write: WriteKind, body: &[u8]) -> Response {
         let Context {
             replica,
             metrics,
@@ -364,11 +364,11 @@
             RoleState::Follower(follower) => return server::not_leader(follower.leader()),
         };
         let written = match write {
-            Write::Endpoints => leader.write_endpoints(replica, body),
-            Write::Members => leader.write_members(replica, body, *now),
-            Write::Heartbeats => leader.record_heartbeats(replica, body, *now),
+            WriteKind::Endpoints => leader.write_endpoints(replica, body),
+            WriteKind::Members => leader.write_members(replica, body, *now),
+            WriteKind::Heartbeats => leader.record_heartbeats(replica, body, *now),
         };
-        if written.is_ok() && write != Write::Heartbeats {
+        if written.is_ok() && write != WriteKind::Heartbeats {
             metrics.writes += 1;
         }
         server::write_response(written)
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -28,7 +28,7 @@
     /// Adding destinations to a dispatcher's watch, and answering with [`look_up_response`].
     LookUp(LookUpRequest),
     /// A write for the leader, answered with [`write_response`].
-    Write(Write),
+    Write(WriteKind),
 }
 
 /// How a watch starts, for the metrics.
@@ -46,7 +46,7 @@
 
 /// What a write request writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Write {
+pub(crate) enum WriteKind {
     Endpoints,
     Members,
     /// Heartbeats of dispatchers that have a watch at a follower.
@@ -81,9 +81,9 @@
     match (request.method, request.path.as_str()) {
         (Method::Get, "/api/targets") => serve_targets(&request.query, view),
         (Method::Get, "/v2/figures") => Effect::Respond(Response::json(&view.current_metrics())),
-        (Method::Post, "/api/targets") => serve_write(Write::Endpoints, view),
-        (Method::Post, "/v2/members") => serve_write(Write::Members, view),
-        (Method::Post, "/v2/presence") => serve_write(Write::Heartbeats, view),
+        (Method::Post, "/api/targets") => serve_write(WriteKind::Endpoints, view),
+        (Method::Post, "/v2/members") => serve_write(WriteKind::Members, view),
+        (Method::Post, "/v2/presence") => serve_write(WriteKind::Heartbeats, view),
         (_, "/api/targets" | "/v2/figures" | "/v2/members" | "/v2/presence") => {
             Effect::Respond(Response::error(405, "this path does not take this method"))
         }
@@ -94,7 +94,7 @@
     }
 }
 
-fn serve_write(write: Write, view: &ReadView) -> Effect {
+fn serve_write(write: WriteKind, view: &ReadView) -> Effect {
     match view.leader {
         Some(leader) => Effect::Respond(not_leader(leader)),
         None => Effect::Write(write),
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -1,4 +1,6 @@
 //! Control processes in threads, and plain clients that wait for what they expect.
+//!
+//! Each test binary uses some of the helpers, so the compiler would report the others as dead code.
 #![allow(dead_code)]
 
 use bellsill_control_plane::config::Config;
@@ -119,13 +121,16 @@
 
     /// Waits until a figure is as wanted.
     pub(crate) fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let metrics = self.metrics();
             if wanted(&metrics) {
                 return metrics;
             }
-            assert!(begun.elapsed() < PATIENCE, "{what} did not come: {metrics}");
+            assert!(
+                started.elapsed() < PATIENCE,
+                "{what} did not come: {metrics}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -247,7 +252,7 @@
 
     /// Reads until the wanted line has come, and returns all up to it.
     pub(crate) fn until(&mut self, wanted: impl Fn(&ScopedLine) -> bool) -> Vec<ScopedLine> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut lines: Vec<ScopedLine> = Vec::new();
         loop {
             let line = self.next().expect("a line");
@@ -262,7 +267,7 @@
             if last {
                 return lines;
             }
-            assert!(begun.elapsed() < PATIENCE, "the line did not come");
+            assert!(started.elapsed() < PATIENCE, "the line did not come");
         }
     }
 
--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,4 +1,4 @@
-//! A dispatcher's list over the death of the control processes that it watches.
+//! A dispatcher's list when the control processes that it watches fail.
 
 mod common;
 
@@ -21,7 +21,7 @@
     ScopedList::new(Arc::new(Layout::new(zones, 8).expect("a layout")), 16)
 }
 
-/// Watches with what the list knows until it is at this version with all buckets; how many were told anew on the way.
+/// Watches with what the list knows until it is at this version with all buckets; the number of buckets that were gained on the way.
 fn watch_until(list: &mut ScopedList, address: SocketAddr, version: u64) -> usize {
     let mut watch = Watch::open(address, &list.query("north-a"));
     let mut gained = 0;
@@ -63,7 +63,7 @@
     );
     assert_eq!(second.metrics()["watches_told_anew"], 0);
 
-    // All die; one comes back alone, with what it had.
+    // All stop; one is started again alone, with what it had on disk.
     leader.stop().expect("an end");
     second.stop().expect("an end");
     let first = places[1].start_follower(states[1].path(), places[0].address);
--- a/crates/control-plane/tests/random.rs
+++ b/crates/control-plane/tests/list_convergence.rs
@@ -1,5 +1,5 @@
-//! A dispatcher's list and two control processes' directories, without sockets: whatever is written, moved, cut off and
-//! looked up in whatever order, the list ends as the directory is. The cases are the same in each run.
+//! A dispatcher's list and the directories of two control processes, without sockets: the list converges to the directory
+//! after any sequence of writes, reassignments, broken watches and look-ups. The cases are the same in each run.
 
 use bellsill_directory::entry::Endpoint;
 use bellsill_directory::feed::{FILL_PACE, LineKind};
--- a/crates/control-plane/tests/following.rs
+++ b/crates/control-plane/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Restarts, followers, and what a follower does with a leader that makes no sense.
+//! Restarts, followers, presence of members, and a leader that sends invalid lines.
 
 mod common;
 
@@ -72,7 +72,7 @@
     let follower = follower_place.start_follower(follower_state.path(), place.address);
     assert_eq!(follower.wait_for_version(version)["transfers_taken"], 0);
     assert_eq!(follower.metrics()["entries"], 400);
-    // The leader goes and comes: the follower goes on from where it is.
+    // The follower continues from its version after a restart of the leader.
     leader.stop().expect("an end");
     let leader = place.start_leader(state.path());
     let version = leader.write(&entries(0..40, Up));
@@ -145,7 +145,7 @@
     follower.wait_for("a configuration", |metrics| metrics["transfers_taken"] == 1);
     let mut at_leader = Watch::open(place.address, "since=0&dispatcher=north-a");
     let mut at_follower = Watch::open(follower_place.address, "since=0&dispatcher=north-b");
-    let metrics = leader.wait_for("two to be taken out", |metrics| {
+    let metrics = leader.wait_for("two to be absent", |metrics| {
         metrics["members_present"] == 2
     });
     assert_eq!(metrics["members"], 4);
@@ -192,13 +192,13 @@
     });
     assert_eq!(leader.metrics()["members_present"], 4);
     let _follower = follower_place.start_follower(follower_state.path(), place.address);
-    leader.wait_for("the absent to be taken out", |metrics| {
+    leader.wait_for("all to be absent", |metrics| {
         metrics["members_present"] == 0
     });
 }
 
-/// What a follower makes of an answer of the leader, after it has the configuration: the metrics once it refused.
-fn refused_by_follower(lines: &[Vec<u8>]) -> serde_json::Value {
+/// Sends lines as a leader to a follower that has a configuration; its metrics once it has rejected them.
+fn metrics_after_rejection(lines: &[Vec<u8>]) -> serde_json::Value {
     let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
     let follower_state = tempfile::tempdir().expect("a directory");
     let leader = place.start_leader(state.path());
@@ -224,7 +224,9 @@
             .ok();
         stream.write_all(&[line, &b"\r\n"[..]].concat()).ok();
     }
-    let metrics = follower.wait_for("a refusal", |metrics| metrics["writer_lines_refused"] == 1);
+    let metrics = follower.wait_for("a rejection", |metrics| {
+        metrics["writer_lines_refused"] == 1
+    });
     assert_eq!(
         (metrics["version"].as_u64(), metrics["entries"].as_u64()),
         (Some(version), Some(40))
@@ -238,16 +240,16 @@
     let gap = entry(7, Draining)
         .trim_end()
         .replace("\"state\"", "\"v\":99,\"state\"");
-    refused_by_follower(&[line("{\"version\":")]);
-    refused_by_follower(&[line(&format!(
+    metrics_after_rejection(&[line("{\"version\":")]);
+    metrics_after_rejection(&[line(&format!(
         "{{\"version\":99,\"full\":false,\"servers\":[{gap}]}}"
     ))]);
-    refused_by_follower(&[line("{\"version\":99,\"full\":false,\"servers\":[]}")]);
-    refused_by_follower(&[line(
+    metrics_after_rejection(&[line("{\"version\":99,\"full\":false,\"servers\":[]}")]);
+    metrics_after_rejection(&[line(
         "{\"version\":9,\"full\":false,\"servers\":[],\"transfer\":\"end\"}",
     )]);
-    refused_by_follower(&[line(
+    metrics_after_rejection(&[line(
         "{\"version\":1,\"full\":false,\"log\":\"other\",\"servers\":[]}",
     )]);
-    refused_by_follower(&[vec![b'a'; 5 * 1024 * 1024]]);
+    metrics_after_rejection(&[vec![b'a'; 5 * 1024 * 1024]]);
 }
--- a/crates/control-plane/tests/disk.rs
+++ b/crates/control-plane/tests/state_directory.rs
@@ -1,4 +1,4 @@
-//! The state directory: what survives, and what is refused. Damage of every kind is in the tests of bellsill-config-log.
+//! The state directory: what is recovered, and what is rejected. Every kind of damage is in the tests of bellsill-config-log.
 
 mod common;
 
@@ -23,7 +23,7 @@
     (state, version)
 }
 
-/// The files of this kind, the latest last.
+/// The files of this kind, in the order of their names.
 fn files(state: &Path, kind: &str) -> Vec<PathBuf> {
     let files = fs::read_dir(state)
         .expect("a directory")
@@ -51,8 +51,8 @@
     fs::write(path, bytes).expect("a written file");
 }
 
-fn refusal(place: &Place, state: &Path) -> String {
-    place.start_leader(state).ended().expect_err("a refusal")
+fn start_error(place: &Place, state: &Path) -> String {
+    place.start_leader(state).ended().expect_err("an error")
 }
 
 #[test]
@@ -92,13 +92,13 @@
         let mut bad = good.clone();
         bad[offset] ^= 0x10;
         fs::write(log_file(state.path()), &bad).expect("a written file");
-        let error = refusal(&place, state.path());
+        let error = start_error(&place, state.path());
         assert!(error.contains("damaged at byte"), "{offset}: {error}");
         assert_eq!(fs::read(log_file(state.path())).expect("a log"), bad);
     }
 }
 
-/// Adds a record to a log, as a process would that is mistaken.
+/// Adds a record to a log, as a faulty process would.
 fn add_record(state: &Path, payload: &[u8]) {
     let mut log = ConfigLog::open(state).expect("a log").log;
     log.append(log.last_index() + 1, payload)
@@ -120,11 +120,11 @@
             record,
         };
         add_record(state.path(), &record::encode(&logged));
-        let error = refusal(&place, state.path());
+        let error = start_error(&place, state.path());
         assert!(error.contains("does not follow"), "{error}");
     }
     add_record(state.path(), b"{\"version\":1}");
-    let error = refusal(&place, state.path());
+    let error = start_error(&place, state.path());
     assert!(
         error.contains("is refused: a record that cannot be decoded"),
         "version {version}: {error}"
@@ -140,7 +140,7 @@
     for length in [good.len() / 2, good.len() - 1, 5, 0] {
         fs::write(&snapshot, &good[..length]).expect("a written file");
         let log = fs::read(log_file(state.path())).expect("a log");
-        let error = refusal(&place, state.path());
+        let error = start_error(&place, state.path());
         assert!(error.contains("snapshot"), "{length}: {error}");
         assert_eq!(
             fs::read(log_file(state.path())).expect("a log"),
@@ -148,11 +148,11 @@
             "nothing is changed"
         );
     }
-    // Without any log it must not pass for an empty directory.
+    // Without any log it must not be taken for an empty directory.
     for log in files(state.path(), "log.") {
         fs::remove_file(log).expect("a log");
     }
-    let error = refusal(&place, state.path());
+    let error = start_error(&place, state.path());
     assert!(error.contains("there is no other snapshot"), "{error}");
 }
 
@@ -188,10 +188,10 @@
         requested: Default::default(),
     };
     let error =
-        bellsill_control_plane::process::run_on(listener, config, stop).expect_err("a refusal");
+        bellsill_control_plane::process::run_on(listener, config, stop).expect_err("an error");
     assert!(error.to_string().contains("buckets_per_region"), "{error}");
     let first = place.start_leader(state.path());
     first.wait_for_version(1);
-    let error = refusal(&Place::new(), state.path());
+    let error = start_error(&Place::new(), state.path());
     assert!(error.contains("in use by another process"), "{error}");
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,4 +1,4 @@
-//! The log and the snapshot that an earlier version (c1890ee) has written are read by this one.
+//! The log and the snapshot that an earlier version (c1890ee) has written are readable.
 
 mod common;
 
