--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,71 +1,86 @@
-//! One line of the wire: a name and name=value pairs, the last of them free text where it is one.
+//! The form of a line: a name, then name=value pairs separated by spaces. Some last fields are free text.
 
+use crate::error::LineError;
 use bellsill_core::interface::MessageId;
 
-/// What is wrong with a line, said plainly.
-#[derive(Debug)]
-pub struct Bad(pub String);
+/// Fields whose value is free text up to the end of the line.
+const TEXT_FIELDS: [&str; 2] = ["boot-info", "message"];
+/// The most characters of a line that are shown in an error.
+const SHOWN_CHARACTERS: usize = 120;
 
-pub struct Line<'a> {
-    pub name: &'a str,
-    whole: &'a str,
+/// A line, split into its fields.
+pub(crate) struct Line<'a> {
+    pub(crate) name: &'a str,
+    text: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Line<'a> {
-    pub fn read(whole: &'a str) -> Result<Self, Bad> {
-        let (name, mut rest) = whole.split_once(' ').unwrap_or((whole, ""));
+    pub(crate) fn parse(text: &'a str) -> Result<Self, LineError> {
+        let (name, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         let mut fields = Vec::new();
         while !rest.is_empty() {
-            let cut = match rest.split_once('=') {
-                // Text runs to the end of its line.
-                Some(("boot-info" | "message", value)) => {
-                    (rest.len() - value.len() - 1, rest.len())
-                }
-                Some((_, value)) => {
-                    let eq = rest.len() - value.len() - 1;
-                    (eq, eq + 1 + value.find(' ').unwrap_or(value.len()))
-                }
-                None => return Err(Bad(format!("line {whole:?}: expected name=value pairs"))),
+            let Some((field, after)) = rest.split_once('=') else {
+                return Err(LineError::NotPairs {
+                    line: text.to_string(),
+                });
             };
-            fields.push((&rest[..cut.0], &rest[cut.0 + 1..cut.1]));
-            rest = rest[cut.1..].trim_start_matches(' ');
+            let value = if TEXT_FIELDS.contains(&field) {
+                after
+            } else {
+                after.split_once(' ').map_or(after, |(value, _)| value)
+            };
+            fields.push((field, value));
+            rest = after[value.len()..].trim_start_matches(' ');
+        }
+        Ok(Line { name, text, fields })
+    }
+
+    /// The error that a field is not as expected.
+    pub(crate) fn invalid(&self, field: &str, expected: &str) -> LineError {
+        LineError::Field {
+            line: self.text.chars().take(SHOWN_CHARACTERS).collect(),
+            field: field.to_string(),
+            expected: expected.to_string(),
         }
-        Ok(Line {
-            name,
-            whole,
-            fields,
-        })
     }
 
-    pub fn bad(&self, field: &str, expected: &str) -> Bad {
-        let shown: String = self.whole.chars().take(120).collect();
-        Bad(format!(
-            "line {shown:?}: field {field:?}: expected {expected}"
-        ))
+    /// The error that the line's name is not as expected.
+    pub(crate) fn invalid_name(&self, expected: &str) -> LineError {
+        self.invalid("", expected)
     }
 
-    pub fn get(&self, field: &str) -> Option<&'a str> {
-        self.fields.iter().find(|f| f.0 == field).map(|f| f.1)
+    pub(crate) fn get(&self, field: &str) -> Option<&'a str> {
+        self.fields
+            .iter()
+            .find(|(name, _)| *name == field)
+            .map(|(_, value)| *value)
     }
 
-    pub fn text(&self, field: &str) -> Result<&'a str, Bad> {
-        self.get(field).ok_or_else(|| self.bad(field, "a value"))
+    pub(crate) fn text(&self, field: &str) -> Result<&'a str, LineError> {
+        self.get(field)
+            .ok_or_else(|| self.invalid(field, "a value"))
     }
 
-    pub fn maybe_num(&self, field: &str) -> Result<Option<u64>, Bad> {
-        let read = |v: &str| v.parse().map_err(|_| self.bad(field, "a whole number"));
-        self.get(field).map(read).transpose()
+    pub(crate) fn optional_number(&self, field: &str) -> Result<Option<u64>, LineError> {
+        let Some(value) = self.get(field) else {
+            return Ok(None);
+        };
+        match value.parse() {
+            Ok(number) => Ok(Some(number)),
+            Err(_) => Err(self.invalid(field, "a whole number")),
+        }
     }
 
-    pub fn num(&self, field: &str) -> Result<u64, Bad> {
-        self.maybe_num(field)?
-            .ok_or_else(|| self.bad(field, "a whole number"))
+    pub(crate) fn number(&self, field: &str) -> Result<u64, LineError> {
+        self.optional_number(field)?
+            .ok_or_else(|| self.invalid(field, "a whole number"))
     }
 
-    pub fn hex(&self, field: &str) -> Result<MessageId, Bad> {
-        let read = u64::from_str_radix(self.text(field)?, 16);
-        read.map(MessageId)
-            .map_err(|_| self.bad(field, "16 hex digits"))
+    pub(crate) fn message_id(&self, field: &str) -> Result<MessageId, LineError> {
+        match u64::from_str_radix(self.text(field)?, 16) {
+            Ok(id) => Ok(MessageId(id)),
+            Err(_) => Err(self.invalid(field, "16 hex digits")),
+        }
     }
 }
