--- a/crates/discovery-client/src/backoff.rs
+++ b/crates/discovery-client/src/backoff.rs
@@ -1,70 +1,75 @@
-//! How long something that failed rests before it is asked again: ever longer up to a bound, and out of step with other
-//! dispatchers. Pure: the same seed and the same calls give the same rests.
+//! How long a plain watch waits before it asks discovery again: longer with each failure up to a bound, and out of step
+//! with other dispatchers. The same seed and the same calls give the same delays.
 
 use bellsill_net::Nanos;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Where few dispatchers ask, one that broke is asked again soon; with more, what each adds to the rest.
-const FIRST: Nanos = 250_000_000;
-const EACH: Nanos = 80_000_000;
-/// From what failed on, until the next call has come up and its first line has to be there. A change counts as told 6 s
-/// after discovery had it and could be reached, after any number of failures in a row and at any size of the fleet.
-const TOLD_WITHIN: Nanos = 6_000_000_000;
-/// How long a connection to discovery may take to come up: time for a first packet that is lost and sent again after 1 s.
+/// The shortest first delay, where there are few dispatchers.
+const MIN_FIRST_DELAY: Nanos = 250_000_000;
+/// What each dispatcher adds to the first delay.
+const FIRST_DELAY_PER_DISPATCHER: Nanos = 80_000_000;
+/// The time from a failure until the first line of the next call is due. A change counts as known 6 s after discovery had
+/// it and could be reached, after any number of failures in a row and at any size of the fleet.
+const KNOWN_WITHIN: Nanos = 6_000_000_000;
+/// How long a connection to discovery may take to come up: enough for a first packet that is lost and sent again after
+/// 1 s.
 pub const UP_WITHIN: Nanos = 1_200_000_000;
-/// How long its first line may take from then on, before another call is made beside it.
+/// How long the first line may take from then on, before another call is made beside it.
 pub const FIRST_LINE_WITHIN: Nanos = 1_500_000_000;
-/// A watch says a whole line every 2 s, if only an empty one.
+/// How long a watch may be without a complete line: discovery sends one every 2 s, if only an empty one.
 pub const SILENT_FOR: Nanos = 2_600_000_000;
-/// Dispatchers that start together ask one after the other over so long.
-const FIRST_WITHIN: Nanos = 1_000_000_000;
-/// What a rest leaves to the program itself.
-const SPARE: Nanos = 100_000_000;
-/// The longest rest, after a call that took no time, and the longest that something may take before it has failed.
-pub const LONGEST: Nanos = TOLD_WITHIN - UP_WITHIN - FIRST_LINE_WITHIN - SPARE;
+/// Dispatchers that start together ask spread over this time.
+const START_WITHIN: Nanos = 1_000_000_000;
+/// What a delay leaves for the program itself.
+const MARGIN: Nanos = 100_000_000;
+/// The longest delay, after a call that took no time, and the longest that a call may take to fail.
+pub const LONGEST: Nanos = KNOWN_WITHIN - UP_WITHIN - FIRST_LINE_WITHIN - MARGIN;
 const _: () = assert!(SILENT_FOR + 500_000_000 < LONGEST);
 
-/// Stops a whole fleet that was cut off from asking in step. The harm: what comes back is met up to a rest late.
+/// Keeps a fleet of dispatchers that was cut off from asking in step. The price: a server that is back is noticed up to
+/// one delay late.
 pub struct Backoff {
     rng: Pcg64Mcg,
-    first: Nanos,
-    /// The last rest, before chance; nought while it serves.
-    rest: Nanos,
+    first_delay: Nanos,
+    /// The longest of the next delay; none while the server serves.
+    longest: Option<Nanos>,
 }
 
 impl Backoff {
+    /// The delays of one of this many dispatchers.
     pub fn new(seed: u64, dispatchers: u32) -> Backoff {
-        let first = (u64::from(dispatchers) * EACH).clamp(FIRST, LONGEST);
+        let first_delay =
+            (u64::from(dispatchers) * FIRST_DELAY_PER_DISPATCHER).clamp(MIN_FIRST_DELAY, LONGEST);
         Backoff {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            first,
-            rest: 0,
+            first_delay,
+            longest: None,
         }
     }
 
-    /// How long to wait before the first asking. What the platform has counts as told from the first moment on, so that
-    /// mails would go to what drains: half of the grace is left for the answer.
+    /// How long to wait before the first call. The configuration counts as known from the start, so messages might go to
+    /// endpoints that are draining: half of the grace of a drain is left for the answer.
     pub fn first_rest(&mut self, drain_grace: Nanos) -> Nanos {
         self.rng
-            .random_range(0..=(drain_grace / 2).min(FIRST_WITHIN))
+            .random_range(0..=(drain_grace / 2).min(START_WITHIN))
     }
 
-    /// How long to wait before it is asked once more; `spent` is how long the last call, or a watch's silence, took to fail.
-    /// All may have lost it at the same moment: the first time they come one after the other.
+    /// How long to wait before the next call; `spent` is how long the last call, or the silence of a watch, took to fail.
+    /// The whole fleet may have failed at the same moment, so the first delay is spread from zero on.
     pub fn rest(&mut self, spent: Nanos) -> Nanos {
         let most = LONGEST.saturating_sub(spent).max(1);
-        if self.rest == 0 {
-            self.rest = self.first;
-            return self.rng.random_range(0..self.first.min(most));
-        }
-        let rest = self.rest.min(most);
-        self.rest = (self.rest * 2).min(LONGEST);
-        self.rng.random_range(rest / 4 * 3..=rest)
+        let Some(longest) = self.longest else {
+            self.longest = Some(self.first_delay);
+            return self.rng.random_range(0..self.first_delay.min(most));
+        };
+        let delay = longest.min(most);
+        self.longest = Some((longest * 2).min(LONGEST));
+        self.rng.random_range(delay / 4 * 3..=delay)
     }
 
-    /// It serves.
+    /// The server serves.
     pub fn served(&mut self) {
-        self.rest = 0;
+        self.longest = None;
     }
 }
--- a/crates/discovery-client/src/documents.rs
+++ b/crates/discovery-client/src/documents.rs
@@ -2,56 +2,55 @@
 
 use serde::de::IgnoredAny;
 
-/// Puts the lines of a call together to JSON documents.
-pub enum DocumentReader {
+/// Assembles JSON documents from the lines of a call.
+pub(crate) enum DocumentReader {
     /// Each line that is not empty is a document.
     Lines,
-    /// A document may stand over many lines, as an indented list does.
+    /// A document may take several lines, as an indented list does.
     Indented {
-        /// The lines of a document that goes on.
-        begun: Vec<u8>,
-        /// The most bytes that such lines may take.
-        longest: usize,
+        /// The lines of an incomplete document.
+        partial: Vec<u8>,
+        /// The most bytes that an incomplete document may take.
+        max_bytes: usize,
     },
 }
 
-/// Whether a text is a JSON document.
-fn check(text: &[u8]) -> serde_json::Result<()> {
-    serde_json::from_slice::<IgnoredAny>(text).map(drop)
-}
-
 impl DocumentReader {
-    pub fn indented(longest: usize) -> DocumentReader {
+    pub(crate) fn indented(max_bytes: usize) -> DocumentReader {
         DocumentReader::Indented {
-            begun: Vec::new(),
-            longest,
+            partial: Vec::new(),
+            max_bytes,
         }
     }
 
-    /// The document that ends with this line, if one does. A line that can be no part of a document is logged and skipped.
-    pub fn line(&mut self, line: &[u8]) -> Option<Vec<u8>> {
+    /// The document that ends with this line, if one does. A line that cannot be part of a document is logged and skipped.
+    pub(crate) fn line(&mut self, line: &[u8]) -> Option<Vec<u8>> {
         let line = line.trim_ascii();
         if line.is_empty() {
             return None;
         }
-        let DocumentReader::Indented { begun, longest } = self else {
+        let DocumentReader::Indented { partial, max_bytes } = self else {
             return Some(line.to_vec());
         };
-        if !begun.is_empty() {
-            begun.push(b'\n');
-            begun.extend(line);
-            match check(begun) {
-                Ok(()) => return Some(std::mem::take(begun)),
-                Err(e) if e.is_eof() && begun.len() < *longest => return None,
-                Err(e) => log::warn!("discovery: lines that are no JSON were skipped: {e}"),
+        if !partial.is_empty() {
+            partial.push(b'\n');
+            partial.extend(line);
+            match check_json(partial) {
+                Ok(()) => return Some(std::mem::take(partial)),
+                Err(error) if error.is_eof() && partial.len() < *max_bytes => return None,
+                Err(error) => log::warn!("discovery: skipped lines that are not JSON: {error}"),
             }
-            begun.clear();
+            partial.clear();
         }
-        match check(line) {
+        match check_json(line) {
             Ok(()) => return Some(line.to_vec()),
-            Err(e) if e.is_eof() => *begun = line.to_vec(),
-            Err(e) => log::warn!("discovery: a line that is no JSON was skipped: {e}"),
+            Err(error) if error.is_eof() => *partial = line.to_vec(),
+            Err(error) => log::warn!("discovery: skipped a line that is not JSON: {error}"),
         }
         None
     }
 }
+
+fn check_json(text: &[u8]) -> serde_json::Result<()> {
+    serde_json::from_slice::<IgnoredAny>(text).map(drop)
+}
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -1,34 +1,43 @@
-//! A dispatcher's watch on its configuration: a state machine without sockets, clock or threads. It is told what happened to
-//! its connections and timers, and answers with [`Command`]s for whoever has the sockets.
+//! A dispatcher's watch on its configuration: a state machine without sockets, clock or threads. The owner of the sockets
+//! reports what happened to connections and timers, and carries out the [`Command`]s that the watch answers with.
 //!
-//! [`Watch::plain`] follows one discovery and the whole list of endpoints. [`Watch::scoped`] follows one of several control
-//! processes, and with it the buckets of one dispatcher, kept in a [`ScopedList`]; `docs/configuration.md` has the contract.
-// Not finished yet: see docs/ROADMAP.md.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::cognitive_complexity,
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::too_many_lines,
-    clippy::type_complexity,
-    clippy::wildcard_imports
-)]
+//! [`Watch::plain`] follows one discovery server and the complete list of endpoints. [`Watch::scoped`] follows one of several
+//! control processes, and with it the buckets of one dispatcher, in a [`ScopedList`]; `docs/configuration.md` has the
+//! contract.
 #![forbid(unsafe_code)]
 
+mod answer;
+mod applied;
 pub mod backoff;
-pub mod call;
-pub mod cell_cache;
-pub mod documents;
-pub mod lookup;
+mod bucket_map;
+mod bucket_set;
+mod call;
+mod call_table;
+mod command;
+mod counters;
+mod destination_cache;
+mod documents;
+mod endpoint_table;
+mod error;
+mod lookup;
+mod plain_source;
+mod query;
+mod removed_endpoints;
+mod scope;
 pub mod scoped_list;
-pub mod server_order;
-pub mod state_file;
+mod scoped_source;
+mod server_order;
+mod source;
+mod state_file;
 pub mod watch;
 
+pub use applied::Applied;
+pub use bucket_map::BucketMap;
 pub use call::CallId;
-pub use scoped_list::{
-    Applied, BucketMap, CacheFull, Knowledge, ListCounters, ScopedLineError, ScopedList,
-};
+pub use command::{Command, LookupRequested, Received, Timer};
+pub use counters::{Counters, ListCounters};
+pub use error::{CacheFull, ScopedLineError};
+pub use scoped_list::{Knowledge, ScopedList};
+pub use scoped_source::ScopedOptions;
 pub use state_file::StateFileError;
-pub use watch::{Command, Counters, Received, ScopedOptions, Timer, Watch};
+pub use watch::Watch;
--- /dev/null
+++ b/crates/discovery-client/src/scope.rs
@@ -0,0 +1,322 @@
+//! The entries in a dispatcher's scope: those of the buckets that it holds and of the destinations that it caches.
+
+use crate::applied::Applied;
+use crate::bucket_map::BucketMap;
+use crate::bucket_set::{BucketSet, BucketState};
+use crate::counters::ListCounters;
+use crate::destination_cache::{DestinationCache, LookupState, MAX_DESTINATIONS};
+use crate::endpoint_table::{CachedEntry, EndpointTable};
+use crate::error::CacheFull;
+use crate::removed_endpoints::RemovedEndpoints;
+use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
+use bellsill_placement::BucketId;
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+pub(crate) struct Scope {
+    layout: Arc<dyn BucketMap>,
+    buckets: BucketSet,
+    endpoints: EndpointTable,
+    cache: DestinationCache,
+    removed: RemovedEndpoints,
+    counters: ListCounters,
+    /// Counts the changes.
+    revision: u64,
+}
+
+impl Scope {
+    pub(crate) fn new(layout: Arc<dyn BucketMap>, cache_destinations: usize) -> Scope {
+        Scope {
+            layout,
+            buckets: BucketSet::default(),
+            endpoints: EndpointTable::default(),
+            cache: DestinationCache::new(cache_destinations),
+            removed: RemovedEndpoints::default(),
+            counters: ListCounters::default(),
+            revision: 0,
+        }
+    }
+
+    /// Fills an empty scope with what was saved; `cached` are destinations whose entries are known.
+    pub(crate) fn restore(
+        &mut self,
+        complete: Vec<BucketId>,
+        filling: Vec<BucketId>,
+        cached: Vec<u64>,
+        entries: Vec<EndpointEntry>,
+    ) {
+        self.buckets = BucketSet::restore(complete, filling);
+        for destination in cached {
+            self.cache.touch(destination);
+            self.cache.mark_known(destination);
+        }
+        for entry in entries {
+            self.put_entry(entry, false);
+        }
+    }
+
+    pub(crate) fn buckets(&self) -> &BucketSet {
+        &self.buckets
+    }
+
+    pub(crate) fn endpoints(&self) -> &EndpointTable {
+        &self.endpoints
+    }
+
+    pub(crate) fn cache(&self) -> &DestinationCache {
+        &self.cache
+    }
+
+    pub(crate) fn counters(&self) -> ListCounters {
+        self.counters
+    }
+
+    pub(crate) fn counters_mut(&mut self) -> &mut ListCounters {
+        &mut self.counters
+    }
+
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// What is saved beside the entries has changed.
+    pub(crate) fn note_change(&mut self) {
+        self.revision += 1;
+    }
+
+    /// Another log begins. What is in buckets stays until it is sent again. What is cached is sent at once, and dropped
+    /// here, so that no old entry of it stays for good.
+    pub(crate) fn begin_log(&mut self, applied: &mut Applied) {
+        self.revision += 1;
+        self.removed.clear();
+        self.buckets.refill();
+        self.endpoints.reset_versions();
+        let cached: Vec<u64> = self.cache.by_use().collect();
+        for destination in cached {
+            self.drop_destination(destination, applied);
+        }
+    }
+
+    /// The buckets that are lost with this line because it does not name them; see [`BucketSet::take_unnamed`].
+    pub(crate) fn take_unnamed(&mut self, line: &ScopedLine) -> BTreeSet<BucketId> {
+        self.buckets.take_unnamed(line)
+    }
+
+    pub(crate) fn gain_bucket(&mut self, bucket: BucketId) {
+        self.revision += 1;
+        self.buckets.gain(bucket);
+        for name in self.endpoints.names_in(bucket) {
+            if let Some(cached) = self.endpoints.get_mut(&name) {
+                cached.confirmed = false;
+            }
+        }
+    }
+
+    pub(crate) fn lose_bucket(&mut self, bucket: BucketId, applied: &mut Applied) {
+        if !self.buckets.lose(bucket) {
+            return;
+        }
+        self.revision += 1;
+        for name in self.endpoints.names_in(bucket) {
+            let destination = self.endpoints.destination_of(&name);
+            if destination.is_none_or(|destination| !self.cache.contains(destination)) {
+                applied.dropped.extend(self.take_entry(&name));
+            }
+        }
+    }
+
+    /// All of a bucket has been received: what was not is gone, and cached destinations that are in complete buckets are
+    /// not cached any more.
+    pub(crate) fn complete_bucket(&mut self, bucket: BucketId, applied: &mut Applied) {
+        if self.buckets.state(bucket) != Some(BucketState::Filling) {
+            return;
+        }
+        self.revision += 1;
+        self.buckets.complete(bucket);
+        for name in self.endpoints.names_in(bucket) {
+            let endpoint = self.endpoints.get_mut(&name);
+            if endpoint.is_some_and(|cached| !cached.confirmed) {
+                self.counters.swept_entries += 1;
+                applied.dropped.extend(self.take_entry(&name));
+            } else if let Some(destination) = self.endpoints.destination_of(&name)
+                && self.all_in_complete_buckets(destination)
+            {
+                self.cache.evict(destination);
+            }
+        }
+    }
+
+    /// Whether changes of every known endpoint of a destination are sent with its buckets. A destination may have endpoints
+    /// in several regions, and a bucket has those of one: the others are sent for as long as the destination is cached.
+    fn all_in_complete_buckets(&self, destination: u64) -> bool {
+        let complete = |bucket| self.buckets.state(bucket) == Some(BucketState::Complete);
+        self.endpoints
+            .of_destination(destination)
+            .all(|cached| cached.bucket.is_some_and(complete))
+    }
+
+    /// Adds or replaces an entry, if it is newer than what is known.
+    pub(crate) fn apply_entry(
+        &mut self,
+        mut entry: EndpointEntry,
+        line_version: Version,
+        applied: &mut Applied,
+    ) {
+        if entry.version == Version(0) {
+            entry.version = line_version;
+        }
+        let known = self.endpoints.get_mut(&entry.id);
+        let known_version = known.as_ref().map(|cached| cached.entry.version);
+        // Any version shows that the endpoint is still in its bucket.
+        if let Some(cached) = known {
+            cached.confirmed = true;
+        }
+        match known_version.max(self.removed.version(&entry.id)) {
+            Some(version) if entry.version < version => {
+                self.counters.stale_entries += 1;
+                return;
+            }
+            Some(version) if entry.version == version => {
+                self.counters.duplicate_entries += 1;
+                return;
+            }
+            _ => {}
+        }
+        if !self.in_scope(&entry) {
+            applied.dropped.extend(self.take_entry(&entry.id));
+            self.counters.entries_out_of_scope += 1;
+        } else if entry.state == EndpointState::Removed {
+            applied.dropped.extend(self.take_entry(&entry.id));
+            self.removed.remember(entry.id, entry.version);
+        } else {
+            self.replace_entry(entry, applied);
+        }
+    }
+
+    fn replace_entry(&mut self, entry: EndpointEntry, applied: &mut Applied) {
+        self.revision += 1;
+        self.counters.applied_entries += 1;
+        // An endpoint that has moved to another destination is dropped from the old one.
+        let known = self.endpoints.destination_of(&entry.id);
+        if known.is_some_and(|destination| destination != entry.destination) {
+            applied.dropped.extend(self.take_entry(&entry.id));
+        }
+        applied.changed.push(entry.clone());
+        self.put_entry(entry, true);
+    }
+
+    /// Whether an entry is of a bucket that is held, or of a cached destination.
+    fn in_scope(&self, entry: &EndpointEntry) -> bool {
+        let bucket = self.layout.bucket_of(&entry.zone, entry.destination);
+        bucket.is_some_and(|bucket| self.buckets.holds(bucket))
+            || self.cache.contains(entry.destination)
+    }
+
+    fn put_entry(&mut self, entry: EndpointEntry, confirmed: bool) {
+        // It may have been in another zone or of another destination.
+        self.take_entry(&entry.id);
+        self.removed.forget(&entry.id);
+        let bucket = self.layout.bucket_of(&entry.zone, entry.destination);
+        self.endpoints.insert(CachedEntry {
+            entry,
+            bucket,
+            confirmed,
+        });
+    }
+
+    fn take_entry(&mut self, name: &str) -> Option<EndpointEntry> {
+        let entry = self.endpoints.remove(name)?;
+        self.revision += 1;
+        Some(entry)
+    }
+
+    /// Drops the entries of a destination, except those of buckets that are held.
+    fn drop_destination(&mut self, destination: u64, applied: &mut Applied) {
+        let held = |cached: &&CachedEntry| {
+            let bucket = cached.bucket;
+            bucket.is_some_and(|bucket| self.buckets.holds(bucket))
+        };
+        let endpoints = self.endpoints.of_destination(destination);
+        let names: Vec<String> = endpoints
+            .filter(|cached| !held(cached))
+            .map(|cached| cached.entry.id.clone())
+            .collect();
+        for name in names {
+            applied.dropped.extend(self.take_entry(&name));
+        }
+    }
+
+    /// Notes a use of a destination, if it is cached.
+    pub(crate) fn touch(&mut self, destination: u64) {
+        if self.cache.contains(destination) {
+            self.cache.touch(destination);
+        }
+    }
+
+    /// Adds a destination to the cache that has to be looked up, and evicts others for it that are not in use.
+    pub(crate) fn request(
+        &mut self,
+        destination: u64,
+        in_use: &dyn Fn(u64) -> bool,
+    ) -> Result<Applied, CacheFull> {
+        let mut applied = Applied::default();
+        while self.cache.is_full() {
+            let Some(oldest) = self.cache.oldest_unused(in_use) else {
+                break;
+            };
+            self.counters.evicted_destinations += 1;
+            self.evict(oldest, &mut applied);
+        }
+        if self.cache.len() >= MAX_DESTINATIONS {
+            return Err(CacheFull);
+        }
+        self.revision += 1;
+        self.cache.request(destination);
+        Ok(applied)
+    }
+
+    /// Adds an entry that is not from a control process, with its destination.
+    pub(crate) fn adopt_entry(&mut self, entry: EndpointEntry) {
+        if self.cache.is_full() && !self.cache.contains(entry.destination) {
+            log::warn!(
+                "configuration: endpoint {} skipped: too many destinations",
+                entry.id
+            );
+            return;
+        }
+        self.cache.touch(entry.destination);
+        self.cache.mark_known(entry.destination);
+        let version = Version(0);
+        self.put_entry(EndpointEntry { version, ..entry }, false);
+    }
+
+    /// Evicts a destination whose lookup has not been answered.
+    pub(crate) fn cancel(&mut self, destination: u64) -> Applied {
+        let mut applied = Applied::default();
+        if self.cache.state(destination) == Some(LookupState::Pending) {
+            self.evict(destination, &mut applied);
+        }
+        applied
+    }
+
+    fn evict(&mut self, destination: u64, applied: &mut Applied) {
+        self.revision += 1;
+        self.cache.evict(destination);
+        self.drop_destination(destination, applied);
+    }
+
+    /// The entries of a destination are known, if it is cached.
+    pub(crate) fn mark_known(&mut self, destination: u64) {
+        self.cache.mark_known(destination);
+    }
+
+    /// The control process does not send these evicted destinations any more.
+    pub(crate) fn released(&mut self, destinations: &[u64]) {
+        self.cache.released(destinations);
+    }
+
+    /// The control process sends no evicted destination any more.
+    pub(crate) fn released_all(&mut self) {
+        self.cache.released_all();
+    }
+}
--- /dev/null
+++ b/crates/discovery-client/src/scoped_source.rs
@@ -0,0 +1,192 @@
+//! The control processes of a scoped watch, and what they have sent.
+
+use crate::applied::Applied;
+use crate::call::{CallId, CallIds, LineLimit, OverlongLine, WatchRequest};
+use crate::command::{Command, Received, Timer};
+use crate::documents::DocumentReader;
+use crate::lookup::{LOOKUP_TIMEOUT, Lookup, Lookups, MAX_LOOKUP_DESTINATIONS};
+use crate::scoped_list::ScopedList;
+use crate::server_order::ServerOrder;
+use bellsill_directory::line::LONGEST_LINE;
+use bellsill_net::ring_buffer::RingBuffer;
+use bellsill_net::{Nanos, http};
+use std::net::SocketAddr;
+
+/// The longest line of a scoped watch that is read, in bytes. Control processes write shorter ones; twice that length
+/// leaves space for the fields of a later version.
+pub const LONGEST_SCOPED_LINE: usize = 2 * LONGEST_LINE;
+/// A scoped watch without a complete line for this long is lost: three of the empty lines that are sent every 500 ms.
+pub const SCOPED_SILENT_FOR: Nanos = 1_500_000_000;
+
+/// What a scoped watch begins with.
+#[derive(Clone, Debug)]
+pub struct ScopedOptions {
+    /// The dispatcher's name, in characters that a query may hold unescaped.
+    pub dispatcher: String,
+    /// The control processes; at least one.
+    pub servers: Vec<SocketAddr>,
+    /// Decides the order of the servers and the delays.
+    pub seed: u64,
+}
+
+pub(crate) struct ScopedSource {
+    dispatcher: String,
+    servers: ServerOrder,
+    list: ScopedList,
+    lookups: Lookups,
+    /// The status with which a call was rejected last, until one serves.
+    rejected_with: Option<u16>,
+}
+
+impl ScopedSource {
+    pub(crate) fn new(options: ScopedOptions, list: ScopedList) -> ScopedSource {
+        ScopedSource {
+            dispatcher: options.dispatcher,
+            servers: ServerOrder::new(options.servers, options.seed),
+            list,
+            lookups: Lookups::new(options.seed),
+            rejected_with: None,
+        }
+    }
+
+    pub(crate) fn list(&self) -> &ScopedList {
+        &self.list
+    }
+
+    pub(crate) fn list_mut(&mut self) -> &mut ScopedList {
+        &mut self.list
+    }
+
+    pub(crate) fn lookups(&self) -> &Lookups {
+        &self.lookups
+    }
+
+    pub(crate) fn lookups_mut(&mut self) -> &mut Lookups {
+        &mut self.lookups
+    }
+
+    /// The control process that is asked now.
+    pub(crate) fn address(&self) -> SocketAddr {
+        self.servers.current()
+    }
+
+    pub(crate) fn request(&mut self) -> WatchRequest {
+        let address = self.servers.current();
+        let query = self.list.query(&self.dispatcher);
+        self.list.asked_anew();
+        WatchRequest {
+            address,
+            bytes: http::get_request(address, &format!("/api/targets?follow=1&{query}"))
+                .into_bytes(),
+            documents: DocumentReader::Lines,
+            line_limit: LineLimit {
+                bytes: LONGEST_SCOPED_LINE,
+                overlong: OverlongLine::Fail,
+            },
+        }
+    }
+
+    pub(crate) fn first_delay(&mut self, drain_grace: Nanos) -> Nanos {
+        self.servers.first_delay(drain_grace / 2)
+    }
+
+    /// The current process has failed: how long to wait before the next one is asked.
+    pub(crate) fn retry_delay(&mut self) -> Nanos {
+        self.servers.advance()
+    }
+
+    pub(crate) fn serves(&mut self) {
+        self.servers.serves();
+        self.rejected_with = None;
+    }
+
+    /// Logs that a control process has rejected the watch, once for each status until one serves.
+    pub(crate) fn rejected(&mut self, status: u16) {
+        if self.rejected_with.replace(status) == Some(status) {
+            return;
+        }
+        let (server, dispatcher) = (self.servers.current(), &self.dispatcher);
+        match status {
+            404 => log::warn!(
+                "configuration: {server} does not know dispatcher `{dispatcher}`: declare it there"
+            ),
+            _ => log::warn!("configuration: {server} answered the watch request with {status}"),
+        }
+    }
+
+    /// Begins a lookup at the server of the watch, if destinations are pending and no other lookup is in flight.
+    pub(crate) fn look_up(
+        &mut self,
+        now: Nanos,
+        server: SocketAddr,
+        ids: &mut CallIds,
+    ) -> Vec<Command> {
+        if !self.lookups.is_idle() {
+            return Vec::new();
+        }
+        let destinations: Vec<u64> = self.list.pending().take(MAX_LOOKUP_DESTINATIONS).collect();
+        if destinations.is_empty() {
+            return Vec::new();
+        }
+        let evicted = self.list.to_forget();
+        let target = ScopedList::lookup_target(&self.dispatcher, &destinations, &evicted);
+        let call = ids.assign();
+        self.lookups.begin(Lookup::new(call, destinations, evicted));
+        vec![
+            Command::Connect {
+                call,
+                address: server,
+                request: http::get_request(server, &target).into_bytes(),
+            },
+            Command::SetTimer(Timer::Call(call), now + LOOKUP_TIMEOUT),
+        ]
+    }
+
+    pub(crate) fn is_lookup(&self, call: CallId) -> bool {
+        self.lookups
+            .in_flight()
+            .is_some_and(|lookup| lookup.id() == call)
+    }
+
+    /// Takes what was received on the lookup in flight.
+    pub(crate) fn lookup_received(
+        &mut self,
+        now: Nanos,
+        input: &mut RingBuffer,
+        ended: bool,
+    ) -> Received {
+        let Some(lookup) = self.lookups.in_flight_mut() else {
+            return Received::default();
+        };
+        let line = match lookup.read(input, ended) {
+            Ok(Some(line)) => line,
+            Ok(None) => return Received::default(),
+            Err(error) => {
+                log::debug!("configuration: lookup failed: {error:?}");
+                return self.lookup_failed(now);
+            }
+        };
+        match self.list.apply_lookup(lookup.destinations(), line) {
+            Ok(looked_up) => {
+                self.list.forgot(lookup.evicted());
+                finished_lookup(self.lookups.finish(), looked_up)
+            }
+            Err(error) => {
+                log::warn!("configuration: lookup answer rejected: {error}");
+                self.lookup_failed(now)
+            }
+        }
+    }
+
+    fn lookup_failed(&mut self, now: Nanos) -> Received {
+        finished_lookup(self.lookups.fail(now), Applied::default())
+    }
+}
+
+fn finished_lookup(commands: Vec<Command>, looked_up: Applied) -> Received {
+    Received {
+        documents: Vec::new(),
+        commands,
+        looked_up,
+    }
+}
--- a/crates/discovery-client/src/state_file.rs
+++ b/crates/discovery-client/src/state_file.rs
@@ -1,34 +1,40 @@
-//! The bytes in which a [`ScopedList`] lasts over a restart: a magic word with the version of the format, a checksum, and the
+//! The bytes in which a [`ScopedList`] outlasts a restart: a magic word with the version of the format, a checksum, and the
 //! list as JSON.
 
-use crate::scoped_list::{BucketMap, ScopedList};
+use crate::bucket_map::BucketMap;
+use crate::scoped_list::{SavedList, ScopedList};
 use bellsill_directory::line::{EndpointEntry, Version};
 use bellsill_placement::{BucketId, Epoch};
 use serde::{Deserialize, Serialize};
+use std::error::Error;
+use std::fmt;
 use std::sync::Arc;
 
 /// What the file begins with; the digit is the version of the format.
 const MAGIC: &[u8; 8] = b"BSSCOPE1";
 const CHECKSUM_BYTES: usize = 4;
 
-/// Why saved bytes are not taken.
+/// Why saved bytes are rejected.
 #[derive(Debug)]
 pub enum StateFileError {
-    /// They are no list of this version of the format.
+    /// They are not a list in this version of the format.
     Format,
-    /// They are torn or were changed.
+    /// They are incomplete or damaged.
     Checksum,
+    /// They hold other JSON than that of a list.
     Content(serde_json::Error),
-    /// They are another dispatcher's.
+    /// They are those of the dispatcher with this name.
     OtherDispatcher(String),
 }
 
-impl std::fmt::Display for StateFileError {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl fmt::Display for StateFileError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StateFileError::Format => write!(f, "it is no saved configuration of this version"),
-            StateFileError::Checksum => write!(f, "it is torn or damaged"),
-            StateFileError::Content(e) => write!(f, "its content cannot be read: {e}"),
+            StateFileError::Format => {
+                write!(f, "it is not a saved configuration of this version")
+            }
+            StateFileError::Checksum => write!(f, "it is incomplete or damaged"),
+            StateFileError::Content(error) => write!(f, "its content cannot be read: {error}"),
             StateFileError::OtherDispatcher(name) => {
                 write!(f, "it is that of the dispatcher `{name}`")
             }
@@ -36,32 +42,40 @@
     }
 }
 
-impl std::error::Error for StateFileError {}
+impl Error for StateFileError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            StateFileError::Content(error) => Some(error),
+            _ => None,
+        }
+    }
+}
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Saved<Entries> {
+struct Content<Entries> {
     dispatcher: String,
     log: String,
     version: Version,
     epoch: Option<Epoch>,
     complete: Vec<BucketId>,
     filling: Vec<BucketId>,
-    cells: Vec<u64>,
+    #[serde(rename = "cells")]
+    cached: Vec<u64>,
     entries: Entries,
 }
 
 impl ScopedList {
     /// The bytes to save.
     pub fn to_bytes(&self, dispatcher: &str) -> Vec<u8> {
-        let saved = Saved {
+        let saved = Content {
             dispatcher: dispatcher.to_string(),
             log: self.log().to_string(),
             version: self.version(),
             epoch: self.epoch(),
             complete: self.complete_buckets().collect(),
             filling: self.filling_buckets().collect(),
-            cells: self.saved_cells(),
+            cached: self.known_destinations().collect(),
             entries: self.entries().collect::<Vec<_>>(),
         };
         let mut bytes = MAGIC.to_vec();
@@ -73,7 +87,7 @@
         bytes
     }
 
-    /// The list that was saved.
+    /// The list that was saved by this dispatcher.
     pub fn from_bytes(
         bytes: &[u8],
         dispatcher: &str,
@@ -85,19 +99,20 @@
         if crc32fast::hash(content) != u32::from_le_bytes(*checksum) {
             return Err(StateFileError::Checksum);
         }
-        let saved: Saved<Vec<EndpointEntry>> =
+        let saved: Content<Vec<EndpointEntry>> =
             serde_json::from_slice(content).map_err(StateFileError::Content)?;
         if saved.dispatcher != dispatcher {
             return Err(StateFileError::OtherDispatcher(saved.dispatcher));
         }
-        let mut list = ScopedList::new(layout, cache_destinations);
-        list.restore_history(saved.log, saved.version, saved.epoch);
-        list.restore_buckets(saved.complete, saved.filling);
-        list.restore_cells(saved.cells);
-        saved
-            .entries
-            .into_iter()
-            .for_each(|entry| list.put_entry(entry, false));
-        Ok(list)
+        let list = SavedList {
+            log: saved.log,
+            version: saved.version,
+            epoch: saved.epoch,
+            complete: saved.complete,
+            filling: saved.filling,
+            cached: saved.cached,
+            entries: saved.entries,
+        };
+        Ok(ScopedList::restore(layout, cache_destinations, list))
     }
 }
--- a/crates/discovery-client/tests/calls.rs
+++ b/crates/discovery-client/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of a watch, told what happened to them and asked for its commands.
+//! The calls of a watch: events in, commands out.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use bellsill_discovery_client::{CallId, Command, Received, ScopedOptions, Timer, Watch};
 use bellsill_net::Nanos;
 use bellsill_net::ring_buffer::RingBuffer;
-use common::*;
+use common::empty_list;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -54,9 +54,9 @@
     })
 }
 
-/// Has the first call of a watch made.
+/// Makes the first call of a watch.
 fn begin(watch: &mut Watch) -> (CallId, SocketAddr, String) {
-    connects(&watch.start(0, 0)).expect("with no grace the call is made at once")
+    connects(&watch.start(0, 0)).expect("without a grace the call is made at once")
 }
 
 fn chunk(text: &str) -> String {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_plain_watch_asks_with_the_bytes_of_old_and_after_the_version_told_last() {
+fn a_plain_watch_request_has_fixed_bytes_and_the_last_applied_version() {
     let mut watch = plain();
     let (call, at, request) = begin(&mut watch);
     assert_eq!(at, address(1));
@@ -80,13 +80,13 @@
     );
     watch.told(41);
     let commands = watch.broken(SECOND, call);
-    let rested = timer(&commands, Timer::Reconnect).unwrap();
-    let (_, _, request) = connects(&watch.timer_fired(rested, Timer::Reconnect)).unwrap();
+    let retry_at = timer(&commands, Timer::Reconnect).unwrap();
+    let (_, _, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
     assert!(request.starts_with("GET /api/targets?follow=1&since=41 HTTP/1.1\r\n"));
 }
 
 #[test]
-fn a_plain_call_whose_first_line_is_late_is_kept_and_the_first_to_speak_serves() {
+fn a_late_plain_call_stays_open_and_the_first_with_a_line_serves() {
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
     let up = watch.connected(SECOND, first);
@@ -101,19 +101,24 @@
         "counted from when it was made"
     );
     assert!(!late.contains(&Command::Close(first)));
-    let rested = timer(&late, Timer::Reconnect).unwrap();
-    let (second, ..) = connects(&watch.timer_fired(rested, Timer::Reconnect)).unwrap();
-    let received = receives(&mut watch, rested, first, &format!("{HEAD}{}", chunk("\n")));
+    let retry_at = timer(&late, Timer::Reconnect).unwrap();
+    let (second, ..) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
+    let received = receives(
+        &mut watch,
+        retry_at,
+        first,
+        &format!("{HEAD}{}", chunk("\n")),
+    );
     assert!(received.documents.is_empty());
     assert!(received.commands.contains(&Command::Close(second)));
     assert_eq!(
         timer(&received.commands, Timer::Call(first)),
-        Some(rested + SILENT_FOR)
+        Some(retry_at + SILENT_FOR)
     );
 }
 
 #[test]
-fn a_plain_call_that_does_not_come_up_is_given_up() {
+fn a_plain_call_that_does_not_connect_is_abandoned() {
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
     let commands = watch.timer_fired(UP_WITHIN, Timer::Call(first));
@@ -125,13 +130,13 @@
 }
 
 #[test]
-fn a_plain_watch_moves_at_once_and_from_the_beginning() {
+fn a_relocated_plain_watch_reconnects_at_once_from_version_zero() {
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
     watch.told(41);
     assert!(
         watch.relocate(SECOND, address(1)).is_empty(),
-        "it is there already"
+        "it has that address already"
     );
     let commands = watch.relocate(SECOND, address(2));
     assert!(commands.contains(&Command::Close(first)));
@@ -140,7 +145,7 @@
 }
 
 #[test]
-fn bytes_that_end_no_line_do_not_show_that_a_watch_is_alive() {
+fn bytes_without_a_complete_line_do_not_show_that_a_watch_is_alive() {
     let mut watch = plain();
     let (call, ..) = begin(&mut watch);
     let received = receives(
@@ -172,7 +177,7 @@
 }
 
 #[test]
-fn a_scoped_watch_asks_for_what_its_list_lacks() {
+fn a_scoped_watch_requests_what_its_list_lacks() {
     let mut watch = scoped(1);
     let (call, at, request) = begin(&mut watch);
     assert_eq!(
@@ -194,15 +199,15 @@
     assert_eq!(received.documents, [text.as_bytes()]);
     watch.apply(&received.documents[0]).unwrap();
     let commands = watch.timer_fired(SECOND + SCOPED_SILENT_FOR, Timer::Call(call));
-    let rested = timer(&commands, Timer::Reconnect).unwrap();
-    assert!(rested <= SECOND + SCOPED_SILENT_FOR + SECOND / 2);
-    let (_, next, request) = connects(&watch.timer_fired(rested, Timer::Reconnect)).unwrap();
+    let retry_at = timer(&commands, Timer::Reconnect).unwrap();
+    assert!(retry_at <= SECOND + SCOPED_SILENT_FOR + SECOND / 2);
+    let (_, next, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
     assert_ne!(next, at);
     assert!(request.contains("since=4&log=c0ffee&dispatcher=d1&buckets=1 HTTP"));
 }
 
 #[test]
-fn each_server_is_tried_once_before_one_is_tried_again_in_an_order_of_the_dispatcher_s_own() {
+fn each_server_is_tried_once_before_any_is_retried_in_an_order_per_dispatcher() {
     let order = |seed: u64| -> Vec<SocketAddr> {
         let mut watch = scoped(seed);
         let mut tried = vec![begin(&mut watch)];
@@ -222,7 +227,7 @@
 }
 
 #[test]
-fn a_line_of_a_scoped_watch_that_is_too_long_fails_the_call() {
+fn an_overlong_line_fails_a_scoped_call() {
     for text in [
         "x".repeat(LONGEST_SCOPED_LINE + 1),
         format!("{}\n", "x".repeat(LONGEST_SCOPED_LINE + 1)),
@@ -266,13 +271,13 @@
 }
 
 #[test]
-fn what_is_wanted_is_asked_for_where_the_watch_is_and_together() {
+fn lookups_go_to_the_serving_server_and_are_batched() {
     let (mut watch, _, at) = served();
     let first = watch.want(SECOND, 47, &nothing_in_use).unwrap();
-    let (lookup, asked, request) = connects(&first.commands).unwrap();
-    assert_eq!(asked, at);
+    let (lookup, server, request) = connects(&first.commands).unwrap();
+    assert_eq!(server, at);
     assert!(request.starts_with("GET /api/targets?dispatcher=d1&cells=47 HTTP/1.1\r\n"));
-    // What is wanted meanwhile waits for the answer, and is then asked for in one request.
+    // Destinations that are wanted meanwhile wait for the answer, and are then looked up in one request.
     assert!(
         watch
             .want(SECOND, 48, &nothing_in_use)
@@ -295,7 +300,7 @@
 }
 
 #[test]
-fn what_is_wanted_before_a_watch_is_served_is_asked_for_then() {
+fn a_lookup_waits_until_the_watch_is_served() {
     let mut watch = scoped(1);
     let (call, ..) = begin(&mut watch);
     assert!(
@@ -315,7 +320,7 @@
 }
 
 #[test]
-fn a_lookup_that_fails_is_made_again_after_a_rest() {
+fn a_failed_lookup_is_retried_after_a_delay() {
     let answers = [
         "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{",
@@ -326,16 +331,16 @@
         let (lookup, ..) = connects(&wanted.commands).unwrap();
         let received = receives(&mut watch, SECOND, lookup, answer);
         assert!(received.commands.contains(&Command::Close(lookup)));
-        let rested = timer(&received.commands, Timer::LookUp).unwrap();
+        let retry_at = timer(&received.commands, Timer::LookUp).unwrap();
         assert!(
             watch
                 .want(SECOND, 48, &nothing_in_use)
                 .unwrap()
                 .commands
                 .is_empty(),
-            "it rests"
+            "it backs off"
         );
-        let again = watch.timer_fired(rested, Timer::LookUp);
+        let again = watch.timer_fired(retry_at, Timer::LookUp);
         assert!(connects(&again).unwrap().2.contains("&cells=47,48 "));
         assert_eq!(
             (watch.counters().lookups, watch.counters().failed_lookups),
@@ -345,7 +350,7 @@
 }
 
 #[test]
-fn a_lookup_ends_with_its_watch_and_is_made_where_the_next_one_is() {
+fn a_lookup_ends_with_its_watch_and_is_retried_at_the_next_server() {
     let (mut watch, call, at) = served();
     let wanted = watch.want(SECOND, 47, &nothing_in_use).unwrap();
     let (lookup, ..) = connects(&wanted.commands).unwrap();
@@ -355,17 +360,22 @@
         receives(&mut watch, SECOND, lookup, &lookup_answer(ENTRY)),
         Received::default()
     );
-    let rested = timer(&broken, Timer::Reconnect).unwrap();
+    let retry_at = timer(&broken, Timer::Reconnect).unwrap();
     let (next, elsewhere, request) =
-        connects(&watch.timer_fired(rested, Timer::Reconnect)).unwrap();
+        connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
     assert!(elsewhere != at && !request.contains("cells"));
-    let received = receives(&mut watch, rested, next, &format!("{HEAD}{}", chunk("\n")));
+    let received = receives(
+        &mut watch,
+        retry_at,
+        next,
+        &format!("{HEAD}{}", chunk("\n")),
+    );
     let (_, asked, request) = connects(&received.commands).unwrap();
     assert!(asked == elsewhere && request.contains("&cells=47 "));
 }
 
 #[test]
-fn what_gave_way_is_named_in_the_next_lookup() {
+fn an_evicted_destination_is_named_in_the_next_lookup() {
     let (mut watch, ..) = served();
     for destination in 41..=45 {
         let wanted = watch.want(SECOND, destination, &nothing_in_use).unwrap();
@@ -381,32 +391,36 @@
 }
 
 #[test]
-fn a_new_watch_leaves_nothing_to_forget() {
+fn a_new_watch_clears_the_evicted_destinations() {
     let (mut watch, call, _) = served();
     for destination in 41..=45 {
         watch.want(SECOND, destination, &nothing_in_use).unwrap();
     }
     assert_eq!(watch.list().unwrap().to_forget(), [41]);
-    let rested = timer(&watch.broken(SECOND, call), Timer::Reconnect).unwrap();
-    watch.timer_fired(rested, Timer::Reconnect);
+    let retry_at = timer(&watch.broken(SECOND, call), Timer::Reconnect).unwrap();
+    watch.timer_fired(retry_at, Timer::Reconnect);
     assert!(
         watch.list().unwrap().to_forget().is_empty(),
-        "its request names what is kept"
+        "its request names what is cached"
     );
 }
 
 #[test]
-fn a_body_that_ends_is_a_watch_that_ends() {
+fn the_end_of_a_body_ends_the_watch() {
     for mut watch in [plain(), scoped(1)] {
         let (call, ..) = begin(&mut watch);
         let text = format!("{HEAD}{}0\r\n\r\n", chunk("{\"version\":4}\n"));
         let received = receives(&mut watch, SECOND, call, &text);
-        assert_eq!(received.documents.len(), 1, "what came before counts");
+        assert_eq!(
+            received.documents.len(),
+            1,
+            "documents before the end count"
+        );
         assert!(received.commands.contains(&Command::Close(call)));
     }
 }
 
-/// Whoever has the sockets, as far as a watch sees it: open connections, and timers.
+/// The owner of the sockets as a watch sees it: open connections, and timers.
 struct Sockets {
     watch: Watch,
     now: Nanos,
@@ -457,8 +471,8 @@
         self.carry_out(commands);
     }
 
-    /// One of the open connections has something to tell.
-    fn tell(&mut self, which: u8, what: u8) {
+    /// Something is received on one of the open connections.
+    fn receive(&mut self, which: u8, what: u8) {
         let Some(call) = self
             .open
             .keys()
@@ -502,23 +516,23 @@
                 let wanted = self.watch.want(self.now, u64::from(which), &nothing_in_use);
                 wanted.map(|wanted| wanted.commands).unwrap_or_default()
             }
-            _ => return self.tell(which, kind / 6),
+            _ => return self.receive(which, kind / 6),
         };
         self.carry_out(commands);
     }
 
-    /// It goes on by itself: each call has its time, and without a call that may serve one is made.
+    /// Each call has a timeout, and without a call that may serve one is due.
     fn check(&self) {
         for call in self.open.keys() {
             assert!(
                 self.timers.contains_key(&Timer::Call(*call)),
-                "{call:?} has no time"
+                "{call:?} has no timeout"
             );
         }
         for timer in self.timers.keys() {
             assert!(
                 !matches!(timer, Timer::Call(call) if !self.open.contains_key(call)),
-                "{timer:?} is of nothing"
+                "{timer:?} has no call"
             );
         }
         let watches = self
@@ -529,20 +543,23 @@
         let lookups = self.open.len() - watches;
         assert!(
             watches > 0 || self.timers.contains_key(&Timer::Reconnect),
-            "nothing goes on"
+            "no call is due"
         );
         assert!(lookups <= 1, "one lookup at a time");
         if let Some(list) = self.watch.list() {
             assert!(watches <= 1, "one watch at a time");
-            let waits = list.pending().next().is_some() && self.watch.serving().is_some();
-            let goes_on = lookups == 1 || self.timers.contains_key(&Timer::LookUp);
-            assert!(!waits || goes_on, "what is wanted is never asked for");
+            let is_pending = list.pending().next().is_some() && self.watch.serving().is_some();
+            let is_due = lookups == 1 || self.timers.contains_key(&Timer::LookUp);
+            assert!(
+                !is_pending || is_due,
+                "a pending destination is never looked up"
+            );
         }
     }
 }
 
 #[test]
-fn whatever_happens_a_watch_goes_on_by_itself() {
+fn a_watch_always_has_a_next_step_of_its_own() {
     fn property(scoped_one: bool, seed: u64, steps: Vec<(u8, u8)>) {
         let watch = if scoped_one {
             scoped(seed)
--- a/crates/discovery-client/tests/scoped_list.rs
+++ b/crates/discovery-client/tests/scoped_list.rs
@@ -1,14 +1,55 @@
-//! What a dispatcher keeps of the scoped configuration, against lines as control processes write them.
+//! A dispatcher's part of the scoped configuration, against lines as control processes write them.
 
 mod common;
 
-use bellsill_directory::line::{EndpointEntry, ScopedLine, Version};
+use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
 use bellsill_discovery_client::scoped_list::MOST_CELLS;
 use bellsill_discovery_client::{Knowledge, ScopedLineError, ScopedList, StateFileError};
-use common::*;
+use bellsill_placement::BucketId;
+use common::{TensLayout, empty_list};
 use quickcheck::{Gen, QuickCheck};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
+fn entry(id: &str, destination: u64, version: u64) -> EndpointEntry {
+    EndpointEntry {
+        id: id.to_string(),
+        addr: Some(format!("10.0.0.1:{}", 9_000 + destination)),
+        zone: "z".into(),
+        kind: "k".into(),
+        destination,
+        state: EndpointState::Up,
+        weight: None,
+        version: Version(version),
+    }
+}
+
+fn removed(id: &str, destination: u64, version: u64) -> EndpointEntry {
+    EndpointEntry {
+        state: EndpointState::Removed,
+        ..entry(id, destination, version)
+    }
+}
+
+fn line(version: u64, servers: Vec<EndpointEntry>) -> ScopedLine {
+    ScopedLine {
+        version: Version(version),
+        servers,
+        ..ScopedLine::default()
+    }
+}
+
+fn buckets(numbers: &[u32]) -> Vec<BucketId> {
+    numbers.iter().map(|number| BucketId(*number)).collect()
+}
+
+/// The names of all endpoints in the list, in order.
+fn names(list: &ScopedList) -> Vec<&str> {
+    let mut names: Vec<&str> = list.entries().map(|entry| entry.id.as_str()).collect();
+    names.sort();
+    names
+}
+
 /// A list with bucket 1 complete: `a` of 11 and `b` of 12, at version 5.
 fn started() -> ScopedList {
     let mut list = empty_list(2);
@@ -28,7 +69,7 @@
     list
 }
 
-/// A lookup's answer.
+/// The answer to a lookup.
 fn answer(version: u64, servers: Vec<EndpointEntry>) -> ScopedLine {
     ScopedLine {
         log: "c0ffee".into(),
@@ -41,7 +82,7 @@
 }
 
 #[test]
-fn a_first_start_asks_for_everything_and_then_from_where_it_is() {
+fn a_first_watch_requests_everything_and_later_ones_from_the_known_version() {
     assert_eq!(empty_list(2).query("d1"), "since=0&dispatcher=d1");
     let mut list = started();
     assert_eq!(
@@ -63,7 +104,7 @@
 }
 
 #[test]
-fn an_entry_that_is_older_or_equal_is_counted_and_never_applied() {
+fn an_older_or_equal_entry_is_counted_and_never_applied() {
     let mut list = started();
     let same = list.apply(line(6, vec![entry("a", 11, 3)])).unwrap();
     let older = list.apply(line(6, vec![entry("b", 12, 3)])).unwrap();
@@ -80,7 +121,7 @@
 }
 
 #[test]
-fn a_removed_endpoint_does_not_come_back_by_an_answer_that_was_asked_for_before() {
+fn a_removed_endpoint_is_not_restored_by_a_late_lookup_answer() {
     let mut list = started();
     list.want(47, &nothing_in_use).unwrap();
     list.apply(line(9, vec![removed("x", 47, 9)])).unwrap();
@@ -100,7 +141,7 @@
 }
 
 #[test]
-fn a_bucket_told_anew_loses_what_is_not_told_when_it_is_filled() {
+fn a_bucket_that_is_sent_again_drops_missing_entries_when_filled() {
     let mut list = started();
     list.apply(ScopedLine {
         log: "c0ffee".into(),
@@ -108,7 +149,7 @@
         ..line(9, vec![])
     })
     .unwrap();
-    assert_eq!(names(&list), ["a", "b"], "served until it is told anew");
+    assert_eq!(names(&list), ["a", "b"], "served until it is sent again");
     assert_eq!(list.query("d1"), "since=9&log=c0ffee&dispatcher=d1");
     list.apply(line(9, vec![entry("b", 12, 4), entry("c", 13, 8)]))
         .unwrap();
@@ -126,7 +167,7 @@
 }
 
 #[test]
-fn a_lost_bucket_is_dropped_and_one_that_was_being_told_is_lost_unless_named_again() {
+fn a_lost_bucket_is_dropped_and_a_filling_one_is_lost_unless_named_again() {
     let mut list = started();
     let lost = list
         .apply(ScopedLine {
@@ -159,7 +200,7 @@
 }
 
 #[test]
-fn another_log_begins_from_nothing_and_what_is_held_serves_until_it_is_told_anew() {
+fn another_log_begins_empty_and_held_entries_serve_until_sent_again() {
     let mut list = started();
     list.want(47, &nothing_in_use).unwrap();
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4), entry("y", 47, 4)]))
@@ -173,7 +214,7 @@
     assert_eq!(
         names(&list),
         ["a", "b", "x"],
-        "the cache has only what was told"
+        "the cache has only what was received"
     );
     list.apply(ScopedLine {
         filled: buckets(&[1]),
@@ -191,7 +232,7 @@
 }
 
 #[test]
-fn what_another_log_does_not_assign_is_lost() {
+fn buckets_that_another_log_does_not_assign_are_lost() {
     let mut list = started();
     list.apply(ScopedLine {
         log: "beef".into(),
@@ -213,7 +254,7 @@
 }
 
 #[test]
-fn a_line_that_goes_back_or_is_a_whole_list_is_refused_and_nothing_of_it_is_applied() {
+fn a_line_of_an_older_version_or_a_complete_list_is_rejected_as_a_whole() {
     let mut list = started();
     let back = list.apply(line(4, vec![entry("c", 13, 4)]));
     assert!(matches!(back, Err(ScopedLineError::VersionWentBack { .. })));
@@ -233,7 +274,7 @@
 }
 
 #[test]
-fn the_destination_used_longest_ago_gives_way_unless_it_is_in_use() {
+fn the_least_recently_used_destination_is_evicted_unless_in_use() {
     let mut list = started();
     for destination in [41, 42] {
         list.want(destination, &nothing_in_use).unwrap();
@@ -255,20 +296,20 @@
     assert_eq!(target, "/api/targets?dispatcher=d1&cells=44&forget=42,43");
     list.forgot(&[42, 43]);
     assert!(list.to_forget().is_empty());
-    // What is wanted again is not forgotten by the same request.
+    // A destination that is wanted again is not released by the same request.
     list.want(42, &nothing_in_use).unwrap();
     list.want(45, &nothing_in_use).unwrap();
     list.want(42, &nothing_in_use).unwrap();
     assert!(!list.to_forget().contains(&42));
     list.want(46, &|destination| destination != 42).unwrap();
-    // Entries that come for what gave way are passed over.
+    // Entries of an evicted destination are skipped.
     list.apply(line(6, vec![entry("e42", 42, 6)])).unwrap();
     assert_eq!(list.counters().entries_out_of_scope, 1);
     assert_eq!(list.knowledge(42), Knowledge::Unknown);
 }
 
 #[test]
-fn what_is_known_of_a_destination() {
+fn the_lookup_state_of_a_destination() {
     let mut list = started();
     assert_eq!(list.knowledge(11), Knowledge::Held);
     assert_eq!(
@@ -297,13 +338,13 @@
     assert_eq!(
         (list.knowledge(48), list.cached()),
         (Knowledge::Held, 1),
-        "the bucket has it from now on"
+        "the bucket has it now"
     );
     assert_eq!(list.to_forget(), [48]);
 }
 
 #[test]
-fn what_is_wanted_no_longer_is_not_asked_for_and_what_is_known_stays() {
+fn a_cancelled_lookup_is_not_made_and_known_destinations_stay() {
     let mut list = started();
     [47, 48]
         .into_iter()
@@ -321,7 +362,7 @@
 }
 
 #[test]
-fn with_all_in_use_the_cache_grows_as_far_as_a_control_process_tells() {
+fn with_all_in_use_the_cache_grows_to_the_limit_of_a_control_process() {
     let mut list = started();
     let grown = (100..)
         .take_while(|destination| list.want(*destination, &|_| true).is_ok())
@@ -331,7 +372,7 @@
 }
 
 #[test]
-fn a_list_of_no_control_process_serves_until_the_first_line() {
+fn an_adopted_list_serves_until_the_first_line() {
     let mut list = empty_list(2);
     list.adopt([
         entry("x", 47, 3),
@@ -342,7 +383,7 @@
     assert_eq!(
         names(&list),
         ["x", "y", "z"],
-        "the cache has room for two destinations"
+        "the cache has capacity for two destinations"
     );
     assert_eq!(list.query("d1"), "since=0&dispatcher=d1&cells=47,48");
     let first = list
@@ -355,7 +396,7 @@
 }
 
 #[test]
-fn an_answer_of_another_log_than_the_watch_s_is_refused() {
+fn a_lookup_answer_of_another_log_is_rejected() {
     let mut list = started();
     list.want(47, &nothing_in_use).unwrap();
     let other = ScopedLine {
@@ -391,11 +432,11 @@
 }
 
 #[test]
-fn a_saved_list_that_is_torn_or_flipped_anywhere_is_refused() {
+fn a_saved_list_that_is_truncated_or_damaged_anywhere_is_rejected() {
     let bytes = started().to_bytes("d1");
     let read = |bytes: &[u8]| ScopedList::from_bytes(bytes, "d1", Arc::new(TensLayout), 2);
     for end in 0..bytes.len() {
-        assert!(read(&bytes[..end]).is_err(), "torn after {end} bytes");
+        assert!(read(&bytes[..end]).is_err(), "truncated after {end} bytes");
     }
     for place in 0..bytes.len() * 8 {
         let mut flipped = bytes.clone();
@@ -404,27 +445,26 @@
     }
 }
 
-/// Changes in any order of delivery, repeated at will, end in the newest of each endpoint.
+/// Changes in any order, repeated at will, end in the newest of each endpoint.
 #[test]
-fn whatever_is_told_twice_or_late_the_newest_of_each_endpoint_stays() {
-    fn property(told: Vec<(u8, u8, bool)>) -> bool {
+fn entries_received_repeatedly_or_late_leave_the_newest_of_each_endpoint() {
+    fn property(received: Vec<(u8, u8, bool)>) -> bool {
         let mut list = started();
-        let mut newest = std::collections::BTreeMap::new();
-        for (name, version, up) in told {
-            // Endpoints `0` to `7` of bucket 1; a version says all of an endpoint.
+        let mut newest = BTreeMap::new();
+        for (name, version, up) in received {
+            // Endpoints `0` to `7` of bucket 1; a version determines the entry.
             let (name, version) = (name % 8, u64::from(version) + 6);
             let up = up && !version.is_multiple_of(3);
             let up = *newest.entry((name, version)).or_insert(up);
             let id = name.to_string();
-            let told = match up {
-                true => entry(&id, 11, version),
+            let entry = match up {
+                true => self::entry(&id, 11, version),
                 false => removed(&id, 11, version),
             };
-            list.apply(line(1_000, vec![told])).unwrap();
+            list.apply(line(1_000, vec![entry])).unwrap();
         }
-        // In the order of versions: of each name the last one stays.
-        let last: std::collections::BTreeMap<u8, bool> =
-            newest.iter().map(|((name, _), up)| (*name, *up)).collect();
+        // The map is in the order of versions, so the last one of each name stays.
+        let last: BTreeMap<u8, bool> = newest.iter().map(|((name, _), up)| (*name, *up)).collect();
         let expected: Vec<String> = last
             .into_iter()
             .filter(|(_, up)| *up)
