--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -6,7 +6,7 @@
 };
 use std::collections::BTreeMap;
 
-/// Which members hold which buckets. Made empty or from a table, and changed only by applying the next change.
+/// Which members hold which buckets. Created empty or from a table, and changed only by applying the next change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     layout: Layout,
@@ -51,12 +51,12 @@
 
     /// The change that places all buckets on the members that are present. The order of `members` makes no difference.
     /// A replica stays where it is while its holder is present and within its bound; a member far below its fair share,
-    /// as one that is new, is given it.
+    /// as a new one, is filled up to it.
     pub fn plan(&self, members: &[Member]) -> Result<AssignmentChange, PlacementError> {
         plan::plan(self, members)
     }
 
-    /// Takes in the change that leads to the next epoch; any other is refused and changes nothing.
+    /// Applies the change that leads to the next epoch; any other is rejected and changes nothing.
     pub fn apply(&mut self, change: &AssignmentChange) -> Result<(), PlacementError> {
         let expected = self.next_epoch();
         if change.epoch != expected {
@@ -101,7 +101,7 @@
         (0..self.layout.buckets()).map(BucketId)
     }
 
-    /// The epoch of the last change applied; nought where none was.
+    /// The epoch of the last change applied; 0 before the first.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
--- a/crates/placement/src/change.rs
+++ b/crates/placement/src/change.rs
@@ -10,7 +10,9 @@
 /// The holders of one bucket. A replica that has no holder is absent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketHolders {
+    /// The bucket.
     pub bucket: BucketId,
+    /// Both replicas, in no particular order.
     pub holders: [Option<MemberName>; REPLICAS],
 }
 
@@ -21,11 +23,11 @@
     pub epoch: Epoch,
     /// The buckets whose holders change, in order, with all their holders from now on.
     pub moved: Vec<BucketHolders>,
-    /// How many replicas go to a member that did not hold the bucket before.
+    /// How many replicas move to a member that did not hold the bucket before.
     pub moved_replicas: usize,
     /// A lower bound of `moved_replicas`: no plan with the same bounds of load moves fewer.
     pub least_possible: usize,
-    /// What operators should mend; the plan holds nevertheless.
+    /// What operators should correct; the plan is valid nevertheless.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub warnings: Vec<PlacementWarning>,
 }
@@ -42,9 +44,15 @@
 #[serde(rename_all = "snake_case")]
 pub enum PlacementWarning {
     /// All present members of the region are in one zone: the second replica of each of its buckets is absent.
-    OneZone { region: RegionName },
+    OneZone {
+        /// The region that needs members in a second zone.
+        region: RegionName,
+    },
     /// No member of the region is present: its buckets have no holder.
-    NoMembers { region: RegionName },
+    NoMembers {
+        /// The region that needs members.
+        region: RegionName,
+    },
 }
 
 impl fmt::Display for PlacementWarning {
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -28,7 +28,7 @@
 }
 
 impl RendezvousScore {
-    pub fn new(bucket: BucketId, member_hash: u64, weight: f64) -> RendezvousScore {
+    pub(crate) fn new(bucket: BucketId, member_hash: u64, weight: f64) -> RendezvousScore {
         let mut key = [0; 12];
         key[..8].copy_from_slice(&member_hash.to_le_bytes());
         key[8..].copy_from_slice(&bucket.0.to_le_bytes());
@@ -39,18 +39,18 @@
     }
 
     /// The score. Its logarithm is of a library of its own so that it is the same on every platform.
-    pub fn value(self) -> f64 {
+    pub(crate) fn value(self) -> f64 {
         -libm::log(self.uniform) / self.weight
     }
 
     /// Orders the scores of one member as their values do, without a logarithm.
-    pub fn order_for_one_member(self) -> f64 {
+    pub(crate) fn order_for_one_member(self) -> f64 {
         -self.uniform
     }
 
     /// Whether the score is below another. Since it is not below `(1 - uniform) / weight`, most comparisons need no
     /// logarithm.
-    pub fn is_below(self, other: f64) -> bool {
+    pub(crate) fn is_below(self, other: f64) -> bool {
         1.0 - self.uniform < other * self.weight && self.value() < other
     }
 }
--- a/crates/placement/src/layout.rs
+++ b/crates/placement/src/layout.rs
@@ -14,38 +14,52 @@
 ///   within 3 s at 17 KB/s, 51 KB; at 18 bytes a moved replica it is 24 KB. With 8,192 buckets it would be 98 KB.
 pub const DEFAULT_BUCKETS_PER_REGION: u32 = 2048;
 
-/// The number of a region: its place among the names of all regions in order.
+/// The number of a region: its position among the names of all regions in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct RegionId(pub u32);
+pub struct RegionId(
+    /// The position, from 0 on.
+    pub u32,
+);
 
 /// One zone and its region, as operators declare them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDeclaration {
+    /// Unique in the layout.
     pub zone: ZoneName,
+    /// One region may have several zones.
     pub region: RegionName,
 }
 
-/// Why a layout can't be taken.
+/// Why a layout is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LayoutError {
+    /// No zone is declared.
     #[error("the layout has no zone: declare at least one zone with its region")]
     NoZones,
+    /// A zone is declared twice, in different regions.
     #[error(
         "zone {zone} is declared in region {first} and in region {second}: declare it in one of them"
     )]
     ZoneInTwoRegions {
+        /// The zone that is declared twice.
         zone: ZoneName,
+        /// The region of its first declaration.
         first: RegionName,
+        /// The region of its second declaration.
         second: RegionName,
     },
+    /// The number of buckets of a region is 0.
     #[error(
         "a region has no buckets: set buckets_per_region to {DEFAULT_BUCKETS_PER_REGION}, for instance"
     )]
     NoBuckets,
+    /// Bucket numbers would not fit into 32 bits.
     #[error("{regions} regions of {buckets_per_region} buckets are more than {most} in all: set fewer", most = u32::MAX)]
     TooManyBuckets {
+        /// How many regions the zones are declared in.
         regions: usize,
+        /// How many buckets each of them has.
         buckets_per_region: u32,
     },
 }
@@ -131,7 +145,7 @@
     }
 }
 
-/// A layout as it is written down.
+/// The serialized form of a layout.
 #[derive(Serialize, Deserialize)]
 struct LayoutDeclaration {
     buckets_per_region: u32,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -2,31 +2,25 @@
 //!
 //! A destination hashes to a bucket of its region ([`Layout::bucket_of`]). An [`Assignment`] names two holders for each
 //! bucket, in different zones of the region. [`Assignment::plan`] compares it with the members present and returns an
-//! [`AssignmentChange`] that moves only what it must; [`Assignment::apply`] takes the change in, at the process that
+//! [`AssignmentChange`] that moves only what it must; [`Assignment::apply`] applies the change, at the process that
 //! planned it and at those that follow it.
-// Not finished yet: see docs/ROADMAP.md.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::cognitive_complexity,
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::too_many_lines,
-    clippy::type_complexity,
-    clippy::wildcard_imports
-)]
 
 mod assignment;
+mod candidate;
 mod change;
 mod error;
 pub mod hash;
 mod layout;
+mod lower_bound;
 mod member;
 mod names;
+mod place_missing;
 mod plan;
 mod region_plan;
+mod region_state;
 mod share;
 mod table;
+mod transfer;
 
 use serde::{Deserialize, Serialize};
 
@@ -44,11 +38,17 @@
 /// `0..buckets_per_region`, region 1 the next ones, and so on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct BucketId(pub u32);
+pub struct BucketId(
+    /// The number over all regions.
+    pub u32,
+);
 
 /// Counts the assignments of buckets to dispatchers, from 1 on.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Epoch(pub u64);
+pub struct Epoch(
+    /// 0 before the first assignment.
+    pub u64,
+);
--- a/crates/placement/src/names.rs
+++ b/crates/placement/src/names.rs
@@ -1,4 +1,4 @@
-//! The names of zones, regions and members: one type each, so that none is taken for another.
+//! The names of zones, regions and members: one type each, so that they cannot be confused.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,7 +8,10 @@
         $(#[$documentation])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(transparent)]
-        pub struct $name(pub String);
+        pub struct $name(
+            /// The name as it is declared.
+            pub String,
+        );
 
         impl $name {
             /// The name as text.
@@ -32,11 +35,11 @@
 }
 
 name_type! {
-    /// A zone: what may fail at once, such as a data centre.
+    /// A zone: members that may fail together, such as those of a data centre.
     ZoneName
 }
 name_type! {
-    /// A region: some zones near one another.
+    /// A region: a group of zones near one another.
     RegionName
 }
 name_type! {
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,6 +1,9 @@
-//! Plans an assignment region by region, and writes down what changes.
+//! Plans an assignment region by region, and records what changes.
 
-use crate::region_plan::{Candidate, Holders, RegionPlan};
+use crate::candidate::Candidate;
+use crate::lower_bound::least_moves;
+use crate::region_plan;
+use crate::region_state::{Holders, RegionState};
 use crate::share::{WeightInZone, fair_shares};
 use crate::{
     Assignment, AssignmentChange, BucketHolders, BucketId, Layout, Member, MemberName,
@@ -142,13 +145,13 @@
     let first_bucket = layout.first_bucket(region.region);
     let current = current_holders(assignment, region, first_bucket);
     let candidates = region.candidates(layout.buckets_per_region());
-    let mut plan = RegionPlan::new(first_bucket, candidates, current, region.replicas());
-    change.least_possible += plan.least_possible();
-    plan.run();
-    change.moved_replicas += plan.moved_replicas();
+    let mut state = RegionState::new(first_bucket, candidates, current, region.replicas());
+    change.least_possible += least_moves(&state);
+    region_plan::run(&mut state);
+    change.moved_replicas += state.moved_replicas();
     change.warnings.extend(region.warning(layout));
-    for (bucket, planned) in (first_bucket.0..).map(BucketId).zip(plan.holders()) {
-        let planned = planned.map(|holder| holder.map(|number| &region.members[number].name));
+    for (bucket, planned) in (first_bucket.0..).map(BucketId).zip(state.holders()) {
+        let planned = planned.map(|holder| holder.map(|index| &region.members[index].name));
         if planned != assignment.holders(bucket) {
             change.moved.push(BucketHolders {
                 bucket,
@@ -158,7 +161,7 @@
     }
 }
 
-/// The holders of the region's buckets as numbers of its members; those that take no part any more are absent.
+/// The holders of the region's buckets as indices of its members; those that take no part any more are left out.
 fn current_holders(
     assignment: &Assignment,
     region: &RegionMembers,
--- a/crates/placement/src/share.rs
+++ b/crates/placement/src/share.rs
@@ -1,4 +1,4 @@
-//! Fair shares: how many replicas each member of a region ought to hold, and within what bounds it keeps what it has.
+//! Fair shares: how many replicas each member of a region should hold, and within what bounds it keeps those it has.
 
 /// How far a member's load may be from its fair share before replicas move for that reason alone.
 pub const LOAD_TOLERANCE: f64 = 0.1;
@@ -11,11 +11,11 @@
 pub(crate) struct Share {
     exact: f64,
     /// What a member is given where others have enough.
-    pub floor: usize,
+    pub(crate) floor: usize,
     /// What a member is given where all have their floor.
-    pub ceiling: usize,
+    pub(crate) ceiling: usize,
     /// The most that a member holds.
-    pub most: usize,
+    pub(crate) most: usize,
 }
 
 impl Share {
@@ -29,12 +29,12 @@
     }
 
     /// Whether a load is so low that the member is given its floor, though others must give replicas away.
-    pub fn is_deficient(self, load: usize) -> bool {
+    pub(crate) fn is_deficient(self, load: usize) -> bool {
         load < self.floor && (load as f64) < self.exact * (1.0 - LOAD_TOLERANCE)
     }
 
     /// How far a load is above the share.
-    pub fn excess(self, load: usize) -> f64 {
+    pub(crate) fn excess(self, load: usize) -> f64 {
         load as f64 - self.exact
     }
 }
@@ -42,11 +42,11 @@
 /// The weight of one member and the number of its zone among those of the region.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WeightInZone {
-    pub weight: f64,
-    pub zone: usize,
+    pub(crate) weight: f64,
+    pub(crate) zone: usize,
 }
 
-/// The fair share of each member of a region with so many buckets, in proportion to the weights, where no zone can hold
+/// The fair share of each member of a region, in proportion to the weights, where no zone can hold
 /// more than one replica of a bucket: what is above that goes to the other zones.
 pub(crate) fn fair_shares(
     members: &[WeightInZone],
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -1,17 +1,18 @@
-//! A whole assignment as a snapshot keeps it.
+//! A complete assignment in the form that snapshots have.
 
 use crate::{Assignment, BucketId, Epoch, HASH_VERSION, Layout, Member, MemberName, REPLICAS};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::collections::HashSet;
+use std::collections::{BTreeMap, HashSet};
 use thiserror::Error;
 
-/// A whole assignment. Each name is written once; holders are places in `members`.
+/// A complete assignment. Each name is written once; holders are indices into `members`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignmentTable {
     /// Of the functions that chose the buckets, see [`HASH_VERSION`].
     pub hash_version: u32,
+    /// The epoch of the last change that was applied.
     pub epoch: Epoch,
+    /// The layout that bucket numbers refer to.
     pub layout: Layout,
     /// The members that hold a bucket, in order.
     pub members: Vec<MemberName>,
@@ -19,36 +20,54 @@
     pub holders: Vec<[Option<u32>; REPLICAS]>,
 }
 
-/// Why a table can't be taken.
+/// Why a table is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
+    /// The buckets were chosen by other hash functions.
     #[error(
         "the table was made with hash version {found}, this program has {HASH_VERSION}: run the program that made it"
     )]
-    HashVersion { found: u32 },
+    HashVersion {
+        /// The version in the table.
+        found: u32,
+    },
+    /// A holder is not among the declared members.
     #[error(
         "the table names the member {member}, which is not declared: declare it, or start from an empty table"
     )]
-    UnknownMember { member: MemberName },
+    UnknownMember {
+        /// The member that is not declared.
+        member: MemberName,
+    },
+    /// The table and its own layout differ in the number of buckets.
     #[error(
         "the table has the holders of {found} buckets, its layout {expected}: it is damaged, take an earlier one"
     )]
-    BucketCount { expected: u32, found: usize },
+    BucketCount {
+        /// The buckets of the layout.
+        expected: u32,
+        /// The buckets of the table.
+        found: usize,
+    },
+    /// A holder is an invalid index, or both holders are the same.
     #[error(
         "the table gives bucket {bucket:?} to a member it does not list, or twice to one: it is damaged"
     )]
-    InvalidHolder { bucket: BucketId },
+    InvalidHolder {
+        /// The bucket with that holder.
+        bucket: BucketId,
+    },
 }
 
 impl Assignment {
-    /// The whole assignment, for a snapshot.
+    /// The complete assignment, for a snapshot.
     pub fn to_table(&self) -> AssignmentTable {
         let members: Vec<MemberName> = self.members().cloned().collect();
-        let places: BTreeMap<&MemberName, u32> = members.iter().zip(0..).collect();
-        let place = |holder: Option<&MemberName>| holder.map(|member| places[member]);
+        let indices: BTreeMap<&MemberName, u32> = members.iter().zip(0..).collect();
+        let index = |holder: Option<&MemberName>| holder.map(|member| indices[member]);
         let holders = self
             .buckets()
-            .map(|bucket| self.holders(bucket).map(place))
+            .map(|bucket| self.holders(bucket).map(index))
             .collect();
         AssignmentTable {
             hash_version: HASH_VERSION,
@@ -66,8 +85,8 @@
     ) -> Result<Assignment, TableError> {
         check_table(table, declared)?;
         let mut holders = Vec::with_capacity(table.holders.len());
-        for (bucket, places) in (0..).map(BucketId).zip(&table.holders) {
-            holders.push(holders_of_places(bucket, *places, &table.members)?);
+        for (bucket, indices) in (0..).map(BucketId).zip(&table.holders) {
+            holders.push(holders_at(bucket, *indices, &table.members)?);
         }
         Ok(Assignment::from_holders(
             table.layout.clone(),
@@ -99,15 +118,15 @@
     }
 }
 
-fn holders_of_places(
+fn holders_at(
     bucket: BucketId,
-    places: [Option<u32>; REPLICAS],
+    indices: [Option<u32>; REPLICAS],
     members: &[MemberName],
 ) -> Result<[Option<MemberName>; REPLICAS], TableError> {
-    let listed = |place: Option<u32>| place.is_none_or(|place| (place as usize) < members.len());
-    let twice = places[0].is_some() && places[0] == places[1];
-    if twice || !places.into_iter().all(listed) {
+    let listed = |index: Option<u32>| index.is_none_or(|index| (index as usize) < members.len());
+    let twice = indices[0].is_some() && indices[0] == indices[1];
+    if twice || !indices.into_iter().all(listed) {
         return Err(TableError::InvalidHolder { bucket });
     }
-    Ok(places.map(|place| place.map(|place| members[place as usize].clone())))
+    Ok(indices.map(|index| index.map(|index| members[index as usize].clone())))
 }
--- a/crates/placement/tests/plain.rs
+++ b/crates/placement/tests/assignment.rs
@@ -1,9 +1,13 @@
-//! Plain cases: layouts, epochs, tables, members and what operators are told.
+//! Layouts, changes, tables, members and the warnings for operators.
 
 mod common;
 
-use bellsill_placement::*;
-use common::*;
+use bellsill_placement::{
+    Assignment, AssignmentChange, AssignmentTable, BucketId, DEFAULT_BUCKETS_PER_REGION, Epoch,
+    HASH_VERSION, Layout, LayoutError, Member, PlacementError, PlacementWarning, RegionId,
+    RegionName, TableError, ZoneName,
+};
+use common::{layout, member, step, zone};
 
 const BUCKETS: u32 = 64;
 
@@ -57,7 +61,7 @@
 }
 
 #[test]
-fn a_layout_that_cannot_be_used_is_refused() {
+fn an_invalid_layout_is_rejected() {
     let zones = |zones: &[(&str, &str)]| -> Vec<(ZoneName, RegionName)> {
         zones
             .iter()
@@ -91,7 +95,7 @@
 }
 
 #[test]
-fn an_epoch_out_of_order_is_refused_and_changes_nothing() {
+fn an_epoch_out_of_order_is_rejected_and_changes_nothing() {
     let (mut assignment, members) = small();
     let first = assignment.plan(&members).unwrap();
     assert_eq!(first.epoch, Epoch(1));
@@ -100,10 +104,10 @@
             epoch: Epoch(wrong),
             ..first.clone()
         };
-        let refused = assignment.apply(&change);
+        let rejected = assignment.apply(&change);
         let expected = Epoch(1);
         assert_eq!(
-            refused,
+            rejected,
             Err(PlacementError::EpochOutOfOrder {
                 expected,
                 found: Epoch(wrong)
@@ -117,17 +121,17 @@
 }
 
 #[test]
-fn a_damaged_change_is_refused_whole() {
+fn a_damaged_change_is_rejected_as_a_whole() {
     let (mut assignment, members) = small();
-    let whole = assignment.plan(&members).unwrap();
-    let mut outside = whole.clone();
+    let complete = assignment.plan(&members).unwrap();
+    let mut outside = complete.clone();
     outside.moved.last_mut().unwrap().bucket = BucketId(BUCKETS);
-    let refused = PlacementError::UnknownBucket {
+    let rejected = PlacementError::UnknownBucket {
         bucket: BucketId(BUCKETS),
         buckets: BUCKETS,
     };
-    assert_eq!(assignment.apply(&outside), Err(refused));
-    let mut twice = whole;
+    assert_eq!(assignment.apply(&outside), Err(rejected));
+    let mut twice = complete;
     let last = twice.moved.last_mut().unwrap();
     last.holders[1] = last.holders[0].clone();
     assert!(matches!(
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn members_that_cannot_be_used_are_refused() {
+fn invalid_members_are_rejected() {
     let (assignment, members) = small();
     let with = |wrong: Member| {
         assignment
@@ -172,13 +176,13 @@
         PlacementError::DuplicateMember { .. }
     ));
     for weight in [-1.0, f64::NAN, f64::INFINITY] {
-        let refused = with(Member {
+        let rejected = with(Member {
             weight,
             ..member(12, zone(0, 0))
         });
         assert!(
-            matches!(refused, PlacementError::InvalidWeight { .. }),
-            "{refused}"
+            matches!(rejected, PlacementError::InvalidWeight { .. }),
+            "{rejected}"
         );
     }
 }
@@ -240,7 +244,7 @@
 }
 
 #[test]
-fn a_table_gives_the_assignment_back() {
+fn a_table_restores_the_assignment() {
     let (mut assignment, members) = small();
     step(&mut assignment, &members);
     let written = serde_json::to_string(&assignment.to_table()).unwrap();
@@ -257,14 +261,14 @@
 }
 
 #[test]
-fn a_table_that_cannot_be_used_is_refused() {
+fn an_invalid_table_is_rejected() {
     let (mut assignment, members) = small();
     step(&mut assignment, &members);
     let table = assignment.to_table();
-    let refused = |table: &AssignmentTable, members: &[Member]| {
+    let rejected = |table: &AssignmentTable, members: &[Member]| {
         Assignment::from_table(table, members).unwrap_err()
     };
-    let unknown = refused(&table, &members[1..]);
+    let unknown = rejected(&table, &members[1..]);
     assert_eq!(
         unknown,
         TableError::UnknownMember {
@@ -276,13 +280,13 @@
         ..table.clone()
     };
     assert_eq!(
-        refused(&other_hash, &members),
+        rejected(&other_hash, &members),
         TableError::HashVersion { found: 2 }
     );
     let mut short = table.clone();
     short.holders.pop();
     assert_eq!(
-        refused(&short, &members),
+        rejected(&short, &members),
         TableError::BucketCount {
             expected: BUCKETS,
             found: 63
@@ -292,7 +296,7 @@
         let mut damaged = table.clone();
         damaged.holders[7] = wrong;
         assert_eq!(
-            refused(&damaged, &members),
+            rejected(&damaged, &members),
             TableError::InvalidHolder {
                 bucket: BucketId(7)
             }
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,22 +1,15 @@
-//! Fleets for the tests of placement, and what holds of every assignment.
-#![allow(dead_code)] // Each test program uses some of it.
+//! Layouts and members for the tests of placement, and the rules that every assignment keeps.
 
 use bellsill_placement::{
-    Assignment, AssignmentChange, DEFAULT_BUCKETS_PER_REGION, Layout, Member, MemberName, REPLICAS,
-    RegionName, ZoneName,
+    Assignment, AssignmentChange, Layout, Member, MemberName, REPLICAS, RegionName, ZoneName,
 };
 use std::collections::BTreeMap;
 
-/// Zones of each region of the fleet of full size: 7 regions, 22 zones.
-pub const FULL_ZONES: [usize; 7] = [3, 3, 3, 3, 3, 3, 4];
-/// Dispatchers of the fleet of full size.
-pub const FULL_MEMBERS: usize = 1900;
-
-pub fn zone(region: usize, zone: usize) -> ZoneName {
+pub(crate) fn zone(region: usize, zone: usize) -> ZoneName {
     ZoneName(format!("region-{region}-zone-{zone}"))
 }
 
-pub fn layout(zones_by_region: &[usize], buckets_per_region: u32) -> Layout {
+pub(crate) fn layout(zones_by_region: &[usize], buckets_per_region: u32) -> Layout {
     let zones = zones_by_region
         .iter()
         .enumerate()
@@ -27,7 +20,7 @@
     Layout::new(zones, buckets_per_region).unwrap()
 }
 
-pub fn member(number: usize, zone: ZoneName) -> Member {
+pub(crate) fn member(number: usize, zone: ZoneName) -> Member {
     Member {
         name: MemberName(format!("dispatcher-{number:04}")),
         zone,
@@ -36,21 +29,8 @@
     }
 }
 
-/// The fleet of full size, its dispatchers spread over all zones.
-pub fn full_fleet() -> (Layout, Vec<Member>) {
-    let zones: Vec<ZoneName> = FULL_ZONES
-        .iter()
-        .enumerate()
-        .flat_map(|(region, zones)| (0..*zones).map(move |number| zone(region, number)))
-        .collect();
-    let members = (0..FULL_MEMBERS)
-        .map(|number| member(number, zones[number % zones.len()].clone()))
-        .collect();
-    (layout(&FULL_ZONES, DEFAULT_BUCKETS_PER_REGION), members)
-}
-
-/// Plans and applies; what holds of every plan is checked.
-pub fn step(assignment: &mut Assignment, members: &[Member]) -> AssignmentChange {
+/// Plans and applies, and checks the rules that every plan keeps.
+pub(crate) fn step(assignment: &mut Assignment, members: &[Member]) -> AssignmentChange {
     let change = assignment.plan(members).unwrap();
     let before = assignment.clone();
     assignment.apply(&change).unwrap();
@@ -68,7 +48,7 @@
 }
 
 /// How many replicas are held by a member that did not hold the bucket before.
-pub fn new_holders(before: &Assignment, after: &Assignment) -> usize {
+pub(crate) fn new_holders(before: &Assignment, after: &Assignment) -> usize {
     let new = |bucket| {
         let held = before.holders(bucket);
         after
@@ -81,17 +61,9 @@
     after.buckets().map(new).sum()
 }
 
-/// How many replicas those members hold that are not present.
-pub fn held_by_absent(assignment: &Assignment, members: &[Member]) -> usize {
-    let absent = members.iter().filter(|member| !member.present);
-    absent
-        .map(|member| assignment.buckets_of(&member.name).len())
-        .sum()
-}
-
 /// Every bucket has as many holders as the region has zones with members, two at most; holders are present, of the
 /// bucket's region, in different zones, and within their bound.
-pub fn check(assignment: &Assignment, members: &[Member]) {
+pub(crate) fn check(assignment: &Assignment, members: &[Member]) {
     let layout = assignment.layout();
     let by_name: BTreeMap<&MemberName, &Member> = members
         .iter()
--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -2,15 +2,43 @@
 
 mod common;
 
-use bellsill_placement::{Assignment, AssignmentChange, Member, MemberName};
-use common::*;
+use bellsill_placement::{
+    Assignment, AssignmentChange, DEFAULT_BUCKETS_PER_REGION, Layout, Member, MemberName, ZoneName,
+};
+use common::{layout, member, step, zone};
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// Zones of each region of the fleet of full size: 7 regions, 22 zones.
+const FULL_ZONES: [usize; 7] = [3, 3, 3, 3, 3, 3, 4];
+/// Dispatchers of the fleet of full size.
+const FULL_MEMBERS: usize = 1900;
+
 /// A change moves at most this much of the least possible.
 const MOST_AGAINST_LEAST: f64 = 1.1;
 
+/// The fleet of full size, its dispatchers spread over all zones.
+fn full_fleet() -> (Layout, Vec<Member>) {
+    let zones: Vec<ZoneName> = FULL_ZONES
+        .iter()
+        .enumerate()
+        .flat_map(|(region, zones)| (0..*zones).map(move |number| zone(region, number)))
+        .collect();
+    let members = (0..FULL_MEMBERS)
+        .map(|number| member(number, zones[number % zones.len()].clone()))
+        .collect();
+    (layout(&FULL_ZONES, DEFAULT_BUCKETS_PER_REGION), members)
+}
+
+/// How many replicas those members hold that are not present.
+fn held_by_absent(assignment: &Assignment, members: &[Member]) -> usize {
+    let absent = members.iter().filter(|member| !member.present);
+    absent
+        .map(|member| assignment.buckets_of(&member.name).len())
+        .sum()
+}
+
 fn placed() -> (Assignment, Vec<Member>) {
     let (layout, members) = full_fleet();
     let mut assignment = Assignment::empty(layout);
@@ -32,7 +60,7 @@
     );
     assert!(
         change.least_possible >= least,
-        "{what}: the plan's own bound knows of the cause"
+        "{what}: the plan's own bound covers the cause"
     );
     let most = least as f64 * MOST_AGAINST_LEAST;
     assert!(
@@ -105,7 +133,7 @@
 }
 
 #[test]
-fn one_member_lost_and_back() {
+fn one_member_lost_and_back_moves_near_the_least() {
     let (mut assignment, mut members) = placed();
     for number in [0, 777, 1899] {
         set_present(&mut members, false, |lost, _| lost == number);
@@ -118,7 +146,7 @@
 }
 
 #[test]
-fn each_zone_lost_and_back() {
+fn each_zone_lost_and_back_moves_near_the_least() {
     for (region, zones) in FULL_ZONES.into_iter().enumerate() {
         for number in 0..zones {
             let (mut assignment, mut members) = placed();
@@ -135,14 +163,14 @@
 }
 
 #[test]
-fn a_tenth_absent_and_back() {
+fn a_tenth_absent_and_back_moves_near_the_least() {
     let (mut assignment, mut members) = placed();
     set_present(&mut members, false, |number, _| number % 10 == 3);
     let least = held_by_absent(&assignment, &members);
     let change = step_within("a tenth absent", &mut assignment, &members, least);
     assert_eq!(
         change.moved_replicas, least,
-        "what has moved is spread before anything else moves"
+        "moved replicas are spread before anything else moves"
     );
     set_present(&mut members, true, |_, _| true);
     let least = fair_shares_of_empty(&assignment, &members);
@@ -168,7 +196,7 @@
 
 #[test]
 fn plans_for_the_whole_fleet_are_fast() {
-    /// What one plan may take of processor time; other programs may be busy.
+    /// The processor time that one plan may take; other programs may be busy.
     const BUDGET: Duration = Duration::from_millis(200);
     let (assignment, mut members) = placed();
     let empty = Assignment::empty(assignment.layout().clone());
@@ -198,21 +226,18 @@
 }
 
 #[test]
-fn a_zone_that_is_back_takes_one_replica_of_a_bucket_at_most() {
+fn a_returned_zone_gets_at_most_one_replica_of_a_bucket() {
     let (mut assignment, mut members) = placed();
     set_present(&mut members, false, |_, member| member.zone == zone(2, 1));
     step(&mut assignment, &members);
     set_present(&mut members, true, |_, _| true);
     let change = step(&mut assignment, &members);
     let buckets = change.moved.len();
-    assert_eq!(
-        buckets, change.moved_replicas,
-        "a holder stays while the other is filled"
-    );
+    assert_eq!(buckets, change.moved_replicas, "the other holder stays");
 }
 
 #[test]
-fn members_that_join() {
+fn members_that_join_move_near_the_least() {
     let (mut assignment, mut members) = placed();
     for (joined, place) in [(1, zone(0, 0)), (30, zone(3, 2)), (86, zone(6, 3))] {
         let first = members.len();
@@ -223,7 +248,7 @@
 }
 
 #[test]
-fn weights_that_change() {
+fn weights_that_change_move_near_the_least() {
     let (mut assignment, mut members) = placed();
     let layout = assignment.layout().clone();
     let region_size = |members: &[Member], of: &Member| {
@@ -247,7 +272,7 @@
 }
 
 #[test]
-fn a_long_row_of_changes_stays_near_the_least_possible() {
+fn a_long_sequence_of_changes_moves_near_the_least() {
     const CHANGES: usize = 150;
     let (mut assignment, mut members) = placed();
     let mut random = 42_u64;
@@ -281,7 +306,7 @@
 }
 
 #[test]
-fn what_a_lost_zone_writes() {
+fn the_change_of_a_lost_zone_is_small() {
     let (mut assignment, mut members) = placed();
     set_present(&mut members, false, |_, member| member.zone == zone(0, 0));
     let change = serde_json::to_string(&step(&mut assignment, &members))
--- a/crates/placement/tests/random.rs
+++ b/crates/placement/tests/properties.rs
@@ -1,9 +1,9 @@
-//! Random regions and random changes: what holds of every plan, and that nothing but the members decides it.
+//! Random regions and random changes: the rules that every plan keeps, and that nothing but the members decides it.
 
 mod common;
 
 use bellsill_placement::{Assignment, Layout, Member};
-use common::*;
+use common::{layout, member, step, zone};
 use quickcheck::{QuickCheck, TestResult};
 
 /// One random change of a member: which, and what happens to it.
@@ -38,7 +38,7 @@
 }
 
 /// The checks of `step` hold after each change, and a plan with nothing changed moves nothing.
-fn every_plan_keeps_the_rules(shape: (u8, u8), weights: Vec<u8>, steps: Vec<Step>) -> TestResult {
+fn keeps_the_rules(shape: (u8, u8), weights: Vec<u8>, steps: Vec<Step>) -> TestResult {
     if weights.is_empty() {
         return TestResult::discard();
     }
@@ -57,11 +57,7 @@
     TestResult::passed()
 }
 
-fn the_order_of_members_makes_no_difference(
-    shape: (u8, u8),
-    weights: Vec<u8>,
-    steps: Vec<Step>,
-) -> bool {
+fn is_the_same_in_any_order(shape: (u8, u8), weights: Vec<u8>, steps: Vec<Step>) -> bool {
     let (layout, mut members) = random_members(shape, &weights);
     let mut assignment = Assignment::empty(layout);
     steps.into_iter().all(|random| {
@@ -79,15 +75,15 @@
 }
 
 #[test]
-fn rules() {
+fn every_plan_keeps_the_rules() {
     QuickCheck::new()
         .tests(400)
-        .quickcheck(every_plan_keeps_the_rules as fn(_, _, _) -> _);
+        .quickcheck(keeps_the_rules as fn(_, _, _) -> _);
 }
 
 #[test]
-fn order() {
+fn the_order_of_members_makes_no_difference() {
     QuickCheck::new()
         .tests(100)
-        .quickcheck(the_order_of_members_makes_no_difference as fn(_, _, _) -> _);
+        .quickcheck(is_the_same_in_any_order as fn(_, _, _) -> _);
 }
