--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -1,9 +1,10 @@
 //! The assignment: the two holders of each bucket, and the buckets of each member.
 
-use crate::{
-    AssignmentChange, BucketHolders, BucketId, Epoch, Layout, Member, MemberName, PlacementError,
-    REPLICAS, plan,
-};
+use crate::change::{AssignmentChange, BucketHolders, REPLICAS};
+use crate::error::PlacementError;
+use crate::ids::{BucketId, Epoch};
+use crate::layout::Layout;
+use crate::names::MemberName;
 use std::collections::BTreeMap;
 
 /// Which members hold which buckets. Created empty or from a table, and changed only by applying the next change.
@@ -49,13 +50,6 @@
         }
     }
 
-    /// The change that places all buckets on the members that are present. The order of `members` makes no difference.
-    /// A replica stays where it is while its holder is present and within its bound; a member far below its fair share,
-    /// as a new one, is filled up to it.
-    pub fn plan(&self, members: &[Member]) -> Result<AssignmentChange, PlacementError> {
-        plan::plan(self, members)
-    }
-
     /// Applies the change that leads to the next epoch; any other is rejected and changes nothing.
     pub fn apply(&mut self, change: &AssignmentChange) -> Result<(), PlacementError> {
         let expected = self.next_epoch();
--- a/crates/placement/src/candidate.rs
+++ b/crates/placement/src/candidate.rs
@@ -1,7 +1,7 @@
 //! The members of a region that replicas may be placed on.
 
-use crate::BucketId;
 use crate::hash::RendezvousScore;
+use crate::ids::BucketId;
 use crate::share::Share;
 
 /// How much spare capacity a candidate has; the first is chosen before the others.
--- a/crates/placement/src/change.rs
+++ b/crates/placement/src/change.rs
@@ -1,6 +1,7 @@
 //! What a plan changes in an assignment.
 
-use crate::{BucketId, Epoch, MemberName, RegionName};
+use crate::ids::{BucketId, Epoch};
+use crate::names::{MemberName, RegionName};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -1,6 +1,7 @@
 //! Why members cannot be placed, or a change cannot be applied.
 
-use crate::{BucketId, Epoch, MemberName, ZoneName};
+use crate::ids::{BucketId, Epoch};
+use crate::names::{MemberName, ZoneName};
 use thiserror::Error;
 
 /// Why a plan or a change is rejected; the assignment stays as it was.
--- a/crates/placement/src/hash.rs
+++ b/crates/placement/src/hash.rs
@@ -1,6 +1,6 @@
 //! The hash functions of placement. Processes of one fleet must agree on them, so their version travels with the table.
 
-use crate::BucketId;
+use crate::ids::BucketId;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Names the functions of this module. Version 1: XXH3 (64 bits, no seed) over little-endian integers and the UTF-8 bytes
--- a/crates/placement/src/layout.rs
+++ b/crates/placement/src/layout.rs
@@ -1,6 +1,8 @@
 //! The layout: which zones make up which region, and how many buckets a region has.
 
-use crate::{BucketId, RegionName, ZoneName, hash};
+use crate::hash;
+use crate::ids::BucketId;
+use crate::names::{RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
--- a/crates/placement/src/lower_bound.rs
+++ b/crates/placement/src/lower_bound.rs
@@ -1,6 +1,6 @@
 //! A lower bound of the moves of a plan.
 
-use crate::REPLICAS;
+use crate::change::REPLICAS;
 use crate::region_state::RegionState;
 
 /// The least number of moves of any plan with the same bounds from this state on. Every replica without a holder and every
--- a/crates/placement/src/member.rs
+++ b/crates/placement/src/member.rs
@@ -1,6 +1,6 @@
 //! Members: the declared dispatchers.
 
-use crate::{MemberName, ZoneName};
+use crate::names::{MemberName, ZoneName};
 use serde::{Deserialize, Serialize};
 
 /// One declared dispatcher.
--- a/crates/placement/src/place_missing.rs
+++ b/crates/placement/src/place_missing.rs
@@ -1,7 +1,7 @@
 //! The first step of a plan: places the replicas without a holder.
 
-use crate::REPLICAS;
 use crate::candidate::SpareCapacity;
+use crate::change::REPLICAS;
 use crate::region_state::{RegionState, Replica};
 use crate::transfer::free_capacity_outside;
 use std::cmp::Ordering;
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,33 +1,38 @@
 //! Plans an assignment region by region, and records what changes.
 
+use crate::assignment::Assignment;
 use crate::candidate::Candidate;
+use crate::change::{AssignmentChange, BucketHolders, PlacementWarning, REPLICAS};
+use crate::error::PlacementError;
+use crate::hash;
+use crate::ids::BucketId;
+use crate::layout::{Layout, RegionId};
 use crate::lower_bound::least_moves;
+use crate::member::Member;
+use crate::names::{MemberName, ZoneName};
 use crate::region_plan;
 use crate::region_state::{Holders, RegionState};
 use crate::share::{WeightInZone, fair_shares};
-use crate::{
-    Assignment, AssignmentChange, BucketHolders, BucketId, Layout, Member, MemberName,
-    PlacementError, PlacementWarning, REPLICAS, RegionId, ZoneName, hash,
-};
 use std::collections::{BTreeSet, HashMap};
 
-/// See [`Assignment::plan`].
-pub(crate) fn plan(
-    assignment: &Assignment,
-    members: &[Member],
-) -> Result<AssignmentChange, PlacementError> {
-    let members = in_order(members)?;
-    let mut change = AssignmentChange {
-        epoch: assignment.next_epoch(),
-        moved: Vec::new(),
-        moved_replicas: 0,
-        least_possible: 0,
-        warnings: Vec::new(),
-    };
-    for members_of_region in by_region(assignment.layout(), &members)? {
-        plan_region(assignment, &members_of_region, &mut change);
+impl Assignment {
+    /// The change that places all buckets on the members that are present. The order of `members` makes no difference.
+    /// A replica stays where it is while its holder is present and within its bound; a member far below its fair share,
+    /// as a new one, is filled up to it.
+    pub fn plan(&self, members: &[Member]) -> Result<AssignmentChange, PlacementError> {
+        let members = in_order(members)?;
+        let mut change = AssignmentChange {
+            epoch: self.next_epoch(),
+            moved: Vec::new(),
+            moved_replicas: 0,
+            least_possible: 0,
+            warnings: Vec::new(),
+        };
+        for members_of_region in by_region(self.layout(), &members)? {
+            plan_region(self, &members_of_region, &mut change);
+        }
+        Ok(change)
     }
-    Ok(change)
 }
 
 /// The members that take part in the assignment of one region, in the order of their names.
--- a/crates/placement/src/region_state.rs
+++ b/crates/placement/src/region_state.rs
@@ -1,8 +1,9 @@
 //! Which candidate holds which replica of a region, before a plan and as far as the plan has come.
 
 use crate::candidate::Candidate;
+use crate::change::REPLICAS;
 use crate::hash::RendezvousScore;
-use crate::{BucketId, REPLICAS};
+use crate::ids::BucketId;
 use std::cmp::Ordering;
 
 /// The holders of one bucket, as indices of candidates.
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -1,6 +1,12 @@
 //! A complete assignment in the form that snapshots have.
 
-use crate::{Assignment, BucketId, Epoch, HASH_VERSION, Layout, Member, MemberName, REPLICAS};
+use crate::assignment::Assignment;
+use crate::change::REPLICAS;
+use crate::hash::HASH_VERSION;
+use crate::ids::{BucketId, Epoch};
+use crate::layout::Layout;
+use crate::member::Member;
+use crate::names::MemberName;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashSet};
 use thiserror::Error;
--- a/crates/placement/src/transfer.rs
+++ b/crates/placement/src/transfer.rs
@@ -1,6 +1,6 @@
 //! Moves single replicas from one member to another; the steps of a plan decide which members.
 
-use crate::REPLICAS;
+use crate::change::REPLICAS;
 use crate::region_state::{RegionState, Replica};
 
 /// Which replicas may be moved away from a member.
--- a/crates/settings/src/class_settings.rs
+++ b/crates/settings/src/class_settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a message class.
 
-use crate::MAX_VALUE;
+use crate::bounds::MAX_VALUE;
 use crate::reader::{InvalidField, Reader};
 use bellsill_core::interface::{ClassSettings, DeduplicationScope, DeliverySemantics};
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,7 @@
 //! The settings that an instance gets at its start: JSON under the platform's names, read into
 //! [`Settings`](bellsill_core::interface::Settings).
 
+mod bounds;
 mod class_settings;
 mod names;
 mod platform_settings;
@@ -9,6 +10,3 @@
 pub use names::{InvalidWeight, Names};
 pub use platform_settings::{PlatformSettings, read};
 pub use reader::{InvalidField, Reader};
-
-/// The most of any rate, price, weight or multiple that makes sense.
-const MAX_VALUE: f64 = 1e9;
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,6 +1,6 @@
 //! The platform's names for what the decisions know by number, and the meaning of its weights.
 
-use crate::MAX_VALUE;
+use crate::bounds::MAX_VALUE;
 use crate::reader::{InvalidField, Reader};
 use serde_json::Value;
 use std::error::Error;
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -1,14 +1,12 @@
 //! All that the platform's settings say.
 
-use crate::MAX_VALUE;
+use crate::bounds::{MAX_VALUE, MIN_SHARE};
 use crate::class_settings::read_classes;
 use crate::names::Names;
 use crate::reader::{InvalidField, Reader};
 use bellsill_core::interface::{ClassSettings, Nanos, Settings, ValueDecay};
 use serde_json::Value;
 
-/// The least share of a capacity that makes sense.
-const MIN_SHARE: f64 = 1e-6;
 /// The field with the number of messages that a request may carry, which may be left out.
 const BATCH_SIZES: &str = "family-info.per-call";
 /// What a load report calls the limit of an endpoint.
