--- a/crates/directory/src/entries.rs
+++ b/crates/directory/src/entries.rs
@@ -8,20 +8,20 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 
-/// The place of an endpoint in the table. A place is used again once its endpoint has been forgotten.
+/// The index of an endpoint in the table. An index is reused once its endpoint has been removed from the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryIndex(u32);
 
-/// The number of a name that many endpoints share.
+/// The index of a name that many endpoints share.
 type NameIndex = u16;
 
-/// One endpoint as it is stored: names that many endpoints share are numbers.
+/// One endpoint as it is stored: names that many endpoints share are indices.
 struct StoredEndpoint {
     id: Box<str>,
     address: Option<SocketAddr>,
     destination: u64,
     version: Version,
-    /// Not a number where there is none.
+    /// NaN where there is none.
     weight: f64,
     bucket: BucketId,
     zone: NameIndex,
@@ -29,9 +29,10 @@
     state: EndpointState,
 }
 
-/// Why an endpoint has no place in the table.
+/// Why the table has no capacity for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TableFull {
+    /// There are too many endpoints.
     Endpoints,
     /// There are too many different zones and kinds.
     Names,
@@ -43,14 +44,14 @@
     free: Vec<EntryIndex>,
     by_id: HashTable<EntryIndex>,
     hasher: RandomState,
-    /// The endpoints of each bucket in the order of their places, by the bucket's number.
+    /// The endpoints of each bucket in the order of their indices, by the bucket's number.
     by_bucket: Vec<Vec<EntryIndex>>,
     /// The names of zones and kinds.
     names: Vec<Box<str>>,
 }
 
 impl EntryTable {
-    /// An empty table for endpoints in so many buckets.
+    /// An empty table for endpoints in this many buckets.
     pub fn new(buckets: u32) -> EntryTable {
         EntryTable {
             rows: Vec::new(),
@@ -62,11 +63,12 @@
         }
     }
 
-    /// How many endpoints there are, removed ones among them.
+    /// How many endpoints there are, with those in the state removed.
     pub fn len(&self) -> usize {
         self.rows.len() - self.free.len()
     }
 
+    /// Whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -79,16 +81,16 @@
             .copied()
     }
 
-    /// The endpoints of a bucket, in the order of their places.
+    /// The endpoints of a bucket, in the order of their indices.
     pub fn in_bucket(&self, bucket: BucketId) -> &[EntryIndex] {
         self.by_bucket
             .get(bucket.0 as usize)
             .map_or(&[], Vec::as_slice)
     }
 
-    /// The endpoints at places after this one, or all of them.
-    pub fn after(&self, place: Option<EntryIndex>) -> impl Iterator<Item = EntryIndex> {
-        let first = place.map_or(0, |place| place.0 as usize + 1);
+    /// The endpoints at indices after this one, or all of them.
+    pub fn after(&self, index: Option<EntryIndex>) -> impl Iterator<Item = EntryIndex> {
+        let first = index.map_or(0, |index| index.0 as usize + 1);
         let used = self
             .rows
             .iter()
@@ -98,19 +100,22 @@
         used.map(|(index, _)| EntryIndex(index as u32))
     }
 
+    /// The bucket of an endpoint.
     pub fn bucket(&self, index: EntryIndex) -> Option<BucketId> {
         self.row(index).map(|row| row.bucket)
     }
 
+    /// The destination of an endpoint.
     pub fn destination(&self, index: EntryIndex) -> Option<u64> {
         self.row(index).map(|row| row.destination)
     }
 
-    /// The version of the change that made the endpoint what it is.
+    /// The version of the last change of an endpoint.
     pub fn version(&self, index: EntryIndex) -> Option<Version> {
         self.row(index).map(|row| row.version)
     }
 
+    /// The state of an endpoint.
     pub fn state(&self, index: EntryIndex) -> Option<EndpointState> {
         self.row(index).map(|row| row.state)
     }
@@ -129,14 +134,14 @@
         })
     }
 
-    /// The endpoint, as lines tell it.
+    /// The endpoint, as lines hold it.
     pub fn entry(&self, index: EntryIndex) -> Option<EndpointEntry> {
         let version = self.version(index)?;
         Some(self.endpoint(index)?.into_entry(version))
     }
 
-    /// Whether the table has room for this many more endpoints with these zones and kinds.
-    pub fn has_room<'a>(&self, endpoints: &'a [Endpoint]) -> Result<(), TableFull> {
+    /// Checks that the table has capacity for these endpoints, as if all of them were new.
+    pub(crate) fn check_capacity<'a>(&self, endpoints: &'a [Endpoint]) -> Result<(), TableFull> {
         let unknown = |name: &&'a str| !self.names.iter().any(|known| **known == **name);
         let names = endpoints
             .iter()
@@ -151,11 +156,15 @@
         }
     }
 
-    /// Puts the endpoint in place of what was known of it. The caller has seen that there is room, and that a known
-    /// endpoint stays in its bucket.
-    pub fn put(&mut self, endpoint: &Endpoint, bucket: BucketId, version: Version) -> EntryIndex {
-        let zone = self.know_name(&endpoint.zone);
-        let kind = self.know_name(&endpoint.kind);
+    /// Adds or replaces an endpoint. The caller has checked the capacity, and that a known endpoint stays in its bucket.
+    pub(crate) fn put(
+        &mut self,
+        endpoint: &Endpoint,
+        bucket: BucketId,
+        version: Version,
+    ) -> EntryIndex {
+        let zone = self.intern(&endpoint.zone);
+        let kind = self.intern(&endpoint.kind);
         let known = self.find(&endpoint.id);
         let row = StoredEndpoint {
             id: endpoint.id.as_str().into(),
@@ -177,8 +186,8 @@
         }
     }
 
-    /// Takes an endpoint out.
-    pub fn forget(&mut self, index: EntryIndex) {
+    /// Removes an endpoint from the table.
+    pub(crate) fn remove(&mut self, index: EntryIndex) {
         let Some(row) = self.rows.get_mut(index.0 as usize).and_then(Option::take) else {
             return;
         };
@@ -187,8 +196,8 @@
             found.remove();
         }
         let in_bucket = &mut self.by_bucket[row.bucket.0 as usize];
-        if let Ok(place) = in_bucket.binary_search(&index) {
-            in_bucket.remove(place);
+        if let Ok(position) = in_bucket.binary_search(&index) {
+            in_bucket.remove(position);
         }
         self.free.push(index);
     }
@@ -201,7 +210,7 @@
         self.row(index).is_some_and(|row| *row.id == *id)
     }
 
-    fn know_name(&mut self, name: &str) -> NameIndex {
+    fn intern(&mut self, name: &str) -> NameIndex {
         let known = self.names.iter().position(|known| **known == *name);
         let index = known.unwrap_or_else(|| {
             self.names.push(name.into());
@@ -231,8 +240,8 @@
         };
         self.by_id.insert_unique(hash, index, hash_of);
         let in_bucket = &mut self.by_bucket[bucket.0 as usize];
-        let place = in_bucket.partition_point(|other| *other < index);
-        in_bucket.insert(place, index);
+        let position = in_bucket.partition_point(|other| *other < index);
+        in_bucket.insert(position, index);
         index
     }
 }
--- a/crates/directory/src/entry.rs
+++ b/crates/directory/src/entry.rs
@@ -1,4 +1,4 @@
-//! One endpoint of the configuration, checked: what records hold and lines tell.
+//! One endpoint of the configuration, validated, as records hold it.
 
 use crate::line::{EndpointEntry, EndpointState, Version};
 use serde::{Deserialize, Serialize};
@@ -8,32 +8,40 @@
 pub const LONGEST_NAME: usize = 128;
 /// The longest name of a dispatcher.
 pub const LONGEST_MEMBER_NAME: usize = 64;
-/// The heaviest weight that makes sense.
-pub const HEAVIEST_WEIGHT: f64 = 1e9;
+/// The highest weight that makes sense.
+pub const MAX_WEIGHT: f64 = 1e9;
 /// An upper bound on what an entry takes on a line beside its names: field names, punctuation and numbers.
 const BYTES_BESIDE_NAMES: usize = 200;
 
-/// An endpoint of a destination, without the version that made it so.
+/// An endpoint of a destination, without the version of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
+    /// The endpoint's name, unique in the configuration.
     pub id: String,
+    /// Where it listens; a removed endpoint may have none.
     pub address: Option<SocketAddr>,
+    /// Decides its region.
     pub zone: String,
+    /// The kind of endpoint, by the platform's name.
     pub kind: String,
+    /// The number of its destination.
     pub destination: u64,
+    /// Whether it takes messages.
     pub state: EndpointState,
+    /// What the operators declare of its capacity.
     pub weight: Option<f64>,
 }
 
-/// Why an entry is not taken.
+/// Why an entry is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidEntry {
-    /// The named field is no name: empty, too long, or with characters other than visible ASCII.
+    /// The named field is not a name: empty, too long, or with characters other than visible ASCII.
     Name(&'static str),
     /// The address is not one such as `10.0.0.1:9000`.
     Address(String),
     /// An endpoint that is not removed has no address.
     AddressMissing,
+    /// The weight is not from 0 to [`MAX_WEIGHT`].
     Weight(f64),
 }
 
@@ -58,7 +66,7 @@
             InvalidEntry::Weight(weight) => {
                 write!(
                     f,
-                    "weight: expected a number from 0 to {HEAVIEST_WEIGHT}, not {weight}"
+                    "weight: expected a number from 0 to {MAX_WEIGHT}, not {weight}"
                 )
             }
         }
@@ -73,7 +81,7 @@
     (1..=LONGEST_NAME).contains(&name.len()) && name.bytes().all(visible)
 }
 
-/// Whether this can be the name of a dispatcher: it stands in requests as it is.
+/// Whether this can be the name of a dispatcher: it needs no escaping in requests.
 pub fn is_member_name(name: &str) -> bool {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
     (1..=LONGEST_MEMBER_NAME).contains(&name.len()) && name.bytes().all(plain)
@@ -94,12 +102,15 @@
         }
         if let Some(weight) = entry
             .weight
-            .filter(|weight| !(0.0..=HEAVIEST_WEIGHT).contains(weight))
+            .filter(|weight| !(0.0..=MAX_WEIGHT).contains(weight))
         {
             return Err(InvalidEntry::Weight(weight));
         }
         let address = match entry.addr {
-            Some(text) => Some(text.parse().map_err(|_| InvalidEntry::Address(text))?),
+            Some(text) => match text.parse() {
+                Ok(address) => Some(address),
+                Err(_) => return Err(InvalidEntry::Address(text)),
+            },
             None if entry.state == EndpointState::Removed => None,
             None => return Err(InvalidEntry::AddressMissing),
         };
@@ -116,7 +127,7 @@
 }
 
 impl Endpoint {
-    /// The entry of a line, with the version of the change that made the endpoint what it is.
+    /// The entry of a line, with the version of the endpoint's last change.
     pub fn into_entry(self, version: Version) -> EndpointEntry {
         EndpointEntry {
             id: self.id,
@@ -132,6 +143,6 @@
 }
 
 /// An upper bound on the bytes that the entry takes on a line.
-pub fn longest_on_line(entry: &EndpointEntry) -> usize {
+pub(crate) fn max_line_bytes(entry: &EndpointEntry) -> usize {
     BYTES_BESIDE_NAMES + entry.id.len() + entry.zone.len() + entry.kind.len()
 }
--- a/crates/directory/src/feed.rs
+++ b/crates/directory/src/feed.rs
@@ -1,18 +1,18 @@
-//! What one watcher is told: a cursor over the configuration that yields the lines to write next.
+//! What one watcher is sent: a cursor over the configuration that yields the lines to write next.
 
+use crate::complete_scope::CompleteScope;
 use crate::line::Version;
 use crate::member_scope::MemberScope;
 use crate::pace::{Nanos, PaceLimits, TokenBucket};
 use crate::request::{RequestedScope, WatchRequest};
 use crate::state::Directory;
-use crate::whole_scope::WholeScope;
 use serde::Serialize;
 
-/// An empty line comes after so long without another one.
+/// An empty line is sent after this time without another one.
 pub const EMPTY_LINE_AFTER: Nanos = 500_000_000;
-/// A watcher that nothing concerns is told the current version this often, so that its `since` stays in memory.
-pub const VERSION_TOLD_EVERY: Nanos = 5_000_000_000;
-/// What fillings take of a dispatcher's network, unless configured otherwise: its budget for configuration is 17 KB/s.
+/// A watcher without changes is sent the current version this often, so that its `since` does not become too old.
+pub const VERSION_LINE_EVERY: Nanos = 5_000_000_000;
+/// What fills take of a dispatcher's network, unless configured otherwise: its budget for configuration is 17 KB/s.
 pub const FILL_PACE: PaceLimits = PaceLimits {
     bytes_per_second: 8 * 1024,
     burst_bytes: 16 * 1024,
@@ -23,40 +23,45 @@
     burst_bytes: 1024 * 1024,
 };
 
-/// What a line is for; figures count them apart.
+/// What a line is for; metrics count them separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
+    /// It has changes, or just the current version.
     Change,
+    /// It fills buckets, or is a piece of a transfer.
     Filling,
+    /// It shows that the connection is alive.
     Empty,
 }
 
 /// A line to write, its end included.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedLine {
+    /// What the line is for.
     pub kind: LineKind,
+    /// The bytes to write.
     pub bytes: Vec<u8>,
 }
 
 /// The cursor of one watcher.
 pub struct Feed {
-    /// A watcher that knows more than this process waits until it has caught up.
+    /// The request of a watcher that knows more than this process, until this process has caught up.
     waiting: Option<WatchRequest>,
     pub(crate) scope: Scope,
-    pace: TokenBucket,
+    rate_limiter: TokenBucket,
     last_line: Nanos,
     last_version_line: Nanos,
 }
 
-/// What a watcher is told of, and how far.
+/// What a watcher is sent, and how far.
 pub(crate) enum Scope {
     Member(Box<MemberScope>),
-    Whole(WholeScope),
+    Complete(CompleteScope),
 }
 
 impl Feed {
     /// Begins with what the request says is known.
-    pub fn start(
+    pub(crate) fn start(
         request: WatchRequest,
         directory: &Directory,
         fill_pace: PaceLimits,
@@ -65,14 +70,14 @@
         let scope = Scope::start(&request, directory);
         let limits = match scope {
             Scope::Member(_) => fill_pace,
-            Scope::Whole(_) => TRANSFER_PACE,
+            Scope::Complete(_) => TRANSFER_PACE,
         };
         let ahead =
             request.log.as_ref() == Some(directory.log()) && request.since > directory.version();
         Feed {
             waiting: Some(request).filter(|_| ahead),
             scope,
-            pace: TokenBucket::new(limits, now),
+            rate_limiter: TokenBucket::new(limits, now),
             last_line: now,
             last_version_line: now,
         }
@@ -83,12 +88,12 @@
         self.waiting.is_some()
     }
 
-    /// The next line to write, where there is one now. Changes come first, fillings when all changes have been told, and
-    /// an empty line when there was nothing for a while.
+    /// The next line to write, where there is one now. Changes come first, fills when all changes have been sent, and an
+    /// empty line when there was nothing else for a while.
     pub fn next_line(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
         self.end_waiting(directory);
         let line = self
-            .next_news(directory, now)
+            .next_content(directory, now)
             .or_else(|| self.empty_line(directory, now))?;
         self.last_line = now;
         Some(line)
@@ -103,7 +108,7 @@
         }
     }
 
-    fn next_news(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
+    fn next_content(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
         if self.is_waiting() {
             return None;
         }
@@ -114,11 +119,11 @@
                 bytes,
             });
         }
-        if !self.pace.is_open(now) {
+        if !self.rate_limiter.is_open(now) {
             return None;
         }
         let bytes = self.scope.next_filling(directory)?;
-        self.pace.take(bytes.len());
+        self.rate_limiter.take(bytes.len());
         self.last_version_line = now;
         Some(FeedLine {
             kind: LineKind::Filling,
@@ -130,8 +135,8 @@
         if now < self.last_line + EMPTY_LINE_AFTER {
             return None;
         }
-        let version_due = now >= self.last_version_line + VERSION_TOLD_EVERY;
-        if version_due && !self.is_waiting() && self.scope.told() < directory.version() {
+        let version_due = now >= self.last_version_line + VERSION_LINE_EVERY;
+        if version_due && !self.is_waiting() && self.scope.sent() < directory.version() {
             self.last_version_line = now;
             return Some(FeedLine {
                 kind: LineKind::Change,
@@ -159,7 +164,7 @@
                 let scope = MemberScope::start(name, since, known, buckets, cells, directory);
                 Scope::Member(Box::new(scope))
             }
-            RequestedScope::Whole => Scope::Whole(WholeScope::start(
+            RequestedScope::Whole => Scope::Complete(CompleteScope::start(
                 request.log.as_ref(),
                 request.since,
                 directory,
@@ -167,31 +172,31 @@
         }
     }
 
-    fn told(&self) -> Version {
+    fn sent(&self) -> Version {
         match self {
-            Scope::Member(scope) => scope.told(),
-            Scope::Whole(scope) => scope.told(),
+            Scope::Member(scope) => scope.sent(),
+            Scope::Complete(scope) => scope.sent(),
         }
     }
 
     fn next_changes(&mut self, directory: &Directory) -> Option<Vec<u8>> {
         match self {
             Scope::Member(scope) => scope.next_changes(directory).map(|line| encode(&line)),
-            Scope::Whole(scope) => scope.next_changes(directory).map(|line| encode(&line)),
+            Scope::Complete(scope) => scope.next_changes(directory).map(|line| encode(&line)),
         }
     }
 
     fn next_filling(&mut self, directory: &Directory) -> Option<Vec<u8>> {
         match self {
             Scope::Member(scope) => scope.next_filling(directory).map(|line| encode(&line)),
-            Scope::Whole(scope) => scope.next_piece(directory).map(|line| encode(&line)),
+            Scope::Complete(scope) => scope.next_piece(directory).map(|line| encode(&line)),
         }
     }
 
     fn version_line(&mut self, directory: &Directory) -> Vec<u8> {
         match self {
             Scope::Member(scope) => encode(&scope.version_line(directory)),
-            Scope::Whole(scope) => encode(&scope.version_line(directory)),
+            Scope::Complete(scope) => encode(&scope.version_line(directory)),
         }
     }
 }
--- a/crates/directory/src/history.rs
+++ b/crates/directory/src/history.rs
@@ -1,25 +1,25 @@
-//! The latest records, kept in memory for watchers of the whole configuration.
+//! The latest records, in memory for control processes that follow.
 
 use crate::line::Version;
 use crate::record::{self, LoggedRecord, Record};
 use std::collections::VecDeque;
 
-/// The most changes that are kept: of endpoints, of members, and of assignments.
+/// The most changes that are retained: of endpoints, of members, and of assignments.
 pub const MOST_CHANGES: usize = 100_000;
 
-struct Kept {
+struct EncodedRecord {
     version: Version,
     changes: usize,
     /// Encoded, which takes less memory than the record.
     bytes: Vec<u8>,
 }
 
-/// A bounded run of records without gaps, up to the current version.
+/// A bounded sequence of records without gaps, up to the current version.
 pub struct History {
-    kept: VecDeque<Kept>,
+    records: VecDeque<EncodedRecord>,
     changes: usize,
     most_changes: usize,
-    /// Every record after this version is kept.
+    /// Every record after this version is retained.
     floor: Version,
 }
 
@@ -27,19 +27,19 @@
     /// A history that begins after this version.
     pub fn new(floor: Version, most_changes: usize) -> History {
         History {
-            kept: VecDeque::new(),
+            records: VecDeque::new(),
             changes: 0,
             most_changes,
             floor,
         }
     }
 
-    /// Whether every record after this version is kept.
+    /// Whether every record after this version is retained.
     pub fn covers(&self, since: Version) -> bool {
         since >= self.floor
     }
 
-    /// Keeps the next record, and lets go of the oldest ones over the bound.
+    /// Adds the next record, and drops the oldest ones over the bound.
     pub fn push(&mut self, logged: &LoggedRecord) {
         let changes = match &logged.record {
             Record::EndpointsChanged(endpoints) => endpoints.len(),
@@ -47,13 +47,13 @@
             Record::AssignmentChanged(_) => 1,
         };
         self.changes += changes;
-        self.kept.push_back(Kept {
+        self.records.push_back(EncodedRecord {
             version: logged.version,
             changes,
             bytes: record::encode(logged),
         });
         while self.changes > self.most_changes {
-            let Some(oldest) = self.kept.pop_front() else {
+            let Some(oldest) = self.records.pop_front() else {
                 break;
             };
             self.changes -= oldest.changes;
@@ -61,13 +61,15 @@
         }
     }
 
-    /// The records after this version, in their order; call only where they are covered.
+    /// The records after this version, in their order; to be called only where they are covered.
     pub fn after(&self, since: Version) -> impl Iterator<Item = LoggedRecord> {
-        let first = self.kept.partition_point(|kept| kept.version <= since);
-        // They were encoded here, so they are decoded.
-        self.kept
+        let first = self
+            .records
+            .partition_point(|record| record.version <= since);
+        // They were encoded here, so that decoding cannot fail.
+        self.records
             .iter()
             .skip(first)
-            .filter_map(|kept| record::decode(&kept.bytes).ok())
+            .filter_map(|encoded| record::decode(&encoded.bytes).ok())
     }
 }
--- a/crates/directory/src/pace.rs
+++ b/crates/directory/src/pace.rs
@@ -1,46 +1,48 @@
-//! A token bucket of bytes: bounds what fillings take of a network in a second.
+//! A rate limiter: a token bucket that bounds the bytes a second that fills take of a network.
 
-/// Nanoseconds since some moment that all callers share.
+/// Nanoseconds since a moment that all callers agree on.
 pub type Nanos = u64;
 
-const SECOND: f64 = 1e9;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// What a token bucket holds.
+/// The limits of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceLimits {
+    /// How fast the bucket refills.
     pub bytes_per_second: u64,
+    /// What a full bucket holds.
     pub burst_bytes: u64,
 }
 
-/// A token bucket that may be overdrawn by its last taker, so that a line is never too long for it.
+/// A token bucket that the last line may overdraw, so that a line is never too long for it.
 #[derive(Clone, Debug)]
-pub struct TokenBucket {
+pub(crate) struct TokenBucket {
     limits: PaceLimits,
     tokens: f64,
-    refilled: Nanos,
+    refilled_at: Nanos,
 }
 
 impl TokenBucket {
     /// A full bucket.
-    pub fn new(limits: PaceLimits, now: Nanos) -> TokenBucket {
+    pub(crate) fn new(limits: PaceLimits, now: Nanos) -> TokenBucket {
         TokenBucket {
             limits,
             tokens: limits.burst_bytes as f64,
-            refilled: now,
+            refilled_at: now,
         }
     }
 
-    /// Whether something may be taken now.
-    pub fn is_open(&mut self, now: Nanos) -> bool {
-        let elapsed = now.saturating_sub(self.refilled) as f64 / SECOND;
+    /// Whether a line may be sent now.
+    pub(crate) fn is_open(&mut self, now: Nanos) -> bool {
+        let elapsed = now.saturating_sub(self.refilled_at) as f64 / NANOS_PER_SECOND;
         let tokens = self.tokens + elapsed * self.limits.bytes_per_second as f64;
         self.tokens = tokens.min(self.limits.burst_bytes as f64);
-        self.refilled = now;
+        self.refilled_at = now;
         self.tokens > 0.0
     }
 
-    /// Takes bytes that were written.
-    pub fn take(&mut self, bytes: usize) {
+    /// Accounts for a line that is sent.
+    pub(crate) fn take(&mut self, bytes: usize) {
         self.tokens -= bytes as f64;
     }
 }
--- a/crates/directory/src/request.rs
+++ b/crates/directory/src/request.rs
@@ -1,4 +1,4 @@
-//! The requests for `/api/targets`, as the query of their target says them.
+//! The requests for `/api/targets`, decoded from the query of their target.
 
 use crate::line::Version;
 use crate::state::LogId;
@@ -9,45 +9,56 @@
 /// A request for the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TargetsRequest {
+    /// For all changes from a version on.
     Watch(WatchRequest),
+    /// For the entries of some destinations.
     LookUp(LookUpRequest),
 }
 
-/// Asks for all changes from a version on.
+/// A request for all changes from a version on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchRequest {
     /// The version up to which all is known.
     pub since: Version,
-    /// The history that the version counts.
+    /// The log that the version counts.
     pub log: Option<LogId>,
+    /// What the watch is to send.
     pub scope: RequestedScope,
 }
 
 /// Whose scope a watch has, and what of it is known.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestedScope {
+    /// What one dispatcher needs.
     Member {
+        /// The dispatcher.
         name: MemberName,
+        /// Buckets of which it knows every entry.
         buckets: BTreeSet<BucketId>,
+        /// Destinations outside of its buckets that it caches.
         cells: BTreeSet<u64>,
     },
-    /// The whole configuration.
+    /// The complete configuration, for a control process that follows.
     Whole,
 }
 
-/// Asks for destinations that the dispatcher does not hold; its watch tells their changes from then on.
+/// A request for destinations that are in no bucket of the dispatcher; its watch sends their changes from then on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LookUpRequest {
+    /// The dispatcher, which has a watch here.
     pub dispatcher: MemberName,
+    /// The destinations.
     pub cells: BTreeSet<u64>,
-    /// Destinations whose changes are no longer asked for.
+    /// Destinations whose changes are not needed any more.
     pub forget: BTreeSet<u64>,
 }
 
 /// A field of the query is missing or cannot be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidRequest {
+    /// The field of the query.
     pub field: &'static str,
+    /// The form that it has to have.
     pub expected: &'static str,
 }
 
@@ -59,11 +70,11 @@
 
 impl std::error::Error for InvalidRequest {}
 
-/// The fields of a query. Unknown ones are passed over: a later dispatcher may send more.
+/// The fields of a query. Unknown ones are ignored: a later dispatcher may send more.
 #[derive(Default)]
 struct Fields {
     follow: bool,
-    whole: bool,
+    complete: bool,
     since: Version,
     log: Option<LogId>,
     dispatcher: Option<MemberName>,
@@ -83,7 +94,7 @@
                 forget: fields.forget,
             }));
         }
-        let scope = match fields.whole {
+        let scope = match fields.complete {
             true => RequestedScope::Whole,
             false => RequestedScope::Member {
                 name: fields.dispatcher.ok_or(DISPATCHER_MISSING)?,
@@ -110,7 +121,7 @@
         for (name, value) in form_urlencoded::parse(query.as_bytes()) {
             match &*name {
                 "follow" => fields.follow = value == "1",
-                "scope" if value == "all" => fields.whole = true,
+                "scope" if value == "all" => fields.complete = true,
                 "scope" => {
                     return Err(InvalidRequest {
                         field: "scope",
@@ -135,10 +146,11 @@
 }
 
 fn number<T: FromStr>(field: &'static str, text: &str) -> Result<T, InvalidRequest> {
-    text.parse().map_err(|_| InvalidRequest {
+    let invalid = InvalidRequest {
         field,
         expected: "whole numbers, separated by commas",
-    })
+    };
+    text.parse().ok().ok_or(invalid)
 }
 
 fn list<T: FromStr + Ord>(field: &'static str, text: &str) -> Result<BTreeSet<T>, InvalidRequest> {
--- a/crates/directory/src/snapshot.rs
+++ b/crates/directory/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole configuration as a snapshot keeps it: parts, each encoded by itself, from a first one to a last one.
+//! Snapshots of the configuration: a sequence of parts, each encoded by itself, from a first one to a last one.
 
 use crate::line::EndpointEntry;
 use crate::record::{self, InvalidRecord};
@@ -6,7 +6,7 @@
 use bellsill_placement::{AssignmentTable, Layout, Member};
 use serde::{Deserialize, Serialize};
 
-/// The format of the parts; another one gets another number.
+/// The version of the format of the parts.
 const FORMAT: u32 = 1;
 /// The most endpoints in one part.
 const MOST_ENDPOINTS_IN_PART: usize = 1000;
@@ -17,31 +17,43 @@
 pub enum SnapshotPart {
     /// The first part.
     Head {
+        /// The version of the format of the parts.
         format: u32,
+        /// The point in the log that the snapshot is of.
         point: RestorePoint,
+        /// The layout that bucket numbers refer to.
         layout: Layout,
     },
     /// All members, then the assignment of buckets to them.
     Members {
+        /// Present or not.
         members: Vec<Member>,
+        /// The assignment.
         table: AssignmentTable,
     },
-    /// Some endpoints, with the versions that made them so.
+    /// Some endpoints, with the versions of their last changes.
     Endpoints(Vec<EndpointEntry>),
     /// The last part.
-    End { endpoints: usize },
+    End {
+        /// How many endpoints all parts have.
+        endpoints: usize,
+    },
 }
 
-/// Why a snapshot cannot be taken; nothing of it is in force.
+/// Why a snapshot is rejected; nothing of it is used.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SnapshotError {
+    /// A part cannot be decoded.
     Part(InvalidRecord),
+    /// The format has another version.
     UnknownFormat(u32),
+    /// The zones or buckets are not those of this process.
     OtherLayout,
     /// Parts are missing, or in another order than they were written in.
     OutOfOrder,
-    /// The last part is missing, or counts other endpoints than there are.
+    /// The last part is missing, or its count of endpoints is not theirs.
     Incomplete,
+    /// The content of a part is rejected.
     Apply(ApplyError),
 }
 
@@ -67,7 +79,15 @@
     }
 }
 
-impl std::error::Error for SnapshotError {}
+impl std::error::Error for SnapshotError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            SnapshotError::Part(error) => Some(error),
+            SnapshotError::Apply(error) => Some(error),
+            _ => None,
+        }
+    }
+}
 
 /// The parts of a snapshot, encoded, in their order.
 pub fn encoded_parts(directory: &Directory) -> impl Iterator<Item = Vec<u8>> {
@@ -98,8 +118,8 @@
     let entries = directory.entries();
     let mut indexes = entries.after(None);
     std::iter::from_fn(move || {
-        let some = indexes.by_ref().take(MOST_ENDPOINTS_IN_PART);
-        let part: Vec<EndpointEntry> = some.filter_map(|index| entries.entry(index)).collect();
+        let next = indexes.by_ref().take(MOST_ENDPOINTS_IN_PART);
+        let part: Vec<EndpointEntry> = next.filter_map(|index| entries.entry(index)).collect();
         (!part.is_empty()).then_some(SnapshotPart::Endpoints(part))
     })
 }
@@ -115,6 +135,7 @@
 }
 
 impl SnapshotReader {
+    /// A reader of snapshots with this layout.
     pub fn new(layout: Layout, keeping: Keeping) -> SnapshotReader {
         SnapshotReader {
             layout,
@@ -126,7 +147,7 @@
         }
     }
 
-    /// Takes in the next part.
+    /// Reads the next part.
     pub fn part(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         let part: SnapshotPart = record::decode(bytes).map_err(SnapshotError::Part)?;
         if self.ended {
@@ -140,16 +161,7 @@
                     layout,
                 },
                 None,
-            ) => {
-                if format != FORMAT {
-                    return Err(SnapshotError::UnknownFormat(format));
-                }
-                if layout != self.layout {
-                    return Err(SnapshotError::OtherLayout);
-                }
-                self.restore = Some(Restore::begin(layout, point, self.keeping));
-                Ok(())
-            }
+            ) => self.read_head(format, point, layout),
             (SnapshotPart::Members { members, table }, Some(restore)) if !self.has_members => {
                 self.has_members = true;
                 restore.members(members).map_err(SnapshotError::Apply)?;
@@ -174,7 +186,23 @@
         }
     }
 
-    /// The directory, once the last part has been taken in.
+    fn read_head(
+        &mut self,
+        format: u32,
+        point: RestorePoint,
+        layout: Layout,
+    ) -> Result<(), SnapshotError> {
+        if format != FORMAT {
+            return Err(SnapshotError::UnknownFormat(format));
+        }
+        if layout != self.layout {
+            return Err(SnapshotError::OtherLayout);
+        }
+        self.restore = Some(Restore::begin(layout, point, self.keeping));
+        Ok(())
+    }
+
+    /// The directory, once the last part has been read.
     pub fn finish(self) -> Result<Directory, SnapshotError> {
         let restore = self.restore.filter(|_| self.ended);
         restore
--- /dev/null
+++ b/crates/directory/src/state/bounds.rs
@@ -0,0 +1,27 @@
+//! Bounds on what a directory holds.
+
+use crate::history;
+
+/// The most removed endpoints that are retained, so that a watcher that was disconnected learns of their removal.
+pub const MOST_REMOVED: usize = 100_000;
+
+/// The most members: all of them are on the line that begins a transfer.
+pub const MOST_MEMBERS: usize = 10_000;
+
+/// Bounds on what a directory retains of the past.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Keeping {
+    /// Changes that are retained for control processes that follow.
+    pub changes: usize,
+    /// Removed endpoints.
+    pub removed: usize,
+}
+
+impl Default for Keeping {
+    fn default() -> Self {
+        Keeping {
+            changes: history::MOST_CHANGES,
+            removed: MOST_REMOVED,
+        }
+    }
+}
--- a/crates/directory/src/state/error.rs
+++ b/crates/directory/src/state/error.rs
@@ -1,96 +1,112 @@
-//! Why endpoints, members and records are not taken.
+//! Why endpoints, members and records are rejected.
 
-use super::MOST_MEMBERS;
+use super::bounds::MOST_MEMBERS;
 use crate::entries::TableFull;
-use crate::entry::HEAVIEST_WEIGHT;
+use crate::entry::{InvalidEntry, MAX_WEIGHT};
 use crate::line::Version;
 use bellsill_placement::{PlacementError, TableError};
 
-/// Why an endpoint is not taken.
+/// Why an endpoint is rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum EndpointRefused {
+pub enum EndpointError {
+    /// The layout does not have this zone.
     UnknownZone(String),
     /// A known endpoint is named with another destination, or in another region.
     Moved(String),
+    /// The table has no capacity for it.
     Full(TableFull),
 }
 
-impl std::fmt::Display for EndpointRefused {
+impl std::fmt::Display for EndpointError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            EndpointRefused::UnknownZone(zone) => {
+            EndpointError::UnknownZone(zone) => {
                 write!(
                     f,
                     "zone: {zone} is not one of this installation; the control processes' `zones` declare it"
                 )
             }
-            EndpointRefused::Moved(id) => {
+            EndpointError::Moved(id) => {
                 write!(
                     f,
                     "cell, zone: {id} keeps its destination and region; remove it and declare another id"
                 )
             }
-            EndpointRefused::Full(TableFull::Endpoints) => {
+            EndpointError::Full(TableFull::Endpoints) => {
                 write!(f, "there are too many endpoints")
             }
-            EndpointRefused::Full(TableFull::Names) => {
+            EndpointError::Full(TableFull::Names) => {
                 write!(f, "zone, kind: there are too many different ones")
             }
         }
     }
 }
 
-/// Why a member is not taken.
+impl std::error::Error for EndpointError {}
+
+/// Why a member is rejected.
 #[derive(Clone, Debug, PartialEq)]
-pub enum MemberRefused {
+pub enum MemberError {
+    /// The name has characters that are not allowed, or a length that is not.
     Name(String),
+    /// The layout does not have this zone.
     UnknownZone(String),
+    /// The weight is out of range.
     Weight(f64),
+    /// There would be more than [`MOST_MEMBERS`].
     TooMany,
 }
 
-impl std::fmt::Display for MemberRefused {
+impl std::fmt::Display for MemberError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            MemberRefused::Name(name) => {
+            MemberError::Name(name) => {
                 write!(
                     f,
                     "name: expected letters, digits and - _ . : alone, not {name:?}"
                 )
             }
-            MemberRefused::UnknownZone(zone) => {
+            MemberError::UnknownZone(zone) => {
                 write!(
                     f,
                     "zone: {zone} is not one of this installation; the control processes' `zones` declare it"
                 )
             }
-            MemberRefused::Weight(weight) => {
+            MemberError::Weight(weight) => {
                 write!(
                     f,
-                    "weight: expected a number from 0 to {HEAVIEST_WEIGHT}, not {weight}"
+                    "weight: expected a number from 0 to {MAX_WEIGHT}, not {weight}"
                 )
             }
-            MemberRefused::TooMany => write!(f, "there would be more than {MOST_MEMBERS} members"),
+            MemberError::TooMany => write!(f, "there would be more than {MOST_MEMBERS} members"),
         }
     }
 }
 
+impl std::error::Error for MemberError {}
+
 /// Why a record is not applied; the directory stays as it was.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyError {
+    /// A record is not the next one, or an endpoint is later than its snapshot or transfer.
     VersionOutOfOrder {
+        /// The version that was expected, or the latest possible.
         expected: Version,
+        /// The version of the record or endpoint.
         found: Version,
     },
-    Endpoint(EndpointRefused),
-    Member(MemberRefused),
+    /// An endpoint is rejected.
+    Endpoint(EndpointError),
+    /// A member is rejected.
+    Member(MemberError),
+    /// A change of the assignment is rejected.
     Placement(PlacementError),
-    /// The table of a snapshot or transfer cannot be taken.
+    /// The table of a snapshot or transfer is rejected.
     Table(TableError),
     /// The zones or buckets are not those of this process.
     OtherLayout,
     /// An endpoint of a snapshot or transfer cannot be read.
-    Entry(String),
+    Entry(InvalidEntry),
 }
 
 impl std::fmt::Display for ApplyError {
@@ -103,8 +119,8 @@
                     found.0, expected.0
                 )
             }
-            ApplyError::Endpoint(refused) => write!(f, "an endpoint is refused: {refused}"),
-            ApplyError::Member(refused) => write!(f, "a member is refused: {refused}"),
+            ApplyError::Endpoint(error) => write!(f, "an endpoint is refused: {error}"),
+            ApplyError::Member(error) => write!(f, "a member is refused: {error}"),
             ApplyError::Placement(error) => write!(f, "the assignment: {error}"),
             ApplyError::Table(error) => write!(f, "the assignment: {error}"),
             ApplyError::OtherLayout => write!(
@@ -117,4 +133,15 @@
     }
 }
 
-impl std::error::Error for ApplyError {}
+impl std::error::Error for ApplyError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ApplyError::VersionOutOfOrder { .. } | ApplyError::OtherLayout => None,
+            ApplyError::Endpoint(error) => Some(error),
+            ApplyError::Member(error) => Some(error),
+            ApplyError::Placement(error) => Some(error),
+            ApplyError::Table(error) => Some(error),
+            ApplyError::Entry(error) => Some(error),
+        }
+    }
+}
--- a/crates/directory/src/watchers.rs
+++ b/crates/directory/src/watchers.rs
@@ -1,36 +1,37 @@
-//! All watchers of one control process, found by what concerns them.
+//! All watchers of one control process, indexed by what they have to be sent.
 
 use crate::entries::EntryIndex;
 use crate::feed::{Feed, FeedLine, Scope};
-use crate::member_scope::{MOST_CELLS, MemberScope};
+use crate::member_scope::{MAX_CACHED_DESTINATIONS, MemberScope};
 use crate::pace::{Nanos, PaceLimits};
 use crate::request::{LookUpRequest, RequestedScope, WatchRequest};
 use crate::state::{Applied, Directory};
 use bellsill_placement::MemberName;
 use std::collections::{BTreeSet, HashMap};
 
-/// Names a watcher; never used for another one.
+/// Identifies a watcher; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatcherId(u64);
 
-/// Why a watch is not begun, or a destination not told.
+/// Why a watch is not opened, or a lookup not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRefused {
     /// The dispatcher is not a declared member.
     NotMember,
     /// The dispatcher has no watch here.
     NoWatch,
-    /// The watch would have too many destinations beside its buckets.
+    /// The watch would have too many destinations outside of its buckets.
     TooManyCells,
     /// The watch knows more than this process has: an answer might be older than what the dispatcher had before.
     Behind,
 }
 
-/// A watch that has begun.
+/// A watch that was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Opened {
+    /// The new watch.
     pub id: WatcherId,
-    /// The same dispatcher's watch before, which is no more.
+    /// The earlier watch of the same dispatcher, which is closed.
     pub replaced: Option<WatcherId>,
 }
 
@@ -39,45 +40,48 @@
     feeds: HashMap<WatcherId, Feed>,
     by_member: HashMap<MemberName, WatcherId>,
     by_destination: HashMap<u64, BTreeSet<WatcherId>>,
-    whole: BTreeSet<WatcherId>,
-    /// Those that have something new to be told.
+    followers: BTreeSet<WatcherId>,
+    /// Those that may have a line to be sent.
     ready: BTreeSet<WatcherId>,
     last_id: u64,
-    fill_pace: PaceLimits,
+    fill_rate: PaceLimits,
 }
 
 impl Watchers {
-    /// No watchers; each one's buckets will be filled at this pace.
-    pub fn new(fill_pace: PaceLimits) -> Watchers {
+    /// No watchers yet; the buckets of each will be filled at this rate.
+    pub fn new(fill_rate: PaceLimits) -> Watchers {
         Watchers {
             feeds: HashMap::new(),
             by_member: HashMap::new(),
             by_destination: HashMap::new(),
-            whole: BTreeSet::new(),
+            followers: BTreeSet::new(),
             ready: BTreeSet::new(),
             last_id: 0,
-            fill_pace,
+            fill_rate,
         }
     }
 
+    /// How many watchers there are.
     pub fn len(&self) -> usize {
         self.feeds.len()
     }
 
+    /// Whether there are no watchers.
     pub fn is_empty(&self) -> bool {
         self.feeds.is_empty()
     }
 
-    /// How many watchers have the whole scope: the control processes that follow this one.
+    /// How many watchers are control processes that follow this one.
     pub fn followers(&self) -> usize {
-        self.whole.len()
+        self.followers.len()
     }
 
+    /// The watcher with this id, if its watch is open.
     pub fn get(&self, id: WatcherId) -> Option<&Feed> {
         self.feeds.get(&id)
     }
 
-    /// The watchers, in no order.
+    /// The watchers, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = WatcherId> {
         self.feeds.keys().copied()
     }
@@ -87,7 +91,7 @@
         self.by_member.keys()
     }
 
-    /// Begins a watch.
+    /// Opens a watch.
     pub fn open(
         &mut self,
         request: WatchRequest,
@@ -96,22 +100,23 @@
     ) -> Result<Opened, WatchRefused> {
         if let RequestedScope::Member { name, cells, .. } = &request.scope {
             directory.member(name).ok_or(WatchRefused::NotMember)?;
-            if cells.len() > MOST_CELLS {
+            if cells.len() > MAX_CACHED_DESTINATIONS {
                 return Err(WatchRefused::TooManyCells);
             }
         }
         self.last_id += 1;
         let id = WatcherId(self.last_id);
-        let feed = Feed::start(request, directory, self.fill_pace, now);
+        let feed = Feed::start(request, directory, self.fill_rate, now);
         let replaced = match &feed.scope {
             Scope::Member(scope) => {
-                for cell in scope.cells() {
-                    self.by_destination.entry(*cell).or_default().insert(id);
+                for destination in scope.cached() {
+                    let watchers = self.by_destination.entry(*destination);
+                    watchers.or_default().insert(id);
                 }
                 self.by_member.insert(scope.name().clone(), id)
             }
-            Scope::Whole(_) => {
-                self.whole.insert(id);
+            Scope::Complete(_) => {
+                self.followers.insert(id);
                 None
             }
         };
@@ -123,12 +128,12 @@
         Ok(Opened { id, replaced })
     }
 
-    /// Ends a watch.
+    /// Closes a watch.
     pub fn close(&mut self, id: WatcherId) {
         let Some(feed) = self.feeds.remove(&id) else {
             return;
         };
-        self.whole.remove(&id);
+        self.followers.remove(&id);
         self.ready.remove(&id);
         let Scope::Member(scope) = feed.scope else {
             return;
@@ -136,13 +141,12 @@
         if self.by_member.get(scope.name()) == Some(&id) {
             self.by_member.remove(scope.name());
         }
-        scope
-            .cells()
-            .iter()
-            .for_each(|cell| self.forget_cell(*cell, id));
+        for destination in scope.cached() {
+            self.remove_from_index(*destination, id);
+        }
     }
 
-    /// Has the changes of destinations told to a dispatcher's watch from now on.
+    /// Adds destinations to a dispatcher's watch, and removes others from it.
     pub fn change_cells(&mut self, request: &LookUpRequest) -> Result<(), WatchRefused> {
         let id = *self
             .by_member
@@ -153,28 +157,27 @@
         }
         let scope = self.member_scope(id).ok_or(WatchRefused::NoWatch)?;
         let kept = scope
-            .cells()
-            .iter()
-            .filter(|cell| !request.forget.contains(cell));
-        let added = request
-            .cells
+            .cached()
             .iter()
-            .filter(|cell| !scope.cells().contains(cell) || request.forget.contains(cell));
-        if kept.count() + added.count() > MOST_CELLS {
+            .filter(|destination| !request.forget.contains(destination));
+        let added = request.cells.iter().filter(|destination| {
+            !scope.cached().contains(destination) || request.forget.contains(destination)
+        });
+        if kept.count() + added.count() > MAX_CACHED_DESTINATIONS {
             return Err(WatchRefused::TooManyCells);
         }
-        scope.change_cells(&request.cells, &request.forget);
-        request
-            .forget
-            .iter()
-            .for_each(|cell| self.forget_cell(*cell, id));
-        for cell in &request.cells {
-            self.by_destination.entry(*cell).or_default().insert(id);
+        scope.change_cached(&request.cells, &request.forget);
+        for destination in &request.forget {
+            self.remove_from_index(*destination, id);
+        }
+        for destination in &request.cells {
+            let watchers = self.by_destination.entry(*destination);
+            watchers.or_default().insert(id);
         }
         Ok(())
     }
 
-    /// Tells the watchers that a change concerns; call after each record that the directory has applied.
+    /// Notes the change for the watchers that it concerns; to be called after each record that the directory has applied.
     pub fn applied(&mut self, applied: &Applied, directory: &Directory) {
         match applied {
             Applied::Endpoints(indexes) => {
@@ -189,20 +192,20 @@
                     .for_each(|member| self.reassigned(member, directory));
             }
         }
-        self.ready.extend(&self.whole);
+        self.ready.extend(&self.followers);
     }
 
-    /// A watcher can be told more now.
+    /// A watcher can be sent more now.
     pub fn mark_ready(&mut self, id: WatcherId) {
         self.ready.insert(id);
     }
 
-    /// Time has passed: any watcher may have something to be told.
+    /// Time has passed: any watcher may have a line to be sent.
     pub fn mark_all_ready(&mut self) {
         self.ready.extend(self.feeds.keys());
     }
 
-    /// The watchers that have something new to be told, each once.
+    /// The watchers that may have a line to be sent, each once.
     pub fn take_ready(&mut self) -> BTreeSet<WatcherId> {
         std::mem::take(&mut self.ready)
     }
@@ -256,13 +259,13 @@
         }
     }
 
-    fn forget_cell(&mut self, cell: u64, id: WatcherId) {
-        let Some(ids) = self.by_destination.get_mut(&cell) else {
+    fn remove_from_index(&mut self, destination: u64, id: WatcherId) {
+        let Some(ids) = self.by_destination.get_mut(&destination) else {
             return;
         };
         ids.remove(&id);
         if ids.is_empty() {
-            self.by_destination.remove(&cell);
+            self.by_destination.remove(&destination);
         }
     }
 }
--- a/crates/directory/src/whole_line.rs
+++ b/crates/directory/src/whole_line.rs
@@ -1,4 +1,4 @@
-//! The lines of a watch on the whole configuration, by which one control process follows another.
+//! The lines of a watch on the complete configuration, by which one control process follows another.
 
 use crate::entry::{Endpoint, InvalidEntry};
 use crate::line::{EndpointEntry, Version};
@@ -7,49 +7,57 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The longest line among control processes. Only changes of the assignment come near it: those of endpoints keep to
+/// The longest line among control processes, in bytes. Only changes of the assignment come near it: those of endpoints
+/// keep to
 /// [`LONGEST_LINE`](crate::line::LONGEST_LINE).
 pub const LONGEST_WHOLE_LINE: usize = 4 * 1024 * 1024;
 
-/// Where a line stands in the transfer of the whole configuration.
+/// The position of a line in the transfer of the complete configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TransferStep {
-    /// All known before is replaced by what follows. Has the members and the assignment.
+    /// The first line, with the members and the assignment. What follows replaces everything known before.
     Begin,
-    /// Has endpoints as they are now, in any order.
+    /// A line with endpoints as they are now, in any order.
     Piece,
-    /// All has been transferred.
+    /// The last line.
     End,
 }
 
-/// A member at a version.
+/// A member with the version of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberLine {
+    /// The member as it is now.
     #[serde(flatten)]
     pub member: Member,
+    /// The version of the change.
     #[serde(rename = "v")]
     pub version: Version,
 }
 
-/// A change of the assignment at a version.
+/// A change of the assignment with its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AssignmentLine {
+    /// What has changed.
     #[serde(flatten)]
     pub change: AssignmentChange,
+    /// The version of the change.
     #[serde(rename = "v")]
     pub version: Version,
 }
 
-/// One line of a watch on the whole configuration. Without `transfer` it has changes; all of one version are in one line.
+/// One line of a watch on the complete configuration. Without `transfer` it has changes; those of one version are on one
+/// line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WholeLine {
-    /// All changes up to this version have been told with this line.
+    /// All changes up to this version have been sent with this line.
     pub version: Version,
     /// Always false, as in a scoped watch.
     pub full: bool,
+    /// The log that versions count; absent except on the first line and at the beginning of a transfer.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub log: String,
+    /// Present on the lines of a transfer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub transfer: Option<TransferStep>,
     /// At the beginning of a transfer: removals up to this version may be missing in it.
@@ -58,16 +66,20 @@
     /// At the beginning of a transfer: the assignment.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub table: Option<AssignmentTable>,
+    /// Members that have changed; at the beginning of a transfer all of them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<MemberLine>,
+    /// Changes of the assignment.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub assignment: Vec<AssignmentLine>,
+    /// Endpoints that have changed, or that a transfer has reached.
     pub servers: Vec<EndpointEntry>,
 }
 
-/// Why the changes of a line are no records.
+/// Why the changes of a line are not records.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidChanges {
+    /// An endpoint is invalid.
     Entry(InvalidEntry),
     /// Changes of different kinds have the same version.
     MixedVersion(Version),
@@ -91,7 +103,7 @@
 impl std::error::Error for InvalidChanges {}
 
 impl WholeLine {
-    /// Adds a record's changes.
+    /// Adds the changes of a record.
     pub fn add(&mut self, logged: LoggedRecord) {
         let version = logged.version;
         match logged.record {
@@ -115,7 +127,7 @@
         }
     }
 
-    /// The records that the line's changes are, in the order of their versions.
+    /// The changes of the line as records, in the order of their versions.
     pub fn into_records(self) -> Result<Vec<LoggedRecord>, InvalidChanges> {
         let mut records: BTreeMap<Version, Record> = BTreeMap::new();
         for entry in self.servers {
--- a/crates/directory/tests/feed.rs
+++ b/crates/directory/tests/directory/feed.rs
@@ -1,7 +1,8 @@
-//! What watchers are told: first lines, changes, fillings, and what moves between them.
-
-mod common;
+//! What watchers are sent: first lines, changes, fills, and buckets that move between them.
 
+use crate::installation::{
+    BUCKETS_PER_REGION, Control, SECOND, endpoint, entries_sent, layout, member, watch,
+};
 use bellsill_directory::entry::Endpoint;
 use bellsill_directory::feed::{FILL_PACE, LineKind};
 use bellsill_directory::line::{EndpointState, Version};
@@ -10,7 +11,6 @@
 use bellsill_directory::state::{Keeping, LogId, Restore, RestorePoint};
 use bellsill_directory::watchers::{WatchRefused, Watchers};
 use bellsill_directory::whole_line::{TransferStep, WholeLine};
-use common::*;
 use std::collections::BTreeSet;
 
 const FIRST: &str = "follow=1&since=0&dispatcher=north-a";
@@ -29,45 +29,45 @@
     assert_eq!(lines[0].log, "feed");
     assert_eq!(lines[0].epoch, Some(control.directory.epoch()));
     assert_eq!(lines[0].gained.len(), BUCKETS_PER_REGION as usize);
-    assert!(lines[0].servers.is_empty(), "entries come by fillings");
+    assert!(lines[0].servers.is_empty(), "entries are sent by fills");
     assert_eq!(watcher.held, control.directory.held_by(&"north-a".into()));
     assert_eq!(watcher.entries.len(), 40);
     assert_eq!(watcher.version, control.directory.version());
 }
 
 #[test]
-fn a_dispatcher_of_another_region_is_told_none_of_it() {
+fn a_dispatcher_of_another_region_is_sent_nothing_of_it() {
     let mut control = control();
     let mut watcher = control.open("follow=1&since=0&dispatcher=south-a");
     let lines = control.read(&mut watcher);
-    assert_eq!(entries_told(&lines), Vec::<String>::new());
+    assert_eq!(entries_sent(&lines), Vec::<String>::new());
     control.write_endpoint(7, EndpointState::Draining);
-    assert!(entries_told(&control.read(&mut watcher)).is_empty());
+    assert!(entries_sent(&control.read(&mut watcher)).is_empty());
 }
 
 #[test]
-fn a_change_is_told_once_and_before_fillings() {
+fn a_change_is_sent_once_and_before_fills() {
     let mut control = control();
     let mut watcher = control.open(FIRST);
     control.write_endpoint(7, EndpointState::Draining);
     let lines = control.read(&mut watcher);
     let change = lines
         .iter()
-        .position(|line| entries_told(std::slice::from_ref(line)) == ["endpoint-7"]);
+        .position(|line| entries_sent(std::slice::from_ref(line)) == ["endpoint-7"]);
     let filling = lines.iter().position(|line| !line.filled.is_empty());
     assert!(change < filling, "{change:?} {filling:?}");
     assert_eq!(
-        entries_told(&lines).len(),
+        entries_sent(&lines).len(),
         40,
-        "the filling leaves out what was told as a change"
+        "the fill leaves out what was sent as a change"
     );
     control.write_endpoint(8, EndpointState::Removed);
-    assert_eq!(entries_told(&control.read(&mut watcher)), ["endpoint-8"]);
+    assert_eq!(entries_sent(&control.read(&mut watcher)), ["endpoint-8"]);
     assert!(control.read(&mut watcher).is_empty());
 }
 
 #[test]
-fn a_watch_goes_on_by_since_without_a_whole_list() {
+fn a_watch_resumes_after_since_without_a_complete_list() {
     let mut control = control();
     let mut watcher = control.open(FIRST);
     control.read(&mut watcher);
@@ -75,15 +75,15 @@
     control.write_endpoint(3, EndpointState::Draining);
     control.write_endpoint(3, EndpointState::Removed);
     control.write_endpoint(50, EndpointState::Up);
-    let mut again = control.open(&watcher.again("north-a", "feed"));
+    let mut again = control.open(&watcher.next_query("north-a", "feed"));
     let lines = control.read(&mut again);
     assert!(lines[0].gained.is_empty() && lines[0].lost.is_empty());
-    assert_eq!(entries_told(&lines), ["endpoint-3", "endpoint-50"]);
+    assert_eq!(entries_sent(&lines), ["endpoint-3", "endpoint-50"]);
     assert_eq!(again.entries["endpoint-3"].0, EndpointState::Removed);
 }
 
 #[test]
-fn a_watch_that_broke_while_buckets_were_filled_has_only_the_rest_filled() {
+fn a_watch_that_broke_during_a_fill_resumes_with_the_remaining_buckets() {
     let mut control = Control::new(Keeping::default());
     control.write_endpoints(0..900, EndpointState::Up);
     let mut watcher = control.open(FIRST);
@@ -97,7 +97,7 @@
         }
     }
     let filled = watcher.held.clone();
-    let mut again = control.open(&watcher.again("north-a", "feed"));
+    let mut again = control.open(&watcher.next_query("north-a", "feed"));
     let lines = control.read(&mut again);
     let gained: BTreeSet<_> = lines[0].gained.iter().copied().collect();
     assert!(gained.is_disjoint(&filled));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn another_history_is_told_anew_and_foreign_buckets_are_lost() {
+fn after_another_log_everything_is_sent_and_foreign_buckets_are_lost() {
     let mut control = control();
     let beside = Endpoint {
         zone: "south-1".into(),
@@ -125,9 +125,9 @@
         [15]
     );
     assert_eq!(
-        entries_told(&lines[..1]),
+        entries_sent(&lines[..1]),
         ["endpoint-70"],
-        "the cell is told at once"
+        "the cached destination is sent at once"
     );
     assert_eq!(watcher.held.len(), BUCKETS_PER_REGION as usize);
 }
@@ -148,7 +148,7 @@
     assert_eq!(lines[0].epoch, Some(control.directory.epoch()));
     control.read(&mut newcomer);
     assert_eq!(newcomer.held, lines[0].lost.iter().copied().collect());
-    // The newcomer leaves: what it held comes back, and is filled with what changed meanwhile.
+    // The newcomer is absent: what it held moves back, and is filled with what changed meanwhile.
     let moved = control.directory.entries().in_bucket(lines[0].lost[0])[0];
     let number = control
         .directory
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_change_in_a_bucket_that_is_lost_before_it_was_told_is_not_told() {
+fn a_change_in_a_bucket_that_is_lost_first_is_not_sent() {
     let mut control = control();
     let mut keeper = control.open(FIRST);
     control.read(&mut keeper);
@@ -179,9 +179,9 @@
     control.write(Record::MembersChanged(vec![member("north-c", "north-1")]));
     control.assign();
     let held = control.directory.held_by(&"north-a".into());
-    let told = entries_told(&control.read(&mut keeper));
-    assert!(!told.is_empty() && told.len() < 40);
-    for id in told {
+    let sent = entries_sent(&control.read(&mut keeper));
+    assert!(!sent.is_empty() && sent.len() < 40);
+    for id in sent {
         let index = control.directory.entries().find(&id).expect("an endpoint");
         assert!(
             held.contains(&control.directory.entries().bucket(index).expect("a bucket")),
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn changes_that_are_no_longer_kept_are_told_anew() {
+fn after_changes_that_are_no_longer_retained_everything_is_sent() {
     let mut control = Control::new(Keeping {
         changes: 10,
         removed: 5,
@@ -202,14 +202,14 @@
     control.watchers.close(watcher.id);
     control.write_endpoints(0..10, EndpointState::Removed);
     assert!(control.directory.forgotten() > watcher.version);
-    let mut again = control.open(&watcher.again("north-a", "feed"));
+    let mut again = control.open(&watcher.next_query("north-a", "feed"));
     let lines = control.read(&mut again);
     assert_eq!(lines[0].gained.len(), BUCKETS_PER_REGION as usize);
     assert_eq!(again.entries.len(), 30);
 }
 
 #[test]
-fn a_slow_watcher_whose_removals_are_forgotten_is_told_anew() {
+fn a_slow_watcher_whose_removals_are_forgotten_is_sent_everything() {
     let mut control = Control::new(Keeping {
         changes: 10,
         removed: 5,
@@ -225,14 +225,14 @@
 }
 
 #[test]
-fn a_clump_of_changes_is_told_in_bounded_lines_with_rising_versions() {
+fn a_burst_of_changes_is_sent_in_bounded_lines_with_increasing_versions() {
     let mut control = control();
     let mut watcher = control.open(FIRST);
     control.read(&mut watcher);
     control.write_endpoints(0..6000, EndpointState::Draining);
     let lines = control.read(&mut watcher);
     assert!(lines.len() > 10);
-    assert_eq!(entries_told(&lines).len(), 6000);
+    assert_eq!(entries_sent(&lines).len(), 6000);
     assert!(
         lines
             .windows(2)
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn fillings_keep_to_their_pace() {
+fn fills_keep_to_their_rate_limit() {
     let mut control = Control::new(Keeping::default());
     control.write_endpoints(0..2000, EndpointState::Up);
     let watcher = control.open(FIRST);
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_destination_that_is_looked_up_is_told_from_then_on() {
+fn changes_of_a_looked_up_destination_are_sent_from_then_on() {
     let mut control = control();
     let mut watcher = control.open("follow=1&since=0&dispatcher=south-a");
     control.read(&mut watcher);
@@ -284,19 +284,19 @@
         .expect("a lookup");
     control.write_endpoint(17, EndpointState::Draining);
     control.write_endpoint(18, EndpointState::Draining);
-    assert_eq!(entries_told(&control.read(&mut watcher)), ["endpoint-17"]);
+    assert_eq!(entries_sent(&control.read(&mut watcher)), ["endpoint-17"]);
     control
         .watchers
         .change_cells(&look_up("dispatcher=south-a&cells=18&forget=17"))
         .expect("a lookup");
     control.write_endpoint(17, EndpointState::Up);
     control.write_endpoint(18, EndpointState::Up);
-    assert_eq!(entries_told(&control.read(&mut watcher)), ["endpoint-18"]);
-    // The cell goes along when the watch is begun again.
-    let query = format!("{}&cells=18", watcher.again("south-a", "feed"));
+    assert_eq!(entries_sent(&control.read(&mut watcher)), ["endpoint-18"]);
+    // The next watch names the cached destination.
+    let query = format!("{}&cells=18", watcher.next_query("south-a", "feed"));
     control.write_endpoint(18, EndpointState::Removed);
     let mut again = control.open(&query);
-    assert_eq!(entries_told(&control.read(&mut again)), ["endpoint-18"]);
+    assert_eq!(entries_sent(&control.read(&mut again)), ["endpoint-18"]);
     let nobody = look_up("dispatcher=north-b&cells=17");
     assert_eq!(
         control.watchers.change_cells(&nobody),
@@ -311,12 +311,13 @@
 }
 
 #[test]
-fn who_is_no_member_has_no_watch() {
+fn a_dispatcher_that_is_not_declared_has_no_watch() {
     let mut control = control();
-    let refused = control
-        .watchers
-        .open(watch("follow=1&dispatcher=nobody"), &control.directory, 0);
-    assert_eq!(refused, Err(WatchRefused::NotMember));
+    let rejected =
+        control
+            .watchers
+            .open(watch("follow=1&dispatcher=nobody"), &control.directory, 0);
+    assert_eq!(rejected, Err(WatchRefused::NotMember));
 }
 
 #[test]
@@ -332,7 +333,7 @@
 }
 
 #[test]
-fn a_process_that_is_behind_says_empty_lines_until_it_has_caught_up() {
+fn a_process_that_is_behind_sends_empty_lines_until_it_has_caught_up() {
     let mut control = control();
     let behind = control.directory.version();
     let query = format!(
@@ -350,7 +351,7 @@
 }
 
 #[test]
-fn a_follower_is_told_every_record_or_all_anew() {
+fn a_follower_is_sent_every_record_or_a_transfer() {
     let mut control = Control::new(Keeping {
         changes: 100,
         removed: 5,
@@ -369,8 +370,8 @@
         all.map(|line| serde_json::from_slice(&line.bytes).expect("a line"))
             .collect()
     };
-    let told = lines(&mut control, "follow=1&since=20&log=feed&scope=all");
-    let records: Vec<_> = told
+    let sent = lines(&mut control, "follow=1&since=20&log=feed&scope=all");
+    let records: Vec<_> = sent
         .into_iter()
         .flat_map(|line| line.into_records().expect("records"))
         .collect();
@@ -383,22 +384,22 @@
         "follow=1&since=0&scope=all",
         "follow=1&since=20&log=other&scope=all",
     ] {
-        let told = lines(&mut control, query);
-        assert_eq!(told[0].transfer, Some(TransferStep::Begin));
-        assert_eq!(told[0].members.len(), 4);
+        let sent = lines(&mut control, query);
+        assert_eq!(sent[0].transfer, Some(TransferStep::Begin));
+        assert_eq!(sent[0].members.len(), 4);
         assert_eq!(
-            told.last().and_then(|line| line.transfer),
+            sent.last().and_then(|line| line.transfer),
             Some(TransferStep::End)
         );
         assert_eq!(
-            told.iter().map(|line| line.servers.len()).sum::<usize>(),
+            sent.iter().map(|line| line.servers.len()).sum::<usize>(),
             40
         );
     }
 }
 
 #[test]
-fn a_transfer_with_changes_between_its_pieces_gives_the_same_directory() {
+fn a_transfer_with_changes_between_its_pieces_restores_the_same_directory() {
     let mut control = Control::new(Keeping::default());
     control.write_endpoints(0..2000, EndpointState::Up);
     let opened = control
@@ -453,7 +454,7 @@
     assert_eq!(differing.count(), 0);
 }
 
-/// What a follower makes of the first line of a transfer.
+/// What a follower restores from the first line of a transfer.
 fn begin(line: WholeLine) -> Restore {
     let point = RestorePoint {
         log: LogId(line.log),
--- a/crates/directory/tests/common/mod.rs
+++ b/crates/directory/tests/directory/installation.rs
@@ -1,5 +1,4 @@
 //! A small installation: two regions of two zones each, and watchers that read every line.
-#![allow(dead_code)]
 
 use bellsill_directory::entry::Endpoint;
 use bellsill_directory::feed::{FILL_PACE, LineKind};
@@ -12,10 +11,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-pub const BUCKETS_PER_REGION: u32 = 8;
-pub const SECOND: u64 = 1_000_000_000;
+pub(crate) const BUCKETS_PER_REGION: u32 = 8;
+pub(crate) const SECOND: u64 = 1_000_000_000;
 
-pub fn layout() -> Layout {
+pub(crate) fn layout() -> Layout {
     let zones = [
         ("north-1", "north"),
         ("north-2", "north"),
@@ -26,7 +25,7 @@
     Layout::new(zones, BUCKETS_PER_REGION).expect("a layout")
 }
 
-pub fn member(name: &str, zone: &str) -> Member {
+pub(crate) fn member(name: &str, zone: &str) -> Member {
     Member {
         name: name.into(),
         zone: zone.into(),
@@ -35,7 +34,7 @@
     }
 }
 
-pub fn endpoint(number: u64, state: EndpointState) -> Endpoint {
+pub(crate) fn endpoint(number: u64, state: EndpointState) -> Endpoint {
     let port = 1000 + (number % 60_000) as u16;
     Endpoint {
         id: format!("endpoint-{number}"),
@@ -49,15 +48,15 @@
 }
 
 /// A directory with its watchers, as a control process has them.
-pub struct Control {
-    pub directory: Directory,
-    pub watchers: Watchers,
-    pub now: u64,
+pub(crate) struct Control {
+    pub(crate) directory: Directory,
+    pub(crate) watchers: Watchers,
+    pub(crate) now: u64,
 }
 
 impl Control {
     /// Four members, two in each region, among which the buckets are assigned.
-    pub fn new(keeping: Keeping) -> Control {
+    pub(crate) fn new(keeping: Keeping) -> Control {
         let log = LogId("feed".into());
         let directory = Directory::new(layout(), log, keeping);
         let mut control = Control {
@@ -75,7 +74,7 @@
         control
     }
 
-    pub fn write(&mut self, record: Record) -> Version {
+    pub(crate) fn write(&mut self, record: Record) -> Version {
         let version = Version(self.directory.version().0 + 1);
         let applied = self
             .directory
@@ -85,22 +84,22 @@
         version
     }
 
-    pub fn write_endpoint(&mut self, number: u64, state: EndpointState) -> Version {
+    pub(crate) fn write_endpoint(&mut self, number: u64, state: EndpointState) -> Version {
         self.write(Record::EndpointsChanged(vec![endpoint(number, state)]))
     }
 
-    pub fn write_endpoints(&mut self, numbers: Range<u64>, state: EndpointState) {
+    pub(crate) fn write_endpoints(&mut self, numbers: Range<u64>, state: EndpointState) {
         for number in numbers {
             self.write_endpoint(number, state);
         }
     }
 
-    pub fn assign(&mut self) {
+    pub(crate) fn assign(&mut self) {
         let change = self.directory.plan().expect("a plan").expect("a change");
         self.write(Record::AssignmentChanged(change));
     }
 
-    pub fn open(&mut self, query: &str) -> Watcher {
+    pub(crate) fn open(&mut self, query: &str) -> Watcher {
         let opened = self
             .watchers
             .open(watch(query), &self.directory, self.now)
@@ -113,8 +112,8 @@
         }
     }
 
-    /// Has the watcher read all lines that it is told until nothing but an empty line comes.
-    pub fn read(&mut self, watcher: &mut Watcher) -> Vec<ScopedLine> {
+    /// Has the watcher read all lines that it is sent until only empty ones follow.
+    pub(crate) fn read(&mut self, watcher: &mut Watcher) -> Vec<ScopedLine> {
         let mut lines = Vec::new();
         loop {
             match self
@@ -136,24 +135,24 @@
     }
 }
 
-pub fn watch(query: &str) -> WatchRequest {
+pub(crate) fn watch(query: &str) -> WatchRequest {
     match TargetsRequest::parse(query).expect("a request") {
         TargetsRequest::Watch(request) => request,
         TargetsRequest::LookUp(_) => panic!("not a watch: {query}"),
     }
 }
 
-/// What a dispatcher knows from the lines that it was told.
-pub struct Watcher {
-    pub id: WatcherId,
-    pub version: Version,
-    /// Buckets of which all is known.
-    pub held: BTreeSet<BucketId>,
-    pub entries: BTreeMap<String, (EndpointState, Version)>,
+/// What a dispatcher knows from the lines that it was sent.
+pub(crate) struct Watcher {
+    pub(crate) id: WatcherId,
+    pub(crate) version: Version,
+    /// Buckets of which every entry is known.
+    pub(crate) held: BTreeSet<BucketId>,
+    pub(crate) entries: BTreeMap<String, (EndpointState, Version)>,
 }
 
 impl Watcher {
-    pub fn read_line(&mut self, bytes: &[u8]) -> ScopedLine {
+    pub(crate) fn read_line(&mut self, bytes: &[u8]) -> ScopedLine {
         let line: ScopedLine = serde_json::from_slice(bytes).expect("a line");
         assert!(
             line.version >= self.version,
@@ -174,15 +173,15 @@
             assert_ne!(
                 known,
                 Some((entry.state, entry.version)),
-                "{} was told twice",
+                "{} was sent twice",
                 entry.id
             );
         }
         line
     }
 
-    /// The query by which the dispatcher asks again, with what it knows.
-    pub fn again(&self, name: &str, log: &str) -> String {
+    /// The query of the dispatcher's next watch, with what it knows.
+    pub(crate) fn next_query(&self, name: &str, log: &str) -> String {
         let buckets: Vec<String> = self
             .held
             .iter()
@@ -193,7 +192,7 @@
     }
 }
 
-pub fn entries_told(lines: &[ScopedLine]) -> Vec<String> {
+pub(crate) fn entries_sent(lines: &[ScopedLine]) -> Vec<String> {
     lines
         .iter()
         .flat_map(|line| line.servers.iter().map(|entry| entry.id.clone()))
--- a/crates/directory/tests/state.rs
+++ b/crates/directory/tests/directory/state.rs
@@ -1,15 +1,13 @@
-//! The configuration at one version: records, refusals, and snapshots.
-
-mod common;
+//! The configuration at one version: records, rejections, and snapshots.
 
+use crate::installation::{BUCKETS_PER_REGION, Control, endpoint, layout, member, watch};
 use bellsill_directory::entry::{Endpoint, InvalidEntry};
 use bellsill_directory::line::{EndpointEntry, EndpointState, Version};
 use bellsill_directory::record::{self, LoggedRecord, Record};
 use bellsill_directory::request::TargetsRequest;
 use bellsill_directory::snapshot::{SnapshotError, SnapshotReader, encoded_parts};
-use bellsill_directory::state::{ApplyError, Directory, EndpointRefused, Keeping, LogId};
-use bellsill_placement::{Layout, RegionName, ZoneName};
-use common::*;
+use bellsill_directory::state::{ApplyError, Directory, EndpointError, Keeping, LogId};
+use bellsill_placement::{AssignmentChange, Epoch, Layout, RegionName, ZoneName};
 
 fn filled(keeping: Keeping) -> Control {
     let mut control = Control::new(keeping);
@@ -65,75 +63,70 @@
     }
 }
 
-#[test]
-fn what_a_directory_refuses_changes_nothing() {
-    let mut control = filled(Keeping::default());
-    let (version, before) = (control.directory.version(), all_entries(&control.directory));
-    let next = Version(version.0 + 1);
-    let mut refusal = |version: Version, record: Record| {
-        control
-            .directory
-            .apply(&LoggedRecord { version, record })
-            .expect_err("a refusal")
-    };
+fn rejection(control: &mut Control, version: Version, record: Record) -> ApplyError {
+    control
+        .directory
+        .apply(&LoggedRecord { version, record })
+        .expect_err("a rejection")
+}
+
+/// A version too late is rejected, and a record with one endpoint that is valid and one that is not.
+fn rejects_endpoints(control: &mut Control, next: Version) {
     let fine = endpoint(60, EndpointState::Up);
+    let later = Version(next.0 + 1);
     let expected = ApplyError::VersionOutOfOrder {
         expected: next,
-        found: Version(next.0 + 1),
+        found: later,
     };
-    assert_eq!(
-        refusal(
-            Version(next.0 + 1),
-            Record::EndpointsChanged(vec![fine.clone()])
-        ),
-        expected
-    );
+    let record = Record::EndpointsChanged(vec![fine.clone()]);
+    assert_eq!(rejection(control, later, record), expected);
     let elsewhere = Endpoint {
         zone: "west-1".into(),
         ..endpoint(61, EndpointState::Up)
     };
-    let error = refusal(
-        next,
-        Record::EndpointsChanged(vec![fine.clone(), elsewhere]),
-    );
-    assert_eq!(
-        error,
-        ApplyError::Endpoint(EndpointRefused::UnknownZone("west-1".into()))
-    );
-    for moved in [
-        Endpoint {
-            destination: 99,
-            ..endpoint(20, EndpointState::Up)
-        },
-        Endpoint {
-            zone: "south-1".into(),
-            ..endpoint(20, EndpointState::Up)
-        },
+    let other_destination = Endpoint {
+        destination: 99,
+        ..endpoint(20, EndpointState::Up)
+    };
+    let other_region = Endpoint {
+        zone: "south-1".into(),
+        ..endpoint(20, EndpointState::Up)
+    };
+    for (invalid, error) in [
+        (elsewhere, EndpointError::UnknownZone("west-1".into())),
+        (
+            other_destination,
+            EndpointError::Moved("endpoint-20".into()),
+        ),
+        (other_region, EndpointError::Moved("endpoint-20".into())),
     ] {
-        let error = refusal(next, Record::EndpointsChanged(vec![fine.clone(), moved]));
-        assert_eq!(
-            error,
-            ApplyError::Endpoint(EndpointRefused::Moved("endpoint-20".into()))
-        );
+        let record = Record::EndpointsChanged(vec![fine.clone(), invalid]);
+        let rejected = rejection(control, next, record);
+        assert_eq!(rejected, ApplyError::Endpoint(error));
     }
-    let error = refusal(
-        next,
-        Record::MembersChanged(vec![member("north-z", "west-1")]),
-    );
+}
+
+/// A member in an unknown zone is rejected, and a change of the assignment that skips an epoch.
+fn rejects_members_and_changes(control: &mut Control, next: Version) {
+    let record = Record::MembersChanged(vec![member("north-z", "west-1")]);
+    let error = rejection(control, next, record);
     assert!(matches!(error, ApplyError::Member(_)), "{error}");
     let change = control.directory.assignment().plan(&[]).expect("a plan");
-    let skipped = bellsill_placement::AssignmentChange {
-        epoch: bellsill_placement::Epoch(7),
+    let skipped = AssignmentChange {
+        epoch: Epoch(7),
         ..change
     };
-    let skipped = LoggedRecord {
-        version: next,
-        record: Record::AssignmentChanged(skipped),
-    };
-    assert!(matches!(
-        control.directory.apply(&skipped),
-        Err(ApplyError::Placement(_))
-    ));
+    let error = rejection(control, next, Record::AssignmentChanged(skipped));
+    assert!(matches!(error, ApplyError::Placement(_)), "{error}");
+}
+
+#[test]
+fn a_rejected_record_changes_nothing() {
+    let mut control = filled(Keeping::default());
+    let (version, before) = (control.directory.version(), all_entries(&control.directory));
+    let next = Version(version.0 + 1);
+    rejects_endpoints(&mut control, next);
+    rejects_members_and_changes(&mut control, next);
     assert_eq!(
         (control.directory.version(), all_entries(&control.directory)),
         (version, before)
@@ -141,39 +134,39 @@
 }
 
 #[test]
-fn entries_that_make_no_sense_are_refused() {
+fn invalid_entries_are_rejected() {
     let good = endpoint(1, EndpointState::Up).into_entry(Version(0));
-    let refusal = |entry: EndpointEntry| Endpoint::try_from(entry).expect_err("a refusal");
+    let rejection = |entry: EndpointEntry| Endpoint::try_from(entry).expect_err("a rejection");
     assert_eq!(
-        refusal(EndpointEntry {
+        rejection(EndpointEntry {
             id: "two words".into(),
             ..good.clone()
         }),
         InvalidEntry::Name("id")
     );
     assert_eq!(
-        refusal(EndpointEntry {
+        rejection(EndpointEntry {
             kind: "\"".into(),
             ..good.clone()
         }),
         InvalidEntry::Name("kind")
     );
     assert_eq!(
-        refusal(EndpointEntry {
+        rejection(EndpointEntry {
             zone: "z".repeat(129),
             ..good.clone()
         }),
         InvalidEntry::Name("zone")
     );
     assert_eq!(
-        refusal(EndpointEntry {
+        rejection(EndpointEntry {
             addr: None,
             ..good.clone()
         }),
         InvalidEntry::AddressMissing
     );
     assert_eq!(
-        refusal(EndpointEntry {
+        rejection(EndpointEntry {
             weight: Some(-1.0),
             ..good.clone()
         }),
@@ -184,13 +177,13 @@
         ..good
     };
     assert_eq!(
-        refusal(bad_address),
+        rejection(bad_address),
         InvalidEntry::Address("nowhere".into())
     );
 }
 
 #[test]
-fn a_snapshot_restores_all_and_goes_on() {
+fn a_snapshot_restores_everything_and_takes_further_records() {
     let mut control = filled(Keeping {
         changes: 100,
         removed: 5,
@@ -211,7 +204,7 @@
 }
 
 #[test]
-fn damaged_snapshots_are_refused() {
+fn damaged_snapshots_are_rejected() {
     let control = filled(Keeping::default());
     let parts: Vec<Vec<u8>> = encoded_parts(&control.directory).collect();
     let without = |place: usize| {
@@ -234,7 +227,7 @@
 }
 
 #[test]
-fn a_removed_endpoint_is_forgotten_with_its_place_and_can_come_again() {
+fn a_removed_endpoint_is_forgotten_and_may_be_declared_again() {
     let mut control = filled(Keeping {
         changes: 100,
         removed: 5,
@@ -245,16 +238,16 @@
     assert_eq!(control.directory.look_up(&[0]).len(), 1);
     assert!(
         control.directory.look_up(&[7]).is_empty(),
-        "removed ones are in no lookup"
+        "removed endpoints are in no lookup"
     );
-    // One that serves again is not forgotten when its removal has its turn.
+    // An endpoint that is up again is not forgotten when its removal is the oldest.
     control.write_endpoint(7, EndpointState::Up);
     control.write_endpoints(10..20, EndpointState::Removed);
     assert_eq!(control.directory.look_up(&[7]).len(), 1);
 }
 
 #[test]
-fn requests_are_read_or_refused_by_field() {
+fn requests_are_parsed_or_rejected_by_field() {
     for (query, field) in [
         ("follow=1&since=x&dispatcher=a", "since"),
         ("follow=1&since=1", "dispatcher"),
