--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -1,12 +1,13 @@
 //! The assignment: the two holders of each bucket, and the buckets of each member.
 
-use crate::{
-    AssignmentChange, BucketHolders, BucketId, Epoch, Layout, Member, MemberName, PlacementError,
-    REPLICAS, plan,
-};
+use crate::change::{AssignmentChange, BucketHolders, REPLICAS};
+use crate::error::PlacementError;
+use crate::ids::{BucketId, Epoch};
+use crate::layout::Layout;
+use crate::names::MemberName;
 use std::collections::BTreeMap;
 
-/// Which members hold which buckets. Made empty or from a table, and changed only by applying the next change.
+/// Which members hold which buckets. Created empty or from a table, and changed only by applying the next change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     layout: Layout,
@@ -49,14 +50,7 @@
         }
     }
 
-    /// The change that places all buckets on the members that are present. The order of `members` makes no difference.
-    /// A replica stays where it is while its holder is present and within its bound; a member far below its fair share,
-    /// as one that is new, is given it.
-    pub fn plan(&self, members: &[Member]) -> Result<AssignmentChange, PlacementError> {
-        plan::plan(self, members)
-    }
-
-    /// Takes in the change that leads to the next epoch; any other is refused and changes nothing.
+    /// Applies the change that leads to the next epoch; any other is rejected and changes nothing.
     pub fn apply(&mut self, change: &AssignmentChange) -> Result<(), PlacementError> {
         let expected = self.next_epoch();
         if change.epoch != expected {
@@ -101,7 +95,7 @@
         (0..self.layout.buckets()).map(BucketId)
     }
 
-    /// The epoch of the last change applied; nought where none was.
+    /// The epoch of the last change applied; 0 before the first.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
