--- a/crates/core/src/control/discovery.rs
+++ b/crates/core/src/control/discovery.rs
@@ -1,29 +1,81 @@
 //! Discovery: which endpoints there are, when to request a watch on their list, which are disabled.
 
-use super::{suspension::FIRST_BACKOFF, *};
+use super::MS;
+use super::suspension::FIRST_BACKOFF;
+use crate::interface::{
+    Actions, DestinationId, EndpointEntry, EndpointId, EndpointUpdate, Nanos, Settings,
+};
+use crate::random::Random;
+use crate::state::Dispatcher;
+use crate::state::attempts::AttemptsInFlight;
+use crate::state::routes::{Route, Routes};
+use crate::state::watch_request::WatchRequest;
 
 /// How long the state of an unlisted endpoint is kept, in case it returns.
-const FORGET_AFTER: Nanos = 60_000 * MS;
+const UNLISTED_RETENTION: Nanos = 60_000 * MS;
 
-impl Dispatcher {
+impl WatchRequest {
     /// Schedules the next request for a watch, spread over the time that the settings allow. Its cost: until
-    /// then a drain goes unnoticed.
-    pub(super) fn schedule_watch_request(&mut self) {
-        let Some(within) = self.settings.watch_request_limit else {
+    /// then a draining endpoint goes unnoticed.
+    fn schedule(&mut self, settings: &Settings, now: Nanos, random: &mut Random) {
+        let Some(within) = settings.watch_request_limit else {
             return;
         };
-        // A failed request allows four times as long; requests at shorter intervals would only queue up.
-        let spread = self.watch_request_spread;
+        // After a failed request four times as long is allowed; requests at shorter intervals would only queue up.
+        let spread = self.spread;
         let (least, most) = (spread / 2, (spread * 3 / 2).max(within / 4 * 3));
-        self.watch_request_at = self.now + self.random.range(least..most.max(least + 1));
-        self.watch_request_spread = (spread * 2).clamp(within, 2 * within);
+        self.at = Some(now + random.range(least..most.max(least + 1)));
+        self.spread = (spread * 2).clamp(within, 2 * within);
+    }
+}
+
+impl Routes {
+    /// A route whose number may be reused, so that memory does not grow with the endpoints that ever were.
+    fn reusable_route(
+        &self,
+        now: Nanos,
+        in_flight: &AttemptsInFlight,
+        destination: DestinationId,
+    ) -> Option<usize> {
+        let shared = self
+            .destination(destination)
+            .and_then(|known| known.shared_limiter_route);
+        let reusable = |&number: &usize| {
+            let route = &self[number];
+            let kept_until = route
+                .suspended_until
+                .max(route.last_sent_at + UNLISTED_RETENTION);
+            let expired = !route.listed && now >= kept_until;
+            expired && shared != Some(number) && !in_flight.has_route(number)
+        };
+        self.of(destination).iter().copied().find(reusable)
+    }
+
+    /// A suspension of its limiter binds a new route too. Listed in an outage it returns with the same slow start as
+    /// the others, because all backlogs meet there.
+    fn inherit_limiter_state(&mut self, number: usize) {
+        let siblings = self.sharing_limiter(number);
+        let suspended_until = siblings
+            .iter()
+            .map(|&sibling| self[sibling].suspended_until)
+            .max();
+        self[number].suspended_until = suspended_until.unwrap_or(0);
+        self[number].ejected = siblings.iter().any(|&sibling| self[sibling].ejected);
+        self[number].traffic = self[siblings[0]].traffic;
+    }
+}
+
+impl Dispatcher {
+    pub(super) fn schedule_watch_request(&mut self) {
+        self.watch_request
+            .schedule(&self.settings, self.now, &mut self.random);
     }
 
     /// The watch on the list was lost, or a request for one failed.
-    pub fn watch_lost(&mut self, now: Nanos, out: &mut impl Actions) {
+    pub fn watch_lost(&mut self, now: Nanos, actions: &mut impl Actions) {
         self.now = now;
         self.schedule_watch_request();
-        self.decide(out);
+        self.decide(actions);
     }
 
     /// Discovery sent entries of the list.
@@ -32,24 +84,24 @@
         now: Nanos,
         scope: EndpointUpdate,
         entries: &[EndpointEntry],
-        out: &mut impl Actions,
+        actions: &mut impl Actions,
     ) {
         self.now = now;
-        if self.watch_request_at == NEVER {
-            self.watch_request_spread = 0; // The watch is there.
+        if self.watch_request.at.is_none() {
+            self.watch_request.spread = 0; // The watch is active, so the next failure is a first one.
         }
         if scope == EndpointUpdate::Snapshot {
-            self.routes.unlist(now);
+            self.routes.mark_all_unlisted(now);
         }
         entries
             .iter()
-            .for_each(|entry| self.apply_entry(entry, out));
-        self.decide(out);
+            .for_each(|entry| self.apply_entry(entry, actions));
+        self.decide(actions);
     }
 
-    fn apply_entry(&mut self, entry: &EndpointEntry, out: &mut impl Actions) {
+    fn apply_entry(&mut self, entry: &EndpointEntry, actions: &mut impl Actions) {
         let known = self.routes.find(entry.endpoint);
-        let added = || entry.serving.then(|| self.add_route(entry, out));
+        let added = || entry.serving.then(|| self.add_route(entry, actions));
         let Some(route) = known.or_else(added) else {
             return;
         };
@@ -62,10 +114,10 @@
         &mut self,
         now: Nanos,
         endpoint: EndpointId,
-        to: bool,
-        out: &mut impl Actions,
+        disabled: bool,
+        actions: &mut impl Actions,
     ) {
-        let changed = if to {
+        let changed = if disabled {
             self.disabled.insert(endpoint)
         } else {
             self.disabled.remove(&endpoint)
@@ -75,14 +127,15 @@
         }
         self.now = now;
         if let Some(route) = self.routes.find(endpoint) {
-            self.routes[route].set_disabled(to, now);
-            self.routes[route].ejected |= !to; // It was restarted in the meantime, so it returns cold.
-            out.close_idle_connections(endpoint);
+            self.routes[route].set_disabled(disabled, now);
+            // An endpoint is usually restarted while it is disabled, so it returns with a slow start.
+            self.routes[route].ejected |= !disabled;
+            actions.close_idle_connections(endpoint);
         }
-        self.decide(out);
+        self.decide(actions);
     }
 
-    fn add_route(&mut self, entry: &EndpointEntry, out: &mut impl Actions) -> usize {
+    fn add_route(&mut self, entry: &EndpointEntry, actions: &mut impl Actions) -> usize {
         let separate_limits = self
             .settings
             .per_endpoint_limits
@@ -90,60 +143,32 @@
             .copied()
             .unwrap_or(false);
         let number = self
-            .forgotten_route(entry.destination)
+            .routes
+            .reusable_route(self.now, &self.in_flight, entry.destination)
             .unwrap_or(self.routes.next_number());
         let destination = self.routes.destination_mut(entry.destination);
-        let limiter_route = destination.limiter_route(number, separate_limits);
+        let limiter_route = destination.assign_limiter_route(number, separate_limits);
         let entry = EndpointEntry {
             serving: !self.disabled.contains(&entry.endpoint),
             ..*entry
         };
-        let (backoff, sent_at) = (FIRST_BACKOFF, self.now);
         let route = Route {
             entry,
             listed: true,
             limiter_route,
-            backoff,
-            sent_at,
+            backoff: FIRST_BACKOFF,
+            last_sent_at: self.now,
             ..Route::default()
         };
         if let Some(replaced) = self.routes.put(number, route) {
             self.disabled.remove(&replaced);
-            out.endpoint_removed(replaced);
+            actions.endpoint_removed(replaced);
         }
-        self.inherit(number);
+        self.routes.inherit_limiter_state(number);
         let route = &mut self.routes[number];
+        route.jitter = self.random.range(0.5..1.5);
         let bound_until = entry.retry_after_until.unwrap_or(0);
         route.suspended_until = route.suspended_until.max(bound_until);
         number
     }
-
-    /// A route whose number may be reused, so that memory does not grow with the endpoints that ever were.
-    fn forgotten_route(&self, destination: DestinationId) -> Option<usize> {
-        let shared = self
-            .routes
-            .destination(destination)
-            .and_then(|known| known.shared_limiter_route);
-        let forgotten = |&number: &usize| {
-            let route = &self.routes[number];
-            let kept_until = route.suspended_until.max(route.sent_at + FORGET_AFTER);
-            let over = !route.listed && self.now >= kept_until;
-            over && shared != Some(number) && !self.in_flight.has_route(number)
-        };
-        self.routes.of(destination).iter().copied().find(forgotten)
-    }
-
-    /// A new route is bound by a suspension of its limiter. Listed in an outage it returns as cold as the
-    /// others: all backlogs meet there.
-    fn inherit(&mut self, number: usize) {
-        let (siblings, routes) = (self.routes.sharing_limiter(number), &mut self.routes);
-        let suspended_until = siblings
-            .iter()
-            .map(|&sibling| routes[sibling].suspended_until)
-            .max();
-        routes[number].suspended_until = suspended_until.unwrap_or(0);
-        routes[number].ejected = siblings.iter().any(|&sibling| routes[sibling].ejected);
-        routes[number].traffic = routes[siblings[0]].traffic;
-        routes[number].jitter = self.random.range(0.5..1.5);
-    }
 }
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,5 +1,8 @@
 //! All decisions of a dispatcher: which message goes next, by which route, and when one is given up. Every
 //! event comes with the clock and an [`Actions`] that acts at once. `docs/design.md` gives the reasons.
+//!
+//! Rules that work on one part of the state are methods of that part, so that their signatures show what they touch;
+//! the methods of [`Dispatcher`] combine the parts.
 
 mod admission;
 mod discovery;
@@ -17,9 +20,8 @@
 
 pub use crate::state::Dispatcher;
 
-use crate::interface::*;
-use crate::state::{NEVER, attempts::*, idle_connections::*, messages::*, queues::*, routes::*};
-use std::collections::BTreeSet;
+use crate::interface::{Actions, AttemptEnd, MessageId, Nanos, NewMessage, Outcome, Settings};
+use crate::state::messages::MessageState;
 
 const MS: Nanos = 1_000_000;
 
@@ -36,23 +38,23 @@
         &mut self,
         now: Nanos,
         new: impl IntoIterator<Item = NewMessage>,
-        out: &mut impl Actions,
+        actions: &mut impl Actions,
     ) {
         self.now = now;
         new.into_iter()
-            .for_each(|message| self.accept_one(message, out));
-        self.decide(out);
+            .for_each(|message| self.accept_one(message, actions));
+        self.decide(actions);
     }
 
-    fn accept_one(&mut self, new: NewMessage, out: &mut impl Actions) {
-        self.hold(new);
-        if !self.may_retry(&self.messages[&new.id]) {
-            self.give_up(new.id, out); // A former process used up what it may have.
+    fn accept_one(&mut self, new: NewMessage, actions: &mut impl Actions) {
+        self.add_message(new);
+        if !retries::may_retry(&self.settings, self.now, &self.messages[&new.id]) {
+            self.give_up(new.id, actions); // A former process used up its attempts or its time.
         }
     }
 
     /// An attempt has its outcome.
-    pub fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, out: &mut impl Actions) {
+    pub fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, actions: &mut impl Actions) {
         self.now = now;
         let Some(attempt) = self.in_flight.remove(end.message, end.number) else {
             return;
@@ -61,59 +63,64 @@
             return;
         }
         self.record_possible_run(&attempt, end.outcome);
-        // A call is one observation, made with its last answer; a retry-after binds from the first.
+        // A call is one observation, made with its last answer; a Retry-After binds from the first answer on.
         let call_ended = self
             .in_flight
             .count_calls(|other| other.call == attempt.call)
             == 0;
         if call_ended || matches!(end.outcome, Outcome::RateLimited { .. }) {
-            self.observe(attempt, &end, out);
+            self.observe(attempt, &end, actions);
         }
-        self.discount(&end);
-        self.cool_down_key(&end);
-        self.continue_message(&end, out);
-        self.decide(out);
+        self.uncount_unstarted(&end);
+        let message = &self.messages[&end.message];
+        self.keys.cool_down(&self.settings, now, message, &end);
+        self.continue_message(&end, actions);
+        self.decide(actions);
         if self.avoids_idle_connections(attempt.route) {
-            out.close_idle_connections(self.routes[attempt.route].entry.endpoint);
+            actions.close_idle_connections(self.routes[attempt.route].entry.endpoint);
         }
     }
 
-    /// The wake that was requested is due.
-    pub fn wakeup(&mut self, now: Nanos, out: &mut impl Actions) {
+    /// The wakeup that was requested is due.
+    pub fn wakeup(&mut self, now: Nanos, actions: &mut impl Actions) {
         self.now = now;
-        // A wake may come a little early; taken for a stale one its messages would be lost.
-        if self.wake_at <= now + self.settings.clock_resolution {
-            self.wake_at = NEVER;
-        }
-        self.decide(out);
+        // A wakeup may come a little early; if it were ignored as outdated, no other one would be requested.
+        let due_by = now + self.settings.clock_resolution;
+        self.wakeup_at = self.wakeup_at.filter(|&at| at > due_by);
+        self.decide(actions);
     }
 
-    /// The client wants no answer any more.
-    pub fn message_withdrawn(&mut self, now: Nanos, message: MessageId, out: &mut impl Actions) {
+    /// The client no longer wants an answer.
+    pub fn message_withdrawn(
+        &mut self,
+        now: Nanos,
+        message: MessageId,
+        actions: &mut impl Actions,
+    ) {
         self.now = now;
         if self
             .messages
             .get(&message)
-            .is_some_and(|held| !held.stage.ended())
+            .is_some_and(|pending| !pending.state.ended())
         {
-            self.transition(message, Stage::Done, out);
+            self.transition(message, MessageState::Done);
         }
-        self.decide(out);
+        self.decide(actions);
     }
 
     /// Takes every decision that the latest event may have changed.
-    fn decide(&mut self, out: &mut impl Actions) {
-        if self.now >= self.watch_request_at {
-            self.watch_request_at = NEVER;
-            out.request_watch();
+    fn decide(&mut self, actions: &mut impl Actions) {
+        if self.watch_request.at.is_some_and(|at| self.now >= at) {
+            self.watch_request.at = None;
+            actions.request_watch();
         }
-        self.detect_silence(out);
-        self.expire_overdue(out);
-        self.send_all(out);
+        self.detect_silence(actions);
+        self.expire_overdue(actions);
+        self.send_all(actions);
         if !self.settings.caller_admission {
-            self.make_room(out);
+            self.shed_excess_messages(actions);
         }
-        self.free_slot(out);
-        self.request_wake(out);
+        self.cancel_overdue_call(actions);
+        self.request_wakeup(actions);
     }
 }
--- a/crates/core/src/control/ranking.rs
+++ b/crates/core/src/control/ranking.rs
@@ -1,37 +1,52 @@
 //! Ranking: which of the waiting messages goes first.
 
-use super::*;
+use super::MS;
+use crate::interface::{MessageId, Nanos, Settings};
+use crate::state::Dispatcher;
+use crate::state::queues::QueueEntry;
 
-/// How far ahead the ranking looks at least, and by how much less than a long backlog takes.
+/// How far ahead the ranking looks at least, and by how much less than a long backlog takes (in nanoseconds).
 const MIN_HORIZON: Nanos = 1_500 * MS;
 const SHORT_BACKLOG: f64 = 2e9;
 /// The weight of the value itself beside what waiting would lose of it.
 const VALUE_WEIGHT: f64 = 0.03;
 
-impl Dispatcher {
-    /// What waiting for the horizon would lose of a message's value, for each unit of its slot time.
-    fn loss_rate(&self, slot_time: f64, class: usize, due: Nanos, horizon: Nanos) -> f64 {
-        let at = self.now + slot_time as Nanos;
+/// A class of messages, and how long each of them is in flight.
+#[derive(Clone, Copy)]
+struct Cost {
+    class: usize,
+    /// In nanoseconds.
+    time_in_flight: f64,
+}
+
+impl Cost {
+    /// What waiting for the horizon would lose of a message's value, for each nanosecond that it is in flight.
+    fn loss_rate(self, settings: &Settings, now: Nanos, deadline: Nanos, horizon: Nanos) -> f64 {
+        let at = now + self.time_in_flight as Nanos;
         let (sent_now, sent_later) = (
-            self.settings.value_at(class, due, at),
-            self.settings.value_at(class, due, at + horizon),
+            settings.value_at(self.class, deadline, at),
+            settings.value_at(self.class, deadline, at + horizon),
         );
-        ((1.0 + VALUE_WEIGHT) * sent_now - sent_later) / slot_time
+        ((1.0 + VALUE_WEIGHT) * sent_now - sent_later) / self.time_in_flight
     }
+}
 
-    /// Through a long backlog all messages would go just before their end. Its cost: a burst is late.
+impl Dispatcher {
+    /// With a fixed horizon all messages of a long backlog would go just before their deadline. The cost of the longer
+    /// horizon: a burst is late.
     fn horizon(&self) -> Nanos {
-        let slot_time = |class: usize, count: usize| self.usual_latency[class] * count as f64;
+        let total_time =
+            |class: usize, count: usize| self.answer_times.by_class[class] * count as f64;
         let backlog = self
             .waiting
             .iter()
-            .map(|(group, queue)| slot_time(group.class, queue.len()));
+            .map(|(group, queue)| total_time(group.class, queue.len()));
         MIN_HORIZON.max(
             (backlog.sum::<f64>() / self.settings.max_in_flight as f64 - SHORT_BACKLOG) as Nanos,
         )
     }
 
-    /// The message that loses most by waiting, of those that have an eligible route and their turn.
+    /// The message that loses most by waiting, of those that have an eligible route and are next of their key.
     pub(super) fn next_message(&self) -> Option<MessageId> {
         let horizon = self.horizon();
         let mut best: Option<(f64, QueueEntry)> = None;
@@ -40,12 +55,16 @@
             .iter()
             .filter(|(_, queue)| self.has_eligible_route(queue))
         {
-            let slot_time = self.usual_latency(group.destination, group.class);
-            for &entry in queue
-                .iter()
-                .filter(|entry| self.turn_at(entry.id) <= self.now)
-            {
-                let loss = self.loss_rate(slot_time, group.class, entry.deadline, horizon);
+            let cost = Cost {
+                class: group.class,
+                time_in_flight: self.answer_times.usual(
+                    &self.routes,
+                    group.destination,
+                    group.class,
+                ),
+            };
+            for &entry in queue.iter().filter(|entry| self.is_key_ready(entry.id)) {
+                let loss = cost.loss_rate(&self.settings, self.now, entry.deadline, horizon);
                 if best.is_none_or(|(most, first)| loss > most || (loss == most && entry < first)) {
                     best = Some((loss, entry));
                 }
@@ -54,7 +73,12 @@
         best.map(|(_, entry)| entry.id)
     }
 
-    /// The messages that share a call with the first, as its kind allows. A trial goes alone.
+    /// Whether the order of its key lets a message be sent now.
+    pub(super) fn is_key_ready(&self, id: MessageId) -> bool {
+        self.key_ready_at(id).is_some_and(|at| at <= self.now)
+    }
+
+    /// The messages that share a call with the first, as its kind allows. A half-open trial goes alone.
     pub(super) fn batch(&self, first: MessageId, route: usize) -> Vec<MessageId> {
         let most = self
             .settings
@@ -66,12 +90,16 @@
             return vec![first];
         }
         let destination = self.messages[&first].destination;
-        let may_go =
-            |id| self.turn_at(id) <= self.now && self.is_eligible(route, &self.messages[&id]);
+        let may_go = |id| self.is_key_ready(id) && self.is_eligible(route, &self.messages[&id]);
         let mut rest: Vec<(f64, QueueEntry)> = vec![];
         for (group, queue) in self.waiting.of(destination) {
-            let slot_time = self.usual_latency(destination, group.class);
-            let loss = |due| self.loss_rate(slot_time, group.class, due, MIN_HORIZON);
+            let class = group.class;
+            let time_in_flight = self.answer_times.usual(&self.routes, destination, class);
+            let cost = Cost {
+                class,
+                time_in_flight,
+            };
+            let loss = |deadline| cost.loss_rate(&self.settings, self.now, deadline, MIN_HORIZON);
             let others = queue
                 .iter()
                 .filter(|entry| entry.id != first && may_go(entry.id));
--- a/crates/core/src/control/retries.rs
+++ b/crates/core/src/control/retries.rs
@@ -1,134 +1,168 @@
-//! Retries: whether a message goes again, when it is given up, and with which final answer.
+//! Retries: whether a message is sent again, when it is given up, and with which final answer.
 
-use super::*;
+use super::MS;
+use crate::interface::{
+    Actions, AttemptEnd, DeduplicationScope, DeliverySemantics, DestinationId, MessageId, Nanos,
+    Outcome, Settings,
+};
+use crate::state::Dispatcher;
+use crate::state::keys::KeyQueues;
+use crate::state::messages::{Message, MessageState};
+use crate::state::routes::{Route, Routes};
+use std::collections::BTreeSet;
 
-/// How many ticks before the end of its lifetime a message is given up.
-const DEADLINE_MARGIN_TICKS: Nanos = 2;
-/// For so long a dispatcher may be held up between reading its clock and writing: a repeat that begins later than this
+/// How long before the end of its lifetime a message is given up, in resolutions of the caller's clock.
+const DEADLINE_MARGIN: Nanos = 2;
+/// For this long a dispatcher may stall between reading its clock and writing: a repeat that begins later than this
 /// before the end of its window may come after it. Its cost: the last repeats of short windows.
-const LONGEST_HOLD_UP: Nanos = 150 * MS;
+const LONGEST_STALL: Nanos = 150 * MS;
 
-impl Dispatcher {
-    pub(super) fn deadline_margin(&self) -> Nanos {
-        DEADLINE_MARGIN_TICKS * self.settings.clock_resolution
-    }
+/// How long before the end of its lifetime a message is given up.
+pub(super) fn deadline_margin(settings: &Settings) -> Nanos {
+    DEADLINE_MARGIN * settings.clock_resolution
+}
 
-    /// Whether attempts, lifetime and deduplication window allow one more attempt.
-    pub(super) fn may_retry(&self, message: &Message) -> bool {
-        message.attempts < self.settings.max_attempts
-            && self.now + self.deadline_margin() < message.deadline
-            && self.is_repeatable(message, None, self.now)
-    }
+/// Whether attempts, lifetime and deduplication window allow one more attempt.
+pub(super) fn may_retry(settings: &Settings, now: Nanos, message: &Message) -> bool {
+    message.attempts < settings.max_attempts
+        && now + deadline_margin(settings) < message.deadline
+        && is_repeatable(settings, message, None, now)
+}
 
-    /// Whether the attempts made, and one sent at `then` that may have run, allow one more that begins now.
-    pub(super) fn is_repeatable(&self, message: &Message, then: Option<Nanos>, now: Nanos) -> bool {
-        let ran_at = message.possible_run.map(|run| run.sent_at).or(then);
-        match (ran_at, self.settings.classes[message.class].semantics) {
-            (None, _) | (_, DeliverySemantics::Idempotent) => true,
-            (Some(at), DeliverySemantics::IdempotencyKey { window, .. }) => {
-                now + self.settings.clock_resolution + LONGEST_HOLD_UP < at + window
-            }
-            (Some(_), DeliverySemantics::AtMostOnce) => false,
+/// Whether the attempts made, and the one in flight since `in_flight_since` if it runs, allow one more that begins now.
+pub(super) fn is_repeatable(
+    settings: &Settings,
+    message: &Message,
+    in_flight_since: Option<Nanos>,
+    now: Nanos,
+) -> bool {
+    let first_run_at = message
+        .possible_run
+        .map(|run| run.sent_at)
+        .or(in_flight_since);
+    match (first_run_at, settings.classes[message.class].semantics) {
+        (None, _) | (_, DeliverySemantics::Idempotent) => true,
+        (Some(at), DeliverySemantics::IdempotencyKey { window, .. }) => {
+            now + settings.clock_resolution + LONGEST_STALL < at + window
         }
+        (Some(_), DeliverySemantics::AtMostOnce) => false,
     }
+}
 
-    /// After an attempt that may still be running the next message of its key waits.
-    pub(super) fn cool_down_key(&mut self, end: &AttemptEnd) {
-        let message = &self.messages[&end.message];
-        let Some(queue) = self.keys.get_mut(message.key) else {
+/// Whether the client may hand in the message again although it may have run.
+fn may_resubmit(settings: &Settings, message: &Message) -> bool {
+    match (
+        message.possible_run,
+        settings.classes[message.class].semantics,
+    ) {
+        (None, _) | (_, DeliverySemantics::Idempotent) => true,
+        (
+            Some(run),
+            DeliverySemantics::IdempotencyKey {
+                window,
+                scope: DeduplicationScope::Destination,
+            },
+        ) => message.deadline <= run.sent_at + window,
+        _ => false,
+    }
+}
+
+impl KeyQueues {
+    /// After an attempt that may still be running, the next message of its key waits.
+    pub(super) fn cool_down(
+        &mut self,
+        settings: &Settings,
+        now: Nanos,
+        message: &Message,
+        end: &AttemptEnd,
+    ) {
+        let Some(queue) = self.get_mut(message.key) else {
             return;
         };
-        queue.unresolved -= u32::from(message.stage.ended());
+        queue.unresolved -= u32::from(message.state.ended());
         if matches!(
             end.outcome,
             Outcome::TimedOut | Outcome::ConnectionReset | Outcome::Cancelled
         ) {
-            queue.cooldown_until =
-                self.now + self.settings.key_cooldown + self.settings.clock_resolution;
+            queue.cooldown_until = now + settings.key_cooldown + settings.clock_resolution;
         }
     }
+}
 
+impl Routes {
+    /// The Retry-After for a client: when a route of the destination opens again.
+    fn retry_after(&self, settings: &Settings, now: Nanos, destination: DestinationId) -> Nanos {
+        let routes = self.of(destination).iter().map(|&route| &self[route]);
+        let serving = routes.filter(|route| route.entry.serving);
+        let soonest = serving
+            .map(|route| route.suspended_until)
+            .min()
+            .unwrap_or(0);
+        soonest
+            .saturating_sub(now)
+            .min(settings.max_retry_after.unwrap_or(0))
+    }
+}
+
+impl Dispatcher {
     /// Decides what becomes of a message after an attempt.
-    pub(super) fn continue_message(&mut self, end: &AttemptEnd, out: &mut impl Actions) {
+    pub(super) fn continue_message(&mut self, end: &AttemptEnd, actions: &mut impl Actions) {
         let message = &self.messages[&end.message];
         let done = end.message_ended || end.outcome == Outcome::Delivered;
-        match message.stage {
-            Stage::InFlight if done => self.transition(end.message, Stage::Done, out),
-            Stage::InFlight if self.may_retry(message) => {
-                self.transition(end.message, Stage::Waiting, out)
+        match message.state {
+            MessageState::InFlight if done => self.transition(end.message, MessageState::Done),
+            MessageState::InFlight if may_retry(&self.settings, self.now, message) => {
+                self.transition(end.message, MessageState::Waiting)
             }
-            Stage::InFlight => self.give_up(end.message, out),
-            stage => self.transition(end.message, stage, out),
+            MessageState::InFlight => self.give_up(end.message, actions),
+            state => self.transition(end.message, state),
         }
     }
 
-    /// Gives the final answer: defers the message where its client may hand it in again, else bounces it.
-    pub(super) fn give_up(&mut self, id: MessageId, out: &mut impl Actions) {
+    /// Gives the final answer: rejects the message where its client may hand it in again, else fails it.
+    pub(super) fn give_up(&mut self, id: MessageId, actions: &mut impl Actions) {
         let message = &self.messages[&id];
-        let safe = match (
-            message.possible_run,
-            self.settings.classes[message.class].semantics,
-        ) {
-            (None, _) | (_, DeliverySemantics::Idempotent) => true,
-            (
-                Some(run),
-                DeliverySemantics::IdempotencyKey {
-                    window,
-                    scope: DeduplicationScope::Destination,
-                },
-            ) => message.deadline <= run.sent_at + window,
-            _ => false,
-        };
-        let to = if safe && !self.in_flight.has_message(id) {
-            Stage::Deferred
+        if may_resubmit(&self.settings, message) && !self.in_flight.has_message(id) {
+            let destination = message.destination;
+            let retry_after = self
+                .routes
+                .retry_after(&self.settings, self.now, destination);
+            self.transition(id, MessageState::Rejected);
+            actions.reject(id, retry_after);
         } else {
-            Stage::Bounced
-        };
-        self.transition(id, to, out);
-    }
-
-    /// The retry-after for a client: when a route of the destination opens again.
-    pub(crate) fn retry_after(&self, id: MessageId) -> Nanos {
-        let routes = self
-            .routes
-            .of(self.messages[&id].destination)
-            .iter()
-            .map(|&route| &self.routes[route]);
-        let serving = routes.filter(|route| route.entry.serving);
-        let soonest = serving
-            .map(|route| route.suspended_until)
-            .min()
-            .unwrap_or(0);
-        soonest
-            .saturating_sub(self.now)
-            .min(self.settings.max_retry_after.unwrap_or(0))
+            self.transition(id, MessageState::Failed);
+            actions.fail(id);
+        }
     }
 
     /// Gives up the messages that can no longer be delivered.
-    pub(super) fn expire_overdue(&mut self, out: &mut impl Actions) {
+    pub(super) fn expire_overdue(&mut self, actions: &mut impl Actions) {
         let in_flight = self
             .in_flight
             .iter()
             .map(|attempt| &self.messages[&attempt.message]);
-        let late =
-            in_flight.filter(|held| held.stage == Stage::InFlight && self.now >= held.deadline);
+        let late = in_flight.filter(|message| {
+            message.state == MessageState::InFlight && self.now >= message.deadline
+        });
         let mut overdue: BTreeSet<MessageId> = late.map(|message| message.id).collect();
         for (group, queue) in self.waiting.iter() {
-            // A queue ends in the order of its entries, unless windows or keys distinguish its messages.
-            let check_all = group.ran_in.is_some() || self.settings.classes[group.class].ordered;
+            // A queue expires in the order of its entries, unless windows or keys distinguish its messages.
+            let check_all =
+                group.possible_run_zone.is_some() || self.settings.classes[group.class].ordered;
             for entry in queue {
                 let message = &self.messages[&entry.id];
-                if !self.may_retry(message) || self.blocks_key(message) {
+                if !may_retry(&self.settings, self.now, message) || self.blocks_key(message) {
                     overdue.insert(entry.id);
                 } else if !check_all {
                     break;
                 }
             }
         }
-        overdue.into_iter().for_each(|id| self.give_up(id, out));
+        overdue.into_iter().for_each(|id| self.give_up(id, actions));
     }
 
-    /// Whether a message that may have run holds up its key, its routes all suspect. It may be lost early.
+    /// Whether a message that may have run holds up its key while all its routes are suspect. The cost: the message
+    /// may be given up early.
     fn blocks_key(&self, message: &Message) -> bool {
         let queued = self
             .keys
@@ -138,13 +172,13 @@
         let Some(run) = message.possible_run.filter(|_| queued > 1) else {
             return false;
         };
-        let sound =
+        let usable =
             |route: &Route| route.entry.zone == run.zone && route.entry.serving && !route.suspect;
         let mut routes = self
             .routes
             .of(message.destination)
             .iter()
             .map(|&route| &self.routes[route]);
-        self.now >= run.sent_at + patience && !routes.any(sound)
+        self.now >= run.sent_at + patience && !routes.any(usable)
     }
 }
--- a/crates/core/src/control/routing.rs
+++ b/crates/core/src/control/routing.rs
@@ -1,15 +1,21 @@
-//! Routing: by which route a message goes, and which slots it may take.
+//! Routing: by which route a message goes, and how much of the in-flight capacity it may take.
 
-use super::*;
+use super::retries;
+use super::subset::restrict_to_subset;
+use crate::interface::{Actions, DeduplicationScope, DeliverySemantics, MessageId, Nanos};
+use crate::state::Dispatcher;
+use crate::state::attempts::Attempt;
+use crate::state::messages::{Message, MessageState};
+use crate::state::queues::WaitingQueue;
 
-/// The share of the slots that one destination may hold.
-const DESTINATION_SLOT_SHARE: f64 = 0.35;
-const LEAST_DESTINATION_SLOTS: usize = 2;
+/// The share of the in-flight capacity that one destination may take, and the number of calls that it may have at least.
+const DESTINATION_CAPACITY_SHARE: f64 = 0.35;
+const MIN_DESTINATION_CALLS: usize = 2;
 
 impl Dispatcher {
-    /// Sends messages while slots are free.
-    pub(super) fn send_all(&mut self, out: &mut impl Actions) {
-        while self.has_free_slot() && self.now >= self.no_slot_until {
+    /// Sends messages while there is in-flight capacity.
+    pub(super) fn send_all(&mut self, actions: &mut impl Actions) {
+        while self.has_capacity() && self.now >= self.no_capacity_until {
             let Some(id) = self.next_message() else {
                 return;
             };
@@ -17,17 +23,19 @@
                 return;
             };
             let batch = self.batch(id, route);
-            self.calls += 1;
-            batch.into_iter().for_each(|id| self.send(id, route, out));
+            self.latest_call += 1;
+            batch
+                .into_iter()
+                .for_each(|id| self.send(id, route, actions));
         }
     }
 
-    /// From when on a message may go by a route, as things stand; NEVER: not before another event.
-    pub(super) fn eligible_at(&self, number: usize, message: &Message) -> Nanos {
+    /// From when on a message may go by a route if nothing else happens; `None`: not before another event.
+    pub(super) fn eligible_at(&self, number: usize, message: &Message) -> Option<Nanos> {
         let route = &self.routes[number];
-        let repeat = self.settings.classes[message.class].semantics;
+        let semantics = self.settings.classes[message.class].semantics;
         let zone_bound = matches!(
-            repeat,
+            semantics,
             DeliverySemantics::IdempotencyKey {
                 scope: DeduplicationScope::Zone,
                 ..
@@ -37,23 +45,22 @@
             .possible_run
             .is_some_and(|run| run.zone != route.entry.zone);
         if !route.entry.serving || (zone_bound && other_zone) {
-            return NEVER;
+            return None;
         }
         let limiter = self.routes.limiter(number);
-        let paced_until = limiter.sent_at + limiter.pacing_interval;
-        let at = route
-            .suspended_until
-            .max(paced_until)
-            .max(self.spaced_until(number));
+        let paced_until = limiter.last_sent_at + limiter.pacing_interval;
+        let spaced_until = self.routes.spaced_until(&self.settings, self.now, number);
+        let at = route.suspended_until.max(paced_until).max(spaced_until);
         if route.suspect {
-            at.max(self.trial_at(number, repeat))
+            Some(at.max(self.half_open_trial_at(number, semantics)?))
         } else {
-            at
+            Some(at)
         }
     }
 
     pub(super) fn is_eligible(&self, route: usize, message: &Message) -> bool {
-        self.eligible_at(route, message) <= self.now
+        self.eligible_at(route, message)
+            .is_some_and(|at| at <= self.now)
     }
 
     /// Whether the first message of a queue, and so each of them, has an eligible route.
@@ -62,11 +69,11 @@
             return false;
         };
         let destination = message.destination;
-        let share = (self.settings.max_in_flight as f64 * DESTINATION_SLOT_SHARE) as usize;
-        let held = self
+        let share = (self.settings.max_in_flight as f64 * DESTINATION_CAPACITY_SHARE) as usize;
+        let in_flight = self
             .in_flight
-            .count_calls(|o| self.routes[o.route].entry.destination == destination);
-        held < share.max(LEAST_DESTINATION_SLOTS)
+            .count_calls(|other| self.routes[other.route].entry.destination == destination);
+        in_flight < share.max(MIN_DESTINATION_CALLS)
             && self
                 .routes
                 .of(destination)
@@ -75,7 +82,7 @@
     }
 
     /// Picks each eligible route once a round, in random order; first the one that was used last and has no
-    /// attempt in flight, for it may have an idle connection.
+    /// attempt in flight, because it may have an idle connection.
     fn pick_route(&mut self, id: MessageId) -> Option<usize> {
         let (message, destination) = (&self.messages[&id], self.messages[&id].destination);
         let routes = self.routes.of(destination).to_vec();
@@ -83,7 +90,7 @@
             .iter()
             .map(|&route| self.is_eligible(route, message))
             .collect();
-        let eligible = self.narrow_to_subset(&routes, eligible);
+        let eligible = restrict_to_subset(&self.settings, &self.routes, &routes, eligible);
         let picked = self.routes.destination(destination)?.picked;
         let picked = if eligible[picked..].contains(&true) {
             picked
@@ -93,9 +100,9 @@
         let left: Vec<usize> = (picked..routes.len())
             .filter(|&index| eligible[index])
             .collect();
-        let free =
+        let unused =
             |index: usize| Some(routes[index]).filter(|&route| !self.in_flight.has_route(route));
-        let last_used = |&index: &usize| free(index).map(|route| self.routes[route].sent_at);
+        let last_used = |&index: &usize| unused(index).map(|route| self.routes[route].last_sent_at);
         let latest = left.iter().map(last_used).max()?;
         let best: Vec<usize> = left
             .into_iter()
@@ -108,24 +115,28 @@
         Some(destination.routes[picked])
     }
 
-    fn send(&mut self, id: MessageId, route: usize, out: &mut impl Actions) {
+    fn send(&mut self, id: MessageId, route: usize, actions: &mut impl Actions) {
         let message = &self.messages[&id];
-        let left = message.deadline - self.now - self.deadline_margin();
-        let timeout = self.timeout(message, route).min(left);
+        let left = message.deadline - self.now - retries::deadline_margin(&self.settings);
+        let timeout = self
+            .answer_times
+            .timeout(&self.settings, &self.routes, message, route)
+            .min(left);
         let fresh_connection = self.avoids_idle_connections(route);
         let endpoint = self.routes[route].entry.endpoint;
         if fresh_connection {
-            out.close_idle_connections(endpoint);
+            actions.close_idle_connections(endpoint);
         }
         self.record_send(id, route, fresh_connection);
         self.routes[route].jitter = self.random.range(0.5..1.5);
-        self.transition(id, Stage::InFlight, out);
-        out.send_attempt(id, endpoint, timeout);
+        self.transition(id, MessageState::InFlight);
+        actions.send_attempt(id, endpoint, timeout);
     }
 
-    /// Cancels one overdue call if a message waits for a slot. An at-most-once message may be bounced early.
-    pub(super) fn free_slot(&mut self, out: &mut impl Actions) {
-        if self.has_free_slot() || self.in_flight.iter().any(|attempt| attempt.cancelled) {
+    /// Cancels one overdue call if a message waits for in-flight capacity. The cost: an at-most-once message may fail
+    /// early.
+    pub(super) fn cancel_overdue_call(&mut self, actions: &mut impl Actions) {
+        if self.has_capacity() || self.in_flight.iter().any(|attempt| attempt.cancelled) {
             return;
         }
         let overdue = |attempt: &Attempt| self.is_overdue(attempt);
@@ -135,25 +146,29 @@
             .find(|call| call.iter().all(overdue))
             .map(|call| call[0].call);
         let Some(call) = call else { return };
-        let has_turn =
-            |queue: &WaitingQueue| queue.iter().any(|entry| self.turn_at(entry.id) <= self.now);
+        let has_ready_message =
+            |queue: &WaitingQueue| queue.iter().any(|entry| self.is_key_ready(entry.id));
         if self
             .waiting
             .iter()
-            .any(|(_, queue)| self.has_eligible_route(queue) && has_turn(queue))
+            .any(|(_, queue)| self.has_eligible_route(queue) && has_ready_message(queue))
         {
             let cancelled = self.in_flight.cancel(call);
             cancelled
                 .into_iter()
-                .for_each(|attempt| out.cancel_attempt(attempt.message, attempt.number));
+                .for_each(|attempt| actions.cancel_attempt(attempt.message, attempt.number));
         }
     }
 
+    /// Whether an attempt is unanswered for longer than is usual, at a route that is suspect or answers others.
     fn is_overdue(&self, attempt: &Attempt) -> bool {
         let message = &self.messages[&attempt.message];
-        let repeatable = self.is_repeatable(message, Some(attempt.sent_at), self.now);
-        let patience =
-            self.silent_after(attempt.route, attempt.class) * if repeatable { 1 } else { 2 };
+        let repeatable =
+            retries::is_repeatable(&self.settings, message, Some(attempt.sent_at), self.now);
+        let silent_after =
+            self.answer_times
+                .silent_after(&self.routes, attempt.route, attempt.class);
+        let patience = silent_after * if repeatable { 1 } else { 2 };
         let route = &self.routes[attempt.route];
         let expected = !route.suspect && route.answered_at <= attempt.sent_at;
         !expected && self.now >= attempt.sent_at + patience
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -1,33 +1,39 @@
-//! Suspicion: routes held for silence or failures, their trials, and how they recover.
+//! Suspicion: routes that are avoided for silence or failures, their half-open trials, and how they recover.
 
-use super::*;
+use super::MS;
+use crate::interface::{Actions, AttemptEnd, DeliverySemantics, Nanos, Outcome, Settings};
+use crate::state::Dispatcher;
+use crate::state::answer_times::AnswerTimes;
+use crate::state::attempts::Attempt;
+use crate::state::routes::{Route, Routes};
 
 /// A route is silent when an attempt is in flight for this multiple of the usual answer time.
 const SILENCE_MULTIPLE: f64 = 5.0;
-const SILENCE_FLOOR: Nanos = 700 * MS;
+const MIN_SILENCE: Nanos = 700 * MS;
 /// The multiple is cut, down to this part, by the share of attempts not answered in usual time.
 const MIN_PATIENCE: f64 = 0.4;
 const MISSED_WEIGHT: f64 = 0.15;
-/// The interval between the trials of a suspect route, and how much longer at-most-once messages avoid it.
+/// The interval between the half-open trials of a suspect route, and how much longer at-most-once messages avoid it.
 const TRIAL_INTERVAL: Nanos = 400 * MS;
 const AT_MOST_ONCE_DELAY: Nanos = 2_500 * MS;
-/// The share of the slots that all trials together may hold.
-const TRIAL_SLOT_SHARE: f64 = 0.25;
+/// The share of the in-flight capacity that all half-open trials together may take.
+const TRIAL_CAPACITY_SHARE: f64 = 0.25;
 
-impl Dispatcher {
+impl AnswerTimes {
     /// After how long an unanswered attempt counts as silence. Its cost: slow answers are taken for silence.
-    pub(super) fn silent_after(&self, route: usize, class: usize) -> Nanos {
+    pub(super) fn silent_after(&self, routes: &Routes, route: usize, class: usize) -> Nanos {
         let multiple = SILENCE_MULTIPLE * (1.0 - self.missed_share).max(MIN_PATIENCE);
-        let usual = self.usual_latency(self.routes[route].entry.destination, class);
-        ((multiple * usual) as Nanos).max(SILENCE_FLOOR)
+        let usual = self.usual(routes, routes[route].entry.destination, class);
+        ((multiple * usual) as Nanos).max(MIN_SILENCE)
     }
 
-    pub(super) fn silent_at(&self, attempt: &Attempt) -> Nanos {
-        attempt.sent_at + self.silent_after(attempt.route, attempt.class)
+    /// When an attempt counts as silent if it is still unanswered.
+    pub(super) fn silent_at(&self, routes: &Routes, attempt: &Attempt) -> Nanos {
+        attempt.sent_at + self.silent_after(routes, attempt.route, attempt.class)
     }
 
     /// Counts whether an attempt was answered in usual time.
-    pub(super) fn observe_patience(&mut self, outcome: Outcome, late: bool) {
+    pub(super) fn observe_promptness(&mut self, outcome: Outcome, late: bool) {
         if matches!(
             outcome,
             Outcome::Delivered | Outcome::TimedOut | Outcome::Cancelled
@@ -36,88 +42,106 @@
             self.missed_share += MISSED_WEIGHT * (missed - self.missed_share);
         }
     }
+}
 
-    /// Holds silent routes before they take all slots. One silent attempt among answered ones is no sign.
-    pub(super) fn detect_silence(&mut self, out: &mut impl Actions) {
-        for attempt in self.in_flight.iter().copied().collect::<Vec<_>>() {
-            let route = &self.routes[attempt.route];
-            let silent =
-                self.now >= self.silent_at(&attempt) && attempt.sent_at > route.answered_at;
-            if silent && !route.suspect {
-                let why = format!(
-                    "oldest connect {} ms unanswered",
-                    (self.now - attempt.sent_at) / MS
-                );
-                self.suspect(attempt.route, &why, out);
-            }
+impl Route {
+    /// Avoids the route until its next half-open trial.
+    pub(super) fn mark_suspect(&mut self, now: Nanos, reason: &str, actions: &mut impl Actions) {
+        self.observe_traffic(now, 0.0);
+        self.suspended_until = self.suspended_until.max(now + TRIAL_INTERVAL);
+        if !std::mem::replace(&mut self.suspect, true) {
+            let endpoint = self.entry.endpoint.0;
+            actions.log(&format!("endpoint {endpoint} is suspect: {reason}"));
         }
     }
 
-    /// Holds a route, or goes on holding it, until its next trial.
-    pub(super) fn suspect(&mut self, number: usize, why: &str, out: &mut impl Actions) {
-        self.update_traffic(number, 0.0);
-        let route = &mut self.routes[number];
-        route.suspended_until = route.suspended_until.max(self.now + TRIAL_INTERVAL);
-        if !std::mem::replace(&mut route.suspect, true) {
-            out.log(&format!("route {} suspect: {why}", route.entry.endpoint.0));
+    /// A delivery in usual time ends the suspicion, and an ejected route begins its slow start. At a known rate the
+    /// dispatchers try at different times: on average the route returned half way since the attempt before.
+    /// Some guess too early, so the spacing lasts longer.
+    pub(super) fn recover(
+        &mut self,
+        settings: &Settings,
+        now: Nanos,
+        idle_for: Nanos,
+        elapsed: Nanos,
+        actions: &mut impl Actions,
+    ) {
+        let most = if self.fair_interval(settings).is_some() {
+            settings.slow_start / 2
+        } else {
+            0
+        };
+        let (was_suspect, was_warming_since) =
+            (std::mem::take(&mut self.suspect), self.warming_since);
+        let returned_at = now - most.min(idle_for / 2);
+        let new_slow_start = Some(returned_at).filter(|_| std::mem::take(&mut self.ejected));
+        self.warming_since = was_warming_since
+            .filter(|since| now < since + settings.slow_start + most)
+            .or(new_slow_start);
+        let change = match (was_warming_since, self.warming_since) {
+            (None, Some(_)) => "begins a slow start",
+            (_, None) if was_suspect || was_warming_since.is_some() => "is healthy again",
+            _ => return,
+        };
+        let (endpoint, share) = (self.entry.endpoint.0, self.failure_share);
+        actions.log(&format!(
+            "endpoint {endpoint} {change}: delivered in {} ms, failure share {share:.2}",
+            elapsed / MS
+        ));
+    }
+}
+
+impl Dispatcher {
+    /// Avoids silent routes before they take the whole in-flight capacity. One silent attempt among answered ones is no
+    /// sign.
+    pub(super) fn detect_silence(&mut self, actions: &mut impl Actions) {
+        for attempt in self.in_flight.iter().copied().collect::<Vec<_>>() {
+            let silent_at = self.answer_times.silent_at(&self.routes, &attempt);
+            let route = &mut self.routes[attempt.route];
+            let silent = self.now >= silent_at && attempt.sent_at > route.answered_at;
+            if silent && !route.suspect {
+                let unanswered = (self.now - attempt.sent_at) / MS;
+                let reason = format!("an attempt is unanswered for {unanswered} ms");
+                route.mark_suspect(self.now, &reason, actions);
+            }
         }
     }
 
-    /// From when on a message may be the trial of a suspect route. Each has one trial at a time, apart from
-    /// silent ones, and all trials together leave slots for the sound routes.
-    pub(super) fn trial_at(&self, route: usize, repeat: DeliverySemantics) -> Nanos {
-        let most = ((self.settings.max_in_flight as f64 * TRIAL_SLOT_SHARE) as usize).max(1);
+    /// From when on a message may be the half-open trial of a suspect route; `None`: not before another event. Each
+    /// route has one trial at a time, apart from silent ones, and all trials together leave capacity for the others.
+    pub(super) fn half_open_trial_at(
+        &self,
+        route: usize,
+        semantics: DeliverySemantics,
+    ) -> Option<Nanos> {
+        let most = ((self.settings.max_in_flight as f64 * TRIAL_CAPACITY_SHARE) as usize).max(1);
         let trials = self
             .in_flight
             .count_calls(|attempt| self.routes[attempt.route].suspect);
-        let on_trial =
-            |attempt: &Attempt| attempt.route == route && self.now < self.silent_at(attempt);
-        if trials >= most || self.in_flight.count_calls(on_trial) > 0 {
-            return NEVER;
+        let is_trial_here = |attempt: &Attempt| {
+            attempt.route == route && self.now < self.answer_times.silent_at(&self.routes, attempt)
+        };
+        if trials >= most || self.in_flight.count_calls(is_trial_here) > 0 {
+            return None;
         }
-        let delay = if repeat == DeliverySemantics::AtMostOnce {
+        let delay = if semantics == DeliverySemantics::AtMostOnce {
             AT_MOST_ONCE_DELAY
         } else {
             0
         };
-        self.trial_until
-            .max(self.routes[route].suspended_until + delay)
+        Some(
+            self.trials_paused_until
+                .max(self.routes[route].suspended_until + delay),
+        )
     }
 
-    /// Where the share of the trials is less than one slot, they get that share of one slot's time.
-    pub(super) fn space_trials(&mut self, route: usize, end: &AttemptEnd, late: bool) {
-        let share = self.settings.max_in_flight as f64 * TRIAL_SLOT_SHARE;
+    /// Where the trials' share is less than one call, they get that share of the time in which one call is in flight.
+    pub(super) fn pause_trials(&mut self, route: usize, end: &AttemptEnd, late: bool) {
+        let share = self.settings.max_in_flight as f64 * TRIAL_CAPACITY_SHARE;
         if self.routes[route].suspect && share < 1.0 && (late || end.outcome != Outcome::Delivered)
         {
-            self.trial_until = self.now + (end.elapsed as f64 * (1.0 / share - 1.0)) as Nanos;
+            self.trials_paused_until =
+                self.now + (end.elapsed as f64 * (1.0 / share - 1.0)) as Nanos;
         }
     }
-
-    /// A delivery in usual time ends the suspicion, and an ejected route starts its ramp. At a known rate the
-    /// dispatchers try at different times: on average the route returned half way since the attempt before.
-    /// Some guess too early, so the spacing lasts longer.
-    pub(super) fn recover(&mut self, attempt: Attempt, took: Nanos, out: &mut impl Actions) {
-        let most = if self.fair_interval(attempt.route) > 0.0 {
-            self.settings.slow_start / 2
-        } else {
-            0
-        };
-        let route = &mut self.routes[attempt.route];
-        let (suspect, cold) = (std::mem::take(&mut route.suspect), route.cold_since);
-        let returned_at = self.now - most.min(attempt.idle_for / 2);
-        let new_ramp = Some(returned_at).filter(|_| std::mem::take(&mut route.ejected));
-        route.cold_since = cold
-            .filter(|since| self.now < since + self.settings.slow_start + most)
-            .or(new_ramp);
-        let word = match (cold, route.cold_since) {
-            (None, Some(_)) => "returns cold",
-            (_, None) if suspect || cold.is_some() => "open",
-            _ => return,
-        };
-        let (id, share) = (route.entry.endpoint.0, route.failure_share);
-        out.log(&format!(
-            "route {id} {word}: relayed in {} ms, failure share {share:.2}",
-            took / MS
-        ));
-    }
 }
--- a/crates/core/src/control/timers.rs
+++ b/crates/core/src/control/timers.rs
@@ -1,52 +1,71 @@
 //! Timers: when a decision may change though no event comes.
 
-use super::*;
+use super::retries;
+use crate::interface::{Actions, Nanos};
+use crate::state::Dispatcher;
+use crate::state::attempts::Attempt;
+use crate::state::queues::{MessageGroup, WaitingQueue};
+use std::collections::BTreeSet;
+
+/// The soonest of the times noted that are still to come.
+struct Soonest {
+    now: Nanos,
+    at: Option<Nanos>,
+}
+
+impl Soonest {
+    fn note(&mut self, time: Nanos) {
+        if time > self.now {
+            self.at = Some(self.at.map_or(time, |at| at.min(time)));
+        }
+    }
+}
 
 impl Dispatcher {
-    /// Requests a wake, if it is sooner than the one that was requested.
-    pub(super) fn request_wake(&mut self, out: &mut impl Actions) {
-        let at = self.next_wake();
-        if at < self.wake_at {
-            self.wake_at = at;
-            out.schedule_wakeup(at - self.now);
+    /// Requests a wakeup, if it is sooner than the one that was requested.
+    pub(super) fn request_wakeup(&mut self, actions: &mut impl Actions) {
+        let Some(at) = self.next_wakeup() else { return };
+        if self.wakeup_at.is_none_or(|requested| at < requested) {
+            self.wakeup_at = Some(at);
+            actions.schedule_wakeup(at - self.now);
         }
     }
 
-    fn next_wake(&self) -> Nanos {
-        let mut at = NEVER;
-        let mut note = |time: Nanos| at = if time > self.now { at.min(time) } else { at };
-        note(self.watch_request_at);
+    fn next_wakeup(&self) -> Option<Nanos> {
+        let mut soonest = Soonest {
+            now: self.now,
+            at: None,
+        };
+        if let Some(at) = self.watch_request.at {
+            soonest.note(at);
+        }
         self.in_flight
             .iter()
-            .for_each(|attempt| self.note_attempt(attempt, &mut note));
+            .for_each(|attempt| self.note_attempt(attempt, &mut soonest));
         for (group, queue) in self.waiting.iter() {
             let Some(first) = queue.first() else { continue };
-            note(first.deadline - self.deadline_margin().min(first.deadline));
-            if self.has_free_slot() {
-                self.note_eligibility(group, queue, &mut note);
+            let margin = retries::deadline_margin(&self.settings);
+            soonest.note(first.deadline - margin.min(first.deadline));
+            if self.has_capacity() {
+                self.note_eligibility(group, queue, &mut soonest);
             }
         }
-        at
+        soonest.at
     }
 
     /// Notes when an attempt is silent, overdue, and later than its message's lifetime.
-    fn note_attempt(&self, attempt: &Attempt, note: &mut impl FnMut(Nanos)) {
-        let silent_at = self.silent_at(attempt);
-        note(silent_at);
-        note(2 * silent_at - attempt.sent_at);
+    fn note_attempt(&self, attempt: &Attempt, soonest: &mut Soonest) {
+        let silent_at = self.answer_times.silent_at(&self.routes, attempt);
+        soonest.note(silent_at);
+        soonest.note(2 * silent_at - attempt.sent_at);
         let message = &self.messages[&attempt.message];
-        if !message.stage.ended() {
-            note(message.deadline);
+        if !message.state.ended() {
+            soonest.note(message.deadline);
         }
     }
 
     /// Notes when a queue has an eligible route, and when the keys of its messages let them be sent.
-    fn note_eligibility(
-        &self,
-        group: &MessageGroup,
-        queue: &WaitingQueue,
-        note: &mut impl FnMut(Nanos),
-    ) {
+    fn note_eligibility(&self, group: &MessageGroup, queue: &WaitingQueue, soonest: &mut Soonest) {
         let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else {
             return;
         };
@@ -55,14 +74,18 @@
         } else {
             1
         };
-        let turns: BTreeSet<Nanos> = queue
+        let ready_times: BTreeSet<Nanos> = queue
             .iter()
             .take(most)
-            .map(|entry| self.turn_at(entry.id))
+            .filter_map(|entry| self.key_ready_at(entry.id))
             .collect();
         for &route in self.routes.of(group.destination) {
-            let eligible_at = self.eligible_at(route, message).max(self.no_slot_until);
-            turns.iter().for_each(|&turn| note(eligible_at.max(turn)));
+            if let Some(eligible_at) = self.eligible_at(route, message) {
+                let eligible_at = eligible_at.max(self.no_capacity_until);
+                ready_times
+                    .iter()
+                    .for_each(|&ready_at| soonest.note(eligible_at.max(ready_at)));
+            }
         }
     }
 }
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -1,74 +1,74 @@
 //! The attempts that have no outcome yet, in the order in which they were sent.
 
-use crate::interface::*;
+use crate::interface::{AttemptNumber, MessageId, Nanos};
 
 /// One attempt to deliver a message.
 #[derive(Clone, Copy)]
-pub struct Attempt {
-    pub sent_at: Nanos,
-    pub message: MessageId,
-    pub number: AttemptNumber,
-    /// Messages of a batch share one call: it takes one slot and has one fate.
-    pub call: u64,
-    pub class: usize,
-    pub route: usize,
+pub(crate) struct Attempt {
+    pub(crate) sent_at: Nanos,
+    pub(crate) message: MessageId,
+    pub(crate) number: AttemptNumber,
+    /// The messages of a batch share one call: it takes the capacity of one and has one outcome.
+    pub(crate) call: u64,
+    pub(crate) class: usize,
+    pub(crate) route: usize,
     /// The idle connections to the endpoint were closed before it.
-    pub fresh_connection: bool,
+    pub(crate) fresh_connection: bool,
     /// For how long nothing had been sent by its route.
-    pub idle_for: Nanos,
-    pub cancelled: bool,
+    pub(crate) idle_for: Nanos,
+    pub(crate) cancelled: bool,
 }
 
-/// All attempts in flight; those of one call stand together.
+/// All attempts in flight; those of one call follow one another.
 #[derive(Default)]
-pub struct AttemptsInFlight {
+pub(crate) struct AttemptsInFlight {
     attempts: Vec<Attempt>,
 }
 
 impl AttemptsInFlight {
     /// Adds the latest attempt.
-    pub fn push(&mut self, attempt: Attempt) {
+    pub(crate) fn push(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
     }
 
     /// Removes an attempt that has an outcome.
-    pub fn remove(&mut self, message: MessageId, number: AttemptNumber) -> Option<Attempt> {
+    pub(crate) fn remove(&mut self, message: MessageId, number: AttemptNumber) -> Option<Attempt> {
         let same = |attempt: &Attempt| attempt.message == message && attempt.number == number;
         let found = self.attempts.iter().position(same)?;
         Some(self.attempts.remove(found))
     }
 
     /// The attempts, the oldest first.
-    pub fn iter(&self) -> impl Iterator<Item = &Attempt> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter()
     }
 
     /// The attempts of each call.
-    pub fn calls(&self) -> impl Iterator<Item = &[Attempt]> {
+    pub(crate) fn calls(&self) -> impl Iterator<Item = &[Attempt]> {
         self.attempts.chunk_by(|a, b| a.call == b.call)
     }
 
     /// How many calls have an attempt for which the predicate holds.
-    pub fn count_calls(&self, predicate: impl Fn(&Attempt) -> bool) -> usize {
+    pub(crate) fn count_calls(&self, predicate: impl Fn(&Attempt) -> bool) -> usize {
         self.calls()
             .filter(|call| call.iter().any(&predicate))
             .count()
     }
 
     /// Whether an attempt of this message is in flight.
-    pub fn has_message(&self, message: MessageId) -> bool {
+    pub(crate) fn has_message(&self, message: MessageId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.message == message)
     }
 
     /// Whether an attempt is in flight by this route.
-    pub fn has_route(&self, route: usize) -> bool {
+    pub(crate) fn has_route(&self, route: usize) -> bool {
         self.attempts.iter().any(|attempt| attempt.route == route)
     }
 
     /// Marks the attempts of a call as cancelled, and returns them.
-    pub fn cancel(&mut self, call: u64) -> Vec<Attempt> {
+    pub(crate) fn cancel(&mut self, call: u64) -> Vec<Attempt> {
         let mark = |attempt: &mut Attempt| {
             attempt.cancelled = true;
             *attempt
@@ -81,7 +81,7 @@
     }
 
     /// The latest attempt, if it belongs to this call.
-    pub fn latest_of(&self, call: u64) -> Option<&Attempt> {
+    pub(crate) fn latest_of(&self, call: u64) -> Option<&Attempt> {
         self.attempts.last().filter(|attempt| attempt.call == call)
     }
 }
--- a/crates/core/src/state/keys.rs
+++ b/crates/core/src/state/keys.rs
@@ -1,45 +1,44 @@
 //! The messages of each ordering key, in the order in which they were accepted.
 
-use super::NEVER;
 use super::messages::Message;
-use crate::interface::*;
+use crate::interface::{KeyId, MessageId, Nanos};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The messages of one key.
 #[derive(Default)]
-pub struct KeyQueue {
+pub(crate) struct KeyQueue {
     /// Those that have not ended.
-    pub messages: VecDeque<MessageId>,
-    /// Ended messages whose last attempt has no outcome yet.
-    pub unresolved: u32,
-    /// No next message of the key is sent until then.
-    pub cooldown_until: Nanos,
+    pub(crate) messages: VecDeque<MessageId>,
+    /// How many messages have ended whose last attempt has no outcome yet.
+    pub(crate) unresolved: u32,
+    /// The next message of the key is not sent before then.
+    pub(crate) cooldown_until: Nanos,
 }
 
-/// The queues of all keys that have anything to remember.
+/// The queues of all keys that have messages, unresolved attempts or a cooldown.
 #[derive(Default)]
-pub struct KeyQueues {
+pub(crate) struct KeyQueues {
     by_key: BTreeMap<KeyId, KeyQueue>,
 }
 
 impl KeyQueues {
-    /// Whether no key has anything to remember.
-    pub fn is_empty(&self) -> bool {
+    /// Whether no key has a queue.
+    pub(crate) fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
     /// The queue of a message's key.
-    pub fn get(&self, key: Option<KeyId>) -> Option<&KeyQueue> {
+    pub(crate) fn get(&self, key: Option<KeyId>) -> Option<&KeyQueue> {
         key.and_then(|key| self.by_key.get(&key))
     }
 
     /// The queue of a message's key, for changes.
-    pub fn get_mut(&mut self, key: Option<KeyId>) -> Option<&mut KeyQueue> {
+    pub(crate) fn get_mut(&mut self, key: Option<KeyId>) -> Option<&mut KeyQueue> {
         key.and_then(|key| self.by_key.get_mut(&key))
     }
 
     /// Adds a message at the end of the queue of its key.
-    pub fn push(&mut self, key: KeyId, message: MessageId) {
+    pub(crate) fn push(&mut self, key: KeyId, message: MessageId) {
         self.by_key
             .entry(key)
             .or_default()
@@ -47,8 +46,14 @@
             .push_back(message);
     }
 
-    /// Removes a message that has ended, and drops the queues that have nothing to remember.
-    pub fn remove(&mut self, key: Option<KeyId>, message: MessageId, in_flight: bool, now: Nanos) {
+    /// Removes a message that has ended, and drops the queues that are no longer needed.
+    pub(crate) fn remove(
+        &mut self,
+        key: Option<KeyId>,
+        message: MessageId,
+        in_flight: bool,
+        now: Nanos,
+    ) {
         if let Some(queue) = self.get_mut(key) {
             queue.messages.retain(|other| *other != message);
             queue.unresolved += u32::from(in_flight);
@@ -58,18 +63,17 @@
         });
     }
 
-    /// From when on the order of its key lets a message be sent; [`NEVER`] while an earlier one holds it up.
-    pub fn turn_at(&self, message: &Message) -> Nanos {
+    /// From when on the order of its key lets a message be sent; `None` while an earlier message holds it up.
+    pub(crate) fn ready_at(&self, message: &Message) -> Option<Nanos> {
         let Some(queue) = self.get(message.key) else {
-            return 0;
+            return Some(0);
         };
         if queue.messages.front() != Some(&message.id) || queue.unresolved > 0 {
-            return NEVER;
-        }
-        if message.attempts > 0 {
-            0
+            None
+        } else if message.attempts > 0 {
+            Some(0) // The cooldown is for the next message, not for a retry of the same.
         } else {
-            queue.cooldown_until
+            Some(queue.cooldown_until)
         }
     }
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,20 +1,27 @@
 //! The state of a dispatcher: records, queues and indexes. Nothing here decides; [`crate::control`] does.
 
-pub mod attempts;
-pub mod idle_connections;
-pub mod keys;
-pub mod messages;
-pub mod queues;
-pub mod routes;
+pub(crate) mod answer_times;
+pub(crate) mod attempts;
+pub(crate) mod idle_connections;
+pub(crate) mod keys;
+pub(crate) mod messages;
+pub(crate) mod queues;
+pub(crate) mod routes;
 mod sends;
 mod transitions;
+pub(crate) mod watch_request;
 
-use crate::interface::*;
+use crate::interface::{EndpointId, MessageId, Nanos, Settings};
 use crate::random::Random;
+use answer_times::AnswerTimes;
+use attempts::AttemptsInFlight;
+use idle_connections::IdleConnections;
+use keys::KeyQueues;
+use messages::Message;
+use queues::WaitingQueues;
+use routes::Routes;
 use std::collections::{BTreeMap, BTreeSet};
-
-/// A time that does not come.
-pub const NEVER: Nanos = Nanos::MAX;
+use watch_request::WatchRequest;
 
 /// One instance. Its state is declared here; the methods that decide are in [`crate::control`].
 #[derive(Default)]
@@ -23,31 +30,25 @@
     pub(crate) random: Random,
     /// The time of the latest event.
     pub(crate) now: Nanos,
-    /// The usual answer time of each class, over all routes.
-    pub(crate) usual_latency: Vec<f64>,
-    pub(crate) routes: routes::Routes,
-    pub(crate) messages: BTreeMap<MessageId, messages::Message>,
-    pub(crate) waiting: queues::WaitingQueues,
-    pub(crate) keys: keys::KeyQueues,
-    pub(crate) in_flight: attempts::AttemptsInFlight,
+    pub(crate) answer_times: AnswerTimes,
+    pub(crate) routes: Routes,
+    pub(crate) messages: BTreeMap<MessageId, Message>,
+    pub(crate) waiting: WaitingQueues,
+    pub(crate) keys: KeyQueues,
+    pub(crate) in_flight: AttemptsInFlight,
     /// The number of the latest call.
-    pub(crate) calls: u64,
-    /// Disabled by an operator: nothing new is sent there, whatever the list says.
+    pub(crate) latest_call: u64,
+    /// Disabled by an operator: nothing new is sent there, whatever the endpoint list says.
     pub(crate) disabled: BTreeSet<EndpointId>,
-    /// No slot was free, contrary to the count here: nothing is sent until then.
-    pub(crate) no_slot_until: Nanos,
-    /// No trial of a suspect route until then.
-    pub(crate) trial_until: Nanos,
-    /// The moving share of attempts that were not answered in usual time.
-    pub(crate) missed_share: f64,
-    /// For each kind of destinations, how idle connections fared.
-    pub(crate) idle_connections: BTreeMap<usize, idle_connections::IdleConnections>,
-    /// Where lists come only on request: when to request a watch.
-    pub(crate) watch_request_at: Nanos,
-    /// Over how long the next such request is spread.
-    pub(crate) watch_request_spread: Nanos,
-    /// The soonest wake that was requested.
-    pub(crate) wake_at: Nanos,
+    /// The caller had no capacity for one more call although the count here allowed it: nothing is sent until then.
+    pub(crate) no_capacity_until: Nanos,
+    /// No half-open trial of a suspect route starts until then.
+    pub(crate) trials_paused_until: Nanos,
+    /// For each kind of destinations: how its idle connections fared.
+    pub(crate) idle_connections: BTreeMap<usize, IdleConnections>,
+    pub(crate) watch_request: WatchRequest,
+    /// The soonest wakeup that was requested.
+    pub(crate) wakeup_at: Option<Nanos>,
 }
 
 impl Dispatcher {
@@ -55,16 +56,14 @@
     pub(crate) fn with_latency(now: Nanos, settings: Settings, initial_latency: f64) -> Self {
         Dispatcher {
             random: Random::seeded(settings.seed),
-            usual_latency: vec![initial_latency; settings.classes.len()],
+            answer_times: AnswerTimes::new(settings.classes.len(), initial_latency),
             now,
-            wake_at: NEVER,
-            watch_request_at: NEVER,
             settings,
             ..Self::default()
         }
     }
 
-    /// How many listed endpoints are avoided now: disabled by an operator, or held for silence or failures.
+    /// How many listed endpoints are avoided now: those that an operator disabled and those that are suspect.
     pub fn unavailable_endpoints(&self) -> usize {
         self.routes
             .iter()
@@ -81,7 +80,7 @@
         route.is_some_and(|route| route.entry.serving && route.suspended_until <= now)
     }
 
-    /// Until when an endpoint is suspended; nought for one that is not known.
+    /// Until when an endpoint is suspended; zero for one that is not known.
     pub fn suspended_until(&self, endpoint: EndpointId) -> Nanos {
         self.routes
             .find(endpoint)
@@ -89,25 +88,16 @@
     }
 
     /// Whether one more call may be in flight.
-    pub(crate) fn has_free_slot(&self) -> bool {
+    pub(crate) fn has_capacity(&self) -> bool {
         self.in_flight.count_calls(|_| true) < self.settings.max_in_flight
     }
 
-    /// The usual answer time of a class at a destination.
-    pub(crate) fn usual_latency(&self, destination: DestinationId, class: usize) -> f64 {
-        let extra = self
-            .routes
-            .destination(destination)
-            .map_or(0.0, |known| known.extra_latency);
-        self.usual_latency[class] * (1.0 + extra)
-    }
-
-    /// From when on the order of its key lets a message be sent.
-    pub(crate) fn turn_at(&self, id: MessageId) -> Nanos {
+    /// From when on the order of its key lets a message be sent; `None` while an earlier message holds it up.
+    pub(crate) fn key_ready_at(&self, id: MessageId) -> Option<Nanos> {
         if self.keys.is_empty() {
-            0
+            Some(0) // Spares the look-up of the message where nothing is ordered.
         } else {
-            self.keys.turn_at(&self.messages[&id])
+            self.keys.ready_at(&self.messages[&id])
         }
     }
 }
--- a/crates/core/src/state/queues.rs
+++ b/crates/core/src/state/queues.rs
@@ -2,43 +2,43 @@
 //!
 //! Eligibility is the same for all messages of a group, so a long backlog is checked queue by queue.
 
-use crate::interface::*;
+use crate::interface::{DestinationId, MessageId, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What messages have in common that are eligible for the same routes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MessageGroup {
-    pub destination: DestinationId,
-    pub class: usize,
+pub(crate) struct MessageGroup {
+    pub(crate) destination: DestinationId,
+    pub(crate) class: usize,
     /// The zone in which they may have run.
-    pub ran_in: Option<usize>,
+    pub(crate) possible_run_zone: Option<usize>,
 }
 
-/// A waiting message; entries are ordered by when they are due.
+/// A waiting message; entries are ordered by their deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct QueueEntry {
-    /// When its queue lifetime is up.
-    pub deadline: Nanos,
-    pub id: MessageId,
+pub(crate) struct QueueEntry {
+    /// When its lifetime is up.
+    pub(crate) deadline: Nanos,
+    pub(crate) id: MessageId,
 }
 
 /// The waiting messages of one group.
-pub type WaitingQueue = BTreeSet<QueueEntry>;
+pub(crate) type WaitingQueue = BTreeSet<QueueEntry>;
 
 /// All queues that are not empty.
 #[derive(Default)]
-pub struct WaitingQueues {
+pub(crate) struct WaitingQueues {
     by_group: BTreeMap<MessageGroup, WaitingQueue>,
 }
 
 impl WaitingQueues {
     /// Adds a message to the queue of its group.
-    pub fn insert(&mut self, group: MessageGroup, entry: QueueEntry) {
+    pub(crate) fn insert(&mut self, group: MessageGroup, entry: QueueEntry) {
         self.by_group.entry(group).or_default().insert(entry);
     }
 
     /// Removes a message from the queue of its group.
-    pub fn remove(&mut self, group: MessageGroup, entry: QueueEntry) {
+    pub(crate) fn remove(&mut self, group: MessageGroup, entry: QueueEntry) {
         let Some(queue) = self.by_group.get_mut(&group) else {
             return;
         };
@@ -49,19 +49,19 @@
     }
 
     /// The queues, ordered by destination first.
-    pub fn iter(&self) -> impl Iterator<Item = (&MessageGroup, &WaitingQueue)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&MessageGroup, &WaitingQueue)> {
         self.by_group.iter()
     }
 
     /// The queues of one destination.
-    pub fn of(
+    pub(crate) fn of(
         &self,
         destination: DestinationId,
     ) -> impl Iterator<Item = (&MessageGroup, &WaitingQueue)> {
         let first = MessageGroup {
             destination,
             class: 0,
-            ran_in: None,
+            possible_run_zone: None,
         };
         self.by_group
             .range(first..)
@@ -69,7 +69,7 @@
     }
 
     /// How many messages wait for a destination.
-    pub fn backlog(&self, destination: DestinationId) -> usize {
+    pub(crate) fn backlog(&self, destination: DestinationId) -> usize {
         self.of(destination).map(|(_, queue)| queue.len()).sum()
     }
 }
--- a/crates/core/src/state/transitions.rs
+++ b/crates/core/src/state/transitions.rs
@@ -1,11 +1,13 @@
-//! The transitions of a message between its stages, with the queues and counts that follow them.
+//! The transitions of a message between its states, with the queues and counts that follow them.
 
-use super::{Dispatcher, attempts::Attempt, messages::*};
-use crate::interface::*;
+use super::Dispatcher;
+use super::attempts::Attempt;
+use super::messages::{Message, MessageState};
+use crate::interface::{AttemptEnd, MessageId, NewMessage, Outcome, PossibleRun};
 
 impl Dispatcher {
-    /// Holds a message that was accepted; it waits to be sent.
-    pub(crate) fn hold(&mut self, new: NewMessage) {
+    /// Adds a message that was accepted; it waits to be sent.
+    pub(crate) fn add_message(&mut self, new: NewMessage) {
         let key = new
             .key
             .filter(|_| self.settings.classes[new.class.0].ordered);
@@ -30,8 +32,8 @@
         }
     }
 
-    /// An attempt that was not begun is none.
-    pub(crate) fn discount(&mut self, end: &AttemptEnd) {
+    /// An attempt that was not started does not count as one.
+    pub(crate) fn uncount_unstarted(&mut self, end: &AttemptEnd) {
         if let Some(message) = self
             .messages
             .get_mut(&end.message)
@@ -41,22 +43,19 @@
         }
     }
 
-    /// The only place where a message changes its stage: sends the final answers and keeps the counts.
-    pub(crate) fn transition(&mut self, id: MessageId, to: Stage, out: &mut impl Actions) {
+    /// The only place where a message changes its state: keeps the queues and counts in step with it.
+    pub(crate) fn transition(&mut self, id: MessageId, to: MessageState) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        let from = std::mem::replace(&mut message.stage, to);
-        if to == Stage::Waiting {
+        let from = std::mem::replace(&mut message.state, to);
+        if to == MessageState::Waiting {
             self.waiting.insert(message.group(), message.entry());
-        } else if from == Stage::Waiting {
+        } else if from == MessageState::Waiting {
             self.waiting.remove(message.group(), message.entry());
         }
-        match to {
-            Stage::InFlight if from != to => message.attempts += 1,
-            Stage::Deferred if from != to => out.reject(id, self.retry_after(id)),
-            Stage::Bounced if from != to => out.fail(id),
-            _ => {}
+        if to == MessageState::InFlight && from != to {
+            message.attempts += 1;
         }
         if to.ended() {
             self.end(id, from);
@@ -64,7 +63,7 @@
     }
 
     /// Drops a message that has ended, once no attempt of it is in flight.
-    fn end(&mut self, id: MessageId, from: Stage) {
+    fn end(&mut self, id: MessageId, from: MessageState) {
         let in_flight = self.in_flight.has_message(id);
         if !from.ended() {
             self.keys
--- a/crates/core/tests/plain.rs
+++ b/crates/core/tests/plain.rs
@@ -207,7 +207,7 @@
     }
     assert!(w.o.lines.iter().any(|l| l.contains("suspect")));
     assert!(
-        !w.o.lines.iter().any(|l| l.contains("cold")),
+        !w.o.lines.iter().any(|l| l.contains("slow start")),
         "{:?}",
         w.o.lines
     );
@@ -436,7 +436,7 @@
     }
     w.pass(5 * S);
     assert!(
-        w.o.lines.iter().any(|l| l.contains("returns cold")),
+        w.o.lines.iter().any(|l| l.contains("begins a slow start")),
         "{:?}",
         w.o.lines
     );
@@ -505,7 +505,7 @@
     w.o.ways.fill(Way::Answers(100 * MS));
     w.pass(100 * S);
     assert!(
-        w.o.lines.iter().any(|l| l.contains("returns cold")),
+        w.o.lines.iter().any(|l| l.contains("begins a slow start")),
         "{:?} {}",
         w.o.lines,
         w.o.sent.len()
@@ -609,7 +609,7 @@
     assert!(
         w.o.lines
             .iter()
-            .any(|l| l.starts_with("route 0 returns cold")),
+            .any(|l| l.starts_with("endpoint 0 begins a slow start")),
         "{:?}",
         w.o.lines
     );
