--- /dev/null
+++ b/crates/core/tests/decisions/simulation/environment.rs
@@ -0,0 +1,329 @@
+//! The environment of a dispatcher: endpoints that behave as a test says, and a record of what the dispatcher did.
+
+use super::{LIFETIME, MS};
+use bellsill_core::interface::{
+    Actions, AttemptNumber, EndpointEntry, EndpointId, KeyId, MessageId, Nanos, Outcome, Settings,
+};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How an endpoint treats the attempts that are sent to it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Behavior {
+    AnswersAfter(Nanos),
+    Hangs,
+    ReturnsErrors,
+    /// It rate-limits each attempt, with this Retry-After.
+    RateLimits(Option<Nanos>),
+    /// The same without a Retry-After, and only after a while.
+    RateLimitsLate,
+    /// No connection comes up in time.
+    IsUnreachable,
+    /// Its connection table is full, or nothing listens.
+    RefusesConnections,
+    ResetsConnections,
+    /// The dispatcher's process has no capacity for a call to it.
+    MeetsNoLocalCapacity,
+    /// Does the work; every third answer is lost.
+    LosesSomeAnswers,
+    /// Does the work, then breaks the connection.
+    ResetsAfterWork,
+}
+
+/// An attempt that the dispatcher sent.
+pub(crate) struct SentAttempt {
+    pub(crate) at: Nanos,
+    pub(crate) message: MessageId,
+    pub(crate) endpoint: u32,
+    pub(crate) timeout: Nanos,
+}
+
+/// What the environment knows of a message.
+pub(super) struct MessageRecord {
+    pub(super) class: usize,
+    pub(super) key: Option<KeyId>,
+    pub(super) destination: u64,
+    pub(super) deadline: Nanos,
+    pub(super) attempts: u32,
+    /// Where and since when an attempt is in flight.
+    pub(super) in_flight: Option<(u32, Nanos)>,
+    /// When the first attempt that may have run was sent, and its zone.
+    pub(super) possible_run: Option<(Nanos, usize)>,
+    pub(super) ended: bool,
+    /// The call that its latest attempt shares.
+    pub(super) call: u64,
+}
+
+impl MessageRecord {
+    pub(super) fn new(class: usize, destination: u64, deadline: Nanos) -> Self {
+        MessageRecord {
+            class,
+            key: None,
+            destination,
+            deadline,
+            attempts: 0,
+            in_flight: None,
+            possible_run: None,
+            ended: false,
+            call: 0,
+        }
+    }
+}
+
+/// The last call made, and how it will end.
+#[derive(Clone, Copy)]
+struct Call {
+    number: u64,
+    sent_at: Nanos,
+    endpoint: u32,
+    messages: usize,
+    ends_after: Nanos,
+    outcome: Outcome,
+}
+
+/// What happens at a scheduled time.
+pub(super) enum ScheduledEvent {
+    Wakeup,
+    AttemptEnd(MessageId, Outcome),
+}
+
+/// The environment of one dispatcher.
+pub(crate) struct Environment {
+    pub(crate) now: Nanos,
+    pub(crate) settings: Settings,
+    pub(crate) entries: Vec<EndpointEntry>,
+    pub(crate) behaviors: Vec<Behavior>,
+    pub(crate) sent: Vec<SentAttempt>,
+    /// The messages that were rejected, with their Retry-After.
+    pub(crate) rejected: Vec<(MessageId, Nanos)>,
+    pub(crate) failed: Vec<MessageId>,
+    pub(crate) delivered: Vec<MessageId>,
+    pub(crate) log_lines: Vec<String>,
+    /// The endpoints whose idle connections were closed.
+    pub(crate) closed_idle: Vec<u32>,
+    pub(crate) removed: Vec<u32>,
+    /// When a watch was requested.
+    pub(crate) watch_requests: Vec<Nanos>,
+    /// The limit that each answer reports.
+    pub(crate) reported_limit: Option<f64>,
+    pub(super) messages: BTreeMap<MessageId, MessageRecord>,
+    pub(super) key_order: BTreeMap<KeyId, Vec<MessageId>>,
+    /// Until when a key cools down, and after an attempt of which message.
+    pub(super) key_cooldowns: BTreeMap<KeyId, (Nanos, MessageId)>,
+    /// For each limiter: until when a Retry-After binds.
+    pub(super) retry_after_until: BTreeMap<u64, Nanos>,
+    scheduled: BTreeMap<(Nanos, u64), ScheduledEvent>,
+    sequence: u64,
+    latest_call: Option<Call>,
+}
+
+impl Environment {
+    pub(super) fn new(now: Nanos, settings: Settings, entries: Vec<EndpointEntry>) -> Self {
+        Environment {
+            now,
+            settings,
+            behaviors: vec![Behavior::AnswersAfter(100 * MS); entries.len()],
+            entries,
+            sent: vec![],
+            rejected: vec![],
+            failed: vec![],
+            delivered: vec![],
+            log_lines: vec![],
+            closed_idle: vec![],
+            removed: vec![],
+            watch_requests: vec![],
+            reported_limit: None,
+            messages: BTreeMap::new(),
+            key_order: BTreeMap::new(),
+            key_cooldowns: BTreeMap::new(),
+            retry_after_until: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
+            sequence: 0,
+            latest_call: None,
+        }
+    }
+
+    /// When a message was accepted that has the usual lifetime.
+    pub(crate) fn accepted_at(&self, message: MessageId) -> Nanos {
+        self.messages[&message].deadline - LIFETIME
+    }
+
+    /// The limiter that an endpoint is subject to.
+    pub(super) fn limiter(&self, endpoint: u32) -> u64 {
+        let entry = &self.entries[endpoint as usize];
+        if self.settings.per_endpoint_limits[entry.kind.0] {
+            100 + u64::from(endpoint)
+        } else {
+            entry.destination.0
+        }
+    }
+
+    /// Drops all that concerns one process of the dispatcher.
+    pub(super) fn forget_all(&mut self) {
+        self.scheduled.clear();
+        self.messages.clear();
+        self.key_order.clear();
+        self.key_cooldowns.clear();
+        self.retry_after_until.clear();
+    }
+
+    fn schedule(&mut self, at: Nanos, event: ScheduledEvent) {
+        self.sequence += 1;
+        self.scheduled.insert((at, self.sequence), event);
+    }
+
+    /// The next scheduled event up to this time, and when it happens.
+    pub(super) fn next_event(&mut self, until: Nanos) -> Option<(Nanos, ScheduledEvent)> {
+        let first = self.scheduled.first_entry()?;
+        let at = first.key().0;
+        (at <= until).then(|| (at, first.remove()))
+    }
+
+    /// Records that a message has its final answer.
+    pub(super) fn record_end(&mut self, id: MessageId) {
+        self.check_final_answer(id);
+        let message = self.messages.get_mut(&id).expect("checked above");
+        message.ended = true;
+        if let Some(order) = message.key.and_then(|key| self.key_order.get_mut(&key)) {
+            order.retain(|other| *other != id);
+        }
+    }
+
+    /// The call that one more attempt to this endpoint shares. What is sent to one endpoint at once is one call, with one
+    /// outcome, as far as its kind allows.
+    fn shared_call(&self, endpoint: u32) -> Option<Call> {
+        let kind = self.entries[endpoint as usize].kind;
+        let max_batch = self.settings.max_batch.get(kind.0).copied().unwrap_or(1);
+        let calls: BTreeSet<u64> = self
+            .messages
+            .values()
+            .filter(|message| message.in_flight.is_some())
+            .map(|message| message.call)
+            .collect();
+        let shared = self.latest_call.filter(|call| {
+            (call.sent_at, call.endpoint) == (self.now, endpoint)
+                && call.messages < max_batch
+                && calls.contains(&call.number)
+        });
+        assert!(
+            shared.is_some() || calls.len() < self.settings.max_in_flight,
+            "an attempt beyond the in-flight capacity"
+        );
+        shared
+    }
+
+    /// After how long an attempt at this endpoint ends, and how.
+    fn behave(&self, id: MessageId, endpoint: u32, timeout: Nanos) -> (Nanos, Outcome) {
+        match self.behaviors[endpoint as usize] {
+            Behavior::AnswersAfter(after) => (after, Outcome::Delivered),
+            Behavior::Hangs => (timeout + 1, Outcome::TimedOut),
+            Behavior::ReturnsErrors => (30 * MS, Outcome::ServerError),
+            Behavior::RateLimitsLate => (100 * MS, Outcome::RateLimited { retry_after: None }),
+            Behavior::RateLimits(retry_after) => (20 * MS, Outcome::RateLimited { retry_after }),
+            Behavior::IsUnreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
+            Behavior::RefusesConnections => (20 * MS, Outcome::ConnectFailed),
+            Behavior::ResetsConnections => (50 * MS, Outcome::ConnectionReset),
+            Behavior::MeetsNoLocalCapacity => (1, Outcome::NotSent { no_capacity: true }),
+            Behavior::LosesSomeAnswers if id.0.is_multiple_of(3) => {
+                (timeout + 1, Outcome::TimedOut)
+            }
+            Behavior::LosesSomeAnswers => (100 * MS, Outcome::Delivered),
+            Behavior::ResetsAfterWork => (100 * MS, Outcome::ConnectionReset),
+        }
+    }
+}
+
+impl Actions for Environment {
+    fn send_attempt(&mut self, id: MessageId, endpoint: EndpointId, timeout: Nanos) {
+        let (now, endpoint) = (self.now, endpoint.0);
+        self.check_attempt(id, endpoint);
+        let shared = self.shared_call(endpoint);
+        let number = shared.map_or(self.sequence + 1, |call| call.number);
+        let message = self.messages.get_mut(&id).expect("checked above");
+        message.in_flight = Some((endpoint, now));
+        message.attempts += 1;
+        message.call = number;
+        assert!(
+            message.attempts <= self.settings.max_attempts && now + timeout <= message.deadline
+        );
+        let (after, outcome) = self.behave(id, endpoint, timeout);
+        let (ends_after, outcome) =
+            shared.map_or((after, outcome), |call| (call.ends_after, call.outcome));
+        let messages = shared.map_or(0, |call| call.messages) + 1;
+        self.latest_call = Some(Call {
+            number,
+            sent_at: now,
+            endpoint,
+            messages,
+            ends_after,
+            outcome,
+        });
+        // The answers of one call arrive at different times.
+        let after = ends_after + (messages as u64 - 1) * 5 * MS;
+        let (after, outcome) = if after > timeout {
+            (timeout, Outcome::TimedOut)
+        } else {
+            (after, outcome)
+        };
+        self.sent.push(SentAttempt {
+            at: now,
+            message: id,
+            endpoint,
+            timeout,
+        });
+        self.schedule(now + after.max(1), ScheduledEvent::AttemptEnd(id, outcome));
+    }
+
+    fn reject(&mut self, id: MessageId, retry_after: Nanos) {
+        self.check_rejection(id, retry_after);
+        self.record_end(id);
+        self.rejected.push((id, retry_after));
+    }
+
+    fn fail(&mut self, id: MessageId) {
+        self.record_end(id);
+        self.failed.push(id);
+    }
+
+    fn cancel_attempt(&mut self, id: MessageId, number: AttemptNumber) {
+        assert_eq!(
+            number.0 + 1,
+            self.messages[&id].attempts,
+            "cancelled an attempt that is not in flight"
+        );
+        self.scheduled
+            .retain(|_, event| !matches!(event, ScheduledEvent::AttemptEnd(m, _) if *m == id));
+        let end = ScheduledEvent::AttemptEnd(id, Outcome::Cancelled);
+        self.schedule(self.now + 1, end);
+    }
+
+    fn close_idle_connections(&mut self, endpoint: EndpointId) {
+        self.closed_idle.push(endpoint.0);
+    }
+
+    fn endpoint_removed(&mut self, endpoint: EndpointId) {
+        assert!(
+            !self.entries[endpoint.0 as usize].serving,
+            "removed while it serves"
+        );
+        let is_in_use = self
+            .messages
+            .values()
+            .any(|message| message.in_flight.is_some_and(|(to, _)| to == endpoint.0));
+        assert!(!is_in_use, "removed with an attempt in flight");
+        self.removed.push(endpoint.0);
+    }
+
+    fn request_watch(&mut self) {
+        self.watch_requests.push(self.now);
+    }
+
+    fn schedule_wakeup(&mut self, after: Nanos) {
+        assert!(after > 0);
+        // The caller's timers may fire a little early.
+        self.schedule(self.now + after.max(100) - 99, ScheduledEvent::Wakeup);
+    }
+
+    fn log(&mut self, line: &str) {
+        self.log_lines.push(line.to_string());
+    }
+}
--- /dev/null
+++ b/crates/core/tests/decisions/simulation/mod.rs
@@ -0,0 +1,315 @@
+//! A dispatcher in a simulated environment, which carries out its actions and checks the six rules at every one of them.
+
+mod environment;
+mod rules;
+
+pub(crate) use environment::{Behavior, Environment, SentAttempt};
+
+use bellsill_core::control::Dispatcher;
+use bellsill_core::interface::{
+    AttemptEnd, AttemptNumber, ClassId, ClassSettings, DeduplicationScope, DeliverySemantics,
+    DestinationId, EndpointEntry, EndpointId, EndpointUpdate, KeyId, KindId, MessageHistory,
+    MessageId, Nanos, NewMessage, Outcome, PossibleRun, Settings, ValueDecay, ZoneId,
+};
+use environment::{MessageRecord, ScheduledEvent};
+
+pub(crate) const MS: Nanos = 1_000_000;
+pub(crate) const SEC: Nanos = 1_000 * MS;
+/// The lifetime of all classes.
+pub(crate) const LIFETIME: Nanos = 12 * SEC;
+
+/// Four endpoints to each of three destinations; those of the last have a limiter each.
+pub(crate) fn settings() -> Settings {
+    let class = |priority_weight, semantics, ordered| ClassSettings {
+        priority_weight,
+        latency_objective: 2 * SEC,
+        lifetime: LIFETIME,
+        late_value_share: 0.4,
+        semantics,
+        ordered,
+    };
+    let with_key = |scope| DeliverySemantics::IdempotencyKey {
+        window: 6 * SEC,
+        scope,
+    };
+    Settings {
+        dispatcher_index: Some(0),
+        seed: 7,
+        dispatchers: 1,
+        classes: vec![
+            class(1.0, DeliverySemantics::Idempotent, false),
+            class(2.0, with_key(DeduplicationScope::Destination), false),
+            class(2.0, with_key(DeduplicationScope::Zone), true),
+            class(4.0, DeliverySemantics::AtMostOnce, true),
+        ],
+        per_endpoint_limits: vec![false, true],
+        max_batch: vec![],
+        value_decay: ValueDecay::Linear,
+        max_in_flight: 8,
+        queue_capacity: 60,
+        caller_admission: false,
+        max_attempts: 6,
+        connect_timeout: SEC,
+        max_retry_after: Some(2 * SEC),
+        cold_capacity_share: 0.2,
+        slow_start: 10 * SEC,
+        overload_multiple: 2.0,
+        overload_window: 2 * SEC,
+        key_cooldown: 100 * MS,
+        watch_request_limit: None,
+        clock_resolution: 5 * MS,
+    }
+}
+
+/// A dispatcher and its environment.
+pub(crate) struct Simulation {
+    pub(crate) dispatcher: Dispatcher,
+    pub(crate) env: Environment,
+    accepted: u64,
+}
+
+impl Simulation {
+    pub(crate) fn new(settings: Settings) -> Self {
+        Self::with_endpoints(settings, 12)
+    }
+
+    /// Of the third destination, whose endpoints have a limiter each, only endpoint 8 serves.
+    pub(crate) fn with_single_endpoint(settings: Settings) -> Self {
+        let mut sim = Self::new(settings);
+        (9..12).for_each(|endpoint| sim.set_serving(endpoint, false, EndpointUpdate::Delta));
+        sim
+    }
+
+    pub(crate) fn with_endpoints(settings: Settings, endpoints: u32) -> Self {
+        let now = 1_000 * SEC;
+        let entry = |number: u32| EndpointEntry {
+            endpoint: EndpointId(number),
+            destination: DestinationId(u64::from(number / 4)),
+            zone: ZoneId((number % 2) as usize),
+            kind: KindId(usize::from(number >= 8)),
+            serving: true,
+            rate: None,
+            name_hash: number.wrapping_mul(0x9e37_79b9),
+            retry_after_until: None,
+        };
+        let entries = (0..endpoints).map(entry).collect();
+        let mut sim = Simulation {
+            dispatcher: Dispatcher::new(now, settings.clone()),
+            env: Environment::new(now, settings, entries),
+            accepted: 0,
+        };
+        sim.publish_endpoints(EndpointUpdate::Snapshot);
+        sim
+    }
+
+    /// Sends the endpoint list to the dispatcher.
+    pub(crate) fn publish_endpoints(&mut self, scope: EndpointUpdate) {
+        let entries: Vec<EndpointEntry> = self
+            .env
+            .entries
+            .iter()
+            .filter(|entry| scope == EndpointUpdate::Delta || entry.serving)
+            .copied()
+            .collect();
+        self.dispatcher
+            .update_endpoints(self.env.now, scope, &entries, &mut self.env);
+    }
+
+    /// An endpoint starts or stops to serve, and the list is published.
+    pub(crate) fn set_serving(&mut self, endpoint: u32, serving: bool, scope: EndpointUpdate) {
+        self.env.entries[endpoint as usize].serving = serving;
+        self.publish_endpoints(scope);
+    }
+
+    /// Adds an endpoint that answers, with the contents of this one's entry but for its id, to the list.
+    pub(crate) fn add_endpoint_like(&mut self, other: usize) {
+        let added = EndpointEntry {
+            endpoint: EndpointId(self.env.entries.len() as u32),
+            serving: true,
+            ..self.env.entries[other]
+        };
+        self.env.entries.push(added);
+        self.env.behaviors.push(Behavior::AnswersAfter(100 * MS));
+    }
+
+    /// Hands in a message of this class for this destination.
+    pub(crate) fn submit(&mut self, class: usize, destination: u64) -> MessageId {
+        self.submit_with(class, destination, None, LIFETIME)
+    }
+
+    /// The same with an ordering key, which counts for ordered classes, and a lifetime.
+    pub(crate) fn submit_with(
+        &mut self,
+        class: usize,
+        destination: u64,
+        key: Option<u64>,
+        lifetime: Nanos,
+    ) -> MessageId {
+        let key = key
+            .filter(|_| self.env.settings.classes[class].ordered)
+            .map(KeyId);
+        let deadline = self.env.now + lifetime;
+        self.accepted += 1;
+        let record = MessageRecord {
+            key,
+            ..MessageRecord::new(class, destination, deadline)
+        };
+        self.hand_in(MessageId(self.accepted), record)
+    }
+
+    /// Hands in a message that a former process of the dispatcher had.
+    pub(crate) fn submit_with_history(
+        &mut self,
+        class: usize,
+        destination: u64,
+        history: MessageHistory,
+    ) -> MessageId {
+        self.accepted += 1;
+        let record = MessageRecord {
+            attempts: history.attempts,
+            possible_run: history.possible_run.map(|run| (run.sent_at, run.zone.0)),
+            ..MessageRecord::new(class, destination, self.env.now + LIFETIME)
+        };
+        self.hand_in(MessageId(self.accepted), record)
+    }
+
+    fn hand_in(&mut self, id: MessageId, record: MessageRecord) -> MessageId {
+        let new = self.register(id, record);
+        self.dispatcher.accept(self.env.now, [new], &mut self.env);
+        id
+    }
+
+    /// Hands in messages of one class for one destination that are accepted at once.
+    pub(crate) fn submit_many(&mut self, count: u64, class: usize, destination: u64) {
+        let (deadline, first) = (self.env.now + LIFETIME, self.accepted + 1);
+        let all: Vec<NewMessage> = (first..first + count)
+            .map(|id| {
+                let record = MessageRecord::new(class, destination, deadline);
+                self.register(MessageId(id), record)
+            })
+            .collect();
+        self.accepted += count;
+        self.dispatcher.accept(self.env.now, all, &mut self.env);
+    }
+
+    fn register(&mut self, id: MessageId, record: MessageRecord) -> NewMessage {
+        if let Some(key) = record.key {
+            self.env.key_order.entry(key).or_default().push(id);
+        }
+        let new = NewMessage {
+            id,
+            class: ClassId(record.class),
+            key: record.key,
+            destination: DestinationId(record.destination),
+            deadline: record.deadline,
+            history: MessageHistory {
+                attempts: record.attempts,
+                possible_run: record.possible_run.map(|(sent_at, zone)| PossibleRun {
+                    sent_at,
+                    zone: ZoneId(zone),
+                }),
+            },
+        };
+        self.env.messages.insert(id, record);
+        new
+    }
+
+    /// The dispatcher is killed and started again, with nothing but its endpoint list.
+    pub(crate) fn restart_without_journal(&mut self) {
+        self.env.forget_all();
+        self.dispatcher = Dispatcher::new(self.env.now, self.env.settings.clone());
+        self.publish_endpoints(EndpointUpdate::Snapshot);
+    }
+
+    /// The dispatcher is killed and started again with its journal: each message without a final answer is handed in
+    /// again, in the order of acceptance; an attempt that was in flight may have run.
+    pub(crate) fn restart_with_journal(&mut self) {
+        let messages = std::mem::take(&mut self.env.messages);
+        self.restart_without_journal();
+        for (id, mut record) in messages.into_iter().filter(|(_, record)| !record.ended) {
+            if let Some((endpoint, sent_at)) = record.in_flight.take() {
+                let zone = self.env.entries[endpoint as usize].zone.0;
+                record.possible_run.get_or_insert((sent_at, zone));
+            }
+            self.hand_in(id, record);
+        }
+    }
+
+    /// The client withdraws a message.
+    pub(crate) fn withdraw(&mut self, id: MessageId) {
+        if self.env.messages.get(&id).is_some_and(|m| !m.ended) {
+            self.env.record_end(id);
+        }
+        self.dispatcher
+            .message_withdrawn(self.env.now, id, &mut self.env);
+    }
+
+    /// Lets time pass: all that is scheduled happens, and rule 1 is checked after each event.
+    pub(crate) fn advance(&mut self, span: Nanos) {
+        let until = self.env.now + span;
+        while let Some((at, event)) = self.env.next_event(until) {
+            self.env.now = at;
+            match event {
+                ScheduledEvent::Wakeup => self.dispatcher.wakeup(at, &mut self.env),
+                ScheduledEvent::AttemptEnd(id, outcome) => self.end_attempt(id, outcome),
+            }
+            self.env.check_deadlines();
+        }
+        self.env.now = until;
+        self.env.check_deadlines();
+    }
+
+    fn end_attempt(&mut self, id: MessageId, outcome: Outcome) {
+        let now = self.env.now;
+        let message = self
+            .env
+            .messages
+            .get_mut(&id)
+            .expect("an attempt ends of a message that was accepted");
+        let (endpoint, sent_at) = message
+            .in_flight
+            .take()
+            .expect("an attempt ends that is in flight");
+        let zone = self.env.entries[endpoint as usize].zone.0;
+        if outcome.may_have_run() {
+            message.possible_run.get_or_insert((sent_at, zone));
+        }
+        let (key, ended_before) = (message.key, message.ended);
+        let number = AttemptNumber(message.attempts - 1);
+        if let (Outcome::TimedOut | Outcome::Cancelled | Outcome::ConnectionReset, Some(key)) =
+            (outcome, key)
+        {
+            let until = now + self.env.settings.key_cooldown;
+            self.env.key_cooldowns.insert(key, (until, id));
+        }
+        if let Outcome::RateLimited { retry_after } = outcome {
+            let limiter = self.env.limiter(endpoint);
+            let until = self.env.retry_after_until.entry(limiter).or_default();
+            *until = (*until).max(now + retry_after.unwrap_or(0));
+        }
+        if outcome == Outcome::Delivered && !ended_before {
+            self.env.record_end(id);
+            self.env.delivered.push(id);
+        }
+        let end = AttemptEnd {
+            message: id,
+            number,
+            outcome,
+            message_ended: ended_before || outcome == Outcome::Delivered,
+            elapsed: now - sent_at,
+            reported_limit: self.env.reported_limit,
+        };
+        self.dispatcher.attempt_ended(now, end, &mut self.env);
+    }
+
+    /// How many attempts were sent to an endpoint.
+    pub(crate) fn attempts_to(&self, endpoint: u32) -> usize {
+        let to_it = |sent: &&SentAttempt| sent.endpoint == endpoint;
+        self.env.sent.iter().filter(to_it).count()
+    }
+
+    /// Whether a line of the log contains this text.
+    pub(crate) fn has_logged(&self, text: &str) -> bool {
+        self.env.log_lines.iter().any(|line| line.contains(text))
+    }
+}
