--- a/crates/core/src/control/admission.rs
+++ b/crates/core/src/control/admission.rs
@@ -6,13 +6,14 @@
 use crate::state::messages::Message;
 use crate::state::queues::{QueueEntry, WaitingQueues};
 
-/// What one destination's messages of the most important class may take of the queue, as a multiple of the free
-/// capacity (the dynamic threshold of a shared buffer).
+/// What one destination's messages of the most important class may take of the queue, as a multiple
+/// of the free capacity (the dynamic threshold of a shared buffer).
 const ADMISSION_SHARE: f64 = 4.0;
 
 impl Dispatcher {
-    /// Whether a caller that controls admission may accept one more message. A destination may take a part of the
-    /// free capacity, by priority weight, so that one that hangs leaves capacity for the others.
+    /// Whether a caller that controls admission may accept one more message. A destination may take
+    /// a part of the free capacity, by priority weight, so that one that hangs leaves capacity for
+    /// the others.
     pub fn admits(&self, class: ClassId, destination: DestinationId) -> bool {
         let free = self
             .settings
@@ -28,15 +29,16 @@
         (self.waiting.backlog(destination) as f64) < free * share
     }
 
-    /// Whether an attempt whose connection came up now may still be written: since it was decided its route
-    /// may have been drained or suspended, or its deduplication window may have ended.
+    /// Whether an attempt whose connection came up now may still be written: since it was decided
+    /// its route may have been drained or suspended, or its deduplication window may have ended.
     pub fn may_start_attempt(&self, now: Nanos, message: MessageId, endpoint: EndpointId) -> bool {
         let repeatable =
             |message: &Message| retries::is_repeatable(&self.settings, message, None, now);
         self.is_open(now, endpoint) && self.messages.get(&message).is_some_and(repeatable)
     }
 
-    /// While the queue is full, the destination with the longest backlog gives up its least valuable message.
+    /// While the queue is full, the destination with the longest backlog gives up its least
+    /// valuable message.
     pub(super) fn shed_excess_messages(&mut self, actions: &mut impl Actions) {
         let pending = |all: &Self| {
             all.messages
--- a/crates/core/src/control/discovery.rs
+++ b/crates/core/src/control/discovery.rs
@@ -1,6 +1,5 @@
 //! Discovery: which endpoints there are, when to request a watch on their list, which are disabled.
 
-use super::MS;
 use super::suspension::FIRST_BACKOFF;
 use crate::interface::{
     Actions, DestinationId, EndpointEntry, EndpointId, EndpointUpdate, Nanos, Settings,
@@ -10,18 +9,20 @@
 use crate::state::attempts::AttemptsInFlight;
 use crate::state::routes::{Route, Routes};
 use crate::state::watch_request::WatchRequest;
+use crate::units::MS;
 
 /// How long the state of an unlisted endpoint is kept, in case it returns.
 const UNLISTED_RETENTION: Nanos = 60_000 * MS;
 
 impl WatchRequest {
-    /// Schedules the next request for a watch, spread over the time that the settings allow. Its cost: until
-    /// then a draining endpoint goes unnoticed.
+    /// Schedules the next request for a watch, spread over the time that the settings allow. Its
+    /// cost: until then a draining endpoint goes unnoticed.
     fn schedule(&mut self, settings: &Settings, now: Nanos, random: &mut Random) {
         let Some(within) = settings.watch_request_limit else {
             return;
         };
-        // After a failed request four times as long is allowed; requests at shorter intervals would only queue up.
+        // After a failed request four times as long is allowed; requests at shorter intervals would
+        // only queue up.
         let spread = self.spread;
         let (least, most) = (spread / 2, (spread * 3 / 2).max(within / 4 * 3));
         self.at = Some(now + random.range(least..most.max(least + 1)));
@@ -30,7 +31,8 @@
 }
 
 impl Routes {
-    /// A route whose number may be reused, so that memory does not grow with the endpoints that ever were.
+    /// A route whose number may be reused, so that memory does not grow with the endpoints that
+    /// ever were.
     fn reusable_route(
         &self,
         now: Nanos,
@@ -51,8 +53,8 @@
         self.of(destination).iter().copied().find(reusable)
     }
 
-    /// A suspension of its limiter binds a new route too. Listed in an outage it returns with the same slow start as
-    /// the others, because all backlogs meet there.
+    /// A suspension of its limiter binds a new route too. Listed in an outage it returns with the
+    /// same slow start as the others, because all backlogs meet there.
     fn inherit_limiter_state(&mut self, number: usize) {
         let siblings = self.sharing_limiter(number);
         let suspended_until = siblings
@@ -128,7 +130,8 @@
         self.now = now;
         if let Some(route) = self.routes.find(endpoint) {
             self.routes[route].set_disabled(disabled, now);
-            // An endpoint is usually restarted while it is disabled, so it returns with a slow start.
+            // An endpoint is usually restarted while it is disabled, so it returns with a slow
+            // start.
             self.routes[route].ejected |= !disabled;
             actions.close_idle_connections(endpoint);
         }
--- a/crates/core/src/control/idle_connections.rs
+++ b/crates/core/src/control/idle_connections.rs
@@ -1,15 +1,16 @@
-//! Whether idle connections are kept. They fill connection tables, and what is sent on one that was dropped
-//! unnoticed is lost; new connections cost handshakes.
+//! Whether idle connections are kept. They fill connection tables, and what is sent on one that was
+//! dropped unnoticed is lost; new connections cost handshakes.
 
-use super::MS;
 use crate::interface::{Actions, Nanos};
 use crate::state::Dispatcher;
 use crate::state::attempts::Attempt;
 use crate::state::idle_connections::IdleConnections;
+use crate::units::MS;
 
 /// For how long no idle connections to a kind of destinations are kept.
 const AVOID_SPAN: Nanos = 60_000 * MS;
-/// The share of dropped connections at which that begins, and the least weight of one attempt in the share.
+/// The share of dropped connections at which that begins, and the least weight of one attempt in
+/// the share.
 const DROP_THRESHOLD: f64 = 0.15;
 const DROP_WEIGHT: f64 = 0.05;
 /// After a pause of this length one drop is enough.
@@ -28,7 +29,8 @@
         now < self.avoided_until
     }
 
-    /// Counts an attempt. Returns whether idle connections are avoided from now on and were not before.
+    /// Counts an attempt. Returns whether idle connections are avoided from now on and were not
+    /// before.
     fn observe(&mut self, now: Nanos, attempt: &Attempt, seen: &ConnectionObservation) -> bool {
         self.count(seen.dropped, DROP_WEIGHT);
         if attempt.fresh_connection && seen.reset {
@@ -51,7 +53,8 @@
         kind.is_some_and(|kind| kind.are_avoided(self.now))
     }
 
-    /// Counts an attempt for the kind of its destination, and closes the idle connections where they are to be avoided.
+    /// Counts an attempt for the kind of its destination, and closes the idle connections where
+    /// they are to be avoided.
     pub(super) fn observe_idle_connections(
         &mut self,
         attempt: &Attempt,
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! All decisions of a dispatcher: which message goes next, by which route, and when one is given up. Every
-//! event comes with the clock and an [`Actions`] that acts at once. `docs/design.md` gives the reasons.
+//! All decisions of a dispatcher: which message goes next, by which route, and when one is given
+//! up. Every event comes with the clock and an [`Actions`] that acts at once. `docs/design.md`
+//! gives the reasons.
 //!
-//! Rules that work on one part of the state are methods of that part, so that their signatures show what they touch;
-//! the methods of [`Dispatcher`] combine the parts.
+//! Rules that work on one part of the state are methods of that part, so that their signatures show
+//! what they touch; the methods of [`Dispatcher`] combine the parts.
 
 mod admission;
 mod discovery;
@@ -23,8 +24,6 @@
 use crate::interface::{Actions, AttemptEnd, MessageId, Nanos, NewMessage, Outcome, Settings};
 use crate::state::messages::MessageState;
 
-const MS: Nanos = 1_000_000;
-
 impl Dispatcher {
     /// Starts an instance.
     pub fn new(now: Nanos, settings: Settings) -> Self {
@@ -63,7 +62,8 @@
             return;
         }
         self.record_possible_run(&attempt, end.outcome);
-        // A call is one observation, made with its last answer; a Retry-After binds from the first answer on.
+        // A call is one observation, made with its last answer; a Retry-After binds from the first
+        // answer on.
         let call_ended = self
             .in_flight
             .count_calls(|other| other.call == attempt.call)
@@ -84,7 +84,8 @@
     /// The wakeup that was requested is due.
     pub fn wakeup(&mut self, now: Nanos, actions: &mut impl Actions) {
         self.now = now;
-        // A wakeup may come a little early; if it were ignored as outdated, no other one would be requested.
+        // A wakeup may come a little early; if it were ignored as outdated, no other one would be
+        // requested.
         let due_by = now + self.settings.clock_resolution;
         self.wakeup_at = self.wakeup_at.filter(|&at| at > due_by);
         self.decide(actions);
--- a/crates/core/src/control/outcomes.rs
+++ b/crates/core/src/control/outcomes.rs
@@ -7,12 +7,13 @@
 use crate::state::attempts::Attempt;
 use crate::state::routes::Route;
 
-/// The weight of one outcome in a route's failure share, and the share above which a route is suspect.
+/// The weight of one outcome in a route's failure share, and the share above which a route is
+/// suspect.
 const FAILURE_WEIGHT: f64 = 0.25;
 const FAILURE_THRESHOLD: f64 = 0.4;
-/// For how long nothing is sent after the caller had no capacity, contrary to the count here: in resolutions of the
-/// caller's clock.
-const NO_CAPACITY_PAUSE: Nanos = 10;
+/// For how long nothing is sent after the caller had no capacity, contrary to the count here: in
+/// steps of the caller's clock.
+const NO_CAPACITY_CLOCK_STEPS: u64 = 10;
 
 impl Route {
     /// Counts a failure in the failure share.
@@ -20,8 +21,8 @@
         self.failure_share = self.failure_share * (1.0 - weight) + weight;
     }
 
-    /// A connection was refused at once: the endpoint's connection table is full, or it is down. Only this route is
-    /// suspended, not those that share its limiter.
+    /// A connection was refused at once: the endpoint's connection table is full, or it is down.
+    /// Only this route is suspended, not those that share its limiter.
     fn connection_refused(&mut self, settings: &Settings, now: Nanos) {
         self.suspend(settings, now, None);
         self.refused_connections += 1;
@@ -39,7 +40,8 @@
         outcome: Outcome,
         actions: &mut impl Actions,
     ) {
-        // Any route's answer may be garbled on the way; a route that garbles all exceeds the threshold later.
+        // Any route's answer may be garbled on the way; a route that garbles all exceeds the
+        // threshold later.
         let garbled = outcome == Outcome::MalformedResponse;
         self.count_failure(if garbled {
             FAILURE_WEIGHT / 4.0
@@ -47,7 +49,8 @@
             FAILURE_WEIGHT
         });
         let share = self.failure_share;
-        // Each dispatcher of a large fleet uses a route seldom: one connection that timed out counts as an outage.
+        // Each dispatcher of a large fleet uses a route seldom: one connection that timed out
+        // counts as an outage.
         let down = outcome == Outcome::ConnectFailed && self.fleet_factor(settings) > 1.0;
         if (garbled || self.is_warm()) && share <= FAILURE_THRESHOLD && !down {
             return;
@@ -101,7 +104,7 @@
             Outcome::ConnectionReset if !attempt.fresh_connection && early_reset => {}
             Outcome::NotSent { no_capacity: true } | Outcome::NotStarted => {
                 self.no_capacity_until =
-                    self.now + NO_CAPACITY_PAUSE * self.settings.clock_resolution
+                    self.now + NO_CAPACITY_CLOCK_STEPS * self.settings.clock_resolution
             }
             Outcome::NotSent { no_capacity: false } | Outcome::Cancelled => {}
             outcome => {
@@ -110,7 +113,8 @@
         }
     }
 
-    /// Whether a connection broke sooner than an answer usually comes. A later reset is no dropped idle connection.
+    /// Whether a connection broke sooner than an answer usually comes. A later reset is no dropped
+    /// idle connection.
     fn is_early_reset(&self, attempt: &Attempt, end: &AttemptEnd) -> bool {
         let destination = self.routes[attempt.route].entry.destination;
         let usual = self
--- a/crates/core/src/control/pacing.rs
+++ b/crates/core/src/control/pacing.rs
@@ -1,27 +1,33 @@
-//! Pacing: the intervals between sends to a limiter, to a route that is warming up and to an ejected one.
+//! Pacing: the intervals between sends to a limiter, to a route that is warming up and to an
+//! ejected one.
 
-use super::MS;
 use crate::interface::{Nanos, Settings};
 use crate::state::routes::{Limiter, Route, Routes};
+use crate::units::MS;
 
-/// Up to this number dispatchers use each route often; in a larger fleet waits grow by a power of the ratio.
+/// Up to this number dispatchers use each route often; in a larger fleet waits grow by a power of
+/// the ratio.
 const SMALL_FLEET: f64 = 3.0;
 const FLEET_POWER: f64 = 0.65;
-/// The first pacing interval after a rate-limited attempt, and the longest (it must not outlive a long closure).
+/// The first pacing interval after a rate-limited attempt, and the longest (it must not outlive a
+/// long closure).
 const PACING_STEP: Nanos = 40 * MS;
 const MAX_PACING_INTERVAL: Nanos = 1_000 * MS;
 /// The part by which a delivery shortens the pacing interval.
 const PACING_DECREASE: f64 = 0.15;
 /// For a limiter of known rate: the longest pacing interval, in fair intervals (the first is one).
 const MAX_FAIR_INTERVALS: f64 = 4.0;
-/// The least spacing, over all dispatchers together, to a warming or ejected route that had hardly any traffic.
+/// The least spacing, over all dispatchers together, to a warming or ejected route that had hardly
+/// any traffic.
 const WARMING_SPACING: Nanos = 700 * MS;
 const EJECTED_SPACING: Nanos = 300 * MS;
-/// What a warm route is taken to bear, as a multiple of its traffic, and the time constant of the traffic in nanoseconds.
+/// What a warm route is taken to bear, as a multiple of its traffic, and the time constant of the
+/// traffic in nanoseconds.
 const TRAFFIC_HEADROOM: f64 = 1.2;
 const TRAFFIC_SPAN: f64 = 8e9;
 
-/// Whether all dispatchers can have messages for a limiter of this rate at once: they wait half their lifetime there.
+/// Whether all dispatchers can have messages for a limiter of this rate at once: they wait half
+/// their lifetime there.
 fn is_contended(settings: &Settings, rate: f64) -> bool {
     rate * settings.longest_lifetime() as f64 / 2e9 >= f64::from(settings.dispatchers)
 }
@@ -56,7 +62,8 @@
         })
     }
 
-    /// In a large fleet a limiter that opens gets one message of each dispatcher, and the next once that is answered.
+    /// In a large fleet a limiter that opens gets one message of each dispatcher, and the next once
+    /// that is answered.
     pub(super) fn first_pacing_interval(&self, settings: &Settings) -> Nanos {
         ((PACING_STEP as f64 * self.fleet_factor(settings)) as Nanos).min(MAX_PACING_INTERVAL)
     }
@@ -91,7 +98,8 @@
         }
     }
 
-    /// Doubles the pacing interval after a rate-limited attempt, with jitter because many are rejected at once.
+    /// Doubles the pacing interval after a rate-limited attempt, with jitter because many are
+    /// rejected at once.
     pub(super) fn widen_pacing(&mut self, settings: &Settings, route: usize) {
         let contended_interval = self[self[route].limiter_route].contended_interval(settings);
         let fair = contended_interval.unwrap_or(0.0) * self[route].jitter;
@@ -103,8 +111,9 @@
         limiter.pacing_interval = (limiter.pacing_interval * 2).clamp(least, most);
     }
 
-    /// The interval between sends to a warming or ejected route, by the available part of its capacity and this
-    /// dispatcher's former traffic. With next to none, all dispatchers together send one in `least`.
+    /// The interval between sends to a warming or ejected route, by the available part of its
+    /// capacity and this dispatcher's former traffic. With next to none, all dispatchers together
+    /// send one in `least`.
     fn spacing(&self, settings: &Settings, number: usize, available: f64, least: Nanos) -> Nanos {
         let route = &self[number];
         let rate = route.traffic / TRAFFIC_SPAN
@@ -121,7 +130,8 @@
         (spacing.min(f64::from(settings.dispatchers) * least as f64) * route.jitter) as Nanos
     }
 
-    /// When the slow start of a warming route, or the spacing of an ejected one, allows the next send.
+    /// When the slow start of a warming route, or the spacing of an ejected one, allows the next
+    /// send.
     pub(super) fn spaced_until(&self, settings: &Settings, now: Nanos, number: usize) -> Nanos {
         let (route, cold) = (&self[number], settings.cold_capacity_share);
         let mut at = 0;
@@ -131,7 +141,8 @@
             at = route.last_sent_at + self.spacing(settings, number, available, WARMING_SPACING);
         }
         if route.ejected {
-            // All dispatchers learn from a Retry-After when the route opens: the spacing spreads them before and after.
+            // All dispatchers learn from a Retry-After when the route opens: the spacing spreads
+            // them before and after.
             let spacing = self.spacing(settings, number, cold, EJECTED_SPACING);
             at = at.max(
                 route
--- a/crates/core/src/control/ranking.rs
+++ b/crates/core/src/control/ranking.rs
@@ -1,11 +1,12 @@
 //! Ranking: which of the waiting messages goes first.
 
-use super::MS;
 use crate::interface::{MessageId, Nanos, Settings};
 use crate::state::Dispatcher;
 use crate::state::queues::QueueEntry;
+use crate::units::MS;
 
-/// How far ahead the ranking looks at least, and by how much less than a long backlog takes (in nanoseconds).
+/// How far ahead the ranking looks at least, and by how much less than a long backlog takes (in
+/// nanoseconds).
 const MIN_HORIZON: Nanos = 1_500 * MS;
 const SHORT_BACKLOG: f64 = 2e9;
 /// The weight of the value itself beside what waiting would lose of it.
@@ -20,7 +21,8 @@
 }
 
 impl Cost {
-    /// What waiting for the horizon would lose of a message's value, for each nanosecond that it is in flight.
+    /// What waiting for the horizon would lose of a message's value, for each nanosecond that it is
+    /// in flight.
     fn loss_rate(self, settings: &Settings, now: Nanos, deadline: Nanos, horizon: Nanos) -> f64 {
         let at = now + self.time_in_flight as Nanos;
         let (sent_now, sent_later) = (
@@ -32,8 +34,8 @@
 }
 
 impl Dispatcher {
-    /// With a fixed horizon all messages of a long backlog would go just before their deadline. The cost of the longer
-    /// horizon: a burst is late.
+    /// With a fixed horizon all messages of a long backlog would go just before their deadline. The
+    /// cost of the longer horizon: a burst is late.
     fn horizon(&self) -> Nanos {
         let total_time =
             |class: usize, count: usize| self.answer_times.by_class[class] * count as f64;
@@ -46,7 +48,8 @@
         )
     }
 
-    /// The message that loses most by waiting, of those that have an eligible route and are next of their key.
+    /// The message that loses most by waiting, of those that have an eligible route and are next of
+    /// their key.
     pub(super) fn next_message(&self) -> Option<MessageId> {
         let horizon = self.horizon();
         let mut best: Option<(f64, QueueEntry)> = None;
@@ -78,7 +81,8 @@
         self.key_ready_at(id).is_some_and(|at| at <= self.now)
     }
 
-    /// The messages that share a call with the first, as its kind allows. A half-open trial goes alone.
+    /// The messages that share a call with the first, as its kind allows. A half-open trial goes
+    /// alone.
     pub(super) fn batch(&self, first: MessageId, route: usize) -> Vec<MessageId> {
         let most = self
             .settings
--- a/crates/core/src/control/retries.rs
+++ b/crates/core/src/control/retries.rs
@@ -1,6 +1,5 @@
 //! Retries: whether a message is sent again, when it is given up, and with which final answer.
 
-use super::MS;
 use crate::interface::{
     Actions, AttemptEnd, DeduplicationScope, DeliverySemantics, DestinationId, MessageId, Nanos,
     Outcome, Settings,
@@ -9,17 +8,19 @@
 use crate::state::keys::KeyQueues;
 use crate::state::messages::{Message, MessageState};
 use crate::state::routes::{Route, Routes};
+use crate::units::MS;
 use std::collections::BTreeSet;
 
-/// How long before the end of its lifetime a message is given up, in resolutions of the caller's clock.
-const DEADLINE_MARGIN: Nanos = 2;
-/// For this long a dispatcher may stall between reading its clock and writing: a repeat that begins later than this
-/// before the end of its window may come after it. Its cost: the last repeats of short windows.
+/// How long before the end of its lifetime a message is given up, in steps of the caller's clock.
+const DEADLINE_MARGIN_CLOCK_STEPS: u64 = 2;
+/// For this long a dispatcher may stall between reading its clock and writing: a repeat that begins
+/// later than this before the end of its window may come after it. Its cost: the last repeats of
+/// short windows.
 const LONGEST_STALL: Nanos = 150 * MS;
 
 /// How long before the end of its lifetime a message is given up.
 pub(super) fn deadline_margin(settings: &Settings) -> Nanos {
-    DEADLINE_MARGIN * settings.clock_resolution
+    DEADLINE_MARGIN_CLOCK_STEPS * settings.clock_resolution
 }
 
 /// Whether attempts, lifetime and deduplication window allow one more attempt.
@@ -29,7 +30,8 @@
         && is_repeatable(settings, message, None, now)
 }
 
-/// Whether the attempts made, and the one in flight since `in_flight_since` if it runs, allow one more that begins now.
+/// Whether the attempts made, and the one in flight since `in_flight_since` if it runs, allow one
+/// more that begins now.
 pub(super) fn is_repeatable(
     settings: &Settings,
     message: &Message,
@@ -119,7 +121,8 @@
         }
     }
 
-    /// Gives the final answer: rejects the message where its client may hand it in again, else fails it.
+    /// Gives the final answer: rejects the message where its client may hand it in again, else
+    /// fails it.
     pub(super) fn give_up(&mut self, id: MessageId, actions: &mut impl Actions) {
         let message = &self.messages[&id];
         if may_resubmit(&self.settings, message) && !self.in_flight.has_message(id) {
@@ -146,7 +149,8 @@
         });
         let mut overdue: BTreeSet<MessageId> = late.map(|message| message.id).collect();
         for (group, queue) in self.waiting.iter() {
-            // A queue expires in the order of its entries, unless windows or keys distinguish its messages.
+            // A queue expires in the order of its entries, unless windows or keys distinguish its
+            // messages.
             let check_all =
                 group.possible_run_zone.is_some() || self.settings.classes[group.class].ordered;
             for entry in queue {
@@ -161,8 +165,8 @@
         overdue.into_iter().for_each(|id| self.give_up(id, actions));
     }
 
-    /// Whether a message that may have run holds up its key while all its routes are suspect. The cost: the message
-    /// may be given up early.
+    /// Whether a message that may have run holds up its key while all its routes are suspect. The
+    /// cost: the message may be given up early.
     fn blocks_key(&self, message: &Message) -> bool {
         let queued = self
             .keys
--- a/crates/core/src/control/routing.rs
+++ b/crates/core/src/control/routing.rs
@@ -8,7 +8,8 @@
 use crate::state::messages::{Message, MessageState};
 use crate::state::queues::WaitingQueue;
 
-/// The share of the in-flight capacity that one destination may take, and the number of calls that it may have at least.
+/// The share of the in-flight capacity that one destination may take, and the number of calls that
+/// it may have at least.
 const DESTINATION_CAPACITY_SHARE: f64 = 0.35;
 const MIN_DESTINATION_CALLS: usize = 2;
 
@@ -30,7 +31,8 @@
         }
     }
 
-    /// From when on a message may go by a route if nothing else happens; `None`: not before another event.
+    /// From when on a message may go by a route if nothing else happens; `None`: not before another
+    /// event.
     pub(super) fn eligible_at(&self, number: usize, message: &Message) -> Option<Nanos> {
         let route = &self.routes[number];
         let semantics = self.settings.classes[message.class].semantics;
@@ -81,8 +83,8 @@
                 .any(|&route| self.is_eligible(route, message))
     }
 
-    /// Picks each eligible route once a round, in random order; first the one that was used last and has no
-    /// attempt in flight, because it may have an idle connection.
+    /// Picks each eligible route once a round, in random order; first the one that was used last
+    /// and has no attempt in flight, because it may have an idle connection.
     fn pick_route(&mut self, id: MessageId) -> Option<usize> {
         let (message, destination) = (&self.messages[&id], self.messages[&id].destination);
         let routes = self.routes.of(destination).to_vec();
@@ -133,8 +135,8 @@
         actions.send_attempt(id, endpoint, timeout);
     }
 
-    /// Cancels one overdue call if a message waits for in-flight capacity. The cost: an at-most-once message may fail
-    /// early.
+    /// Cancels one overdue call if a message waits for in-flight capacity. The cost: an
+    /// at-most-once message may fail early.
     pub(super) fn cancel_overdue_call(&mut self, actions: &mut impl Actions) {
         if self.has_capacity() || self.in_flight.iter().any(|attempt| attempt.cancelled) {
             return;
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Whether an attempt is unanswered for longer than is usual, at a route that is suspect or answers others.
+    /// Whether an attempt is unanswered for longer than is usual, at a route that is suspect or
+    /// answers others.
     fn is_overdue(&self, attempt: &Attempt) -> bool {
         let message = &self.messages[&attempt.message];
         let repeatable =
--- a/crates/core/src/control/subset.rs
+++ b/crates/core/src/control/subset.rs
@@ -1,25 +1,27 @@
-//! The subset of a large destination's routes that this dispatcher uses: with few messages for each of many routes, every
-//! one would go by a new connection.
+//! The subset of a large destination's routes that this dispatcher uses: with few messages for each
+//! of many routes, every one would go by a new connection.
 //!
-//! The routes have an order that all dispatchers share; each dispatcher uses a few that follow one another, from a place
-//! that follows from its index. The places of any number of dispatchers are spread evenly, so that routes share the load
-//! evenly, and a route that comes or goes moves a subset by one at most (deterministic subsetting; `docs/design.md` names
-//! the source).
+//! The routes have an order that all dispatchers share; each dispatcher uses a few that follow one
+//! another, from a place that follows from its index. The places of any number of dispatchers are
+//! spread evenly, so that routes share the load evenly, and a route that comes or goes moves a
+//! subset by one at most (deterministic subsetting; `docs/design.md` names the source).
 
 use crate::interface::Settings;
 use crate::state::routes::Routes;
 
-/// How many routes a dispatcher uses at least: a destination that has no more of them is not divided.
+/// How many routes a dispatcher uses at least: a destination that has no more of them is not
+/// divided.
 const SUBSET_SIZE: usize = 4;
-/// How many dispatchers have to use each route. The dispatchers of a small fleet use more routes each, or all of them:
-/// otherwise some routes would be in no subset and idle, and the others overloaded.
+/// How many dispatchers have to use each route. The dispatchers of a small fleet use more routes
+/// each, or all of them: otherwise some routes would be in no subset and idle, and the others
+/// overloaded.
 const USERS_OF_A_ROUTE: usize = 4;
-/// The part of a turn between the places of one dispatcher and the next: by the golden ratio, any number of places in a
-/// row are spread about evenly.
+/// The part of a turn between the places of one dispatcher and the next: by the golden ratio, any
+/// number of places in a row are spread about evenly.
 const GOLDEN_TURN: f64 = 0.618_033_988_749_894_9;
 
-/// Of the eligible routes, by their index at the destination, those that are in the subset; all of them where none is,
-/// or where the destination is not divided.
+/// Of the eligible routes, by their index at the destination, those that are in the subset; all of
+/// them where none is, or where the destination is not divided.
 pub(super) fn restrict_to_subset(
     settings: &Settings,
     all: &Routes,
--- a/crates/core/src/control/suspension.rs
+++ b/crates/core/src/control/suspension.rs
@@ -1,15 +1,16 @@
-//! Suspension: for how long nothing is sent by a route that rejects, and when it is ejected, to return with a slow start.
+//! Suspension: for how long nothing is sent by a route that rejects, and when it is ejected, to
+//! return with a slow start.
 
-use super::MS;
 use crate::interface::{Nanos, Settings};
 use crate::state::attempts::Attempt;
 use crate::state::routes::{Route, Routes};
+use crate::units::MS;
 
 /// The backoff where there is no Retry-After: shorter than the spans in which limits are counted.
 pub(super) const FIRST_BACKOFF: Nanos = 250 * MS;
 const MAX_BACKOFF: Nanos = 2_000 * MS;
-/// The spread of the backoff, as a multiple of what a large fleet adds: dispatchers that were rejected together return at
-/// different times.
+/// The spread of the backoff, as a multiple of what a large fleet adds: dispatchers that were
+/// rejected together return at different times.
 const FLEET_SPREAD: f64 = 3.0;
 /// A route that rejects for this long was closed or hung.
 const CLOSED_AFTER: Nanos = 2_500 * MS;
@@ -17,8 +18,8 @@
 pub(super) const DOWN_AFTER: u32 = 3;
 
 impl Routes {
-    /// The limiter rejected an attempt: suspends all its routes and widens the pacing. Attempts that were in
-    /// flight together are one observation.
+    /// The limiter rejected an attempt: suspends all its routes and widens the pacing. Attempts
+    /// that were in flight together are one observation.
     pub(super) fn observe_rate_limited(
         &mut self,
         settings: &Settings,
@@ -49,7 +50,8 @@
         }
     }
 
-    /// A delivery resets the backoff of all routes of the limiter, except of those that refuse connections.
+    /// A delivery resets the backoff of all routes of the limiter, except of those that refuse
+    /// connections.
     pub(super) fn reset_backoff(&mut self, route: usize) {
         self[route].refused_connections = 0;
         for sibling in self.sharing_limiter(route) {
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -1,11 +1,12 @@
-//! Suspicion: routes that are avoided for silence or failures, their half-open trials, and how they recover.
+//! Suspicion: routes that are avoided for silence or failures, their half-open trials, and how they
+//! recover.
 
-use super::MS;
 use crate::interface::{Actions, AttemptEnd, DeliverySemantics, Nanos, Outcome, Settings};
 use crate::state::Dispatcher;
 use crate::state::answer_times::AnswerTimes;
 use crate::state::attempts::Attempt;
 use crate::state::routes::{Route, Routes};
+use crate::units::MS;
 
 /// A route is silent when an attempt is in flight for this multiple of the usual answer time.
 const SILENCE_MULTIPLE: f64 = 5.0;
@@ -13,14 +14,16 @@
 /// The multiple is cut, down to this part, by the share of attempts not answered in usual time.
 const MIN_PATIENCE: f64 = 0.4;
 const MISSED_WEIGHT: f64 = 0.15;
-/// The interval between the half-open trials of a suspect route, and how much longer at-most-once messages avoid it.
+/// The interval between the half-open trials of a suspect route, and how much longer at-most-once
+/// messages avoid it.
 const TRIAL_INTERVAL: Nanos = 400 * MS;
 const AT_MOST_ONCE_DELAY: Nanos = 2_500 * MS;
 /// The share of the in-flight capacity that all half-open trials together may take.
 const TRIAL_CAPACITY_SHARE: f64 = 0.25;
 
 impl AnswerTimes {
-    /// After how long an unanswered attempt counts as silence. Its cost: slow answers are taken for silence.
+    /// After how long an unanswered attempt counts as silence. Its cost: slow answers are taken for
+    /// silence.
     pub(super) fn silent_after(&self, routes: &Routes, route: usize, class: usize) -> Nanos {
         let multiple = SILENCE_MULTIPLE * (1.0 - self.missed_share).max(MIN_PATIENCE);
         let usual = self.usual(routes, routes[route].entry.destination, class);
@@ -55,9 +58,9 @@
         }
     }
 
-    /// A delivery in usual time ends the suspicion, and an ejected route begins its slow start. At a known rate the
-    /// dispatchers try at different times: on average the route returned half way since the attempt before.
-    /// Some guess too early, so the spacing lasts longer.
+    /// A delivery in usual time ends the suspicion, and an ejected route begins its slow start. At
+    /// a known rate the dispatchers try at different times: on average the route returned half way
+    /// since the attempt before. Some guess too early, so the spacing lasts longer.
     pub(super) fn recover(
         &mut self,
         settings: &Settings,
@@ -92,8 +95,8 @@
 }
 
 impl Dispatcher {
-    /// Avoids silent routes before they take the whole in-flight capacity. One silent attempt among answered ones is no
-    /// sign.
+    /// Avoids silent routes before they take the whole in-flight capacity. One silent attempt among
+    /// answered ones is no sign.
     pub(super) fn detect_silence(&mut self, actions: &mut impl Actions) {
         for attempt in self.in_flight.iter().copied().collect::<Vec<_>>() {
             let silent_at = self.answer_times.silent_at(&self.routes, &attempt);
@@ -107,8 +110,9 @@
         }
     }
 
-    /// From when on a message may be the half-open trial of a suspect route; `None`: not before another event. Each
-    /// route has one trial at a time, apart from silent ones, and all trials together leave capacity for the others.
+    /// From when on a message may be the half-open trial of a suspect route; `None`: not before
+    /// another event. Each route has one trial at a time, apart from silent ones, and all trials
+    /// together leave capacity for the others.
     pub(super) fn half_open_trial_at(
         &self,
         route: usize,
@@ -135,7 +139,8 @@
         )
     }
 
-    /// Where the trials' share is less than one call, they get that share of the time in which one call is in flight.
+    /// Where the trials' share is less than one call, they get that share of the time in which one
+    /// call is in flight.
     pub(super) fn pause_trials(&mut self, route: usize, end: &AttemptEnd, late: bool) {
         let share = self.settings.max_in_flight as f64 * TRIAL_CAPACITY_SHARE;
         if self.routes[route].suspect && share < 1.0 && (late || end.outcome != Outcome::Delivered)
--- a/crates/core/src/control/timeouts.rs
+++ b/crates/core/src/control/timeouts.rs
@@ -1,18 +1,20 @@
 //! Timeouts: the usual answer times, and how long the answer to an attempt is awaited.
 
-use super::MS;
 use crate::interface::{DeliverySemantics, Nanos, Settings};
 use crate::state::answer_times::AnswerTimes;
 use crate::state::messages::Message;
 use crate::state::routes::Routes;
+use crate::units::MS;
 
 /// The timeout, as a multiple of the usual answer time, with its bounds.
 const TIMEOUT_MULTIPLE: f64 = 8.0;
 const MIN_TIMEOUT: Nanos = 2_000 * MS;
 const MAX_TIMEOUT: Nanos = 8_000 * MS;
-/// Enough for an answer of a very slow route, and for a repeat of a deduplicated message within its window.
+/// Enough for an answer of a very slow route, and for a repeat of a deduplicated message within its
+/// window.
 const TRIAL_TIMEOUT: Nanos = 5_000 * MS;
-/// The least weight of one answer in the usual answer times, and the usual time in nanoseconds before any answer.
+/// The least weight of one answer in the usual answer times, and the usual time in nanoseconds
+/// before any answer.
 const LATENCY_WEIGHT: f64 = 0.1;
 pub(super) const INITIAL_LATENCY: f64 = 300e6;
 
@@ -48,7 +50,8 @@
     ) -> Nanos {
         let semantics = settings.classes[message.class].semantics;
         let timeout = match semantics {
-            // An at-most-once message fails with its timeout; still a route that hangs must release its capacity.
+            // An at-most-once message fails with its timeout; still a route that hangs must release
+            // its capacity.
             DeliverySemantics::AtMostOnce => MAX_TIMEOUT,
             _ if routes[route].suspect => TRIAL_TIMEOUT,
             _ => self.usual_timeout(routes, message),
--- a/crates/core/src/control/timers.rs
+++ b/crates/core/src/control/timers.rs
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Notes when a queue has an eligible route, and when the keys of its messages let them be sent.
+    /// Notes when a queue has an eligible route, and when the keys of its messages let them be
+    /// sent.
     fn note_eligibility(&self, group: &MessageGroup, queue: &WaitingQueue, soonest: &mut Soonest) {
         let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else {
             return;
--- a/crates/core/src/interface/actions.rs
+++ b/crates/core/src/interface/actions.rs
@@ -1,6 +1,6 @@
 //! What the decisions have their caller do.
 
-use super::{AttemptNumber, EndpointId, MessageId, Nanos};
+use super::ids::{AttemptNumber, EndpointId, MessageId, Nanos};
 
 /// The actions of the decisions. The caller carries each of them out at once.
 pub trait Actions {
@@ -19,8 +19,8 @@
     /// Requests a watch on the endpoint list. An update answers it, or
     /// [`Dispatcher::watch_lost`](crate::control::Dispatcher::watch_lost).
     fn request_watch(&mut self);
-    /// Requests [`Dispatcher::wakeup`](crate::control::Dispatcher::wakeup) after this time, in place of any request
-    /// before.
+    /// Requests [`Dispatcher::wakeup`](crate::control::Dispatcher::wakeup) after this time, in
+    /// place of any request before.
     fn schedule_wakeup(&mut self, after: Nanos);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
--- a/crates/core/src/interface/attempts.rs
+++ b/crates/core/src/interface/attempts.rs
@@ -1,6 +1,6 @@
 //! How attempts end.
 
-use super::{AttemptNumber, MessageId, Nanos};
+use super::ids::{AttemptNumber, MessageId, Nanos};
 
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,7 +9,7 @@
     Delivered,
     /// The destination answered with an error; the message may have run.
     ServerError,
-    /// A limiter refused the attempt.
+    /// A limiter rejected the attempt.
     RateLimited {
         /// How long the limiter asks to wait, if it says so.
         retry_after: Option<Nanos>,
@@ -29,7 +29,8 @@
         /// The reason is that the caller had no capacity for one more call.
         no_capacity: bool,
     },
-    /// The caller could not start the attempt for want of a resource of its own; it does not count as one.
+    /// The caller could not start the attempt for want of a resource of its own; it does not count
+    /// as one.
     NotStarted,
 }
 
--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -1,6 +1,6 @@
 //! Endpoints as discovery lists them.
 
-use super::{DestinationId, EndpointId, KindId, Nanos, ZoneId};
+use super::ids::{DestinationId, EndpointId, KindId, Nanos, ZoneId};
 
 /// What an update of the endpoint list holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,8 +26,8 @@
     pub kind: KindId,
     /// False when it is draining or gone.
     pub serving: bool,
-    /// The attempts a second that its limiter takes from all dispatchers together, as listed: up to half too high
-    /// or too low. `None` where nothing is listed.
+    /// The attempts a second that its limiter takes from all dispatchers together, as listed: up to
+    /// half too high or too low. `None` where nothing is listed.
     pub rate: Option<f64>,
     /// Until when a Retry-After binds that the endpoint gave under an entry of other contents.
     pub retry_after_until: Option<Nanos>,
--- a/crates/core/src/interface/ids.rs
+++ b/crates/core/src/interface/ids.rs
@@ -7,7 +7,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MessageId(pub u64);
 
-/// An endpoint. The caller assigns the numbers; one endpoint keeps its number for as long as an instance lives.
+/// An endpoint. The caller assigns the numbers; one endpoint keeps its number for as long as an
+/// instance lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct EndpointId(pub u32);
 
--- a/crates/core/src/interface/messages.rs
+++ b/crates/core/src/interface/messages.rs
@@ -1,6 +1,6 @@
 //! Messages as they are handed to the decisions.
 
-use super::{ClassId, DestinationId, KeyId, MessageId, Nanos, ZoneId};
+use super::ids::{ClassId, DestinationId, KeyId, MessageId, Nanos, ZoneId};
 
 /// A message that was accepted.
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,6 +1,6 @@
 //! The settings that an instance starts with.
 
-use super::Nanos;
+use super::ids::Nanos;
 
 /// Whether a message that may have run may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,8 +75,8 @@
     pub max_in_flight: usize,
     /// How many messages may be pending.
     pub queue_capacity: usize,
-    /// The caller asks [`Dispatcher::admits`](crate::control::Dispatcher::admits) before it accepts a message;
-    /// otherwise messages of a full queue are given up.
+    /// The caller asks [`Dispatcher::admits`](crate::control::Dispatcher::admits) before it accepts
+    /// a message; otherwise messages of a full queue are given up.
     pub caller_admission: bool,
     /// How many attempts a message may have.
     pub max_attempts: u32,
@@ -84,17 +84,19 @@
     pub connect_timeout: Nanos,
     /// The longest Retry-After that clients respect; `None` where they respect none.
     pub max_retry_after: Option<Nanos>,
-    /// The part of its capacity that a cold endpoint has.
+    /// The part of its capacity that an endpoint has at the beginning of its slow start.
     pub cold_capacity_share: f64,
-    /// How long a cold endpoint takes to warm up.
+    /// How long a slow start takes.
     pub slow_start: Nanos,
-    /// The multiple of its capacity that a cold endpoint bears for the span of `overload_window`.
+    /// The multiple of its capacity that an endpoint in slow start bears for the span of
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// For how long a cold endpoint bears `overload_multiple`.
+    /// For how long an endpoint in slow start bears `overload_multiple`.
     pub overload_window: Nanos,
     /// How long after an attempt that may still run the next message of its key waits.
     pub key_cooldown: Nanos,
-    /// Where endpoint lists come only on request: the time within which a watch has to be requested.
+    /// Where endpoint lists come only on request: the time within which a watch has to be
+    /// requested.
     pub watch_request_limit: Option<Nanos>,
     /// The resolution of the caller's clock.
     pub clock_resolution: Nanos,
@@ -110,7 +112,8 @@
             .unwrap_or(0)
     }
 
-    /// The value, by the settings, of a message of the class with this deadline if it is delivered at `at`.
+    /// The value, by the settings, of a message of the class with this deadline if it is delivered
+    /// at `at`.
     pub fn value_at(&self, class: usize, deadline: Nanos, at: Nanos) -> f64 {
         let class = &self.classes[class];
         if at >= deadline {
--- a/crates/core/src/state/keys.rs
+++ b/crates/core/src/state/keys.rs
@@ -63,7 +63,8 @@
         });
     }
 
-    /// From when on the order of its key lets a message be sent; `None` while an earlier message holds it up.
+    /// From when on the order of its key lets a message be sent; `None` while an earlier message
+    /// holds it up.
     pub(crate) fn ready_at(&self, message: &Message) -> Option<Nanos> {
         let Some(queue) = self.get(message.key) else {
             return Some(0);
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The state of a dispatcher: records, queues and indexes. Nothing here decides; [`crate::control`] does.
+//! The state of a dispatcher: records, queues and indexes. Nothing here decides; [`crate::control`]
+//! does.
 
 pub(crate) mod answer_times;
 pub(crate) mod attempts;
@@ -40,7 +41,8 @@
     pub(crate) latest_call: u64,
     /// Disabled by an operator: nothing new is sent there, whatever the endpoint list says.
     pub(crate) disabled: BTreeSet<EndpointId>,
-    /// The caller had no capacity for one more call although the count here allowed it: nothing is sent until then.
+    /// The caller had no capacity for one more call although the count here allowed it: nothing is
+    /// sent until then.
     pub(crate) no_capacity_until: Nanos,
     /// No half-open trial of a suspect route starts until then.
     pub(crate) trials_paused_until: Nanos,
@@ -63,7 +65,8 @@
         }
     }
 
-    /// How many listed endpoints are avoided now: those that an operator disabled and those that are suspect.
+    /// How many listed endpoints are avoided now: those that an operator disabled and those that
+    /// are suspect.
     pub fn unavailable_endpoints(&self) -> usize {
         self.routes
             .iter()
@@ -92,7 +95,8 @@
         self.in_flight.count_calls(|_| true) < self.settings.max_in_flight
     }
 
-    /// From when on the order of its key lets a message be sent; `None` while an earlier message holds it up.
+    /// From when on the order of its key lets a message be sent; `None` while an earlier message
+    /// holds it up.
     pub(crate) fn key_ready_at(&self, id: MessageId) -> Option<Nanos> {
         if self.keys.is_empty() {
             Some(0) // Spares the look-up of the message where nothing is ordered.
--- a/crates/core/src/state/queues.rs
+++ b/crates/core/src/state/queues.rs
@@ -1,6 +1,8 @@
-//! The messages that wait to be sent, in one queue for each group that is eligible for the same routes.
+//! The messages that wait to be sent, in one queue for each group that is eligible for the same
+//! routes.
 //!
-//! Eligibility is the same for all messages of a group, so a long backlog is checked queue by queue.
+//! Eligibility is the same for all messages of a group, so a long backlog is checked queue by
+//! queue.
 
 use crate::interface::{DestinationId, MessageId, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/state/routes.rs
+++ b/crates/core/src/state/routes.rs
@@ -7,11 +7,13 @@
 /// The way to one endpoint, and what was observed of it.
 #[derive(Default)]
 pub(crate) struct Route {
-    /// The entry of the endpoint list, except that `serving` is false while an operator has the endpoint disabled.
+    /// The entry of the endpoint list, except that `serving` is false while an operator has the
+    /// endpoint disabled.
     pub(crate) entry: EndpointEntry,
     /// Whether the list has the endpoint as serving.
     pub(crate) listed: bool,
-    /// The route that represents the limiter it is subject to: itself, or the first of those that share it.
+    /// The route that represents the limiter it is subject to: itself, or the first of those that
+    /// share it.
     pub(crate) limiter_route: usize,
     /// What was observed of the limiter, on the route that represents it.
     pub(crate) limiter: Limiter,
@@ -37,7 +39,8 @@
     pub(crate) refused_connections: u32,
     /// The factor for its spacing and its backoff, drawn again with each send.
     pub(crate) jitter: f64,
-    /// It failed, or was rate-limited for long, since it was last healthy: it will return with a slow start.
+    /// It failed, or was rate-limited for long, since it was last healthy: it will return with a
+    /// slow start.
     pub(crate) ejected: bool,
 }
 
@@ -60,7 +63,8 @@
         self.last_sent_at = now;
     }
 
-    /// Decays the traffic up to now with this time constant and adds to it, while the route is warm and not ejected.
+    /// Decays the traffic up to now with this time constant and adds to it, while the route is warm
+    /// and not ejected.
     pub(crate) fn add_traffic(&mut self, now: Nanos, delivered: f64, time_constant: f64) {
         if self.is_warm() && !self.ejected {
             let decay = (-((now - self.traffic_updated_at) as f64) / time_constant).exp();
@@ -103,7 +107,8 @@
 }
 
 impl DestinationRoutes {
-    /// The route that represents the limiter of a new route, which is the new one if it is the first.
+    /// The route that represents the limiter of a new route, which is the new one if it is the
+    /// first.
     pub(crate) fn assign_limiter_route(&mut self, new: usize, separate_limits: bool) -> usize {
         let limiter_route = self
             .shared_limiter_route
@@ -176,8 +181,8 @@
         self.all.len()
     }
 
-    /// Adds a route under the next number, or replaces one of the same destination. Returns the endpoint that was
-    /// replaced.
+    /// Adds a route under the next number, or replaces one of the same destination. Returns the
+    /// endpoint that was replaced.
     pub(crate) fn put(&mut self, number: usize, route: Route) -> Option<EndpointId> {
         let endpoint = route.entry.endpoint;
         let replaced = if number == self.all.len() {
--- a/crates/core/src/state/transitions.rs
+++ b/crates/core/src/state/transitions.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// The only place where a message changes its state: keeps the queues and counts in step with it.
+    /// The only place where a message changes its state: keeps the queues and counts in step with
+    /// it.
     pub(crate) fn transition(&mut self, id: MessageId, to: MessageState) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
--- a/crates/core/tests/decisions/discovery.rs
+++ b/crates/core/tests/decisions/discovery.rs
@@ -33,9 +33,9 @@
     assert_eq!(distinct.len(), sim.env.removed.len());
 }
 
-/// Regression (big-1 and big-2 of quito-sede: attempts 0.26 s after a drain that an earlier watch would have shown). Where
-/// lists come only on request, a watch is requested in time, not by all dispatchers at once, once for each watch, and in time
-/// again whenever it is lost.
+/// Regression (big-1 and big-2 of quito-sede: attempts 0.26 s after a drain that an earlier watch
+/// would have shown). Where lists come only on request, a watch is requested in time, not by all
+/// dispatchers at once, once for each watch, and in time again whenever it is lost.
 #[test]
 fn a_watch_is_requested_in_time_and_spread_over_dispatchers() {
     let within = 10 * SEC;
--- a/crates/core/tests/decisions/fleet.rs
+++ b/crates/core/tests/decisions/fleet.rs
@@ -1,9 +1,11 @@
-//! Many dispatchers before the same endpoints, each knowing only what it observed itself: what they do together.
+//! Many dispatchers before the same endpoints, each knowing only what it observed itself: what they
+//! do together.
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointUpdate, Nanos, Settings};
 
-/// The listed limit of each destination: the attempts a second that it takes of all dispatchers together.
+/// The listed limit of each destination: the attempts a second that it takes of all dispatchers
+/// together.
 const RATE: f64 = 50.0;
 
 struct Fleet(Vec<Simulation>);
@@ -33,7 +35,8 @@
         Fleet((0..u64::from(dispatchers)).map(one).collect())
     }
 
-    /// Lets time pass in which destination 0 gets messages at its listed rate, spread over all dispatchers.
+    /// Lets time pass in which destination 0 gets messages at its listed rate, spread over all
+    /// dispatchers.
     fn advance(&mut self, behavior: Behavior, span: Nanos) {
         let interval = (self.0.len() as f64 * SEC as f64 / RATE) as Nanos;
         for (n, sim) in self.0.iter_mut().enumerate() {
@@ -106,7 +109,8 @@
     sim.publish_endpoints(EndpointUpdate::Snapshot);
 }
 
-/// Regression (join+vast): 100 dispatchers waited up to 20 s each after a few rate-limited attempts, whatever the limit was.
+/// Regression (join+vast): 100 dispatchers waited up to 20 s each after a few rate-limited
+/// attempts, whatever the limit was.
 #[test]
 fn limited_at_a_listed_rate_all_keep_to_fair_shares_and_soon_find_capacity_again() {
     for dispatchers in [3, 100, 300] {
@@ -135,7 +139,8 @@
     }
 }
 
-/// Regression (zone+vast): after an outage of 5 s most of 100 dispatchers noticed the return ten seconds late.
+/// Regression (zone+vast): after an outage of 5 s most of 100 dispatchers noticed the return ten
+/// seconds late.
 #[test]
 fn a_return_after_an_outage_is_noticed_by_all_and_overloads_nothing() {
     let (mut fleet, settings) = (Fleet::new(100, Some(RATE)), settings());
@@ -162,7 +167,8 @@
     assert_eq!(fleet.without_delivery_since(&before), 0, "not noticed");
 }
 
-/// Regression (herd+vast): 100 dispatchers that were rate-limited at one moment all returned at one moment.
+/// Regression (herd+vast): 100 dispatchers that were rate-limited at one moment all returned at one
+/// moment.
 #[test]
 fn dispatchers_limited_at_the_same_moment_return_at_different_moments() {
     let mut fleet = Fleet::new(100, Some(RATE));
@@ -189,8 +195,8 @@
     assert!(returns.iter().all(|&n| n <= 25), "{returns:?}");
 }
 
-/// Regression (zone+vast): the slow start of an endpoint that had been back for seconds began again at each dispatcher that
-/// noticed it.
+/// Regression (zone+vast): the slow start of an endpoint that had been back for seconds began again
+/// at each dispatcher that noticed it.
 #[test]
 fn a_return_is_dated_half_way_back_to_the_attempt_before() {
     let mut sim = Simulation::new(Settings {
@@ -213,13 +219,14 @@
     }
     sim.advance(4 * SEC);
     let delivered = sim.env.delivered.len() - before;
-    // Its share of the limit is 5 a second. A slow start that began now would bear twice 0.2 to 0.6 of it in the four
-    // seconds: 16.
+    // Its share of the limit is 5 a second. A slow start that began now would bear twice 0.2 to 0.6
+    // of it in the four seconds: 16.
     assert!(delivered > 22, "{delivered} delivered");
 }
 
-/// Regression (quito-sede at 24.29 s and 45.20 s, big-1): many dispatchers were rate-limited at one moment by a route in an
-/// outage, and 15 of 16 attempts that overloaded it at its return came from them, 2 to 7 s later, each the first since.
+/// Regression (quito-sede at 24.29 s and 45.20 s, big-1): many dispatchers were rate-limited at one
+/// moment by a route in an outage, and 15 of 16 attempts that overloaded it at its return came from
+/// them, 2 to 7 s later, each the first since.
 #[test]
 fn dispatchers_limited_in_an_outage_return_spread_over_many_seconds() {
     let mut returned_after = vec![];
@@ -249,8 +256,9 @@
     );
 }
 
-/// Regression (quito-sede at 48.09 s): when a route in an outage opened again, each of 313 dispatchers sent several waiting
-/// messages within 50 ms, before the first was rejected; 35 of 41 attempts that overloaded it came from those.
+/// Regression (quito-sede at 48.09 s): when a route in an outage opened again, each of 313
+/// dispatchers sent several waiting messages within 50 ms, before the first was rejected; 35 of 41
+/// attempts that overloaded it came from those.
 #[test]
 fn each_dispatcher_of_a_large_fleet_first_sends_one_message_to_a_route_that_reopens() {
     let mut sim = Simulation::with_single_endpoint(Settings {
@@ -271,8 +279,9 @@
     );
 }
 
-/// Regression (maadi-main at 41.25 s): an endpoint that had been unreachable for 21 s was overloaded at its return; two
-/// thirds of the attempts came from dispatchers that had met one connect timeout each, and took it for healthy.
+/// Regression (maadi-main at 41.25 s): an endpoint that had been unreachable for 21 s was
+/// overloaded at its return; two thirds of the attempts came from dispatchers that had met one
+/// connect timeout each, and took it for healthy.
 #[test]
 fn one_connect_timeout_is_an_outage_where_a_route_is_seldom_used() {
     for (dispatchers, outage) in [(300, true), (3, false)] {
@@ -285,8 +294,8 @@
         sim.advance(SEC / 2);
         sim.env.behaviors[8] = Behavior::AnswersAfter(100 * MS);
         sim.advance(10 * SEC);
-        // All dispatchers together try it no more often than a warming one bears: this one not within its message's
-        // lifetime.
+        // All dispatchers together try it no more often than a warming one bears: this one not
+        // within its message's lifetime.
         assert_eq!(
             sim.env.delivered.len(),
             usize::from(!outage),
@@ -297,8 +306,9 @@
     }
 }
 
-/// Regression (maadi-main i5db0fb at 13.53 s): 14 of 15 attempts that overloaded an endpoint after a crash came from
-/// dispatchers that had met one or two refused connections there; the third would have shown them the outage.
+/// Regression (maadi-main i5db0fb at 13.53 s): 14 of 15 attempts that overloaded an endpoint after
+/// a crash came from dispatchers that had met one or two refused connections there; the third would
+/// have shown them the outage.
 #[test]
 fn two_refused_connections_are_an_outage_where_a_route_is_seldom_used() {
     let attempts = |dispatchers| {
@@ -317,8 +327,8 @@
     assert!(attempts(3) > 3);
 }
 
-/// Regression (rough-1 and big-2 of maadi-main): no limit is listed, answers report them; each dispatcher returned by the
-/// size of the fleet alone.
+/// Regression (rough-1 and big-2 of maadi-main): no limit is listed, answers report them; each
+/// dispatcher returned by the size of the fleet alone.
 #[test]
 fn a_reported_limit_replaces_a_listed_rate() {
     let interval = |reported_limit| {
@@ -342,8 +352,9 @@
     assert!(interval(Some(50.0)) >= 800 * MS && interval(None) < 800 * MS);
 }
 
-/// The operators' rule: beyond the N attempts that a warming endpoint bears in the settings' window, only 2 x root of N + 2
-/// are allowed for chance, summed over all dispatchers, with 20 or 30 as with 3 or 300, with listed rates and without.
+/// The operators' rule: beyond the N attempts that a warming endpoint bears in the settings'
+/// window, only 2 x root of N + 2 are allowed for chance, summed over all dispatchers, with 20 or
+/// 30 as with 3 or 300, with listed rates and without.
 #[test]
 fn a_fleet_of_any_size_sends_no_more_than_a_warming_endpoint_bears() {
     for (dispatchers, listed) in [
@@ -367,7 +378,8 @@
     fleet.advance(Behavior::IsUnreachable, 6 * SEC);
     let returned_at = fleet.now();
     fleet.advance(Behavior::AnswersAfter(100 * MS), settings.slow_start);
-    // Four endpoints share the capacity of their destination: the listed rate, else a fifth over what they took.
+    // Four endpoints share the capacity of their destination: the listed rate, else a fifth over
+    // what they took.
     let capacity = if listed { RATE } else { 1.2 * RATE } / 4.0;
     for endpoint in 0..4 {
         let sent = fleet.sent_after_outage(endpoint, down_at, returned_at);
--- a/crates/core/tests/decisions/idle_connections.rs
+++ b/crates/core/tests/decisions/idle_connections.rs
@@ -2,8 +2,8 @@
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 
-/// Regression (ljubljana-depot-later): full connection tables and dropped idle connections, observed at one destination of a
-/// kind, cost every dispatcher attempts again at each other one.
+/// Regression (ljubljana-depot-later): full connection tables and dropped idle connections,
+/// observed at one destination of a kind, cost every dispatcher attempts again at each other one.
 #[test]
 fn idle_connections_to_a_kind_are_closed_after_a_drop() {
     for behavior in [Behavior::RefusesConnections, Behavior::ResetsConnections] {
@@ -12,7 +12,8 @@
         sim.submit(0, 0);
         sim.env.behaviors.fill(Behavior::AnswersAfter(100 * MS));
         sim.advance(SEC);
-        // Regression (herd+vast): those that no message was sent on stayed, and kept other dispatchers out.
+        // Regression (herd+vast): those that no message was sent on stayed, and kept other
+        // dispatchers out.
         assert!(
             (4..8).all(|endpoint| sim.env.closed_idle.contains(&endpoint)),
             "{behavior:?}: idle ones stay open until they are used"
@@ -34,7 +35,8 @@
     }
 }
 
-/// Regression (churn, on sockets): after two connections that broke among hundreds, every message waited for a handshake.
+/// Regression (churn, on sockets): after two connections that broke among hundreds, every message
+/// waited for a handshake.
 #[test]
 fn a_few_broken_connections_close_no_idle_ones() {
     let mut sim = Simulation::new(settings());
@@ -58,7 +60,8 @@
     assert_eq!(sim.env.closed_idle, Vec::<u32>::new());
 }
 
-/// Regression (wide+reset+stale, on sockets): connections broke whether new or kept, and all were new for a minute.
+/// Regression (wide+reset+stale, on sockets): connections broke whether new or kept, and all were
+/// new for a minute.
 #[test]
 fn idle_connections_are_kept_again_where_new_ones_break_too() {
     let mut sim = Simulation::new(settings());
--- a/crates/core/tests/decisions/main.rs
+++ b/crates/core/tests/decisions/main.rs
@@ -1,4 +1,5 @@
-//! The decisions in a simulated environment: single cases by subject, whole fleets, and random runs.
+//! The decisions in a simulated environment: single cases by subject, whole fleets, and random
+//! runs.
 
 mod discovery;
 mod final_answers;
--- a/crates/core/tests/decisions/random_runs.rs
+++ b/crates/core/tests/decisions/random_runs.rs
@@ -4,8 +4,8 @@
 use bellsill_core::interface::{EndpointUpdate, MessageId, Settings};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// One step of a random run: an event, the endpoint or destination that it concerns, and the milliseconds until the next
-/// step (less whole multiples of 128).
+/// One step of a random run: an event, the endpoint or destination that it concerns, and the
+/// milliseconds until the next step (less whole multiples of 128).
 type Step = (u8, u8, u16);
 
 fn behavior(n: u8) -> Behavior {
--- a/crates/core/tests/decisions/ranking.rs
+++ b/crates/core/tests/decisions/ranking.rs
@@ -3,7 +3,8 @@
 use crate::simulation::{Behavior, MS, SEC, SentAttempt, Simulation, settings};
 use bellsill_core::interface::{MessageId, Nanos, Settings};
 
-/// Regression (head-office-later rough-1): a message that could wait went before one that was near its latency objective.
+/// Regression (head-office-later rough-1): a message that could wait went before one that was near
+/// its latency objective.
 #[test]
 fn a_message_that_loses_value_by_waiting_goes_first() {
     let mut sim = Simulation::new(Settings {
@@ -26,7 +27,8 @@
     assert_eq!(order, [soon, later]);
 }
 
-/// Regression (churn, on sockets): once the queue was full, each message was sent just before its deadline.
+/// Regression (churn, on sockets): once the queue was full, each message was sent just before its
+/// deadline.
 #[test]
 fn under_lasting_overload_messages_are_sent_well_before_their_deadline() {
     let mut sim = Simulation::new(Settings {
@@ -50,7 +52,8 @@
     assert!(age < 3_300 * MS, "{} ms old on average", age / MS);
 }
 
-/// Regression (wales-head-office big-1): a backlog was sent one by one, each message a call against the limit.
+/// Regression (wales-head-office big-1): a backlog was sent one by one, each message a call against
+/// the limit.
 #[test]
 fn a_backlog_shares_calls_where_its_kind_allows() {
     let mut sim = Simulation::new(Settings {
@@ -89,8 +92,8 @@
     );
 }
 
-/// Regression (rough-1 of wales-head-office and of maadi-main): the answers of one call come up to 20 ms apart, and the
-/// Retry-After of the first was ignored until the last had come.
+/// Regression (rough-1 of wales-head-office and of maadi-main): the answers of one call come up to
+/// 20 ms apart, and the Retry-After of the first was ignored until the last had come.
 #[test]
 fn a_retry_after_given_to_any_message_of_a_batch_binds() {
     let mut sim = Simulation::with_single_endpoint(Settings {
--- a/crates/core/tests/decisions/rate_limits.rs
+++ b/crates/core/tests/decisions/rate_limits.rs
@@ -67,7 +67,8 @@
     assert!(gaps[1] > 10 * MS && gaps[48] < 2 * MS, "{gaps:?}");
 }
 
-/// Regression (random runs): an endpoint listed while a Retry-After bound the others of its limiter was used at once.
+/// Regression (random runs): an endpoint listed while a Retry-After bound the others of its limiter
+/// was used at once.
 #[test]
 fn a_retry_after_binds_an_endpoint_that_is_listed_later() {
     let mut sim = Simulation::new(settings());
@@ -80,8 +81,9 @@
     assert_eq!(sim.env.sent.len(), 1);
 }
 
-/// Regression (nairobi-depot-later rules-1, i26e69d): each of hundreds of dispatchers had only a few attempts rate-limited by
-/// a route that hung with a full queue; they returned within a second and overloaded it as it recovered.
+/// Regression (nairobi-depot-later rules-1, i26e69d): each of hundreds of dispatchers had only a
+/// few attempts rate-limited by a route that hung with a full queue; they returned within a second
+/// and overloaded it as it recovered.
 #[test]
 fn in_a_large_fleet_a_few_rate_limited_attempts_eject_a_route() {
     let mut sim = Simulation::new(Settings {
--- a/crates/core/tests/decisions/recovery.rs
+++ b/crates/core/tests/decisions/recovery.rs
@@ -3,7 +3,8 @@
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointUpdate, Nanos, Settings};
 
-/// Regression (incident ibd5a5f): a route that was slow for a moment had to go through a whole slow start.
+/// Regression (incident ibd5a5f): a route that was slow for a moment had to go through a whole slow
+/// start.
 #[test]
 fn a_slow_period_causes_no_slow_start() {
     let mut sim = Simulation::new(settings());
@@ -22,8 +23,8 @@
     assert!(!sim.has_logged("slow start"), "{:?}", sim.env.log_lines);
 }
 
-/// Regression (h61c592): a route in slow start that answered slowly, and so was suspect for silence, counted as healthy as
-/// soon as it answered.
+/// Regression (h61c592): a route in slow start that answered slowly, and so was suspect for
+/// silence, counted as healthy as soon as it answered.
 #[test]
 fn a_warming_route_that_becomes_suspect_for_silence_keeps_warming_up() {
     let mut sim = Simulation::new(Settings {
@@ -54,7 +55,8 @@
     );
 }
 
-/// Regression (i2fdf7c): hundreds of dispatchers sent their backlogs to a replacement the moment it was listed.
+/// Regression (i2fdf7c): hundreds of dispatchers sent their backlogs to a replacement the moment it
+/// was listed.
 #[test]
 fn a_new_endpoint_of_a_failing_destination_is_sent_little() {
     let mut sim = Simulation::new(Settings {
@@ -79,8 +81,8 @@
     );
 }
 
-/// Regression (incident icbc617): refused connections were taken for full connection tables, and at its return the route
-/// was sent every backlog.
+/// Regression (incident icbc617): refused connections were taken for full connection tables, and at
+/// its return the route was sent every backlog.
 #[test]
 fn a_route_that_refuses_connections_returns_with_a_slow_start() {
     let mut sim = Simulation::new(settings());
@@ -147,8 +149,8 @@
     assert_eq!(sim.env.delivered.len(), 80);
 }
 
-/// Regression (nairobi-depot-later rough-1): with a capacity of two calls the half-open trials of destinations that hung took
-/// one all the time.
+/// Regression (nairobi-depot-later rough-1): with a capacity of two calls the half-open trials of
+/// destinations that hung took one all the time.
 #[test]
 fn half_open_trials_take_their_share_of_a_capacity_of_two() {
     let mut sim = Simulation::new(Settings {
--- a/crates/core/tests/decisions/routing.rs
+++ b/crates/core/tests/decisions/routing.rs
@@ -1,4 +1,5 @@
-//! Routing: which route a message takes, and how much of the in-flight capacity a destination may use.
+//! Routing: which route a message takes, and how much of the in-flight capacity a destination may
+//! use.
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointId, EndpointUpdate, Settings};
@@ -34,8 +35,8 @@
     assert_eq!((next.message, next.at), (first.message, first.at + 20 * MS));
 }
 
-/// Regression (incident i6c01aa): at-most-once attempts at routes that hung took the whole in-flight capacity for whole
-/// lifetimes.
+/// Regression (incident i6c01aa): at-most-once attempts at routes that hung took the whole
+/// in-flight capacity for whole lifetimes.
 #[test]
 fn a_destination_that_hangs_leaves_capacity_to_others() {
     let mut sim = Simulation::new(settings());
@@ -54,8 +55,9 @@
     assert!(delivered >= 95, "only {delivered} of 100 delivered");
 }
 
-/// Regression (pieces+silent+leave): single connections fell silent on routes that answered on all others, so no route
-/// became suspect, and each attempt kept its capacity for the whole timeout while messages waited.
+/// Regression (pieces+silent+leave): single connections fell silent on routes that answered on all
+/// others, so no route became suspect, and each attempt kept its capacity for the whole timeout
+/// while messages waited.
 #[test]
 fn lost_answers_of_healthy_routes_keep_no_capacity_from_waiting_messages() {
     let mut sim = Simulation::with_endpoints(
@@ -88,7 +90,8 @@
     );
 }
 
-/// A connection takes a while to come up; the daemon asks once more before it writes the first byte.
+/// A connection takes a while to come up; the daemon asks once more before it writes the first
+/// byte.
 #[test]
 fn an_endpoint_is_not_open_while_it_drains_or_is_suspended() {
     let mut sim = Simulation::new(settings());
--- a/crates/core/tests/decisions/simulation/environment.rs
+++ b/crates/core/tests/decisions/simulation/environment.rs
@@ -1,8 +1,10 @@
-//! The environment of a dispatcher: endpoints that behave as a test says, and a record of what the dispatcher did.
+//! The environment of a dispatcher: endpoints that behave as a test says, and a record of what the
+//! dispatcher did.
 
-use super::{LIFETIME, MS};
+use super::settings::{LIFETIME, MS};
 use bellsill_core::interface::{
-    Actions, AttemptNumber, EndpointEntry, EndpointId, KeyId, MessageId, Nanos, Outcome, Settings,
+    Actions, AttemptNumber, EndpointEntry, EndpointId, KeyId, MessageId, Nanos, Outcome,
+    PossibleRun, Settings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,6 +39,12 @@
     pub(crate) timeout: Nanos,
 }
 
+/// An attempt in flight.
+pub(super) struct InFlight {
+    pub(super) endpoint: u32,
+    pub(super) sent_at: Nanos,
+}
+
 /// What the environment knows of a message.
 pub(super) struct MessageRecord {
     pub(super) class: usize,
@@ -44,10 +52,8 @@
     pub(super) destination: u64,
     pub(super) deadline: Nanos,
     pub(super) attempts: u32,
-    /// Where and since when an attempt is in flight.
-    pub(super) in_flight: Option<(u32, Nanos)>,
-    /// When the first attempt that may have run was sent, and its zone.
-    pub(super) possible_run: Option<(Nanos, usize)>,
+    pub(super) in_flight: Option<InFlight>,
+    pub(super) possible_run: Option<PossibleRun>,
     pub(super) ended: bool,
     /// The call that its latest attempt shares.
     pub(super) call: u64,
@@ -188,8 +194,8 @@
         }
     }
 
-    /// The call that one more attempt to this endpoint shares. What is sent to one endpoint at once is one call, with one
-    /// outcome, as far as its kind allows.
+    /// The call that one more attempt to this endpoint shares. What is sent to one endpoint at once
+    /// is one call, with one outcome, as far as its kind allows.
     fn shared_call(&self, endpoint: u32) -> Option<Call> {
         let kind = self.entries[endpoint as usize].kind;
         let max_batch = self.settings.max_batch.get(kind.0).copied().unwrap_or(1);
@@ -239,7 +245,10 @@
         let shared = self.shared_call(endpoint);
         let number = shared.map_or(self.sequence + 1, |call| call.number);
         let message = self.messages.get_mut(&id).expect("checked above");
-        message.in_flight = Some((endpoint, now));
+        message.in_flight = Some(InFlight {
+            endpoint,
+            sent_at: now,
+        });
         message.attempts += 1;
         message.call = number;
         assert!(
@@ -308,7 +317,8 @@
         let is_in_use = self
             .messages
             .values()
-            .any(|message| message.in_flight.is_some_and(|(to, _)| to == endpoint.0));
+            .filter_map(|message| message.in_flight.as_ref())
+            .any(|attempt| attempt.endpoint == endpoint.0);
         assert!(!is_in_use, "removed with an attempt in flight");
         self.removed.push(endpoint.0);
     }
--- a/crates/core/tests/decisions/simulation/mod.rs
+++ b/crates/core/tests/decisions/simulation/mod.rs
@@ -1,65 +1,20 @@
-//! A dispatcher in a simulated environment, which carries out its actions and checks the six rules at every one of them.
+//! A dispatcher in a simulated environment, which carries out its actions and checks the six rules
+//! at every one of them.
 
 mod environment;
 mod rules;
+mod settings;
 
 pub(crate) use environment::{Behavior, Environment, SentAttempt};
+pub(crate) use settings::{LIFETIME, MS, SEC, settings};
 
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::{
-    AttemptEnd, AttemptNumber, ClassId, ClassSettings, DeduplicationScope, DeliverySemantics,
-    DestinationId, EndpointEntry, EndpointId, EndpointUpdate, KeyId, KindId, MessageHistory,
-    MessageId, Nanos, NewMessage, Outcome, PossibleRun, Settings, ValueDecay, ZoneId,
+    AttemptEnd, AttemptNumber, ClassId, DestinationId, EndpointEntry, EndpointId, EndpointUpdate,
+    KeyId, KindId, MessageHistory, MessageId, Nanos, NewMessage, Outcome, PossibleRun, Settings,
+    ZoneId,
 };
-use environment::{MessageRecord, ScheduledEvent};
-
-pub(crate) const MS: Nanos = 1_000_000;
-pub(crate) const SEC: Nanos = 1_000 * MS;
-/// The lifetime of all classes.
-pub(crate) const LIFETIME: Nanos = 12 * SEC;
-
-/// Four endpoints to each of three destinations; those of the last have a limiter each.
-pub(crate) fn settings() -> Settings {
-    let class = |priority_weight, semantics, ordered| ClassSettings {
-        priority_weight,
-        latency_objective: 2 * SEC,
-        lifetime: LIFETIME,
-        late_value_share: 0.4,
-        semantics,
-        ordered,
-    };
-    let with_key = |scope| DeliverySemantics::IdempotencyKey {
-        window: 6 * SEC,
-        scope,
-    };
-    Settings {
-        dispatcher_index: Some(0),
-        seed: 7,
-        dispatchers: 1,
-        classes: vec![
-            class(1.0, DeliverySemantics::Idempotent, false),
-            class(2.0, with_key(DeduplicationScope::Destination), false),
-            class(2.0, with_key(DeduplicationScope::Zone), true),
-            class(4.0, DeliverySemantics::AtMostOnce, true),
-        ],
-        per_endpoint_limits: vec![false, true],
-        max_batch: vec![],
-        value_decay: ValueDecay::Linear,
-        max_in_flight: 8,
-        queue_capacity: 60,
-        caller_admission: false,
-        max_attempts: 6,
-        connect_timeout: SEC,
-        max_retry_after: Some(2 * SEC),
-        cold_capacity_share: 0.2,
-        slow_start: 10 * SEC,
-        overload_multiple: 2.0,
-        overload_window: 2 * SEC,
-        key_cooldown: 100 * MS,
-        watch_request_limit: None,
-        clock_resolution: 5 * MS,
-    }
-}
+use environment::{InFlight, MessageRecord, ScheduledEvent};
 
 /// A dispatcher and its environment.
 pub(crate) struct Simulation {
@@ -121,7 +76,8 @@
         self.publish_endpoints(scope);
     }
 
-    /// Adds an endpoint that answers, with the contents of this one's entry but for its id, to the list.
+    /// Adds an endpoint that answers, with the contents of this one's entry but for its id, to the
+    /// list.
     pub(crate) fn add_endpoint_like(&mut self, other: usize) {
         let added = EndpointEntry {
             endpoint: EndpointId(self.env.entries.len() as u32),
@@ -167,7 +123,7 @@
         self.accepted += 1;
         let record = MessageRecord {
             attempts: history.attempts,
-            possible_run: history.possible_run.map(|run| (run.sent_at, run.zone.0)),
+            possible_run: history.possible_run,
             ..MessageRecord::new(class, destination, self.env.now + LIFETIME)
         };
         self.hand_in(MessageId(self.accepted), record)
@@ -204,10 +160,7 @@
             deadline: record.deadline,
             history: MessageHistory {
                 attempts: record.attempts,
-                possible_run: record.possible_run.map(|(sent_at, zone)| PossibleRun {
-                    sent_at,
-                    zone: ZoneId(zone),
-                }),
+                possible_run: record.possible_run,
             },
         };
         self.env.messages.insert(id, record);
@@ -221,15 +174,18 @@
         self.publish_endpoints(EndpointUpdate::Snapshot);
     }
 
-    /// The dispatcher is killed and started again with its journal: each message without a final answer is handed in
-    /// again, in the order of acceptance; an attempt that was in flight may have run.
+    /// The dispatcher is killed and started again with its journal: each message without a final
+    /// answer is handed in again, in the order of acceptance; an attempt that was in flight may
+    /// have run.
     pub(crate) fn restart_with_journal(&mut self) {
         let messages = std::mem::take(&mut self.env.messages);
         self.restart_without_journal();
         for (id, mut record) in messages.into_iter().filter(|(_, record)| !record.ended) {
-            if let Some((endpoint, sent_at)) = record.in_flight.take() {
-                let zone = self.env.entries[endpoint as usize].zone.0;
-                record.possible_run.get_or_insert((sent_at, zone));
+            if let Some(InFlight { endpoint, sent_at }) = record.in_flight.take() {
+                let zone = self.env.entries[endpoint as usize].zone;
+                record
+                    .possible_run
+                    .get_or_insert(PossibleRun { sent_at, zone });
             }
             self.hand_in(id, record);
         }
@@ -266,13 +222,15 @@
             .messages
             .get_mut(&id)
             .expect("an attempt ends of a message that was accepted");
-        let (endpoint, sent_at) = message
+        let InFlight { endpoint, sent_at } = message
             .in_flight
             .take()
             .expect("an attempt ends that is in flight");
-        let zone = self.env.entries[endpoint as usize].zone.0;
+        let zone = self.env.entries[endpoint as usize].zone;
         if outcome.may_have_run() {
-            message.possible_run.get_or_insert((sent_at, zone));
+            message
+                .possible_run
+                .get_or_insert(PossibleRun { sent_at, zone });
         }
         let (key, ended_before) = (message.key, message.ended);
         let number = AttemptNumber(message.attempts - 1);
--- a/crates/core/tests/decisions/simulation/rules.rs
+++ b/crates/core/tests/decisions/simulation/rules.rs
@@ -1,18 +1,20 @@
 //! The checks of the six rules.
 
 use super::environment::{Environment, MessageRecord};
-use bellsill_core::interface::{DeduplicationScope, DeliverySemantics, KeyId, MessageId, Nanos};
+use bellsill_core::interface::{
+    DeduplicationScope, DeliverySemantics, KeyId, MessageId, Nanos, ZoneId,
+};
 
 impl Environment {
     /// Whether rule 2 allows one more attempt in this zone, or a rejection (which names no zone).
-    fn may_repeat(&self, message: &MessageRecord, zone: Option<usize>) -> bool {
+    fn may_repeat(&self, message: &MessageRecord, zone: Option<ZoneId>) -> bool {
         let semantics = self.settings.classes[message.class].semantics;
         match (message.possible_run, semantics) {
             (None, _) | (_, DeliverySemantics::Idempotent) => true,
             (Some(_), DeliverySemantics::AtMostOnce) => false,
-            (Some((at, first_zone)), DeliverySemantics::IdempotencyKey { window, scope }) => {
+            (Some(run), DeliverySemantics::IdempotencyKey { window, scope }) => {
                 let any_zone = scope == DeduplicationScope::Destination;
-                self.now < at + window && (any_zone || zone == Some(first_zone))
+                self.now < run.sent_at + window && (any_zone || zone == Some(run.zone))
             }
         }
     }
@@ -31,7 +33,7 @@
             "rule 2: two attempts of {id:?} at once"
         );
         assert!(
-            self.may_repeat(message, Some(entry.zone.0)),
+            self.may_repeat(message, Some(entry.zone)),
             "rule 2: {id:?} may run twice"
         );
         assert!(
@@ -81,7 +83,7 @@
             message.in_flight.is_none() || message.ended,
             "rule 2: {id:?} rejected with an attempt in flight"
         );
-        let no_zone = message.possible_run.map(|_| usize::MAX);
+        let no_zone = message.possible_run.map(|_| ZoneId(usize::MAX));
         assert!(
             self.may_repeat(message, no_zone),
             "rule 2: {id:?} rejected though it may have run"
--- a/crates/core/tests/decisions/slow_start.rs
+++ b/crates/core/tests/decisions/slow_start.rs
@@ -3,7 +3,8 @@
 use crate::simulation::{Behavior, MS, Simulation, settings};
 use bellsill_core::interface::{Nanos, Settings};
 
-/// After an outage that this dispatcher observed, no window has more attempts than the warming route bears.
+/// After an outage that this dispatcher observed, no window has more attempts than the warming
+/// route bears.
 fn assert_returns_without_overload(outage: Behavior) {
     let mut sim = Simulation::new(Settings {
         max_in_flight: 40,
@@ -44,7 +45,8 @@
             let available = settings.cold_capacity_share
                 + (1.0 - settings.cold_capacity_share)
                     * ((end - returned_at) as f64 / settings.slow_start as f64);
-            // The endpoint took 2.5 a second and could take 3; two more in a window are an allowance for chance.
+            // The endpoint took 2.5 a second and could take 3; two more in a window are an
+            // allowance for chance.
             let bears = 3.0
                 * settings.overload_multiple
                 * available
--- a/crates/core/tests/decisions/timers.rs
+++ b/crates/core/tests/decisions/timers.rs
@@ -5,7 +5,8 @@
     DeduplicationScope, DeliverySemantics, MessageHistory, Nanos, PossibleRun, ZoneId,
 };
 
-/// Regression (head-office big-2): wakeups that came a fraction early were lost, and messages with them.
+/// Regression (head-office big-2): wakeups that came a fraction early were lost, and messages with
+/// them.
 #[test]
 fn a_wakeup_that_comes_early_is_not_lost() {
     let mut sim = Simulation::new(settings());
@@ -17,8 +18,9 @@
     assert_eq!(sim.env.rejected.len() + sim.env.failed.len(), 4);
 }
 
-/// The operators' rule: timeouts follow from the deduplication window where they would outlast it. At a window of 3 s a
-/// half-open trial took 5 s, and nothing that it cut off could be repeated; at one of 1 s every timeout ended in a failure.
+/// The operators' rule: timeouts follow from the deduplication window where they would outlast it.
+/// At a window of 3 s a half-open trial took 5 s, and nothing that it cut off could be repeated; at
+/// one of 1 s every timeout ended in a failure.
 #[test]
 fn a_timeout_leaves_time_for_a_repeat_or_is_that_of_an_at_most_once_message() {
     let first_timeout = |window, hangs: bool| {
@@ -51,8 +53,9 @@
     assert!(first_timeout(12 * SEC, false) >= 2 * SEC && first_timeout(12 * SEC, true) == 5 * SEC);
 }
 
-/// The operators' rule: a dispatcher may stall for 0.15 s between reading its clock and writing, and a window has to allow for
-/// that. A repeat that was decided 5 ms before the window's end came 145 ms after it.
+/// The operators' rule: a dispatcher may stall for 0.15 s between reading its clock and writing,
+/// and a window has to allow for that. A repeat that was decided 5 ms before the window's end came
+/// 145 ms after it.
 #[test]
 fn no_repeat_starts_so_late_that_a_stall_carries_it_past_its_window() {
     const WINDOW: Nanos = 6 * SEC;
