--- a/crates/core/src/control/idle_connections.rs
+++ b/crates/core/src/control/idle_connections.rs
@@ -9,9 +9,9 @@
 
 /// For how long no idle connections to a kind of destinations are kept.
 const AVOID_SPAN: Nanos = 60_000 * MS;
-/// The share of dropped connections at which that begins, and the least weight of one attempt in
-/// the share.
+/// The share of dropped connections at which that begins.
 const DROP_THRESHOLD: f64 = 0.15;
+/// The least weight of one attempt in the share.
 const DROP_WEIGHT: f64 = 0.05;
 /// After a pause of this length one drop is enough.
 const LONG_IDLE: Nanos = 2_000 * MS;
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -27,7 +27,7 @@
 impl Dispatcher {
     /// Starts an instance.
     pub fn new(now: Nanos, settings: Settings) -> Self {
-        let mut dispatcher = Self::with_latency(now, settings, timeouts::INITIAL_LATENCY);
+        let mut dispatcher = Self::with_latency(now, settings, timeouts::INITIAL_LATENCY_NANOS);
         dispatcher.schedule_watch_request();
         dispatcher
     }
--- a/crates/core/src/control/outcomes.rs
+++ b/crates/core/src/control/outcomes.rs
@@ -7,9 +7,9 @@
 use crate::state::attempts::Attempt;
 use crate::state::routes::Route;
 
-/// The weight of one outcome in a route's failure share, and the share above which a route is
-/// suspect.
+/// The weight of one outcome in a route's failure share.
 const FAILURE_WEIGHT: f64 = 0.25;
+/// The failure share above which a route is suspect.
 const FAILURE_THRESHOLD: f64 = 0.4;
 /// For how long nothing is sent after the caller had no capacity, contrary to the count here: in
 /// steps of the caller's clock.
--- a/crates/core/src/control/pacing.rs
+++ b/crates/core/src/control/pacing.rs
@@ -5,26 +5,27 @@
 use crate::state::routes::{Limiter, Route, Routes};
 use crate::units::MS;
 
-/// Up to this number dispatchers use each route often; in a larger fleet waits grow by a power of
-/// the ratio.
+/// Up to this number of dispatchers each of them uses each route often.
 const SMALL_FLEET: f64 = 3.0;
+/// In a larger fleet waits grow by this power of the ratio to a small one.
 const FLEET_POWER: f64 = 0.65;
-/// The first pacing interval after a rate-limited attempt, and the longest (it must not outlive a
-/// long closure).
+/// The first pacing interval after a rate-limited attempt.
 const PACING_STEP: Nanos = 40 * MS;
+/// The longest pacing interval: it must not outlive a long closure.
 const MAX_PACING_INTERVAL: Nanos = 1_000 * MS;
 /// The part by which a delivery shortens the pacing interval.
 const PACING_DECREASE: f64 = 0.15;
 /// For a limiter of known rate: the longest pacing interval, in fair intervals (the first is one).
 const MAX_FAIR_INTERVALS: f64 = 4.0;
-/// The least spacing, over all dispatchers together, to a warming or ejected route that had hardly
-/// any traffic.
+/// The least spacing, over all dispatchers together, to a warming route that had hardly any
+/// traffic.
 const WARMING_SPACING: Nanos = 700 * MS;
+/// The same for an ejected route.
 const EJECTED_SPACING: Nanos = 300 * MS;
-/// What a warm route is taken to bear, as a multiple of its traffic, and the time constant of the
-/// traffic in nanoseconds.
+/// What a warm route is taken to bear, as a multiple of its traffic.
 const TRAFFIC_HEADROOM: f64 = 1.2;
-const TRAFFIC_SPAN: f64 = 8e9;
+/// The time constant with which the traffic of a route decays.
+const TRAFFIC_SPAN_NANOS: f64 = 8e9;
 
 /// Whether all dispatchers can have messages for a limiter of this rate at once: they wait half
 /// their lifetime there.
@@ -70,7 +71,7 @@
 
     /// Brings the traffic up to date, and adds to it.
     pub(super) fn observe_traffic(&mut self, now: Nanos, delivered: f64) {
-        self.add_traffic(now, delivered, TRAFFIC_SPAN);
+        self.add_traffic(now, delivered, TRAFFIC_SPAN_NANOS);
     }
 }
 
@@ -116,7 +117,7 @@
     /// send one in `least`.
     fn spacing(&self, settings: &Settings, number: usize, available: f64, least: Nanos) -> Nanos {
         let route = &self[number];
-        let rate = route.traffic / TRAFFIC_SPAN
+        let rate = route.traffic / TRAFFIC_SPAN_NANOS
             * TRAFFIC_HEADROOM
             * available
             * settings.overload_multiple;
--- a/crates/core/src/control/ranking.rs
+++ b/crates/core/src/control/ranking.rs
@@ -5,10 +5,10 @@
 use crate::state::queues::QueueEntry;
 use crate::units::MS;
 
-/// How far ahead the ranking looks at least, and by how much less than a long backlog takes (in
-/// nanoseconds).
+/// How far ahead the ranking looks at least.
 const MIN_HORIZON: Nanos = 1_500 * MS;
-const SHORT_BACKLOG: f64 = 2e9;
+/// How much less far ahead it looks than a long backlog takes.
+const SHORT_BACKLOG_NANOS: f64 = 2e9;
 /// The weight of the value itself beside what waiting would lose of it.
 const VALUE_WEIGHT: f64 = 0.03;
 
@@ -44,7 +44,8 @@
             .iter()
             .map(|(group, queue)| total_time(group.class, queue.len()));
         MIN_HORIZON.max(
-            (backlog.sum::<f64>() / self.settings.max_in_flight as f64 - SHORT_BACKLOG) as Nanos,
+            (backlog.sum::<f64>() / self.settings.max_in_flight as f64 - SHORT_BACKLOG_NANOS)
+                as Nanos,
         )
     }
 
--- a/crates/core/src/control/routing.rs
+++ b/crates/core/src/control/routing.rs
@@ -8,9 +8,9 @@
 use crate::state::messages::{Message, MessageState};
 use crate::state::queues::WaitingQueue;
 
-/// The share of the in-flight capacity that one destination may take, and the number of calls that
-/// it may have at least.
+/// The share of the in-flight capacity that one destination may take.
 const DESTINATION_CAPACITY_SHARE: f64 = 0.35;
+/// The number of calls that a destination may have in flight whatever its share is.
 const MIN_DESTINATION_CALLS: usize = 2;
 
 impl Dispatcher {
--- a/crates/core/src/control/suspension.rs
+++ b/crates/core/src/control/suspension.rs
@@ -6,8 +6,10 @@
 use crate::state::routes::{Route, Routes};
 use crate::units::MS;
 
-/// The backoff where there is no Retry-After: shorter than the spans in which limits are counted.
+/// The first backoff where there is no Retry-After: shorter than the spans in which limits are
+/// counted.
 pub(super) const FIRST_BACKOFF: Nanos = 250 * MS;
+/// The longest backoff.
 const MAX_BACKOFF: Nanos = 2_000 * MS;
 /// The spread of the backoff, as a multiple of what a large fleet adds: dispatchers that were
 /// rejected together return at different times.
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -10,13 +10,15 @@
 
 /// A route is silent when an attempt is in flight for this multiple of the usual answer time.
 const SILENCE_MULTIPLE: f64 = 5.0;
+/// The least time after which an unanswered attempt counts as silence.
 const MIN_SILENCE: Nanos = 700 * MS;
 /// The multiple is cut, down to this part, by the share of attempts not answered in usual time.
 const MIN_PATIENCE: f64 = 0.4;
+/// The weight of one attempt in that share.
 const MISSED_WEIGHT: f64 = 0.15;
-/// The interval between the half-open trials of a suspect route, and how much longer at-most-once
-/// messages avoid it.
+/// The interval between the half-open trials of a suspect route.
 const TRIAL_INTERVAL: Nanos = 400 * MS;
+/// How much longer at-most-once messages avoid a suspect route, since they fail if the trial does.
 const AT_MOST_ONCE_DELAY: Nanos = 2_500 * MS;
 /// The share of the in-flight capacity that all half-open trials together may take.
 const TRIAL_CAPACITY_SHARE: f64 = 0.25;
--- a/crates/core/src/control/timeouts.rs
+++ b/crates/core/src/control/timeouts.rs
@@ -6,17 +6,18 @@
 use crate::state::routes::Routes;
 use crate::units::MS;
 
-/// The timeout, as a multiple of the usual answer time, with its bounds.
+/// The timeout, as a multiple of the usual answer time.
 const TIMEOUT_MULTIPLE: f64 = 8.0;
+/// The bounds of the timeout.
 const MIN_TIMEOUT: Nanos = 2_000 * MS;
 const MAX_TIMEOUT: Nanos = 8_000 * MS;
-/// Enough for an answer of a very slow route, and for a repeat of a deduplicated message within its
-/// window.
+/// The timeout of a half-open trial: enough for an answer of a very slow route, and for a repeat of
+/// a deduplicated message within its window.
 const TRIAL_TIMEOUT: Nanos = 5_000 * MS;
-/// The least weight of one answer in the usual answer times, and the usual time in nanoseconds
-/// before any answer.
+/// The least weight of one answer in the usual answer times.
 const LATENCY_WEIGHT: f64 = 0.1;
-pub(super) const INITIAL_LATENCY: f64 = 300e6;
+/// The usual answer time before any answer has come.
+pub(super) const INITIAL_LATENCY_NANOS: f64 = 300e6;
 
 impl AnswerTimes {
     /// Counts an answer that was not late.
--- a/crates/core/src/state/answer_times.rs
+++ b/crates/core/src/state/answer_times.rs
@@ -14,9 +14,9 @@
 
 impl AnswerTimes {
     /// The answer times of that many classes before any answer has come.
-    pub(crate) fn new(classes: usize, initial: f64) -> Self {
+    pub(crate) fn new(classes: usize, initial_nanos: f64) -> Self {
         AnswerTimes {
-            by_class: vec![initial; classes],
+            by_class: vec![initial_nanos; classes],
             missed_share: 0.0,
         }
     }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -55,10 +55,10 @@
 
 impl Dispatcher {
     /// The state at the start of an instance.
-    pub(crate) fn with_latency(now: Nanos, settings: Settings, initial_latency: f64) -> Self {
+    pub(crate) fn with_latency(now: Nanos, settings: Settings, initial_latency_nanos: f64) -> Self {
         Dispatcher {
             random: Random::seeded(settings.seed),
-            answer_times: AnswerTimes::new(settings.classes.len(), initial_latency),
+            answer_times: AnswerTimes::new(settings.classes.len(), initial_latency_nanos),
             now,
             settings,
             ..Self::default()
