--- a/crates/discovery-client/src/error.rs
+++ b/crates/discovery-client/src/error.rs
@@ -16,7 +16,7 @@
         /// The version that was received already.
         known: Version,
         /// The version of the line.
-        told: Version,
+        found: Version,
     },
     /// The answer to a lookup is of another log than the watch.
     OtherLog(String),
@@ -32,10 +32,10 @@
                 f,
                 "it is a complete list: the address is that of a plain discovery server, not of a control process"
             ),
-            ScopedLineError::VersionWentBack { known, told } => write!(
+            ScopedLineError::VersionWentBack { known, found } => write!(
                 f,
                 "its version {} is before {}, which was received already",
-                told.0, known.0
+                found.0, known.0
             ),
             ScopedLineError::OtherLog(log) => {
                 write!(f, "it is of log {log}, and the watch is of another one")
--- a/crates/discovery-client/src/scoped_list.rs
+++ b/crates/discovery-client/src/scoped_list.rs
@@ -239,7 +239,7 @@
         if !other_log && line.version < self.version {
             return Err(ScopedLineError::VersionWentBack {
                 known: self.version,
-                told: line.version,
+                found: line.version,
             });
         }
         Ok(())
