--- a/crates/directory/src/entries.rs
+++ b/crates/directory/src/entries.rs
@@ -150,9 +150,10 @@
         if self.names.len() + new_names.len() > usize::from(NameIndex::MAX) {
             return Err(TableFull::Names);
         }
-        match self.len() + endpoints.len() <= u32::MAX as usize {
-            true => Ok(()),
-            false => Err(TableFull::Endpoints),
+        if self.len() + endpoints.len() <= u32::MAX as usize {
+            Ok(())
+        } else {
+            Err(TableFull::Endpoints)
         }
     }
 
--- a/crates/directory/src/member_scope.rs
+++ b/crates/directory/src/member_scope.rs
@@ -48,14 +48,13 @@
         directory: &Directory,
     ) -> MemberScope {
         let held = directory.held_by(name);
-        let kept: BTreeSet<BucketId> = match known {
-            true => held.intersection(buckets).copied().collect(),
-            false => BTreeSet::new(),
-        };
-        let gained: Vec<BucketId> = held.difference(&kept).copied().collect();
-        let pending = match known {
-            true => PendingChanges::unlisted(),
-            false => PendingChanges::listed(entries_of(cached, directory)),
+        let (gained, pending): (Vec<BucketId>, PendingChanges) = if known {
+            let gained = held.difference(buckets).copied().collect();
+            (gained, PendingChanges::unlisted())
+        } else {
+            let gained = held.iter().copied().collect();
+            let pending = PendingChanges::listed(entries_of(cached, directory));
+            (gained, pending)
         };
         let mut scope = MemberScope {
             name: name.clone(),
@@ -182,9 +181,10 @@
 
     /// Lists the entries to be sent, each once, in the order of their versions.
     fn collect_pending(&mut self, directory: &Directory) {
-        let mut pending = match self.pending.needs_rescan() {
-            true => PendingChanges::listed(self.later_than_sent(directory)),
-            false => std::mem::replace(&mut self.pending, PendingChanges::listed(Vec::new())),
+        let mut pending = if self.pending.needs_rescan() {
+            PendingChanges::listed(self.later_than_sent(directory))
+        } else {
+            std::mem::replace(&mut self.pending, PendingChanges::listed(Vec::new()))
         };
         pending.order(directory, |index| self.is_in_scope(index, directory));
         self.pending = pending;
--- a/crates/directory/src/request.rs
+++ b/crates/directory/src/request.rs
@@ -94,13 +94,14 @@
                 forget: fields.forget,
             }));
         }
-        let scope = match fields.complete {
-            true => RequestedScope::Whole,
-            false => RequestedScope::Member {
+        let scope = if fields.complete {
+            RequestedScope::Whole
+        } else {
+            RequestedScope::Member {
                 name: fields.dispatcher.ok_or(DISPATCHER_MISSING)?,
                 buckets: fields.buckets,
                 cells: fields.cells,
-            },
+            }
         };
         Ok(TargetsRequest::Watch(WatchRequest {
             since: fields.since,
--- a/crates/directory/src/state/directory.rs
+++ b/crates/directory/src/state/directory.rs
@@ -188,9 +188,10 @@
         if self.layout.region_of(&member.zone).is_none() {
             return Err(MemberError::UnknownZone(member.zone.to_string()));
         }
-        match (0.0..=MAX_WEIGHT).contains(&member.weight) {
-            true => Ok(()),
-            false => Err(MemberError::Weight(member.weight)),
+        if (0.0..=MAX_WEIGHT).contains(&member.weight) {
+            Ok(())
+        } else {
+            Err(MemberError::Weight(member.weight))
         }
     }
 
@@ -247,9 +248,10 @@
             return Ok(bucket);
         };
         let same_destination = self.entries.destination(known) == Some(endpoint.destination);
-        match same_destination && self.entries.bucket(known) == Some(bucket) {
-            true => Ok(bucket),
-            false => Err(EndpointError::Moved(endpoint.id.clone())),
+        if same_destination && self.entries.bucket(known) == Some(bucket) {
+            Ok(bucket)
+        } else {
+            Err(EndpointError::Moved(endpoint.id.clone()))
         }
     }
 
--- a/crates/discovery-client/src/watch.rs
+++ b/crates/discovery-client/src/watch.rs
@@ -104,9 +104,10 @@
             return Vec::new();
         };
         let (alive_at, late) = (found.alive_at(), found.is_late());
-        match found.is_serving() {
-            true => self.counters.broken += 1,
-            false => self.counters.failed += 1,
+        if found.is_serving() {
+            self.counters.broken += 1;
+        } else {
+            self.counters.failed += 1;
         }
         let mut commands = self.calls.close(call);
         // The next request names what is known by then; what is not is looked up at the next server.
--- /dev/null
+++ b/crates/discovery-client/tests/discovery/plain_watch.rs
@@ -0,0 +1,99 @@
+//! The calls of a plain watch: events in, commands out.
+
+use crate::driver::{HEAD, SECOND, address, begin, chunk, connects, plain, receives, timer};
+use bellsill_discovery_client::backoff::{FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
+use bellsill_discovery_client::watch::KEPT_FOR;
+use bellsill_discovery_client::{Command, Received, Timer};
+
+#[test]
+fn a_plain_watch_request_has_fixed_bytes_and_the_last_applied_version() {
+    let mut watch = plain();
+    let (call, at, request) = begin(&mut watch);
+    assert_eq!(at, address(1));
+    assert_eq!(
+        request,
+        "GET /api/targets?follow=1&since=0 HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"
+    );
+    watch.told(41);
+    let commands = watch.broken(SECOND, call);
+    let retry_at = timer(&commands, Timer::Reconnect).unwrap();
+    let (_, _, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
+    assert!(request.starts_with("GET /api/targets?follow=1&since=41 HTTP/1.1\r\n"));
+}
+
+#[test]
+fn a_late_plain_call_stays_open_and_the_first_with_a_line_serves() {
+    let mut watch = plain();
+    let (first, ..) = begin(&mut watch);
+    let up = watch.connected(SECOND, first);
+    assert_eq!(
+        timer(&up, Timer::Call(first)),
+        Some(SECOND + FIRST_LINE_WITHIN)
+    );
+    let late = watch.timer_fired(SECOND + FIRST_LINE_WITHIN, Timer::Call(first));
+    assert_eq!(
+        timer(&late, Timer::Call(first)),
+        Some(KEPT_FOR),
+        "counted from when it was made"
+    );
+    assert!(!late.contains(&Command::Close(first)));
+    let retry_at = timer(&late, Timer::Reconnect).unwrap();
+    let (second, ..) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
+    let received = receives(
+        &mut watch,
+        retry_at,
+        first,
+        &format!("{HEAD}{}", chunk("\n")),
+    );
+    assert!(received.documents.is_empty());
+    assert!(received.commands.contains(&Command::Close(second)));
+    assert_eq!(
+        timer(&received.commands, Timer::Call(first)),
+        Some(retry_at + SILENT_FOR)
+    );
+}
+
+#[test]
+fn a_plain_call_that_does_not_connect_is_abandoned() {
+    let mut watch = plain();
+    let (first, ..) = begin(&mut watch);
+    let commands = watch.timer_fired(UP_WITHIN, Timer::Call(first));
+    assert!(
+        commands.contains(&Command::Close(first)) && timer(&commands, Timer::Reconnect).is_some()
+    );
+    assert_eq!(watch.counters().timed_out, 1);
+    assert!(watch.broken(UP_WITHIN, first).is_empty(), "it is gone");
+}
+
+#[test]
+fn a_relocated_plain_watch_reconnects_at_once_from_version_zero() {
+    let mut watch = plain();
+    let (first, ..) = begin(&mut watch);
+    watch.told(41);
+    assert!(
+        watch.relocate(SECOND, address(1)).is_empty(),
+        "it has that address already"
+    );
+    let commands = watch.relocate(SECOND, address(2));
+    assert!(commands.contains(&Command::Close(first)));
+    let (_, at, request) = connects(&commands).unwrap();
+    assert!(at == address(2) && request.contains("since=0 "));
+}
+
+#[test]
+fn bytes_without_a_complete_line_do_not_show_that_a_watch_is_alive() {
+    let mut watch = plain();
+    let (call, ..) = begin(&mut watch);
+    let received = receives(
+        &mut watch,
+        SECOND,
+        call,
+        &format!("{HEAD}{}", chunk("{\"version\":")),
+    );
+    assert_eq!(received, Received::default());
+    let received = receives(&mut watch, SECOND, call, &chunk("3}\n{\"a\":\n1}\n"));
+    assert_eq!(
+        received.documents,
+        [b"{\"version\":3}".to_vec(), b"{\"a\":\n1}".to_vec()]
+    );
+}
--- a/crates/discovery-client/tests/scoped_list.rs
+++ b/crates/discovery-client/tests/discovery/scoped_list.rs
@@ -1,12 +1,11 @@
 //! A dispatcher's part of the scoped configuration, against lines as control processes write them.
 
-mod common;
-
+use crate::driver::nothing_in_use;
+use crate::tens_layout::{TensLayout, empty_list};
 use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
 use bellsill_discovery_client::scoped_list::MOST_CELLS;
 use bellsill_discovery_client::{Knowledge, ScopedLineError, ScopedList, StateFileError};
 use bellsill_placement::BucketId;
-use common::{TensLayout, empty_list};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -77,10 +76,6 @@
     }
 }
 
-fn nothing_in_use(_: u64) -> bool {
-    false
-}
-
 #[test]
 fn a_first_watch_requests_everything_and_later_ones_from_the_known_version() {
     assert_eq!(empty_list(2).query("d1"), "since=0&dispatcher=d1");
@@ -346,14 +341,14 @@
 #[test]
 fn a_cancelled_lookup_is_not_made_and_known_destinations_stay() {
     let mut list = started();
-    [47, 48]
-        .into_iter()
-        .for_each(|destination| drop(list.want(destination, &nothing_in_use).unwrap()));
+    for destination in [47, 48] {
+        list.want(destination, &nothing_in_use).unwrap();
+    }
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
         .unwrap();
-    [47, 48]
-        .into_iter()
-        .for_each(|destination| drop(list.cancel(destination)));
+    for destination in [47, 48] {
+        list.cancel(destination);
+    }
     assert_eq!(
         (list.knowledge(47), list.knowledge(48)),
         (Knowledge::Cached, Knowledge::Unknown)
@@ -457,11 +452,12 @@
             let up = up && !version.is_multiple_of(3);
             let up = *newest.entry((name, version)).or_insert(up);
             let id = name.to_string();
-            let entry = match up {
-                true => self::entry(&id, 11, version),
-                false => removed(&id, 11, version),
+            let changed = if up {
+                entry(&id, 11, version)
+            } else {
+                removed(&id, 11, version)
             };
-            list.apply(line(1_000, vec![entry])).unwrap();
+            list.apply(line(1_000, vec![changed])).unwrap();
         }
         // The map is in the order of versions, so the last one of each name stays.
         let last: BTreeMap<u8, bool> = newest.iter().map(|((name, _), up)| (*name, *up)).collect();
--- /dev/null
+++ b/crates/discovery-client/tests/discovery/scoped_watch.rs
@@ -0,0 +1,100 @@
+//! The calls of a scoped watch: events in, commands out.
+
+use crate::driver::{HEAD, SECOND, begin, chunk, connects, plain, receives, scoped, timer};
+use bellsill_discovery_client::watch::{LONGEST_SCOPED_LINE, SCOPED_SILENT_FOR};
+use bellsill_discovery_client::{Command, Timer};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+#[test]
+fn an_answer_other_than_200_fails_the_call() {
+    let mut watch = scoped(1);
+    let (call, ..) = begin(&mut watch);
+    let received = receives(
+        &mut watch,
+        SECOND,
+        call,
+        "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
+    );
+    assert!(received.commands.contains(&Command::Close(call)));
+    assert_eq!((watch.counters().refused, watch.counters().failed), (1, 1));
+}
+
+#[test]
+fn a_scoped_watch_requests_what_its_list_lacks() {
+    let mut watch = scoped(1);
+    let (call, at, request) = begin(&mut watch);
+    assert_eq!(
+        request,
+        format!("GET /api/targets?follow=1&since=0&dispatcher=d1 HTTP/1.1\r\nHost: {at}\r\n\r\n")
+    );
+    let text =
+        r#"{"version":4,"full":false,"log":"c0ffee","gained":[1],"filled":[1],"servers":[]}"#;
+    let received = receives(
+        &mut watch,
+        SECOND,
+        call,
+        &format!("{HEAD}{}", chunk(&format!("{text}\n\n"))),
+    );
+    assert_eq!(
+        timer(&received.commands, Timer::Call(call)),
+        Some(SECOND + SCOPED_SILENT_FOR)
+    );
+    assert_eq!(received.documents, [text.as_bytes()]);
+    watch.apply(&received.documents[0]).unwrap();
+    let commands = watch.timer_fired(SECOND + SCOPED_SILENT_FOR, Timer::Call(call));
+    let retry_at = timer(&commands, Timer::Reconnect).unwrap();
+    assert!(retry_at <= SECOND + SCOPED_SILENT_FOR + SECOND / 2);
+    let (_, next, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
+    assert_ne!(next, at);
+    assert!(request.contains("since=4&log=c0ffee&dispatcher=d1&buckets=1 HTTP"));
+}
+
+#[test]
+fn each_server_is_tried_once_before_any_is_retried_in_an_order_per_dispatcher() {
+    let order = |seed: u64| -> Vec<SocketAddr> {
+        let mut watch = scoped(seed);
+        let mut tried = vec![begin(&mut watch)];
+        let mut now = 0;
+        for _ in 1..18 {
+            let commands = watch.broken(now, tried.last().unwrap().0);
+            now = timer(&commands, Timer::Reconnect).unwrap();
+            tried.push(connects(&watch.timer_fired(now, Timer::Reconnect)).unwrap());
+        }
+        tried.into_iter().map(|(_, at, _)| at).collect()
+    };
+    let first = order(1);
+    assert_eq!(first[..9].iter().collect::<BTreeSet<_>>().len(), 9);
+    assert_eq!(first[..9], first[9..]);
+    assert_eq!(order(1), first);
+    assert!((2..12).any(|seed| order(seed)[0] != first[0]));
+}
+
+#[test]
+fn an_overlong_line_fails_a_scoped_call() {
+    for text in [
+        "x".repeat(LONGEST_SCOPED_LINE + 1),
+        format!("{}\n", "x".repeat(LONGEST_SCOPED_LINE + 1)),
+    ] {
+        let mut watch = scoped(1);
+        let (call, ..) = begin(&mut watch);
+        let received = receives(&mut watch, SECOND, call, &format!("{HEAD}{}", chunk(&text)));
+        assert!(received.documents.is_empty() && received.commands.contains(&Command::Close(call)));
+        assert_eq!(watch.counters().overlong_lines, 1);
+    }
+}
+
+#[test]
+fn the_end_of_a_body_ends_the_watch() {
+    for mut watch in [plain(), scoped(1)] {
+        let (call, ..) = begin(&mut watch);
+        let text = format!("{HEAD}{}0\r\n\r\n", chunk("{\"version\":4}\n"));
+        let received = receives(&mut watch, SECOND, call, &text);
+        assert_eq!(
+            received.documents.len(),
+            1,
+            "documents before the end count"
+        );
+        assert!(received.commands.contains(&Command::Close(call)));
+    }
+}
