--- a/crates/daemon/src/journal/record.rs
+++ b/crates/daemon/src/journal/record.rs
@@ -1,58 +1,72 @@
 //! The records of the message journal: a length, a checksum and a payload, which is a kind and its fields.
 
-use super::{JournaledAttempt, JournaledMessage, Resolution};
+use super::contents::{JournaledAttempt, JournaledMessage, Resolution};
 use crate::clock::ClockReading;
 use bellsill_core::interface::{MessageId, Nanos};
 
-/// The length and the checksum before a payload.
-const HEAD_BYTES: usize = 8;
+/// The length and the checksum before a payload, four bytes each.
+const HEADER_BYTES: usize = 8;
+
+/// The first byte of a payload: the kind of the record.
+mod kind {
+    pub(super) const CLOCK: u8 = b'S';
+    pub(super) const ACCEPTED: u8 = b'M';
+    pub(super) const ATTEMPT: u8 = b'C';
+    pub(super) const OUTCOME: u8 = b'O';
+    pub(super) const RESOLVED: u8 = b'E';
+    pub(super) const NOTIFIED: u8 = b'N';
+    pub(super) const ADOPTED: u8 = b'A';
+}
+
+/// How a message ended, in a record of its end.
+const NOT_NOTIFIED: u8 = 0;
+const FAILED: u8 = 1;
+const REJECTED: u8 = 2;
 
 /// What a record says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Record<'a> {
-    /// The clock that all times of the file are on; first in the file. Older journals have none: theirs are on the wall
-    /// clock.
+pub(super) enum Record<'a> {
+    /// The clock that all times of the file are on; first in the file. Older journals have none: their times are on the
+    /// wall clock.
     Clock(ClockReading),
-    Taken(JournaledMessage),
+    /// A message was accepted.
+    Accepted(JournaledMessage),
+    /// The first byte of an attempt may be written.
     Attempt {
         id: MessageId,
         attempt: JournaledAttempt,
     },
-    Outcome {
-        id: MessageId,
-        may_have_run: bool,
-    },
-    Ended {
-        id: MessageId,
-        ending: Option<Resolution>,
-    },
-    Told {
+    /// The outcome of the last attempt.
+    Outcome { id: MessageId, may_have_run: bool },
+    /// A message ended; with a resolution, a notification is pending.
+    Resolved {
         id: MessageId,
+        resolution: Option<Resolution>,
     },
-    /// The records of another journal that were taken over, whole or not at all, and which bytes of it they were.
-    Adopted {
-        source: Extent,
-        records: &'a [u8],
-    },
+    /// The platform has confirmed the notification.
+    Notified { id: MessageId },
+    /// All records of another journal that were taken over, and the bytes of it that they were.
+    Adopted { source: Extent, records: &'a [u8] },
 }
 
-/// The first bytes of a journal, known again by their checksum.
+/// The first bytes of a journal, recognised by their checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Extent {
+pub(super) struct Extent {
     length: u64,
     checksum: u32,
 }
 
 impl Extent {
-    pub fn of(bytes: &[u8]) -> Extent {
+    /// The extent of these bytes.
+    pub(super) fn of(bytes: &[u8]) -> Extent {
         Extent {
             length: bytes.len() as u64,
             checksum: crc32fast::hash(bytes),
         }
     }
 
-    /// How many of these bytes it covers: all of its own, if they begin with them.
-    pub fn covers(&self, bytes: &[u8]) -> usize {
+    /// How many of these bytes it covers: its own length if they begin with the same bytes, or else none.
+    pub(super) fn covers(&self, bytes: &[u8]) -> usize {
         let first = bytes
             .get(..self.length as usize)
             .filter(|first| Extent::of(first) == *self);
@@ -60,7 +74,8 @@
     }
 }
 
-fn begin(kind: u8, id: MessageId) -> Vec<u8> {
+/// The begin of a payload: its kind, and an id, which is zero where the kind has none.
+fn payload(kind: u8, id: MessageId) -> Vec<u8> {
     let mut payload = vec![kind];
     payload.extend(id.0.to_le_bytes());
     payload
@@ -71,87 +86,91 @@
     payload.extend(bytes);
 }
 
-fn sealed(payload: Vec<u8>) -> Vec<u8> {
-    let mut record = Vec::with_capacity(payload.len() + HEAD_BYTES);
+/// The payload with its length and checksum before it.
+fn framed(payload: Vec<u8>) -> Vec<u8> {
+    let mut record = Vec::with_capacity(payload.len() + HEADER_BYTES);
     record.extend((payload.len() as u32).to_le_bytes());
     record.extend(crc32fast::hash(&payload).to_le_bytes());
     record.extend(payload);
     record
 }
 
-pub fn clock(reading: &ClockReading) -> Vec<u8> {
-    let mut p = begin(b'S', MessageId(0));
-    p.extend(reading.monotonic.to_le_bytes());
-    p.extend(reading.wall.to_le_bytes());
-    put_bytes(&mut p, reading.boot.as_bytes());
-    sealed(p)
+/// The clock that the times of the following records are on.
+pub(super) fn clock(reading: &ClockReading) -> Vec<u8> {
+    let mut payload = payload(kind::CLOCK, MessageId(0));
+    payload.extend(reading.monotonic.to_le_bytes());
+    payload.extend(reading.wall.to_le_bytes());
+    put_bytes(&mut payload, reading.boot.as_bytes());
+    framed(payload)
 }
 
-pub fn taken(message: &JournaledMessage) -> Vec<u8> {
-    let mut p = begin(b'M', message.id);
+/// A message was accepted.
+pub(super) fn accepted(message: &JournaledMessage) -> Vec<u8> {
+    let mut payload = payload(kind::ACCEPTED, message.id);
     for number in [message.key, message.destination, message.deadline] {
-        p.extend(number.to_le_bytes());
+        payload.extend(number.to_le_bytes());
     }
-    put_bytes(&mut p, message.class.as_bytes());
-    put_bytes(&mut p, message.idempotency_key.as_bytes());
-    put_bytes(&mut p, &message.body);
-    sealed(p)
+    put_bytes(&mut payload, message.class.as_bytes());
+    put_bytes(&mut payload, message.idempotency_key.as_bytes());
+    put_bytes(&mut payload, &message.body);
+    framed(payload)
 }
 
-pub fn attempt(id: MessageId, at: Nanos, zone: &str) -> Vec<u8> {
-    let mut p = begin(b'C', id);
-    p.extend(at.to_le_bytes());
-    put_bytes(&mut p, zone.as_bytes());
-    sealed(p)
+/// An attempt is about to write its first byte.
+pub(super) fn attempt(id: MessageId, sent_at: Nanos, zone: &str) -> Vec<u8> {
+    let mut payload = payload(kind::ATTEMPT, id);
+    payload.extend(sent_at.to_le_bytes());
+    put_bytes(&mut payload, zone.as_bytes());
+    framed(payload)
 }
 
-pub fn outcome(id: MessageId, may_have_run: bool) -> Vec<u8> {
-    let mut p = begin(b'O', id);
-    p.push(u8::from(may_have_run));
-    sealed(p)
+/// The outcome of the message's last attempt.
+pub(super) fn outcome(id: MessageId, may_have_run: bool) -> Vec<u8> {
+    let mut payload = payload(kind::OUTCOME, id);
+    payload.push(u8::from(may_have_run));
+    framed(payload)
 }
 
-pub fn ended(id: MessageId, ending: Option<Resolution>) -> Vec<u8> {
-    let mut p = begin(b'E', id);
-    let (how, wait) = match ending {
-        None => (0, 0),
-        Some(Resolution::Failed) => (1, 0),
-        Some(Resolution::Rejected { retry_after: wait }) => (2, wait),
+/// A message ended.
+pub(super) fn resolved(id: MessageId, resolution: Option<Resolution>) -> Vec<u8> {
+    let mut payload = payload(kind::RESOLVED, id);
+    let (code, retry_after) = match resolution {
+        None => (NOT_NOTIFIED, 0),
+        Some(Resolution::Failed) => (FAILED, 0),
+        Some(Resolution::Rejected { retry_after }) => (REJECTED, retry_after),
     };
-    p.push(how);
-    p.extend(wait.to_le_bytes());
-    sealed(p)
+    payload.push(code);
+    payload.extend(retry_after.to_le_bytes());
+    framed(payload)
 }
 
-pub fn told(id: MessageId) -> Vec<u8> {
-    sealed(begin(b'N', id))
+/// The platform has confirmed the message's notification.
+pub(super) fn notified(id: MessageId) -> Vec<u8> {
+    framed(payload(kind::NOTIFIED, id))
 }
 
-pub fn adopted(source: Extent, records: &[u8]) -> Vec<u8> {
-    let mut p = begin(b'A', MessageId(0));
-    p.extend(source.length.to_le_bytes());
-    p.extend(source.checksum.to_le_bytes());
-    put_bytes(&mut p, records);
-    sealed(p)
+/// Records of another journal were taken over.
+pub(super) fn adopted(source: Extent, records: &[u8]) -> Vec<u8> {
+    let mut payload = payload(kind::ADOPTED, MessageId(0));
+    payload.extend(source.length.to_le_bytes());
+    payload.extend(source.checksum.to_le_bytes());
+    put_bytes(&mut payload, records);
+    framed(payload)
 }
 
-/// All records that say anew what is kept of a message.
-pub fn message(message: &JournaledMessage) -> Vec<u8> {
-    let mut bytes = taken(message);
-    for attempt_made in &message.attempts {
-        bytes.extend(attempt(
-            message.id,
-            attempt_made.sent_at,
-            &attempt_made.zone,
-        ));
-        if let Some(may_have_run) = attempt_made.may_have_run {
+/// All records that say what is known of a pending message.
+pub(super) fn message(message: &JournaledMessage) -> Vec<u8> {
+    let mut bytes = accepted(message);
+    for made in &message.attempts {
+        bytes.extend(attempt(message.id, made.sent_at, &made.zone));
+        if let Some(may_have_run) = made.may_have_run {
             bytes.extend(outcome(message.id, may_have_run));
         }
     }
     bytes
 }
 
-/// Reads the fields of a payload one after the other.
+/// What is left of a payload whose fields are read one after the other.
 struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
@@ -161,24 +180,24 @@
         Some(head)
     }
 
-    fn byte(&mut self) -> Option<u8> {
+    fn u8(&mut self) -> Option<u8> {
         self.take(1).map(|b| b[0])
     }
 
-    fn number(&mut self) -> Option<u64> {
+    fn u64(&mut self) -> Option<u64> {
         self.take(8)
             .and_then(|b| b.try_into().ok())
             .map(u64::from_le_bytes)
     }
 
-    fn short_number(&mut self) -> Option<u32> {
+    fn u32(&mut self) -> Option<u32> {
         self.take(4)
             .and_then(|b| b.try_into().ok())
             .map(u32::from_le_bytes)
     }
 
     fn bytes(&mut self) -> Option<&'a [u8]> {
-        let count = self.short_number()?;
+        let count = self.u32()?;
         self.take(count as usize)
     }
 
@@ -189,74 +208,80 @@
 }
 
 fn read_payload(payload: &[u8]) -> Option<Record<'_>> {
-    let mut f = Fields(payload);
-    let (kind, id) = (f.byte()?, MessageId(f.number()?));
+    let mut fields = Fields(payload);
+    let (kind, id) = (fields.u8()?, MessageId(fields.u64()?));
     let record = match kind {
-        b'S' => {
-            let (monotonic, wall, boot) = (f.number()?, f.number()?, f.text()?);
-            Record::Clock(ClockReading {
-                boot,
-                monotonic,
-                wall,
-            })
-        }
-        b'M' => {
-            let (key, destination, due) = (f.number()?, f.number()?, f.number()?);
-            let (class, tag, body) = (f.text()?, f.text()?, f.bytes()?.to_vec());
-            Record::Taken(JournaledMessage {
-                id,
-                class,
-                key,
-                destination,
-                deadline: due,
-                idempotency_key: tag,
-                body,
-                attempts: vec![],
-            })
-        }
-        b'C' => {
-            let attempt = JournaledAttempt {
-                sent_at: f.number()?,
-                zone: f.text()?,
+        kind::CLOCK => Record::Clock(read_clock(&mut fields)?),
+        kind::ACCEPTED => Record::Accepted(read_accepted(id, &mut fields)?),
+        kind::ATTEMPT => Record::Attempt {
+            id,
+            attempt: JournaledAttempt {
+                sent_at: fields.u64()?,
+                zone: fields.text()?,
                 may_have_run: None,
-            };
-            Record::Attempt { id, attempt }
-        }
-        b'O' => Record::Outcome {
+            },
+        },
+        kind::OUTCOME => Record::Outcome {
             id,
-            may_have_run: f.byte()? != 0,
+            may_have_run: fields.u8()? != 0,
+        },
+        kind::RESOLVED => Record::Resolved {
+            id,
+            resolution: read_resolution(&mut fields)?,
+        },
+        kind::NOTIFIED => Record::Notified { id },
+        kind::ADOPTED => Record::Adopted {
+            source: Extent {
+                length: fields.u64()?,
+                checksum: fields.u32()?,
+            },
+            records: fields.bytes()?,
         },
-        b'E' => {
-            let (how, wait) = (f.byte()?, f.number()?);
-            let ending = match how {
-                0 => None,
-                1 => Some(Resolution::Failed),
-                _ => Some(Resolution::Rejected { retry_after: wait }),
-            };
-            Record::Ended { id, ending }
-        }
-        b'N' => Record::Told { id },
-        b'A' => {
-            let source = Extent {
-                length: f.number()?,
-                checksum: f.short_number()?,
-            };
-            Record::Adopted {
-                source,
-                records: f.bytes()?,
-            }
-        }
         _ => return None,
     };
-    f.0.is_empty().then_some(record)
+    fields.0.is_empty().then_some(record)
+}
+
+fn read_clock(fields: &mut Fields) -> Option<ClockReading> {
+    let (monotonic, wall, boot) = (fields.u64()?, fields.u64()?, fields.text()?);
+    Some(ClockReading {
+        boot,
+        monotonic,
+        wall,
+    })
+}
+
+fn read_accepted(id: MessageId, fields: &mut Fields) -> Option<JournaledMessage> {
+    let (key, destination, deadline) = (fields.u64()?, fields.u64()?, fields.u64()?);
+    let (class, idempotency_key) = (fields.text()?, fields.text()?);
+    Some(JournaledMessage {
+        id,
+        class,
+        key,
+        destination,
+        deadline,
+        idempotency_key,
+        body: fields.bytes()?.to_vec(),
+        attempts: vec![],
+    })
+}
+
+/// `None` where a field is missing; the inner one where no notification is pending.
+fn read_resolution(fields: &mut Fields) -> Option<Option<Resolution>> {
+    let (code, retry_after) = (fields.u8()?, fields.u64()?);
+    Some(match code {
+        NOT_NOTIFIED => None,
+        FAILED => Some(Resolution::Failed),
+        _ => Some(Resolution::Rejected { retry_after }),
+    })
 }
 
-/// The first record of these bytes, and how many of them it takes; none where they begin with no whole record.
-pub fn first(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
-    let mut f = Fields(bytes);
-    let (length, checksum) = (f.short_number()? as usize, f.short_number()?);
-    let payload = f.take(length)?;
-    // Kinds first: when a whole record is looked for at every byte, few checksums are computed.
+/// The first record of these bytes, and how many of them it takes; `None` where they begin with no complete record.
+pub(super) fn first(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
+    let mut fields = Fields(bytes);
+    let (length, checksum) = (fields.u32()? as usize, fields.u32()?);
+    let payload = fields.take(length)?;
+    // The kind comes first: a search for a record at every byte then computes few checksums.
     let record = read_payload(payload)?;
-    (crc32fast::hash(payload) == checksum).then_some((record, HEAD_BYTES + length))
+    (crc32fast::hash(payload) == checksum).then_some((record, HEADER_BYTES + length))
 }
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -7,7 +7,7 @@
 use bellsill_daemon::endpoints::Endpoints;
 use bellsill_daemon::http::{self, Body};
 use bellsill_daemon::journal::{
-    JournaledAttempt, JournaledMessage, MessageJournal, NoRoom, Recovered, Resolution,
+    JournalError, JournaledAttempt, JournaledMessage, MessageJournal, Recovered, Resolution,
 };
 use bellsill_daemon::resp;
 use bellsill_daemon::ring_buffer::RingBuffer;
@@ -274,7 +274,7 @@
     journal: &mut MessageJournal,
     model: &mut Recovered,
     (what, whom, size): (u8, u8, u16),
-) -> Result<(), NoRoom> {
+) -> Result<(), JournalError> {
     let id = MessageId(u64::from(whom % 16));
     let place = model.messages.iter().position(|m| m.id == id);
     match (what % 6, place) {
@@ -302,9 +302,7 @@
             model.messages[place].attempts.push(attempt);
         }
         (3, Some(place)) if !model.messages[place].attempts.is_empty() => {
-            journal
-                .append_outcome(id, size % 2 == 0)
-                .map_err(|_| NoRoom)?;
+            journal.append_outcome(id, size % 2 == 0)?;
             model.messages[place]
                 .attempts
                 .last_mut()
@@ -319,12 +317,12 @@
                     retry_after: Nanos::from(size),
                 }),
             ][size as usize % 3];
-            journal.append_resolved(id, ending).map_err(|_| NoRoom)?;
+            journal.append_resolved(id, ending)?;
             model.messages.remove(place);
             model.pending_notifications.extend(ending.map(|e| (id, e)));
         }
         (5, _) if model.pending_notifications.iter().any(|o| o.0 == id) => {
-            journal.append_notified(id).map_err(|_| NoRoom)?;
+            journal.append_notified(id)?;
             model.pending_notifications.retain(|o| o.0 != id);
         }
         _ => {}
