--- a/crates/daemon/src/journal/record.rs
+++ b/crates/daemon/src/journal/record.rs
@@ -100,7 +100,8 @@
     let mut payload = payload(kind::CLOCK, MessageId(0));
     payload.extend(reading.monotonic.to_le_bytes());
     payload.extend(reading.wall.to_le_bytes());
-    put_bytes(&mut payload, reading.boot.as_bytes());
+    let boot_id = reading.boot_id.as_deref().unwrap_or_default();
+    put_bytes(&mut payload, boot_id.as_bytes());
     framed(payload)
 }
 
@@ -243,9 +244,9 @@
 }
 
 fn read_clock(fields: &mut Fields) -> Option<ClockReading> {
-    let (monotonic, wall, boot) = (fields.u64()?, fields.u64()?, fields.text()?);
+    let (monotonic, wall, boot_id) = (fields.u64()?, fields.u64()?, fields.text()?);
     Some(ClockReading {
-        boot,
+        boot_id: Some(boot_id).filter(|id| !id.is_empty()),
         monotonic,
         wall,
     })
