--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -1,11 +1,22 @@
 //! The command line: what to do, and with which files.
 
 use crate::event_loop::{Daemon, Told};
+use crate::logger;
 use crate::start;
+use bellsill_control_plane as control_plane;
+use lexopt::Arg::{Long, Short, Value};
+use lexopt::ValueExt;
+use log::LevelFilter;
 use std::ffi::OsString;
+use std::fmt::Display;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// The exit status where a process could not start or had to stop.
+const FAILURE: u8 = 1;
+/// The exit status of a bad command line or configuration.
+const BAD_USAGE: u8 = 2;
+
 const HELP: &str = "\
 bellsill delivers messages to other firms' systems.
 
@@ -28,11 +39,11 @@
 
 Options of control: --config FILE (of a control process, see docs/configuration.md) and --log LEVEL.
 
-On SIGHUP serve reads the configuration again, and takes a new `discovery` from it; the log says what else it would need
-a restart for. Ends with 0 when it was told to leave, 1 when it could not go on, 2 on a bad command line or configuration.
+On SIGHUP serve reads the configuration again and applies a new `discovery`; the log says which other changes need a
+restart. Exit status: 0 after a shutdown by signal, 1 on a failure, 2 on a bad command line or configuration.
 ";
 
-#[derive(Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 enum Command {
     Serve,
     Check,
@@ -41,32 +52,54 @@
     Help,
 }
 
+/// The command line, read.
 #[derive(Debug)]
-struct Line {
+struct Arguments {
     command: Command,
-    file: Option<PathBuf>,
+    config: Option<PathBuf>,
     state: Option<PathBuf>,
     installation: Option<PathBuf>,
-    log: log::LevelFilter,
+    log_level: LevelFilter,
+}
+
+/// Why a command ends without success: what is printed, and the exit status.
+struct CommandError {
+    message: String,
+    status: u8,
+}
+
+impl CommandError {
+    fn failure(error: impl Display) -> CommandError {
+        CommandError {
+            message: error.to_string(),
+            status: FAILURE,
+        }
+    }
+
+    fn bad_usage(error: impl Display) -> CommandError {
+        CommandError {
+            message: error.to_string(),
+            status: BAD_USAGE,
+        }
+    }
 }
 
-fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Line, lexopt::Error> {
-    use lexopt::prelude::*;
+fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Arguments, lexopt::Error> {
     let mut parser = lexopt::Parser::from_args(args);
     let mut command = None;
-    let mut line = Line {
+    let mut arguments = Arguments {
         command: Command::Help,
-        file: None,
+        config: None,
         state: None,
         installation: None,
-        log: log::LevelFilter::Info,
+        log_level: LevelFilter::Info,
     };
     while let Some(arg) = parser.next()? {
         match arg {
-            Long("config") => line.file = Some(parser.value()?.into()),
-            Long("state") => line.state = Some(parser.value()?.into()),
-            Long("installation") => line.installation = Some(parser.value()?.into()),
-            Long("log") => line.log = parser.value()?.parse()?,
+            Long("config") => arguments.config = Some(parser.value()?.into()),
+            Long("state") => arguments.state = Some(parser.value()?.into()),
+            Long("installation") => arguments.installation = Some(parser.value()?.into()),
+            Long("log") => arguments.log_level = parser.value()?.parse()?,
             Long("help") | Short('h') => command = Some(Command::Help),
             Long("version") | Short('V') => command = Some(Command::Version),
             Value(word) if command.is_none() => {
@@ -82,91 +115,82 @@
             _ => return Err(arg.unexpected()),
         }
     }
-    line.command = command.ok_or("a command is missing: serve, check, control, version or help")?;
-    Ok(line)
+    arguments.command =
+        command.ok_or("a command is missing: serve, check, control, version or help")?;
+    Ok(arguments)
 }
 
-/// Does what the command line says.
+/// Runs the command that the command line names, and returns the exit status.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let line = match parse(args) {
-        Ok(line) => line,
-        Err(e) => {
-            eprintln!("bellsill: {e}\n\n{HELP}");
-            return ExitCode::from(2);
+    let result = parse(args)
+        .map_err(|e| CommandError::bad_usage(format!("{e}\n\n{HELP}")))
+        .and_then(run_command);
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(CommandError { message, status }) => {
+            eprintln!("bellsill: {message}");
+            ExitCode::from(status)
         }
-    };
-    match line.command {
+    }
+}
+
+fn run_command(arguments: Arguments) -> Result<(), CommandError> {
+    match arguments.command {
         Command::Help => print!("{HELP}"),
         Command::Version => println!("bellsill {}", env!("CARGO_PKG_VERSION")),
-        Command::Control => return control(line),
-        Command::Serve | Command::Check => {
-            crate::logger::start(line.log);
-            // Before anything is read: a signal that comes early is met later, and ends nothing by itself.
-            let told = match Told::by_signals() {
-                Ok(told) => told,
-                Err(e) => {
-                    eprintln!("bellsill: signals: {e}");
-                    return ExitCode::from(1);
-                }
-            };
-            let variable = |name: &str| std::env::var_os(name).map(PathBuf::from);
-            let Some(file) = line.file.or_else(|| variable("RELAY_CONFIG")) else {
-                eprintln!("bellsill: no configuration: give --config or RELAY_CONFIG");
-                return ExitCode::from(2);
-            };
-            let state = line.state.or_else(|| variable("RELAY_STATE"));
-            let installation = line
-                .installation
-                .or_else(|| variable("BELLSILL_INSTALLATION"));
-            let start = match start::read_all(&file, state, installation.as_deref()) {
-                Ok(start) => start,
-                Err(e) => {
-                    eprintln!("bellsill: {e}");
-                    return ExitCode::from(2);
-                }
-            };
-            if line.command == Command::Check {
-                println!(
-                    "{}: good, for {} on {}",
-                    file.display(),
-                    start.name,
-                    start.listen
-                );
-            } else if let Err(e) = Daemon::start(start, told).and_then(|mut daemon| daemon.run()) {
-                eprintln!("bellsill: {e}");
-                return ExitCode::from(1);
-            }
-        }
+        Command::Control => run_control(arguments)?,
+        Command::Serve | Command::Check => run_dispatcher(arguments)?,
+    }
+    Ok(())
+}
+
+fn environment_path(variable: &str) -> Option<PathBuf> {
+    std::env::var_os(variable).map(PathBuf::from)
+}
+
+/// Reads a dispatcher's configuration, and runs it unless that was only to be checked.
+fn run_dispatcher(arguments: Arguments) -> Result<(), CommandError> {
+    logger::start(arguments.log_level);
+    // Before anything is read: an early signal is handled once the dispatcher runs, and does not kill the process.
+    let signals = Told::by_signals().map_err(|e| CommandError::failure(format!("signals: {e}")))?;
+    let config = arguments
+        .config
+        .or_else(|| environment_path("RELAY_CONFIG"))
+        .ok_or_else(|| {
+            CommandError::bad_usage("no configuration: give --config or RELAY_CONFIG")
+        })?;
+    let state = arguments.state.or_else(|| environment_path("RELAY_STATE"));
+    let installation = arguments
+        .installation
+        .or_else(|| environment_path("BELLSILL_INSTALLATION"));
+    let start = start::read_all(&config, state, installation.as_deref())
+        .map_err(CommandError::bad_usage)?;
+    if arguments.command == Command::Check {
+        println!(
+            "{}: good, for {} on {}",
+            config.display(),
+            start.name,
+            start.listen
+        );
+        return Ok(());
     }
-    ExitCode::SUCCESS
+    Daemon::start(start, signals)
+        .and_then(|mut daemon| daemon.run())
+        .map_err(CommandError::failure)
 }
 
 /// Runs a control process until a signal ends it.
-fn control(line: Line) -> ExitCode {
-    crate::logger::start(line.log);
-    let Some(file) = line.file else {
-        eprintln!("bellsill: no configuration: give --config");
-        return ExitCode::from(2);
-    };
-    let config = match bellsill_control_plane::Config::read(&file) {
-        Ok(config) => config,
-        Err(e) => {
-            eprintln!("bellsill: configuration: {e}");
-            return ExitCode::from(2);
-        }
-    };
-    let run = |told: Told| {
-        let stop = bellsill_control_plane::Stop {
-            wake: told.wake,
-            requested: told.leave,
-        };
-        bellsill_control_plane::run(config, stop)
+fn run_control(arguments: Arguments) -> Result<(), CommandError> {
+    logger::start(arguments.log_level);
+    let file = arguments
+        .config
+        .ok_or_else(|| CommandError::bad_usage("no configuration: give --config"))?;
+    let config = control_plane::Config::read(&file)
+        .map_err(|e| CommandError::bad_usage(format!("configuration: {e}")))?;
+    let signals = Told::by_signals().map_err(CommandError::failure)?;
+    let stop = control_plane::Stop {
+        wake: signals.wake,
+        requested: signals.leave,
     };
-    match Told::by_signals().map_err(Into::into).and_then(run) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("bellsill: {e}");
-            ExitCode::from(1)
-        }
-    }
+    control_plane::run(config, stop).map_err(CommandError::failure)
 }
--- a/crates/daemon/src/installation.rs
+++ b/crates/daemon/src/installation.rs
@@ -1,5 +1,5 @@
-//! The file of the installation: which dispatcher this one is, its control processes, and the layout of zones and buckets.
-//! With it a dispatcher holds a part of the configuration (`docs/configuration.md`); without it, all that discovery tells.
+//! The installation file: which dispatcher this one is, its control processes, and the layout of zones and buckets. With
+//! it a dispatcher has a part of the configuration (`docs/configuration.md`); without it, everything that discovery sends.
 
 use bellsill_directory::entry::is_member_name;
 use bellsill_discovery_client::scoped_list::{CACHE_DESTINATIONS, MOST_CELLS};
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The most control processes that make sense.
-const MOST_CONTROL_PROCESSES: usize = 64;
+/// A longer list of control processes is a mistake.
+const MAX_CONTROL_PROCESSES: usize = 64;
 
 /// What the file says, checked.
 #[derive(Clone, Debug)]
@@ -23,32 +23,49 @@
     pub zone: ZoneName,
     /// Where the control processes listen.
     pub control: Vec<SocketAddr>,
+    /// The zones by region, and the buckets that destinations are divided into.
     pub layout: Arc<Layout>,
-    /// How many destinations outside of its buckets it keeps.
+    /// How many destinations outside of its buckets it caches.
     pub cache_destinations: usize,
 }
 
-/// Why a file is not taken.
+/// Why a file is rejected.
 #[derive(Debug, Error)]
 pub enum InstallationError {
+    /// It could not be read from disk.
     #[error("{path}: cannot be read: {source}")]
     Unreadable {
+        /// The file.
         path: PathBuf,
+        /// What reading it failed with.
         source: std::io::Error,
     },
+    /// It is no TOML, or a field is missing, unknown or of another type.
     #[error("{path}: not as an installation file has to be: {reason}")]
     Malformed {
+        /// The file.
         path: PathBuf,
+        /// Where in the file and why.
         reason: Box<toml::de::Error>,
     },
+    /// A field has a value that makes no sense.
     #[error("{path}: field `{field}`: expected {expected}")]
     Field {
+        /// The file.
         path: PathBuf,
+        /// The field's name.
         field: &'static str,
+        /// What its value should be.
         expected: String,
     },
+    /// The zones and buckets make no layout.
     #[error("{path}: fields `zones` and `buckets_per_region`: {reason}")]
-    Layout { path: PathBuf, reason: LayoutError },
+    Layout {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with them.
+        reason: LayoutError,
+    },
 }
 
 /// The file as it is written.
@@ -81,7 +98,7 @@
 }
 
 impl Installation {
-    /// Reads a file and checks it whole.
+    /// Reads a file and checks all of it.
     pub fn read(path: &Path) -> Result<Installation, InstallationError> {
         let text =
             std::fs::read_to_string(path).map_err(|source| InstallationError::Unreadable {
@@ -102,7 +119,7 @@
     }
 }
 
-/// What is wrong with a file, before its path is said.
+/// What is wrong with the text of a file, whose path is added by [`Invalid::in_file`].
 enum Invalid {
     Field(&'static str, String),
     Layout(LayoutError),
@@ -131,10 +148,10 @@
         )?;
         let distinct: BTreeSet<&SocketAddr> = self.control.iter().collect();
         expect(
-            (1..=MOST_CONTROL_PROCESSES).contains(&self.control.len()),
+            (1..=MAX_CONTROL_PROCESSES).contains(&self.control.len()),
             "control",
             &format!(
-                "1 to {MOST_CONTROL_PROCESSES} addresses of control processes, such as 10.0.0.1:7400"
+                "1 to {MAX_CONTROL_PROCESSES} addresses of control processes, such as 10.0.0.1:7400"
             ),
         )?;
         expect(
@@ -176,8 +193,9 @@
 }
 
 fn expect(holds: bool, field: &'static str, expected: &str) -> Result<(), Invalid> {
-    match holds {
-        true => Ok(()),
-        false => Err(Invalid::Field(field, expected.to_string())),
+    if holds {
+        Ok(())
+    } else {
+        Err(Invalid::Field(field, expected.to_string()))
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,3 +1,5 @@
+//! The program `bellsill`: a dispatcher, or a control process.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,78 +1,117 @@
-//! What a dispatcher is told at its start: the platform's file, and the folder that lasts.
+//! What a dispatcher needs at its start: the platform's configuration file, the state folder and the installation file.
 
 use crate::installation::{Installation, InstallationError};
 use bellsill_settings::{InvalidField, PlatformSettings, Reader};
 use serde_json::Value;
-use std::net::SocketAddr;
+use std::ffi::OsStr;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
+/// The platform's megabyte, of its limits.
+const BYTES_PER_MEGABYTE: f64 = 1e6;
+/// Fewer sockets leave none for clients.
+const MIN_SOCKETS: u64 = 32;
+/// Names the operators' address where the file does not.
+const MANAGEMENT_VARIABLE: &str = "RELAY_MGMT";
+
+/// The configuration of one dispatcher.
 pub struct Start {
+    /// The name by which the platform knows it.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where discovery listens, which notifications go to as well.
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Where operators connect, if anywhere.
     pub mgmt: Option<SocketAddr>,
+    /// The memory limit.
     pub memory_bytes: u64,
+    /// The limit of open sockets.
     pub sockets: usize,
+    /// The disk quota of the state folder.
     pub disk_bytes: u64,
-    /// The list of endpoints as it was held last.
+    /// The endpoint list as the platform knew it at the start.
     pub known: Value,
+    /// The platform's settings of the decisions.
     pub boot: PlatformSettings,
+    /// The state folder, which outlasts the process.
     pub state: PathBuf,
-    /// Where it holds a part of the configuration alone; none where discovery tells it everything.
+    /// Where it has only a part of the configuration; `None` where discovery sends everything.
     pub installation: Option<Installation>,
-    /// What it was read from, to be read again; none where it came from no file.
+    /// What it was read from, to be read again on a reload; `None` where it came from no file.
     pub source: Option<Source>,
-    /// The fields that only a restart takes, as they were read.
+    /// The fields that only a restart applies, with their values.
     pub fixed: Vec<(&'static str, Value)>,
 }
 
-/// The file, and the folder named beside it.
+/// What a configuration is read from.
 #[derive(Clone, Debug)]
 pub struct Source {
+    /// The platform's file.
     pub file: PathBuf,
+    /// The state folder that was named beside it, in place of the file's `state`.
     pub state: Option<PathBuf>,
 }
 
-/// The fields of the configuration that a dispatcher keeps until it is started again. `known` is what the list was
-/// before the start, and `seed` is new with each start: neither is looked at again.
-const FIXED: [&str; 5] = ["name", "listen", "limits", "settings", "state"];
+/// The fields of the file that only a restart applies. `known` is the list before the start, and `seed` is new with each
+/// start: neither is compared on a reload.
+const RESTART_ONLY_FIELDS: [&str; 5] = ["name", "listen", "limits", "settings", "state"];
 
-/// Why a dispatcher cannot start.
-#[derive(Debug)]
-pub enum BadStart {
+/// Why a configuration is rejected.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The file could not be read from disk.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// What reading it failed with.
+        source: io::Error,
+    },
+    /// The file is no JSON.
+    #[error("{path}: not JSON: {source}")]
+    NotJson {
+        /// The file.
+        path: PathBuf,
+        /// Where in the file and why.
+        source: serde_json::Error,
+    },
+    /// A field is missing, or its value makes no sense.
+    #[error("configuration: {0}")]
     Field(InvalidField),
-    File(PathBuf, String),
-    Installation(InstallationError),
-}
-
-impl From<InstallationError> for BadStart {
-    fn from(bad: InstallationError) -> Self {
-        BadStart::Installation(bad)
-    }
-}
-
-impl From<InvalidField> for BadStart {
-    fn from(bad: InvalidField) -> Self {
-        BadStart::Field(bad)
-    }
+    /// The environment names an operators' address that is none.
+    #[error("{path}: RELAY_MGMT: `{value}` is no address such as 127.0.0.1:9100")]
+    ManagementAddress {
+        /// The file, which names no such address.
+        path: PathBuf,
+        /// The variable's value.
+        value: String,
+        /// What is wrong with it.
+        source: AddrParseError,
+    },
+    /// The installation file is rejected.
+    #[error(transparent)]
+    Installation(#[from] InstallationError),
 }
 
-impl std::fmt::Display for BadStart {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        match self {
-            BadStart::Field(bad) => write!(f, "configuration: {bad}"),
-            BadStart::File(path, why) => write!(f, "{}: {why}", path.display()),
-            BadStart::Installation(bad) => write!(f, "{bad}"),
-        }
+impl From<InvalidField> for StartError {
+    fn from(invalid: InvalidField) -> Self {
+        StartError::Field(invalid)
     }
 }
 
-/// Reads the platform's file. The folder is the one named here, or else the file's `state`.
-pub fn read(path: &Path, state: Option<PathBuf>) -> Result<Start, BadStart> {
-    let file = |why: String| BadStart::File(path.to_path_buf(), why);
-    let text = std::fs::read_to_string(path).map_err(|e| file(e.to_string()))?;
-    let json: Value = serde_json::from_str(&text).map_err(|e| file(format!("not JSON: {e}")))?;
+/// Reads the platform's file. The state folder is the one given here, or else the file's `state`.
+pub fn read(path: &Path, state: Option<PathBuf>) -> Result<Start, StartError> {
+    let text = std::fs::read_to_string(path).map_err(|source| StartError::Unreadable {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    let json: Value = serde_json::from_str(&text).map_err(|source| StartError::NotJson {
+        path: path.to_path_buf(),
+        source,
+    })?;
     let source = Source {
         file: path.to_path_buf(),
         state: state.clone(),
@@ -81,24 +120,31 @@
         source: Some(source),
         ..parse(&json, state)?
     };
-    if let (None, Some(mgmt)) = (start.mgmt, std::env::var_os("RELAY_MGMT")) {
-        let mgmt = mgmt.to_string_lossy();
-        let bad = || {
-            file(format!(
-                "RELAY_MGMT: `{mgmt}` is no address such as 127.0.0.1:9100"
-            ))
-        };
-        start.mgmt = Some(mgmt.parse().map_err(|_| bad())?);
+    if start.mgmt.is_none()
+        && let Some(value) = std::env::var_os(MANAGEMENT_VARIABLE)
+    {
+        start.mgmt = Some(parse_management_address(path, &value)?);
     }
     Ok(start)
 }
 
-/// Reads the platform's file and that of the installation, if there is one.
+fn parse_management_address(path: &Path, value: &OsStr) -> Result<SocketAddr, StartError> {
+    let value = value.to_string_lossy();
+    value
+        .parse()
+        .map_err(|source| StartError::ManagementAddress {
+            path: path.to_path_buf(),
+            value: value.into_owned(),
+            source,
+        })
+}
+
+/// Reads the platform's file and the installation file, if there is one.
 pub fn read_all(
     path: &Path,
     state: Option<PathBuf>,
     installation: Option<&Path>,
-) -> Result<Start, BadStart> {
+) -> Result<Start, StartError> {
     let start = read(path, state)?;
     let installation = installation.map(Installation::read).transpose()?;
     Ok(Start {
@@ -107,51 +153,51 @@
     })
 }
 
-pub fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, InvalidField> {
-    let r = Reader { json, place: "" };
+fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, InvalidField> {
+    let reader = Reader { json, place: "" };
     let address = |field: &str| {
-        r.need(field, "an address such as 127.0.0.1:6379", |v| {
+        reader.need(field, "an address such as 127.0.0.1:6379", |v| {
             v.as_str()?.parse().ok()
         })
     };
-    let seed = r.need("seed", "16 hex digits", |v| {
+    let seed = reader.need("seed", "16 hex digits", |v| {
         u64::from_str_radix(v.as_str()?, 16).ok()
     })?;
-    let settings = r.need("settings", "an object", |v| v.is_object().then_some(v))?;
-    let known = r.need("known", "a list of endpoints", |v| {
+    let settings = reader.need("settings", "an object", |v| v.is_object().then_some(v))?;
+    let known = reader.need("known", "a list of endpoints", |v| {
         v.get("servers")?.is_array().then_some(v)
     })?;
-    let state = match state {
-        Some(state) => state,
-        None => r
-            .word("state")
-            .map_err(|_| r.bad("state", "a folder that lasts, here or by RELAY_STATE"))?
-            .into(),
+    let state = match (state, reader.word("state")) {
+        (Some(state), _) => state,
+        (None, Ok(state)) => state.into(),
+        (None, Err(_)) => {
+            return Err(reader.bad("state", "a folder that lasts, here or by RELAY_STATE"));
+        }
     };
     let boot = bellsill_settings::read(settings, seed, "settings")?;
     if boot.settings.max_batch.iter().any(|most| *most > 1) {
-        return Err(r.bad(
+        return Err(reader.bad(
             "settings.family-info.per-call",
             "1 for each kind: a call to an endpoint carries one message",
         ));
     }
     Ok(Start {
-        name: r.word("name")?.to_string(),
+        name: reader.word("name")?.to_string(),
         listen: address("listen")?,
         discovery: address("discovery")?,
         mgmt: match json.get("mgmt") {
             None | Some(Value::Null) => None,
             Some(_) => Some(address("mgmt")?),
         },
-        memory_bytes: (r.num("limits.memory_mb")? * 1e6) as u64,
-        sockets: r.from(32, "limits.sockets")? as usize,
-        disk_bytes: (r.num("limits.disk_mb")? * 1e6) as u64,
+        memory_bytes: (reader.num("limits.memory_mb")? * BYTES_PER_MEGABYTE) as u64,
+        sockets: reader.from(MIN_SOCKETS, "limits.sockets")? as usize,
+        disk_bytes: (reader.num("limits.disk_mb")? * BYTES_PER_MEGABYTE) as u64,
         known: known.clone(),
         boot,
         state,
         installation: None,
         source: None,
-        fixed: FIXED
+        fixed: RESTART_ONLY_FIELDS
             .map(|field| (field, json.get(field).cloned().unwrap_or(Value::Null)))
             .to_vec(),
     })
--- a/crates/daemon/src/start_retry.rs
+++ b/crates/daemon/src/start_retry.rs
@@ -1,46 +1,55 @@
-//! What fails for a while at a start, in the folder that lasts or for want of a socket, is tried again before clients are
-//! answered.
+//! Retries of what fails temporarily at a start, in the state folder or for want of a socket, before clients are answered.
 
-use std::io;
+use std::io::{self, ErrorKind};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// For so long a start tries again: a platform takes a dispatcher that is not ready within 30 s for failed.
-const TRY_FOR: Duration = Duration::from_secs(25);
-const TRY_AGAIN: Duration = Duration::from_millis(50);
+/// How long a start retries: the platform counts a dispatcher that is not ready within 30 s as failed.
+const RETRY_FOR: Duration = Duration::from_secs(25);
+/// The pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether a call may go well if it is made again: the disk is full or fails, or the system is out of something. What the
-/// operator has to mend, such as a folder without permission or another's address, ends the start at once.
-fn may_pass(e: &io::Error) -> bool {
-    use io::ErrorKind::*;
-    let of_the_folder = [
-        PermissionDenied,
-        NotADirectory,
-        IsADirectory,
-        NotFound,
-        ReadOnlyFilesystem,
-        ResourceBusy,
-    ];
-    let of_the_address = [AddrInUse, AddrNotAvailable, InvalidInput];
-    let lasting = of_the_folder.contains(&e.kind()) || of_the_address.contains(&e.kind());
-    let known = e.raw_os_error().is_some() || e.kind() == StorageFull;
-    known && !lasting
+/// Errors that only the operator can mend, such as a folder without permission or an address in use: they end the start at
+/// once.
+const PERMANENT_ERRORS: [ErrorKind; 9] = [
+    ErrorKind::PermissionDenied,
+    ErrorKind::NotADirectory,
+    ErrorKind::IsADirectory,
+    ErrorKind::NotFound,
+    ErrorKind::ReadOnlyFilesystem,
+    ErrorKind::ResourceBusy,
+    ErrorKind::AddrInUse,
+    ErrorKind::AddrNotAvailable,
+    ErrorKind::InvalidInput,
+];
+
+/// Whether a call may succeed if it is made again: the disk is full or fails, or the system is out of a resource.
+fn is_transient(e: &io::Error) -> bool {
+    let is_of_the_system = e.raw_os_error().is_some() || e.kind() == ErrorKind::StorageFull;
+    is_of_the_system && !PERMANENT_ERRORS.contains(&e.kind())
 }
 
-/// Does something, again and again while it fails in a way that may pass, unless the process is to leave.
-pub fn wait_out<T>(leave: &AtomicBool, mut act: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let until = Instant::now() + TRY_FOR;
-    let mut said = false;
+/// Makes a call again and again while it fails with a transient error, unless the process has to end.
+pub fn wait_out<T>(
+    shutdown_requested: &AtomicBool,
+    mut attempt: impl FnMut() -> io::Result<T>,
+) -> io::Result<T> {
+    let give_up_at = Instant::now() + RETRY_FOR;
+    let mut has_logged = false;
     loop {
-        match act() {
-            Err(e) if may_pass(&e) && Instant::now() < until && !leave.load(Ordering::SeqCst) => {
-                if !std::mem::replace(&mut said, true) {
-                    log::error!("something fails that may pass, the start waits for it: {e}");
+        match attempt() {
+            Err(e)
+                if is_transient(&e)
+                    && Instant::now() < give_up_at
+                    && !shutdown_requested.load(Ordering::SeqCst) =>
+            {
+                if !std::mem::replace(&mut has_logged, true) {
+                    log::error!("startup waits for a temporary failure to pass: {e}");
                 }
-                sleep(TRY_AGAIN);
+                sleep(RETRY_INTERVAL);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
