--- a/crates/daemon/tests/failing_folder.rs
+++ b/crates/daemon/tests/failing_folder.rs
@@ -1,4 +1,4 @@
-//! The folder that lasts fails for a while: writes fail whole or half, the process is killed in between.
+//! The state folder fails temporarily: writes fail completely or half, and the process is killed in between.
 
 mod common;
 
@@ -6,15 +6,15 @@
 use common::soak::{Scenario, World, assert_kept};
 use std::time::Duration;
 
-/// Plays failing writes with kills among them; in all variants something has to fail.
-fn play_failing_writes(seed: u64, half: bool) {
+/// Plays failing writes with kills among them, and checks that some writes did fail.
+fn play_failing_writes(seed: u64, half_written: bool) {
     let mut world = World::start(Scenario::new(seed));
     for round in 0..8 {
-        let good = world.draw_ms(200..900);
-        world.play(good);
+        let healthy = world.draw_ms(200..900);
+        world.play(healthy);
         world
             .faults
-            .fail_writes(if round % 2 == 0 { ENOSPC } else { EIO }, half);
+            .fail_writes(if round % 2 == 0 { ENOSPC } else { EIO }, half_written);
         let failing = world.draw_ms(100..600);
         world.play(failing);
         // Every second kill comes while writes still fail.
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn half_records_that_cannot_be_cut_back_lose_and_repeat_nothing() {
+fn incomplete_records_that_cannot_be_truncated_lose_and_repeat_nothing() {
     play_failing_writes(1, true);
 }
 
 #[test]
-fn writes_that_fail_for_a_while_let_nothing_out_after_its_notice() {
+fn temporarily_failing_writes_send_nothing_after_its_notification() {
     play_failing_writes(2, false);
 }
--- a/crates/daemon/tests/journal.rs
+++ b/crates/daemon/tests/journal.rs
@@ -1,65 +1,73 @@
-//! What the journal carries over a kill to the next process or the one beside, and its room on the disk.
+//! What the journal carries over a kill to the next process or to one beside it, and its disk quota.
 
 mod common;
 
 use bellsill_daemon::journal::Recovered;
-use common::*;
+use common::{Does, Endpoint, OK, Rig, fresh, put, wait_for};
 use serde_json::json;
 use std::sync::atomic::Ordering;
 
 #[test]
-fn after_sigkill_each_message_goes_on_as_its_class_allows() {
-    let (hung, shut) = (
+fn after_sigkill_each_message_is_retried_as_its_class_allows() {
+    let (hanging, full) = (
         Endpoint::start(Does::Hangs),
         Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
     );
-    let mut rig = Rig::new(&[(&hung, 7), (&shut, 8)]);
+    let mut rig = Rig::new(&[(&hanging, 7), (&full, 8)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     rig.start();
     let mut client = rig.client();
-    let (tagged, once) = (
+    let (idempotent, at_most_once) = (
         client.message("notice", 7, 19_000, "t"),
         client.message("payment", 7, 19_000, "o"),
     );
-    wait_for("both calls", || hung.calls().len() == 2);
-    let waits = client.message("payment", 8, 19_000, "w");
-    wait_for("a refusal", || rig.never_ran(&waits));
+    wait_for("both calls", || hanging.calls().len() == 2);
+    let rejected = client.message("payment", 8, 19_000, "w");
+    wait_for("a rejection", || rig.never_ran(&rejected));
     rig.kill();
-    hung.does(OK);
-    shut.does(OK);
+    hanging.does(OK);
+    full.does(OK);
     rig.start();
-    wait_for("the tagged message again", || {
-        hung.calls().iter().filter(|c| c.body == "t").count() == 2
+    wait_for("the second attempt of the idempotent message", || {
+        hanging.calls().iter().filter(|c| c.body == "t").count() == 2
     });
-    wait_for("the message that never ran", || {
-        shut.calls().iter().filter(|c| c.body == "w").count() == 2
+    wait_for("the second attempt of the message that never ran", || {
+        full.calls().iter().filter(|c| c.body == "w").count() == 2
     });
-    wait_for("the end of the other", || {
-        rig.platform.notice(&once).is_some()
+    wait_for("the end of the other message", || {
+        rig.platform.notice(&at_most_once).is_some()
     });
-    assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
     assert_eq!(
-        hung.calls().iter().filter(|c| c.body == "o").count(),
+        rig.platform.notice(&at_most_once).unwrap()["result"],
+        "dead"
+    );
+    assert_eq!(
+        hanging.calls().iter().filter(|c| c.body == "o").count(),
         1,
         "it may have run"
     );
-    wait_for("all to be over", || rig.kept() == Recovered::default());
+    wait_for("all ends in the journal", || {
+        rig.kept() == Recovered::default()
+    });
     assert_eq!(
         rig.platform.notices().len(),
         1,
-        "{tagged} and {waits} are relayed"
+        "{idempotent} and {rejected} are delivered"
     );
-    // Relayed messages are over: the next process does nothing for them.
+    // Delivered messages have ended: the next process does nothing for them.
     rig.kill();
     rig.start();
     let last = rig.client().message("notice", 7, 8000, "last");
     wait_for("a later message", || {
-        hung.calls().iter().any(|c| c.header("X-Trace-Id") == last)
+        hanging
+            .calls()
+            .iter()
+            .any(|c| c.header("X-Trace-Id") == last)
     });
     assert_eq!(
         (
-            hung.calls().len(),
-            shut.calls().len(),
+            hanging.calls().len(),
+            full.calls().len(),
             rig.platform.notices().len()
         ),
         (4, 2, 1)
@@ -67,40 +75,43 @@
 }
 
 #[test]
-fn a_notice_is_owed_until_the_platform_has_it() {
-    let e = Endpoint::start(Does::Says("500 Oops"));
+fn a_notification_is_pending_until_the_platform_confirms_it() {
+    let failing = Endpoint::start(Does::Says("500 Oops"));
     let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
-    let mut rig = Rig::new(&[(&e, 7), (&full, 99)]);
+    let mut rig = Rig::new(&[(&failing, 7), (&full, 99)]);
     rig.platform.deaf.store(true, Ordering::SeqCst);
     rig.start();
     let mut client = rig.client();
-    let once = client.message("payment", 7, 8000, "may have run");
-    wait_for("the call", || e.calls().len() == 1);
+    let may_have_run = client.message("payment", 7, 8000, "may have run");
+    wait_for("the attempt", || failing.calls().len() == 1);
     let unserved = client.message("notice", 99, 100, "nowhere to go");
     rig.kill();
     rig.start();
     assert_eq!(rig.platform.notices().len(), 0);
     rig.platform.deaf.store(false, Ordering::SeqCst);
-    wait_for("both notices", || rig.platform.notices().len() >= 2);
-    assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
-    let bounced = rig.platform.notice(&unserved).unwrap();
-    assert!(bounced["result"] == "bounced" && bounced["wait_ms"].is_u64());
-    assert_eq!(e.calls().len(), 1);
+    wait_for("both notifications", || rig.platform.notices().len() >= 2);
+    assert_eq!(
+        rig.platform.notice(&may_have_run).unwrap()["result"],
+        "dead"
+    );
+    let rejected = rig.platform.notice(&unserved).unwrap();
+    assert!(rejected["result"] == "bounced" && rejected["wait_ms"].is_u64());
+    assert_eq!(failing.calls().len(), 1);
 }
 
 #[test]
-fn a_second_process_in_a_folder_in_use_starts_beside_it_and_takes_over_its_messages() {
-    let hung = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&hung, 7)]);
+fn a_second_process_in_a_folder_in_use_starts_and_adopts_its_messages() {
+    let hanging = Endpoint::start(Does::Hangs);
+    let mut rig = Rig::new(&[(&hanging, 7)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     rig.start();
     let mut client = rig.client();
-    let (tagged, once) = (
+    let (idempotent, at_most_once) = (
         client.message("notice", 7, 19_000, "t"),
         client.message("payment", 7, 19_000, "o"),
     );
-    wait_for("both calls", || hung.calls().len() == 2);
-    // A new version: the same folder and the same clients' address, while the old one still runs.
+    wait_for("both calls", || hanging.calls().len() == 2);
+    // A new version, in the same folder and at the same clients' address, while the old one still runs.
     let mut old = rig.child.take().unwrap();
     rig.start();
     let state = rig.folder.join("state");
@@ -109,27 +120,30 @@
         old.try_wait().unwrap().is_none()
             && rig.child.as_mut().unwrap().try_wait().unwrap().is_none()
     );
-    hung.does(OK);
+    hanging.does(OK);
     old.kill().unwrap();
     old.wait().unwrap();
-    wait_for("the old journal taken over", || {
+    wait_for("the adoption of the old journal", || {
         !state.join("mails").exists()
     });
-    wait_for("the tagged message again", || {
-        hung.calls().iter().filter(|c| c.body == "t").count() == 2
+    wait_for("the second attempt of the idempotent message", || {
+        hanging.calls().iter().filter(|c| c.body == "t").count() == 2
     });
-    wait_for("the end of the once-only one", || {
-        rig.platform.notice(&once).is_some()
+    wait_for("the end of the other message", || {
+        rig.platform.notice(&at_most_once).is_some()
     });
-    assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
     assert_eq!(
-        hung.calls().iter().filter(|c| c.body == "o").count(),
+        rig.platform.notice(&at_most_once).unwrap()["result"],
+        "dead"
+    );
+    assert_eq!(
+        hanging.calls().iter().filter(|c| c.body == "o").count(),
         1,
         "it may have run"
     );
-    assert_eq!(rig.platform.notices().len(), 1, "{tagged} is relayed");
-    // What was taken over is not done again by the process after it. Killed before it has read the platform's answer, this
-    // one would leave the notice owed, to be told once more: that does no harm, but is not what is shown here.
+    assert_eq!(rig.platform.notices().len(), 1, "{idempotent} is delivered");
+    // What was adopted is not done again by the process after it. Killed before it has read the platform's answer, this one
+    // would leave the notification pending and the next one would repeat it, which is allowed but not shown here.
     wait_for("the ends in the journal", || {
         rig.kept_in("mails.1") == Recovered::default()
     });
@@ -137,15 +151,21 @@
     rig.start();
     let last = rig.client().message("notice", 7, 8000, "last");
     wait_for("a later message", || {
-        hung.calls().iter().any(|c| c.header("X-Trace-Id") == last)
+        hanging
+            .calls()
+            .iter()
+            .any(|c| c.header("X-Trace-Id") == last)
     });
-    assert_eq!((hung.calls().len(), rig.platform.notices().len()), (4, 1));
+    assert_eq!(
+        (hanging.calls().len(), rig.platform.notices().len()),
+        (4, 1)
+    );
 }
 
 #[test]
-fn the_disk_limit_is_kept_and_told_as_busy() {
-    let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
-    let mut rig = Rig::new(&[(&e, 7)]);
+fn the_disk_quota_is_kept_and_answered_with_busy() {
+    let rejecting = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
+    let mut rig = Rig::new(&[(&rejecting, 7)]);
     rig.json["limits"]["disk_mb"] = json!(0.4);
     rig.start();
     let mut client = rig.client();
@@ -168,11 +188,11 @@
         (answers[0].as_str(), answers[39].as_str()),
         ("+OK", "-BUSY")
     );
-    // Once messages are over there is room again, however much was written before.
-    e.does(OK);
-    wait_for("room for many more", || {
+    // Once messages have ended there is capacity again, however much was written before.
+    rejecting.does(OK);
+    wait_for("capacity for many more", || {
         let answer = client.says(&put(&fresh(), "c=notice,d=20000,k=x,dest=7", &body));
         assert!(used() <= 400_000);
-        e.calls().len() > 40 && answer == "+OK"
+        rejecting.calls().len() > 40 && answer == "+OK"
     });
 }
--- a/crates/daemon/tests/mgmt.rs
+++ b/crates/daemon/tests/mgmt.rs
@@ -1,11 +1,11 @@
-//! The parser of operators' calls, the list of endpoints held out and the figures, without a socket.
+//! The parser of operators' calls, the list of disabled endpoints and the metrics, without a socket.
 
 use bellsill_daemon::mgmt::{
     COMPLETED, Call, FAILED, Figures, Gauges, HELD_MOST, ID_MOST, parse, read_held, render,
 };
 
 #[test]
-fn every_call_is_read() {
+fn every_call_is_parsed() {
     assert_eq!(parse(b"ready"), Ok(Call::Ready));
     assert_eq!(parse(b"show-stat"), Ok(Call::ShowStat));
     assert_eq!(parse(b"drain"), Ok(Call::Drain));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn bad_forms_are_named() {
+fn invalid_calls_are_rejected_with_a_reason() {
     for (line, says) in [
         (&b""[..], "empty"),
         (b"reboot", "unknown call"),
@@ -31,7 +31,7 @@
         (b"enable-server a b", "takes no word"),
         (b"\xff", "UTF-8"),
     ] {
-        let why = parse(line).expect_err("a bad call");
+        let why = parse(line).expect_err("an invalid call");
         assert!(why.contains(says), "{line:?}: {why}");
     }
     let long = format!("disable-server {}", "x".repeat(ID_MOST + 1));
@@ -39,28 +39,28 @@
 }
 
 #[test]
-fn held_out_lists_are_read_with_bad_lines_said() {
-    let (held, bad) = read_held("s-1\n\ns-2\ns-1\na b\n");
-    assert_eq!(held.into_iter().collect::<Vec<_>>(), ["s-1", "s-2"]);
-    assert_eq!(bad, ["line 5: no endpoint id"]);
+fn a_list_of_disabled_endpoints_is_read_and_invalid_lines_are_reported() {
+    let (disabled, invalid) = read_held("s-1\n\ns-2\ns-1\na b\n");
+    assert_eq!(disabled.into_iter().collect::<Vec<_>>(), ["s-1", "s-2"]);
+    assert_eq!(invalid, ["line 5: no endpoint id"]);
     let many: String = (0..HELD_MOST + 2).map(|n| format!("s-{n}\n")).collect();
-    let (held, bad) = read_held(&many);
-    assert_eq!((held.len(), bad.len()), (HELD_MOST, 2));
+    let (disabled, invalid) = read_held(&many);
+    assert_eq!((disabled.len(), invalid.len()), (HELD_MOST, 2));
 }
 
 #[test]
-fn figures_are_written_for_each_class() {
-    let mut figures = Figures::default();
-    figures.count(1, FAILED);
-    figures.count(0, COMPLETED);
-    figures.count(0, COMPLETED);
-    figures.upstream = 3;
+fn metrics_are_rendered_for_each_class() {
+    let mut metrics = Figures::default();
+    metrics.count(1, FAILED);
+    metrics.count(0, COMPLETED);
+    metrics.count(0, COMPLETED);
+    metrics.upstream = 3;
     let gauges = Gauges {
         pending: 4,
         members: 5,
         unavailable: 1,
     };
-    let text = render(&figures, &["notice".into(), "payment".into()], &gauges);
+    let text = render(&metrics, &["notice".into(), "payment".into()], &gauges);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.first(), Some(&"SUCCESS"));
     assert_eq!(lines.last(), Some(&"EOT"));
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -5,7 +5,7 @@
 use bellsill_core::interface::MessageId;
 use bellsill_daemon::journal::{JournaledMessage, MessageJournal, Recovered, Resolution};
 use bellsill_daemon::mgmt::load_held;
-use common::*;
+use common::Rig;
 use std::path::{Path, PathBuf};
 
 const DISK_BYTES: u64 = 10_000_000;
@@ -17,7 +17,7 @@
         .join(name)
 }
 
-/// A folder with copies of the fixture's files; a journal that is opened may be written anew.
+/// A folder with copies of the fixture's files; a journal that is opened may be compacted.
 struct Copy(PathBuf);
 
 impl Copy {
@@ -41,54 +41,64 @@
 
 /// The first of the two messages that are pending has two attempts with their outcomes, the second one with none.
 fn assert_pending(messages: &[JournaledMessage], first: u64) {
-    let [tagged, once] = messages else {
+    let [idempotent, at_most_once] = messages else {
         panic!("two pending messages: {messages:?}")
     };
-    assert_eq!(tagged.id, MessageId(first));
+    assert_eq!(idempotent.id, MessageId(first));
     assert_eq!(
-        (tagged.class.as_str(), tagged.idempotency_key.as_str()),
+        (
+            idempotent.class.as_str(),
+            idempotent.idempotency_key.as_str()
+        ),
         ("notice", "key-1")
     );
-    assert_eq!((tagged.key, tagged.destination), (first % 3, 7));
-    assert_eq!(tagged.body, b"body 1\r\n\0");
-    let attempts: Vec<_> = tagged
+    assert_eq!((idempotent.key, idempotent.destination), (first % 3, 7));
+    assert_eq!(idempotent.body, b"body 1\r\n\0");
+    let attempts: Vec<_> = idempotent
         .attempts
         .iter()
         .map(|attempt| (attempt.zone.as_str(), attempt.may_have_run))
         .collect();
     assert_eq!(attempts, [("north", Some(false)), ("south", Some(true))]);
     assert_eq!(
-        tagged.attempts[1].sent_at - tagged.attempts[0].sent_at,
+        idempotent.attempts[1].sent_at - idempotent.attempts[0].sent_at,
         1_000_000
     );
-    assert_eq!(once.id, MessageId(first + 1));
+    assert_eq!(at_most_once.id, MessageId(first + 1));
     assert_eq!(
-        (once.class.as_str(), once.idempotency_key.as_str()),
+        (
+            at_most_once.class.as_str(),
+            at_most_once.idempotency_key.as_str()
+        ),
         ("payment", "")
     );
-    assert_eq!(once.key, (first + 1) % 3);
-    assert_eq!(once.body, b"body 2\r\n\0");
-    assert_eq!(once.attempts.len(), 1);
-    assert_eq!(once.attempts[0].zone, "south");
-    assert_eq!(once.attempts[0].may_have_run, None);
-    // Written a moment apart, with lifetimes a second apart.
-    let apart = once.deadline - tagged.deadline;
+    assert_eq!(at_most_once.key, (first + 1) % 3);
+    assert_eq!(at_most_once.body, b"body 2\r\n\0");
+    assert_eq!(at_most_once.attempts.len(), 1);
+    assert_eq!(at_most_once.attempts[0].zone, "south");
+    assert_eq!(at_most_once.attempts[0].may_have_run, None);
+    // They were accepted a moment apart, with time to live a second apart.
+    let apart = at_most_once.deadline - idempotent.deadline;
     assert!((SECOND..SECOND + SECOND / 10).contains(&apart), "{apart}");
 }
 
-fn ended(ids: std::ops::Range<u64>) -> Vec<MessageId> {
-    ids.map(MessageId).collect()
+fn ids(numbers: std::ops::Range<u64>) -> Vec<MessageId> {
+    numbers.map(MessageId).collect()
 }
 
 #[test]
 fn a_journal_with_every_kind_of_record_is_read() {
     let folder = Copy::of("journal");
-    let (mut journal, kept) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
-    assert_eq!(kept.messages.len(), 4, "two of its own and two adopted");
-    assert_pending(&kept.messages[..2], 0x11);
-    assert_pending(&kept.messages[2..], 0x21);
+    let (mut journal, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    assert_eq!(
+        recovered.messages.len(),
+        4,
+        "two of its own and two adopted"
+    );
+    assert_pending(&recovered.messages[..2], 0x11);
+    assert_pending(&recovered.messages[2..], 0x21);
     assert_eq!(
-        kept.pending_notifications,
+        recovered.pending_notifications,
         [
             (MessageId(0x14), Resolution::Failed),
             (
@@ -107,16 +117,16 @@
         ]
     );
     assert_eq!(journal.adopt(), (Recovered::default(), false));
-    let all = journal.take_resolved();
-    assert_eq!(&all[..4], ended(0x13..0x17));
+    let resolved = journal.take_resolved();
+    assert_eq!(&resolved[..4], ids(0x13..0x17));
 }
 
 #[test]
 fn a_journal_with_a_torn_tail_is_read_up_to_it() {
     let folder = Copy::of("journal-torn");
-    let (_, kept) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
-    assert_pending(&kept.messages, 0x11);
-    let owed = [
+    let (_, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    assert_pending(&recovered.messages, 0x11);
+    let pending = [
         (MessageId(0x14), Resolution::Failed),
         (
             MessageId(0x15),
@@ -124,17 +134,17 @@
                 retry_after: 1_500_000_000,
             },
         ),
-        // That the platform was told of it is what the torn record said.
+        // The torn record said that the platform had confirmed it.
         (MessageId(0x16), Resolution::Failed),
     ];
-    assert_eq!(kept.pending_notifications, owed);
+    assert_eq!(recovered.pending_notifications, pending);
 }
 
 #[test]
 fn another_process_journal_is_adopted() {
     let folder = Copy::of("journal-to-adopt");
-    let (mut journal, kept) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
-    assert_pending(&kept.messages, 0x11);
+    let (mut journal, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    assert_pending(&recovered.messages, 0x11);
     let (adopted, others_held) = journal.adopt();
     assert!(!others_held);
     assert_pending(&adopted.messages, 0x21);
@@ -150,7 +160,7 @@
             ),
         ]
     );
-    let all = [ended(0x13..0x17), ended(0x23..0x27)].concat();
+    let all = [ids(0x13..0x17), ids(0x23..0x27)].concat();
     assert_eq!(journal.take_resolved(), all);
     // A copy, since a process that another test starts just now may still hold the lock on the file itself.
     let copy = folder.0.join("again");
@@ -175,7 +185,7 @@
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     std::fs::copy(fixture("scope"), rig.folder.join("state/scope")).unwrap();
     let installation = rig.folder.join("installation.toml");
-    // Nobody listens at the control process's address.
+    // No process listens at the control process's address.
     let text = "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [\"127.0.0.1:1\"]\nbuckets_per_region = 4\n\
         cache_destinations = 8\n\
         zones = [{name = \"north\", region = \"a\"}, {name = \"south\", region = \"b\"}]\n";
@@ -183,7 +193,7 @@
     let mut command = rig.command("serve");
     command.arg("--installation").arg(&installation);
     rig.start_by(command);
-    let figure = |name: &str| rig.figure(&format!("scope.{name}"));
-    assert_eq!((figure("destinations"), figure("cached")), (3, 1));
-    assert_eq!((figure("version"), figure("refused_files")), (3, 0));
+    let metric = |name: &str| rig.figure(&format!("scope.{name}"));
+    assert_eq!((metric("destinations"), metric("cached")), (3, 1));
+    assert_eq!((metric("version"), metric("refused_files")), (3, 0));
 }
