--- a/crates/daemon/tests/journal.rs
+++ b/crates/daemon/tests/journal.rs
@@ -7,6 +7,11 @@
 use serde_json::json;
 use std::sync::atomic::Ordering;
 
+fn calls_with_body(endpoint: &Endpoint, body: &str) -> usize {
+    let calls = endpoint.calls();
+    calls.iter().filter(|call| call.body == body).count()
+}
+
 #[test]
 fn after_sigkill_each_message_is_retried_as_its_class_allows() {
     let (hanging, full) = (
@@ -29,10 +34,10 @@
     full.does(OK);
     rig.start();
     wait_for("the second attempt of the idempotent message", || {
-        hanging.calls().iter().filter(|c| c.body == "t").count() == 2
+        calls_with_body(&hanging, "t") == 2
     });
     wait_for("the second attempt of the message that never ran", || {
-        full.calls().iter().filter(|c| c.body == "w").count() == 2
+        calls_with_body(&full, "w") == 2
     });
     wait_for("the end of the other message", || {
         rig.platform.notice(&at_most_once).is_some()
@@ -41,11 +46,7 @@
         rig.platform.notice(&at_most_once).unwrap()["result"],
         "dead"
     );
-    assert_eq!(
-        hanging.calls().iter().filter(|c| c.body == "o").count(),
-        1,
-        "it may have run"
-    );
+    assert_eq!(calls_with_body(&hanging, "o"), 1, "it may have run");
     wait_for("all ends in the journal", || {
         rig.kept() == Recovered::default()
     });
@@ -127,7 +128,7 @@
         !state.join("mails").exists()
     });
     wait_for("the second attempt of the idempotent message", || {
-        hanging.calls().iter().filter(|c| c.body == "t").count() == 2
+        calls_with_body(&hanging, "t") == 2
     });
     wait_for("the end of the other message", || {
         rig.platform.notice(&at_most_once).is_some()
@@ -136,11 +137,7 @@
         rig.platform.notice(&at_most_once).unwrap()["result"],
         "dead"
     );
-    assert_eq!(
-        hanging.calls().iter().filter(|c| c.body == "o").count(),
-        1,
-        "it may have run"
-    );
+    assert_eq!(calls_with_body(&hanging, "o"), 1, "it may have run");
     assert_eq!(rig.platform.notices().len(), 1, "{idempotent} is delivered");
     // What was adopted is not done again by the process after it. Killed before it has read the platform's answer, this one
     // would leave the notification pending and the next one would repeat it, which is allowed but not shown here.
