--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -33,8 +33,8 @@
   --config FILE   the configuration (else RELAY_CONFIG)
   --state DIR     the folder that lasts (else RELAY_STATE, else the configuration's `state`)
   --installation FILE
-                  hold the part of the configuration that the control processes named there tell
-                  (else BELLSILL_INSTALLATION, else everything that discovery tells)
+                  have the part of the configuration that the control processes named there send
+                  (else BELLSILL_INSTALLATION, else everything that discovery sends)
   --log LEVEL     error, warn, info, debug or off (info)
 
 Options of control: --config FILE (of a control process, see docs/configuration.md) and --log LEVEL.
--- a/crates/daemon/src/journal/adoption.rs
+++ b/crates/daemon/src/journal/adoption.rs
@@ -5,9 +5,8 @@
 use super::contents::Recovered;
 use super::error::JournalError;
 use super::folder::Lock;
-use super::live_records::LiveRecords;
 use super::load::load;
-use super::record::{self, Extent};
+use super::record::Extent;
 use super::writer::JournalWriter;
 use bellsill_core::interface::MessageId;
 
@@ -23,17 +22,15 @@
 }
 
 /// Takes over all journals that no process holds. A journal is taken over completely or not at all: of one half taken,
-/// messages that have ended here since would be taken for new.
+/// messages that have ended here since would be treated as new.
 pub(super) fn adopt(writer: &mut JournalWriter) -> Adoption {
-    writer
-        .adopted
-        .retain(|adopted| adopted.try_remove().is_err());
+    writer.retry_removals();
     let mut adoption = Adoption {
-        is_incomplete: !writer.adopted.is_empty(),
+        is_incomplete: writer.has_removals(),
         ..Adoption::default()
     };
-    for other in writer.folder.other_journals(writer.index) {
-        if writer.adopted.iter().any(|adopted| adopted.index == other) {
+    for other in writer.folder().other_journals(writer.index()) {
+        if writer.awaits_removal(other) {
             continue;
         }
         if let Err(e) = adopt_journal(writer, other, &mut adoption) {
@@ -49,33 +46,30 @@
     other: usize,
     adoption: &mut Adoption,
 ) -> Result<(), JournalError> {
-    let Some(mut file) = writer.folder.open_other(other)? else {
+    let Some(mut file) = writer.folder().open_other(other)? else {
         return Ok(());
     };
-    if writer.folder.lock_journal(other, &file) == Lock::HeldElsewhere {
+    if writer.folder().lock_journal(other, &file) == Lock::HeldElsewhere {
         adoption.is_incomplete = true;
         return Ok(());
     }
-    let loaded = load(&writer.folder, other, &mut file)?;
+    let loaded = load(writer.folder(), other, &mut file)?;
     adoption.resolved.extend(loaded.replayed.resolved);
     // What is known already, from a journal read before, is not taken again.
     let mut recovered = loaded.replayed.recovered;
     recovered
         .messages
-        .retain(|message| !writer.live.contains(message.id));
+        .retain(|message| !writer.contains(message.id));
     recovered
         .pending_notifications
-        .retain(|(id, _)| !writer.live.contains(*id));
+        .retain(|(id, _)| !writer.contains(*id));
     let source = Extent::of(&loaded.bytes);
-    let live = LiveRecords::of(&recovered);
-    if live.total_bytes() > 0 {
-        let record = record::adopted(source, &live.bytes());
-        if writer.append(&record).is_err() {
+    if recovered != Recovered::default() {
+        if writer.append_adopted(source, &recovered).is_err() {
             // The writer has logged it; the other journal stays as it is.
             adoption.is_incomplete = true;
             return Ok(());
         }
-        writer.live.append(live);
         log::info!(
             "message journal: adopted {} messages of journal {other}",
             recovered.messages.len()
@@ -86,13 +80,11 @@
         index: other,
         file,
         source,
-        path: writer.folder.journal_path(other),
+        path: writer.folder().journal_path(other),
     };
-    if adopted.try_remove().is_err() {
-        writer.adopted.push(adopted);
-        adoption.is_incomplete = true;
-    }
-    if let Err(e) = writer.folder.remove_replacement(other) {
+    writer.remove_adopted(adopted);
+    adoption.is_incomplete |= writer.has_removals();
+    if let Err(e) = writer.folder().remove_replacement(other) {
         log::warn!("message journal: {e}");
     }
     adoption.recovered.messages.extend(recovered.messages);
--- a/crates/daemon/src/journal/load.rs
+++ b/crates/daemon/src/journal/load.rs
@@ -44,7 +44,7 @@
 }
 
 /// How many of a journal's first bytes were taken over into another one, by a process that ended before it had emptied
-/// this one. Read again, messages that have ended since would be taken for new.
+/// this one. Read again, messages that have ended since would be treated as new.
 fn bytes_adopted_by_others(
     folder: &JournalFolder,
     index: usize,
--- a/crates/daemon/src/journal/mod.rs
+++ b/crates/daemon/src/journal/mod.rs
@@ -76,10 +76,7 @@
     /// A new message, before its client is answered. On an error nothing was written, and the message is rejected.
     pub fn append_accepted(&mut self, message: &JournaledMessage) -> Result<(), JournalError> {
         let record = record::accepted(message);
-        self.writer.reserve_for_message(record.len() as u64)?;
-        self.writer.append(&record)?;
-        self.writer.live.put(message.id, record);
-        Ok(())
+        self.writer.begin_message(message.id, record)
     }
 
     /// An attempt, before its first byte. On an error nothing was written, and the attempt must not begin.
@@ -90,9 +87,7 @@
         zone: &str,
     ) -> Result<(), JournalError> {
         let record = record::attempt(id, sent_at, zone);
-        self.writer.append(&record)?;
-        self.writer.live.extend(id, &record);
-        Ok(())
+        self.writer.extend_message(id, &record)
     }
 
     /// The outcome of the last attempt. On an error the record is queued.
@@ -102,8 +97,7 @@
         may_have_run: bool,
     ) -> Result<(), JournalError> {
         let record = record::outcome(id, may_have_run);
-        self.writer.live.extend(id, &record);
-        self.writer.append_or_queue(record)
+        self.writer.extend_message_or_queue(id, record)
     }
 
     /// The end of a message. With a resolution, a notification is pending from then on. On an error the record is queued.
@@ -113,17 +107,15 @@
         resolution: Option<Resolution>,
     ) -> Result<(), JournalError> {
         let record = record::resolved(id, resolution);
-        self.writer.live.remove(id);
-        if resolution.is_some() {
-            self.writer.live.put(id, record.clone());
+        match resolution {
+            Some(_) => self.writer.replace_message_or_queue(id, record),
+            None => self.writer.end_message_or_queue(id, record),
         }
-        self.writer.append_or_queue(record)
     }
 
     /// The platform has confirmed the message's notification. On an error the record is queued.
     pub fn append_notified(&mut self, id: MessageId) -> Result<(), JournalError> {
-        self.writer.live.remove(id);
-        self.writer.append_or_queue(record::notified(id))
+        self.writer.end_message_or_queue(id, record::notified(id))
     }
 
     /// Whether the last write failed, or something that has happened is not written yet.
--- a/crates/daemon/src/journal/writer.rs
+++ b/crates/daemon/src/journal/writer.rs
@@ -3,12 +3,13 @@
 
 use super::adopted::AdoptedJournal;
 use super::compaction::DiskUsage;
+use super::contents::Recovered;
 use super::error::JournalError;
 use super::file::JournalFile;
 use super::folder::{JournalFolder, OtherFiles};
 use super::live_records::LiveRecords;
 use super::load::LoadedJournal;
-use super::record;
+use super::record::{self, Extent};
 use crate::clock::{ClockReading, Translation};
 use bellsill_core::interface::MessageId;
 use std::fs::File;
@@ -19,15 +20,14 @@
 
 /// The journal of this process.
 pub(super) struct JournalWriter {
-    pub(super) folder: JournalFolder,
+    folder: JournalFolder,
     /// Its index in the folder.
-    pub(super) index: usize,
+    index: usize,
     file: JournalFile,
     /// The clock that the times in the file are on.
     clock: ClockReading,
-    /// What a compacted file holds. Changed by the caller: at once for what has happened, and otherwise once the record
-    /// is written.
-    pub(super) live: LiveRecords,
+    /// What a compacted file holds: what has happened at once, and anything else once its record is written.
+    live: LiveRecords,
     /// Records of what has happened that could not be written, in order; `live` has them already.
     unwritten: Vec<u8>,
     /// The queue overflowed: only compaction writes what it said.
@@ -35,7 +35,7 @@
     /// The last write failed.
     is_failing: bool,
     /// Journals that were adopted and still have to be emptied.
-    pub(super) adopted: Vec<AdoptedJournal>,
+    adopted: Vec<AdoptedJournal>,
     capacity_bytes: u64,
     other_files: OtherFiles,
 }
@@ -91,6 +91,19 @@
         Ok(())
     }
 
+    pub(super) fn folder(&self) -> &JournalFolder {
+        &self.folder
+    }
+
+    pub(super) fn index(&self) -> usize {
+        self.index
+    }
+
+    /// Whether a message has records that still count.
+    pub(super) fn contains(&self, id: MessageId) -> bool {
+        self.live.contains(id)
+    }
+
     /// Whether the last write failed, or something that has happened is not written yet.
     pub(super) fn has_unwritten(&self) -> bool {
         self.is_failing
@@ -99,8 +112,95 @@
             || !self.unwritten.is_empty()
     }
 
+    /// Appends the first record of a message, if that leaves the reserve untouched. On an error it is not written.
+    pub(super) fn begin_message(
+        &mut self,
+        id: MessageId,
+        record: Vec<u8>,
+    ) -> Result<(), JournalError> {
+        self.make_unreserved_capacity(record.len() as u64)?;
+        self.append(&record)?;
+        self.live.put(id, record);
+        Ok(())
+    }
+
+    /// Appends another record of a message. On an error it is not written.
+    pub(super) fn extend_message(
+        &mut self,
+        id: MessageId,
+        record: &[u8],
+    ) -> Result<(), JournalError> {
+        self.append(record)?;
+        self.live.extend(id, record);
+        Ok(())
+    }
+
+    /// Appends another record of a message, of what has happened already. On an error it is queued.
+    pub(super) fn extend_message_or_queue(
+        &mut self,
+        id: MessageId,
+        record: Vec<u8>,
+    ) -> Result<(), JournalError> {
+        self.live.extend(id, &record);
+        self.append_or_queue(record)
+    }
+
+    /// Appends a record after which it alone counts of its message. On an error it is queued.
+    pub(super) fn replace_message_or_queue(
+        &mut self,
+        id: MessageId,
+        record: Vec<u8>,
+    ) -> Result<(), JournalError> {
+        self.live.put(id, record.clone());
+        self.append_or_queue(record)
+    }
+
+    /// Appends a record after which none counts of its message. On an error it is queued.
+    pub(super) fn end_message_or_queue(
+        &mut self,
+        id: MessageId,
+        record: Vec<u8>,
+    ) -> Result<(), JournalError> {
+        self.live.remove(id);
+        self.append_or_queue(record)
+    }
+
+    /// Appends what was recovered from another journal, in one record. On an error nothing of it is written.
+    pub(super) fn append_adopted(
+        &mut self,
+        source: Extent,
+        recovered: &Recovered,
+    ) -> Result<(), JournalError> {
+        let live = LiveRecords::of(recovered);
+        self.append(&record::adopted(source, &live.bytes()))?;
+        self.live.append(live);
+        Ok(())
+    }
+
+    /// Removes an adopted journal, or remembers to do so.
+    pub(super) fn remove_adopted(&mut self, adopted: AdoptedJournal) {
+        if adopted.try_remove().is_err() {
+            self.adopted.push(adopted);
+        }
+    }
+
+    /// Tries to remove the adopted journals that could not be removed before.
+    pub(super) fn retry_removals(&mut self) {
+        self.adopted.retain(|adopted| adopted.try_remove().is_err());
+    }
+
+    /// Whether adopted journals still have to be removed.
+    pub(super) fn has_removals(&self) -> bool {
+        !self.adopted.is_empty()
+    }
+
+    /// Whether this journal was adopted and still has to be removed.
+    pub(super) fn awaits_removal(&self, index: usize) -> bool {
+        self.adopted.iter().any(|adopted| adopted.index == index)
+    }
+
     /// Makes capacity for a new message's record without touching the reserve.
-    pub(super) fn reserve_for_message(&mut self, record_bytes: u64) -> Result<(), JournalError> {
+    fn make_unreserved_capacity(&mut self, record_bytes: u64) -> Result<(), JournalError> {
         let usage = self.disk_usage();
         if !usage.has_capacity_for_live(record_bytes) {
             return Err(JournalError::DiskQuota);
@@ -120,7 +220,7 @@
     }
 
     /// Appends a record behind all that are queued; on an error it is not written.
-    pub(super) fn append(&mut self, record: &[u8]) -> Result<(), JournalError> {
+    fn append(&mut self, record: &[u8]) -> Result<(), JournalError> {
         if self.must_compact || !self.unwritten.is_empty() {
             self.write_pending()?;
         }
@@ -129,7 +229,7 @@
     }
 
     /// Appends the record of what has happened already; on an error it is queued.
-    pub(super) fn append_or_queue(&mut self, record: Vec<u8>) -> Result<(), JournalError> {
+    fn append_or_queue(&mut self, record: Vec<u8>) -> Result<(), JournalError> {
         let appended = self.append(&record);
         if appended.is_err() {
             if self.unwritten.len() + record.len() > MAX_UNWRITTEN_BYTES {
