--- a/crates/daemon/tests/journal_file.rs
+++ b/crates/daemon/tests/journal_file.rs
@@ -218,6 +218,73 @@
     [&length[..], &checksum[..], payload].concat()
 }
 
+/// Numbers as records have them.
+fn numbers(numbers: &[u64]) -> Vec<u8> {
+    numbers.iter().flat_map(|n| n.to_le_bytes()).collect()
+}
+
+/// Bytes as records have them, after their length.
+fn text(bytes: &[u8]) -> Vec<u8> {
+    [&(bytes.len() as u32).to_le_bytes()[..], bytes].concat()
+}
+
+/// The files of earlier versions have these bytes, and later versions read them.
+#[test]
+fn each_kind_of_record_has_its_recorded_format() {
+    let folder = Folder::new("format");
+    let (mut other, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    other.append_accepted(&message(8)).unwrap();
+    let (mut journal, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let accepted = message(9);
+    journal.append_accepted(&accepted).unwrap();
+    journal.append_attempt(MessageId(9), 5, "north").unwrap();
+    journal.append_outcome(MessageId(9), true).unwrap();
+    let rejected = Resolution::Rejected { retry_after: 7 };
+    for resolution in [None, Some(Resolution::Failed), Some(rejected)] {
+        journal.append_resolved(MessageId(9), resolution).unwrap();
+    }
+    journal.append_notified(MessageId(9)).unwrap();
+    drop(other);
+    let source = std::fs::read(folder.0.join("mails")).unwrap();
+    assert_eq!(journal.adopt().0.messages.len(), 1);
+
+    let accepted_record = |message: &JournaledMessage| {
+        let head = numbers(&[message.id.0, 0, 7, message.deadline]);
+        let rest = [text(b"payment"), text(b""), text(&message.body)].concat();
+        framed(&[b"M", &head[..], &rest[..]].concat())
+    };
+    let bytes = std::fs::read(folder.0.join("mails.1")).unwrap();
+    let clock_length = u32::from_le_bytes(bytes[..4].try_into().unwrap()) as usize;
+    let (clock, records) = bytes.split_at(8 + clock_length);
+    assert_eq!(clock[8..17], *b"S\0\0\0\0\0\0\0\0");
+    // Two times, and the id of the boot after its length.
+    let boot_id_length = u32::from_le_bytes(clock[33..37].try_into().unwrap()) as usize;
+    assert_eq!(clock.len(), 37 + boot_id_length);
+    let adopted = &source[source.len() - accepted_record(&accepted).len()..];
+    let source_length = (source.len() as u64).to_le_bytes();
+    let source_checksum = crc32fast::hash(&source).to_le_bytes();
+    let expected = [
+        accepted_record(&accepted),
+        framed(&[b"C", &numbers(&[9, 5])[..], &text(b"north")].concat()),
+        framed(&[b"O", &numbers(&[9])[..], &[1]].concat()),
+        framed(&[b"E", &numbers(&[9])[..], &[0], &numbers(&[0])].concat()),
+        framed(&[b"E", &numbers(&[9])[..], &[1], &numbers(&[0])].concat()),
+        framed(&[b"E", &numbers(&[9])[..], &[2], &numbers(&[7])].concat()),
+        framed(&[b"N", &numbers(&[9])[..]].concat()),
+        framed(
+            &[
+                b"A",
+                &numbers(&[0])[..],
+                &source_length,
+                &source_checksum,
+                &text(adopted),
+            ]
+            .concat(),
+        ),
+    ];
+    assert_eq!(records, expected.concat());
+}
+
 /// Damage in the middle of a file is not its end: what follows is read, and the file is complete afterwards.
 #[test]
 fn records_behind_damaged_bytes_are_read() {
@@ -247,13 +314,6 @@
 fn an_older_journal_s_times_are_translated_to_the_dispatcher_s_clock() {
     let folder = Folder::new("older");
     let deadline = clock::wall_now() + 60_000_000_000;
-    let text = |bytes: &[u8]| [&(bytes.len() as u32).to_le_bytes()[..], bytes].concat();
-    let numbers = |numbers: &[u64]| {
-        numbers
-            .iter()
-            .flat_map(|n| n.to_le_bytes())
-            .collect::<Vec<u8>>()
-    };
     let fields = [
         vec![b'M'],
         numbers(&[9, 5, 7, deadline]),
