--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -1,31 +1,31 @@
 //! Clients: commands in, in order, an answer to each.
 
-use crate::conns::ConnId;
+use crate::conns::ConnectionId;
 use crate::event_loop::Daemon;
 use crate::journal::JournaledMessage;
-use crate::messages::{Due, Refusal, Runtime};
+use crate::messages::{Rejection, Runtime, Timer};
 use crate::resp;
 use bellsill_core::interface::*;
 
 /// How long no more clients are let in when there is no place for them.
-const BACK_OFF: Nanos = 50_000_000;
+const ACCEPT_BACKOFF: Nanos = 50_000_000;
 /// The most clients let in, and the most commands of one client answered, before all others have their turn.
-const LET_IN_MOST: usize = 32;
-const TURN_MOST: usize = 64;
+const ACCEPTS_PER_TURN: usize = 32;
+const COMMANDS_PER_TURN: usize = 64;
 /// The longest text that PING gives back.
-const PING_MOST: usize = 1024;
+const MAX_PING_BYTES: usize = 1024;
 /// How long a client may take to its first command, and from a command's first byte to its last, or to read an answer.
-const REQUEST_WITHIN: Nanos = 2_600_000_000;
+const REQUEST_TIMEOUT: Nanos = 2_600_000_000;
 /// How long a client may stay that asks no more.
-const IDLE_MOST: Nanos = 8_000_000_000;
+const IDLE_TIMEOUT: Nanos = 8_000_000_000;
 /// With no place left, clients that have said nothing for so long give way; and after those, the ones that have asked no
 /// more, or sent no more of what they ask, for so long.
-const SILENT_GIVES_WAY: Nanos = 250_000_000;
-const IDLE_GIVES_WAY: Nanos = 500_000_000;
+const SILENT_EVICTION_AGE: Nanos = 250_000_000;
+const IDLE_EVICTION_AGE: Nanos = 500_000_000;
 /// How long a client that was told something last may take to end its side.
-const LINGER: Nanos = 2_000_000_000;
+const LINGER_TIMEOUT: Nanos = 2_000_000_000;
 /// After so many errors a client is parted with.
-const ERRORS_MOST: u32 = 16;
+const MAX_PROTOCOL_ERRORS: u32 = 16;
 
 impl Runtime {
     /// Sees to it that one more client can be let in. Idle connections to endpoints give way first, then a client that
@@ -33,70 +33,70 @@
     /// covers clients told their last answer that do not go. One that gives way just before its next request sends it
     /// once more, as whenever a connection is closed between requests; one whose request has come is served, for closed
     /// then, its message would be lost.
-    fn make_way(&mut self) -> bool {
-        while self.conns.clients_full() {
+    fn make_room_for_client(&mut self) -> bool {
+        while self.connections.clients_full() {
             let now = self.now;
-            let least = self.conns.least_client(
-                now.saturating_sub(SILENT_GIVES_WAY),
-                now.saturating_sub(IDLE_GIVES_WAY),
+            let least = self.connections.least_needed_client(
+                now.saturating_sub(SILENT_EVICTION_AGE),
+                now.saturating_sub(IDLE_EVICTION_AGE),
             );
             let Some(id) = least else { return false };
             // One that lingers has nothing more to say.
-            let lingers = self.conns.get(id).is_some_and(|c| c.lingers);
-            if !lingers && matches!(self.hear(id), Ok(true)) {
-                self.deadlines.set(Due::Read(id), now);
+            let lingers = self.connections.get(id).is_some_and(|c| c.lingering);
+            if !lingers && matches!(self.read_client(id), Ok(true)) {
+                self.deadlines.set(Timer::ReadClient(id), now);
             } else {
-                // Its place is wanted now; and what it was told last has long been read.
+                // Its place is lookup now; and what it was told last has long been read.
                 self.close_client(id);
             }
         }
-        !self.conns.full() || self.shed_idle()
+        !self.connections.is_full() || self.close_oldest_idle()
     }
 
     /// Reads what has come from a client. True: something had.
-    fn hear(&mut self, id: ConnId) -> std::io::Result<bool> {
+    fn read_client(&mut self, id: ConnectionId) -> std::io::Result<bool> {
         let now = self.now;
-        let Some(conn) = self.conns.get_mut(id) else {
+        let Some(conn) = self.connections.get_mut(id) else {
             return Ok(false);
         };
         let had = conn.input.len();
-        if conn.asked && conn.between() {
+        if conn.answered && conn.is_idle() {
             // Its next command begins.
-            conn.used = now;
+            conn.last_active = now;
         }
-        let read = self.conns.fill(id);
-        let Some(conn) = self.conns.get_mut(id) else {
+        let read = self.connections.read(id);
+        let Some(conn) = self.connections.get_mut(id) else {
             return Ok(false);
         };
         let came = conn.input.len() != had;
         if came {
-            conn.heard = now;
+            conn.last_received = now;
         }
         read.map(|()| came)
     }
 
     /// Closes a client's connection.
-    fn close_client(&mut self, id: ConnId) {
-        self.deadlines.clear(Due::Conn(id));
-        self.deadlines.clear(Due::Read(id));
-        self.conns.close(id);
+    fn close_client(&mut self, id: ConnectionId) {
+        self.deadlines.clear(Timer::Connection(id));
+        self.deadlines.clear(Timer::ReadClient(id));
+        self.connections.close(id);
     }
 
     /// Ends a client that has had its time. One in the middle of a request is told so: its rest may still come, and read
     /// without an answer it would be lost.
-    fn end_overdue(&mut self, id: ConnId) {
+    fn end_overdue(&mut self, id: ConnectionId) {
         let now = self.now;
-        let Some(conn) = self.conns.get_mut(id) else {
+        let Some(conn) = self.connections.get_mut(id) else {
             return;
         };
         if !conn.input.is_empty() && conn.output.is_empty() {
             conn.input.consume(conn.input.len());
-            conn.say("-ERR the request did not come whole in time\r\n", now);
-            if self.conns.flush(id).is_err() {
+            conn.queue_answer("-ERR the request did not come whole in time\r\n", now);
+            if self.connections.flush(id).is_err() {
                 return self.close_client(id);
             }
         }
-        self.part_with(id);
+        self.close_gracefully(id);
     }
 
     /// Parts with a client: the own side ends, and what still comes is read and thrown away until the other side has ended
@@ -106,23 +106,24 @@
     ///
     /// One that was told nothing yet has no answer to lose, and is closed: its first request is not read then, where read and
     /// thrown away it would be lost.
-    pub fn part_with(&mut self, id: ConnId) {
-        self.deadlines.clear(Due::Read(id));
-        let told = |c: &crate::conns::Conn| c.asked || c.errors > 0;
+    pub fn close_gracefully(&mut self, id: ConnectionId) {
+        self.deadlines.clear(Timer::ReadClient(id));
+        let told = |c: &crate::conns::Connection| c.answered || c.protocol_errors > 0;
         let polite = self
-            .conns
+            .connections
             .get(id)
-            .is_some_and(|c| told(c) && !c.lingers && !c.ended && c.output.is_empty());
+            .is_some_and(|c| told(c) && !c.lingering && !c.peer_closed && c.output.is_empty());
         if polite
             && self
-                .conns
-                .linger(id)
-                .and_then(|()| self.conns.arm(id))
+                .connections
+                .shutdown_write(id)
+                .and_then(|()| self.connections.arm(id))
                 .is_ok()
         {
             // What is here already is met now.
-            self.deadlines.set(Due::Conn(id), self.now + LINGER);
-            self.deadlines.set(Due::Read(id), self.now);
+            self.deadlines
+                .set(Timer::Connection(id), self.now + LINGER_TIMEOUT);
+            self.deadlines.set(Timer::ReadClient(id), self.now);
         } else {
             self.close_client(id);
         }
@@ -133,31 +134,35 @@
     /// Lets clients in, while there are descriptors for them. Idle connections to endpoints give way first; then new
     /// clients wait a little in the kernel's queue, so that the ones served already are not starved.
     /// True: more may wait.
-    pub fn let_in(&mut self) -> bool {
+    pub fn accept_clients(&mut self) -> bool {
         let runtime = &mut self.runtime;
         let (mut again, mut more) = (Ok(()), true);
-        for _ in 0..LET_IN_MOST {
-            if !runtime.make_way() {
+        for _ in 0..ACCEPTS_PER_TURN {
+            if !runtime.make_room_for_client() {
                 // Said once, until there is place again.
-                if !std::mem::replace(&mut self.turned_away, true) {
+                if !std::mem::replace(&mut self.at_client_limit, true) {
                     log::warn!(
-                        "no place for more clients, {} connections are open",
-                        runtime.conns.len()
+                        "client limit reached, {} connections are open",
+                        runtime.connections.len()
                     );
                 }
-                runtime.deadlines.set(Due::Accept, runtime.now + BACK_OFF);
+                runtime
+                    .deadlines
+                    .set(Timer::AcceptClients, runtime.now + ACCEPT_BACKOFF);
                 return false;
             }
-            match runtime.conns.accept() {
+            match runtime.connections.accept_client() {
                 Ok(Some(id)) => {
-                    self.turned_away = false;
+                    self.at_client_limit = false;
                     let now = runtime.now;
                     runtime
-                        .conns
+                        .connections
                         .get_mut(id)
                         .into_iter()
-                        .for_each(|c| (c.used, c.heard) = (now, now));
-                    runtime.deadlines.set(Due::Conn(id), now + REQUEST_WITHIN);
+                        .for_each(|c| (c.last_active, c.last_received) = (now, now));
+                    runtime
+                        .deadlines
+                        .set(Timer::Connection(id), now + REQUEST_TIMEOUT);
                 }
                 Ok(None) => {
                     more = false;
@@ -171,31 +176,33 @@
                 }
             }
         }
-        if let Err(e) = again.and_then(|()| runtime.conns.arm_listener()) {
-            log::warn!("a client could not be let in: {e}");
-            runtime.deadlines.set(Due::Accept, runtime.now + BACK_OFF);
+        if let Err(e) = again.and_then(|()| runtime.connections.arm_listener()) {
+            log::warn!("a client connection could not be accepted: {e}");
+            runtime
+                .deadlines
+                .set(Timer::AcceptClients, runtime.now + ACCEPT_BACKOFF);
         }
         more
     }
 
-    pub fn client_ready(&mut self, id: ConnId) {
+    pub fn client_ready(&mut self, id: ConnectionId) {
         let runtime = &mut self.runtime;
-        let broken = runtime.hear(id).is_err();
-        let Some(conn) = runtime.conns.get_mut(id) else {
+        let broken = runtime.read_client(id).is_err();
+        let Some(conn) = runtime.connections.get_mut(id) else {
             return;
         };
-        if conn.lingers {
+        if conn.lingering {
             conn.input.consume(conn.input.len());
-            if broken || conn.ended || runtime.conns.arm(id).is_err() {
+            if broken || conn.peer_closed || runtime.connections.arm(id).is_err() {
                 runtime.close_client(id);
             }
         } else {
-            self.meet(id, broken);
+            self.answer_or_close(id, broken);
         }
     }
 
     /// Answers what has come from a client, or closes its connection where that broke or is done.
-    fn meet(&mut self, id: ConnId, broken: bool) {
+    fn answer_or_close(&mut self, id: ConnectionId, broken: bool) {
         if broken || !self.answer_commands(id) {
             self.runtime.close_client(id);
         }
@@ -204,36 +211,41 @@
     /// A client has had its time: to ask, to send the rest of what it asks, to read, or to stay without asking. Those who
     /// connect and say nothing, or stop half-way, would else hold their places for good; it covers those that read no
     /// answers too. The harm: one that is slower than that is parted with unheard. What came last is still met.
-    pub fn client_overdue(&mut self, id: ConnId) {
-        if self.runtime.conns.get(id).is_some_and(|c| c.lingers) {
+    pub fn client_overdue(&mut self, id: ConnectionId) {
+        if self
+            .runtime
+            .connections
+            .get(id)
+            .is_some_and(|c| c.lingering)
+        {
             return self.runtime.close_client(id);
         }
         // A request that begins now has its own time from now on.
-        match self.runtime.hear(id) {
+        match self.runtime.read_client(id) {
             Ok(false) => self.runtime.end_overdue(id),
-            heard => self.meet(id, heard.is_err()),
+            heard => self.answer_or_close(id, heard.is_err()),
         }
     }
 
     /// Answers the commands that have come whole. False: the connection is done.
-    fn answer_commands(&mut self, id: ConnId) -> bool {
+    fn answer_commands(&mut self, id: ConnectionId) -> bool {
         let now = self.runtime.now;
-        let serves = self.serves();
-        let mut left = TURN_MOST;
+        let serves = self.accepts_clients();
+        let mut left = COMMANDS_PER_TURN;
         loop {
-            let Some(conn) = self.runtime.conns.get_mut(id) else {
+            let Some(conn) = self.runtime.connections.get_mut(id) else {
                 return true;
             };
             if left == 0 {
                 // What else it sent waits until all others have had their turn.
-                self.runtime.deadlines.set(Due::Read(id), now + 1);
+                self.runtime.deadlines.set(Timer::ReadClient(id), now + 1);
                 break;
             }
             left -= 1;
             // With no room for an answer, what has come waits until the client has read.
-            if conn.last
+            if conn.close_after_output
                 || conn.input.is_empty()
-                || conn.output.available() < resp::COMMAND_MOST / 2
+                || conn.output.available() < resp::MAX_COMMAND_BYTES / 2
             {
                 break;
             }
@@ -246,7 +258,7 @@
                     let why = bad.err().map_or("a command is too long", |bad| bad.0);
                     conn.output
                         .push(format!("-ERR Protocol error: {why}\r\n").as_bytes());
-                    conn.last = true;
+                    conn.close_after_output = true;
                     break;
                 }
             };
@@ -261,7 +273,7 @@
                 (b"", _) => String::new(),
                 (b"PING", _) if !serves => "-ERR draining\r\n".into(),
                 (b"PING", 1) => "+PONG\r\n".into(),
-                (b"PING", 2) if words[1].len() > PING_MOST => {
+                (b"PING", 2) if words[1].len() > MAX_PING_BYTES => {
                     "-ERR the text is too long\r\n".into()
                 }
                 (b"PING", 2) => {
@@ -282,64 +294,72 @@
                 _ => format!("-ERR unknown command '{}'\r\n", name.escape_ascii()),
             };
             conn.input.consume(taken);
-            conn.say(&answer, now);
-            conn.last |= last;
+            conn.queue_answer(&answer, now);
+            conn.close_after_output |= last;
             if let Some((put, body)) = new {
-                self.hand_in(id, put, body);
+                self.put_message(id, put, body);
             }
             if let Some(conn) = self
                 .runtime
-                .conns
+                .connections
                 .get_mut(id)
-                .filter(|c| c.errors >= ERRORS_MOST)
+                .filter(|c| c.protocol_errors >= MAX_PROTOCOL_ERRORS)
             {
-                conn.last = true;
+                conn.close_after_output = true;
             }
         }
         let runtime = &mut self.runtime;
-        if runtime.conns.flush(id).is_err() {
+        if runtime.connections.flush(id).is_err() {
             return false;
         }
-        let Some(conn) = runtime.conns.get(id) else {
+        let Some(conn) = runtime.connections.get(id) else {
             return true;
         };
-        if !conn.output.is_empty() || left == 0 || !(conn.last || conn.ended) {
-            let stay = if conn.asked && conn.between() {
-                IDLE_MOST
+        if !conn.output.is_empty() || left == 0 || !(conn.close_after_output || conn.peer_closed) {
+            let stay = if conn.answered && conn.is_idle() {
+                IDLE_TIMEOUT
             } else {
-                REQUEST_WITHIN
+                REQUEST_TIMEOUT
             };
-            runtime.deadlines.set(Due::Conn(id), conn.used + stay);
+            runtime
+                .deadlines
+                .set(Timer::Connection(id), conn.last_active + stay);
             return true;
         }
         // Closed with input unread, a connection is reset, and the answer to what was wrong with it may be lost.
-        if !conn.ended
+        if !conn.peer_closed
             && runtime
-                .conns
-                .linger(id)
-                .and_then(|()| runtime.conns.arm(id))
+                .connections
+                .shutdown_write(id)
+                .and_then(|()| runtime.connections.arm(id))
                 .is_ok()
         {
-            runtime.deadlines.set(Due::Conn(id), runtime.now + LINGER);
+            runtime
+                .deadlines
+                .set(Timer::Connection(id), runtime.now + LINGER_TIMEOUT);
             return true;
         }
         false
     }
 
     /// A message is handed in.
-    fn hand_in(&mut self, conn: ConnId, put: resp::Put, body: Vec<u8>) {
+    fn put_message(&mut self, conn: ConnectionId, put: resp::PutCommand, body: Vec<u8>) {
         let say = |runtime: &mut Runtime, answer: &str| {
             let now = runtime.now;
-            if let Some(to) = runtime.conns.get_mut(conn) {
-                to.say(answer, now);
+            if let Some(to) = runtime.connections.get_mut(conn) {
+                to.queue_answer(answer, now);
             }
             // At once, for the client's wait is short. A break shows when its commands are done.
-            let _ = runtime.conns.flush(conn);
+            let _ = runtime.connections.flush(conn);
         };
         // A client that has ended its side may have given up waiting and handed the message in elsewhere: taken here too, it
         // would go out twice. It covers a dispatcher that stood still; the harm is a needless -BUSY to one that ends its
         // side early and yet listens.
-        let listens = self.runtime.conns.get(conn).is_some_and(|c| !c.ended);
+        let listens = self
+            .runtime
+            .connections
+            .get(conn)
+            .is_some_and(|c| !c.peer_closed);
         let class = self.runtime.class_of(&put.class);
         let message = JournaledMessage {
             id: MessageId(put.id),
@@ -350,28 +370,30 @@
                 .runtime
                 .now
                 .saturating_add(put.lifetime_ms.saturating_mul(1_000_000)),
-            idempotency_key: put.tag,
+            idempotency_key: put.idempotency_key,
             body,
             attempts: vec![],
         };
         let taken = match listens {
             true => self.accept(message, |runtime| say(runtime, "+OK\r\n")),
-            false => Err(Refusal::NoRoom),
+            false => Err(Rejection::NoCapacity),
         };
         match taken {
             Ok(()) => {}
-            Err(Refusal::UnknownClass) => say(&mut self.runtime, "-ERR c: unknown class\r\n"),
-            Err(Refusal::UnknownDestination) => {
+            Err(Rejection::UnknownClass) => say(&mut self.runtime, "-ERR c: unknown class\r\n"),
+            Err(Rejection::UnknownDestination) => {
                 say(&mut self.runtime, "-ERR dest: unknown destination\r\n")
             }
-            Err(Refusal::TooLong) => say(
+            Err(Rejection::LifetimeTooLong) => say(
                 &mut self.runtime,
                 "-ERR d: longer than the class allows\r\n",
             ),
-            Err(Refusal::Untagged) => say(&mut self.runtime, "-ERR k: expected in this class\r\n"),
-            Err(Refusal::NoRoom) => {
+            Err(Rejection::MissingIdempotencyKey) => {
+                say(&mut self.runtime, "-ERR k: expected in this class\r\n")
+            }
+            Err(Rejection::NoCapacity) => {
                 if let Some(class) = class {
-                    self.runtime.figures.count(class, crate::mgmt::REJECTED);
+                    self.runtime.metrics.count(class, crate::mgmt::REJECTED);
                 }
                 say(&mut self.runtime, "-BUSY\r\n")
             }
--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -1,6 +1,6 @@
 //! The command line: what to do, and with which files.
 
-use crate::event_loop::{Daemon, Told};
+use crate::event_loop::{Daemon, Signals};
 use crate::start;
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -102,7 +102,7 @@
         Command::Serve | Command::Check => {
             crate::logger::start(line.log);
             // Before anything is read: a signal that comes early is met later, and ends nothing by itself.
-            let told = match Told::by_signals() {
+            let told = match Signals::install() {
                 Ok(told) => told,
                 Err(e) => {
                     eprintln!("bellsill: signals: {e}");
@@ -155,14 +155,14 @@
             return ExitCode::from(2);
         }
     };
-    let run = |told: Told| {
+    let run = |told: Signals| {
         let stop = bellsill_control_plane::Stop {
             wake: told.wake,
-            requested: told.leave,
+            requested: told.shutdown,
         };
         bellsill_control_plane::run(config, stop)
     };
-    match Told::by_signals().map_err(Into::into).and_then(run) {
+    match Signals::install().map_err(Into::into).and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("bellsill: {e}");
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The sockets and deadlines of the watch on the configuration: carries out what [`Watch`] commands, and tells it what
 //! happened. Nothing here decides, and nothing here knows messages or the loop.
 
-use crate::conns::{ConnId, Conns, Role};
+use crate::conns::{ConnectionId, ConnectionTable, Role};
 use crate::timer_queue::TimerQueue;
 use bellsill_discovery_client::{
     Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer,
@@ -22,21 +22,21 @@
 #[derive(Clone, Copy, Debug)]
 pub enum WatchTimer {
     Reconnect,
-    LookUp,
-    Conn(ConnId),
+    LookupRetry,
+    Connection(ConnectionId),
 }
 
 /// What the watch's commands are carried out with.
 pub struct WatchIo<'a, K> {
     pub now: Nanos,
-    pub conns: &'a mut Conns,
+    pub connections: &'a mut ConnectionTable,
     pub deadlines: &'a mut TimerQueue<K>,
 }
 
 /// The watch, and the connections of its calls.
 pub struct Discovery {
     watch: Watch,
-    calls: Vec<(CallId, ConnId)>,
+    calls: Vec<(CallId, ConnectionId)>,
     names: Names,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// Has a destination looked up; `in_use` says which ones must not give way to it. What gave way is answered.
-    pub fn want<K>(
+    pub fn lookup<K>(
         &mut self,
         io: &mut WatchIo<K>,
         destination: u64,
@@ -84,16 +84,16 @@
     where
         K: Ord + Copy + From<WatchTimer>,
     {
-        let wanted = self.watch.want(io.now, destination, in_use)?;
-        self.carry_out(io, wanted.commands);
-        Ok(wanted.applied)
+        let lookup = self.watch.want(io.now, destination, in_use)?;
+        self.carry_out(io, lookup.commands);
+        Ok(lookup.applied)
     }
 
     /// Applies a document of a scoped watch. One that cannot be applied ends the connection that it came on.
     pub fn apply<K>(
         &mut self,
         io: &mut WatchIo<K>,
-        conn: ConnId,
+        conn: ConnectionId,
         document: &[u8],
     ) -> Result<Applied, ScopedLineError>
     where
@@ -138,8 +138,8 @@
     {
         let timer = match timer {
             WatchTimer::Reconnect => Timer::Reconnect,
-            WatchTimer::LookUp => Timer::LookUp,
-            WatchTimer::Conn(conn) => match self.call_of(conn) {
+            WatchTimer::LookupRetry => Timer::LookUp,
+            WatchTimer::Connection(conn) => match self.call_of(conn) {
                 Some(call) => Timer::Call(call),
                 None => return,
             },
@@ -150,37 +150,37 @@
 
     /// Something happened on a connection of the watch. What has come: a lookup's changes, or documents to be applied in
     /// their order.
-    pub fn conn_ready<K>(&mut self, io: &mut WatchIo<K>, conn: ConnId) -> Received
+    pub fn connection_ready<K>(&mut self, io: &mut WatchIo<K>, conn: ConnectionId) -> Received
     where
         K: Ord + Copy + From<WatchTimer>,
     {
         let Some(call) = self.call_of(conn) else {
             return Received::default();
         };
-        if io.conns.get(conn).is_some_and(|c| c.rising) {
-            if io.conns.risen(conn).is_err() {
+        if io.connections.get(conn).is_some_and(|c| c.connecting) {
+            if io.connections.finish_connect(conn).is_err() {
                 self.broken(io, call);
                 return Received::default();
             }
             let commands = self.watch.connected(io.now, call);
             self.carry_out(io, commands);
         }
-        if io.conns.fill(conn).is_err() {
+        if io.connections.read(conn).is_err() {
             self.broken(io, call);
             return Received::default();
         }
-        let Some(from) = io.conns.get_mut(conn) else {
+        let Some(from) = io.connections.get_mut(conn) else {
             return Received::default();
         };
         let mut received = self
             .watch
-            .received(io.now, call, &mut from.input, from.ended);
+            .received(io.now, call, &mut from.input, from.peer_closed);
         self.carry_out(io, std::mem::take(&mut received.commands));
         received
     }
 
     /// Writes what can be written, and waits for more on a connection of the watch.
-    pub fn go_on<K>(&mut self, io: &mut WatchIo<K>, conn: ConnId)
+    pub fn flush<K>(&mut self, io: &mut WatchIo<K>, conn: ConnectionId)
     where
         K: Ord + Copy + From<WatchTimer>,
     {
@@ -188,9 +188,9 @@
             return;
         };
         if io
-            .conns
+            .connections
             .flush(conn)
-            .and_then(|()| io.conns.arm(conn))
+            .and_then(|()| io.connections.arm(conn))
             .is_err()
         {
             self.broken(io, call);
@@ -219,7 +219,7 @@
                 Command::Close(call) => {
                     self.conn_of(call)
                         .into_iter()
-                        .for_each(|conn| io.conns.close(conn));
+                        .for_each(|conn| io.connections.close(conn));
                     self.calls.retain(|(c, _)| *c != call);
                 }
                 Command::SetTimer(timer, at) => {
@@ -242,11 +242,11 @@
         K: Ord + Copy + From<WatchTimer>,
     {
         let bounds = (INPUT_BYTES, OUTPUT_BYTES.max(2 * request.len()));
-        let Ok(conn) = io.conns.open(address, Role::Watch, bounds) else {
+        let Ok(conn) = io.connections.open(address, Role::Watch, bounds) else {
             return self.broken(io, call);
         };
         self.calls.push((call, conn));
-        if let Some(to) = io.conns.get_mut(conn) {
+        if let Some(to) = io.connections.get_mut(conn) {
             to.output.push(request);
         }
     }
@@ -255,19 +255,19 @@
     fn key<K: From<WatchTimer>>(&self, timer: Timer) -> Option<K> {
         Some(K::from(match timer {
             Timer::Reconnect => WatchTimer::Reconnect,
-            Timer::LookUp => WatchTimer::LookUp,
-            Timer::Call(call) => WatchTimer::Conn(self.conn_of(call)?),
+            Timer::LookUp => WatchTimer::LookupRetry,
+            Timer::Call(call) => WatchTimer::Connection(self.conn_of(call)?),
         }))
     }
 
-    fn conn_of(&self, call: CallId) -> Option<ConnId> {
+    fn conn_of(&self, call: CallId) -> Option<ConnectionId> {
         self.calls
             .iter()
             .find(|(c, _)| *c == call)
             .map(|(_, conn)| *conn)
     }
 
-    fn call_of(&self, conn: ConnId) -> Option<CallId> {
+    fn call_of(&self, conn: ConnectionId) -> Option<CallId> {
         self.calls
             .iter()
             .find(|(_, c)| *c == conn)
--- a/crates/daemon/src/endpoints.rs
+++ b/crates/daemon/src/endpoints.rs
@@ -1,11 +1,11 @@
 //! Endpoints: their connections, idle ones kept for the next call, and the calls on them.
 
-use crate::conns::{ConnId, Role};
+use crate::conns::{ConnectionId, Role};
 use crate::endpoint_list::{self, EndpointList, ListedEndpoint};
 use crate::event_loop::Daemon;
 use crate::http::{self, Head};
-use crate::messages::{Due, MessageSlot, Runtime};
-use crate::resp::COMMAND_MOST;
+use crate::messages::{MessageSlot, Runtime, Timer};
+use crate::resp::MAX_COMMAND_BYTES;
 use crate::scope;
 use bellsill_core::interface::*;
 use bellsill_discovery_client::Applied;
@@ -23,7 +23,7 @@
     /// Where it was listed last; none once it is forgotten.
     pub destination: Option<u64>,
     /// The last one was used last.
-    pub idle: Vec<ConnId>,
+    pub idle: Vec<ConnectionId>,
 }
 
 #[derive(Default)]
@@ -35,24 +35,24 @@
     /// How many endpoints are known of each destination.
     by_destination: BTreeMap<u64, usize>,
     /// The attempts that connections carry or rise for.
-    pub calls: BTreeMap<ConnId, MessageSlot>,
+    pub attempts: BTreeMap<ConnectionId, MessageSlot>,
     /// Answers to calls that have begun to come.
-    pub answers: BTreeMap<ConnId, Answer>,
+    pub responses: BTreeMap<ConnectionId, ResponseProgress>,
     /// Connections on which the rest of an answer that is known is still to come.
-    pub emptying: BTreeMap<ConnId, Answer>,
+    pub draining_responses: BTreeMap<ConnectionId, ResponseProgress>,
 }
 
 /// An answer as far as it has come: its head, once that is whole, and how much more may come.
-pub struct Answer {
+pub struct ResponseProgress {
     head: Option<Head>,
     left: u64,
 }
 
 /// The most that an answer's body may take.
-const BODY_MOST: u64 = 64 * 1024;
+const MAX_BODY_BYTES: u64 = 64 * 1024;
 /// How long an answer may take from its first byte to its last. One that does not end would else hold its slot until the
 /// time-out; it covers peers that stall within an answer. The harm: a slower one counts as spoilt.
-const ANSWER_WITHIN: Nanos = 1_000_000_000;
+const RESPONSE_TIMEOUT: Nanos = 1_000_000_000;
 
 impl Index<EndpointId> for Endpoints {
     type Output = Endpoint;
@@ -69,7 +69,7 @@
 
 impl Endpoints {
     /// The number of a listed endpoint, which is given one if it has none.
-    pub fn know(&mut self, listed: &ListedEndpoint, addr: SocketAddr) -> EndpointId {
+    pub fn register(&mut self, listed: &ListedEndpoint, addr: SocketAddr) -> EndpointId {
         if let Some(id) = self.find(&listed.name) {
             return id;
         }
@@ -115,16 +115,16 @@
 
     /// Endpoints come under new names for as long as a dispatcher runs: one that the decisions have forgotten gives its
     /// row to the next one.
-    pub fn forget(&mut self, id: EndpointId) {
+    pub fn remove(&mut self, id: EndpointId) {
         let name = std::mem::take(&mut self[id].name);
         self.by_name.remove(&name);
         if let Some(destination) = self[id].destination.take() {
-            self.forget_one_of(destination);
+            self.decrement_destination(destination);
         }
         self.free.push(id);
     }
 
-    fn forget_one_of(&mut self, destination: u64) {
+    fn decrement_destination(&mut self, destination: u64) {
         let Some(known) = self.by_destination.get_mut(&destination) else {
             return;
         };
@@ -135,7 +135,7 @@
     }
 
     /// Whether any endpoint is known of that destination, gone ones too: news of the next one may be late.
-    pub fn serve(&self, destination: u64) -> bool {
+    pub fn has_destination(&self, destination: u64) -> bool {
         self.by_destination.contains_key(&destination)
     }
 
@@ -158,29 +158,29 @@
 
 impl Runtime {
     /// Finds a connection for an attempt: an idle one, or a new one that has to come up.
-    pub fn place(&mut self, slot: MessageSlot, endpoint: EndpointId) {
+    pub fn connect_attempt(&mut self, slot: MessageSlot, endpoint: EndpointId) {
         while let Some(conn) = self.endpoints[endpoint].idle.pop() {
             // After a stand-still its time may be up, and its deadline not seen yet.
-            let in_time = !self.deadlines.is_expired(Due::Conn(conn), self.now);
-            self.deadlines.clear(Due::Conn(conn));
+            let in_time = !self.deadlines.is_expired(Timer::Connection(conn), self.now);
+            self.deadlines.clear(Timer::Connection(conn));
             // The other side may have closed it, and the poller not yet told: a call written then would be lost.
             let good = in_time
-                && self.conns.fill(conn).is_ok()
+                && self.connections.read(conn).is_ok()
                 && self
-                    .conns
+                    .connections
                     .get(conn)
-                    .is_some_and(|c| !c.ended && c.input.is_empty());
+                    .is_some_and(|c| !c.peer_closed && c.input.is_empty());
             if good {
-                return self.write_call(slot, conn);
+                return self.write_request(slot, conn);
             }
-            self.conns.close(conn);
+            self.connections.close(conn);
         }
-        if self.conns.full() {
-            self.shed_idle();
+        if self.connections.is_full() {
+            self.close_oldest_idle();
         }
-        let bounds = (http::MAX_HEAD_BYTES, COMMAND_MOST);
-        let opened = match !self.conns.full() {
-            true => self.conns.open(
+        let bounds = (http::MAX_HEAD_BYTES, MAX_COMMAND_BYTES);
+        let opened = match !self.connections.is_full() {
+            true => self.connections.open(
                 self.endpoints[endpoint].addr,
                 Role::Endpoint(endpoint),
                 bounds,
@@ -189,25 +189,25 @@
         };
         match opened {
             Ok(conn) => {
-                self.endpoints.calls.insert(conn, slot);
+                self.endpoints.attempts.insert(conn, slot);
                 self.deadlines
-                    .set(Due::Conn(conn), self.now + self.connect_timeout);
-                if let Some(call) = self.messages.get_mut(slot).and_then(|m| m.call.as_mut()) {
-                    call.conn = Some(conn);
+                    .set(Timer::Connection(conn), self.now + self.connect_timeout);
+                if let Some(call) = self.messages.get_mut(slot).and_then(|m| m.attempt.as_mut()) {
+                    call.connection = Some(conn);
                 }
-                self.shift(slot, crate::messages::Stage::Rising);
+                self.transition(slot, crate::messages::DeliveryState::Connecting);
             }
             // Nobody was asked: taken for a refusal it would speak against the endpoint.
-            Err(e) if self.conns.full() || is_local(&e) => {
-                self.end_call(slot, Outcome::NotStarted, false)
+            Err(e) if self.connections.is_full() || is_local(&e) => {
+                self.end_attempt(slot, Outcome::NotStarted, false)
             }
-            Err(_) => self.end_call(slot, Outcome::ConnectFailed, false),
+            Err(_) => self.end_attempt(slot, Outcome::ConnectFailed, false),
         }
     }
 
     /// Keeps a connection for the next call, while it is sure to be good.
-    pub fn pool(&mut self, id: ConnId) {
-        let Some(conn) = self.conns.get(id) else {
+    pub fn pool(&mut self, id: ConnectionId) {
+        let Some(conn) = self.connections.get(id) else {
             return;
         };
         let Role::Endpoint(endpoint) = conn.role else {
@@ -216,36 +216,36 @@
         let row = &self.endpoints[endpoint];
         // An endpoint that has moved while the call was out is elsewhere now.
         let there = conn.opened_to == Some(row.addr);
-        if conn.ended || !conn.input.is_empty() || !row.serving || !there {
-            self.conns.close(id);
+        if conn.peer_closed || !conn.input.is_empty() || !row.serving || !there {
+            self.connections.close(id);
             return;
         }
         self.endpoints[endpoint].idle.push(id);
         // A request written when the other side has just closed is lost, so it is closed here a little earlier.
         self.deadlines
-            .set(Due::Conn(id), self.now + self.keep_alive / 20 * 19);
-        if self.conns.arm(id).is_err() {
-            self.drop_idle(id);
+            .set(Timer::Connection(id), self.now + self.keep_alive / 20 * 19);
+        if self.connections.arm(id).is_err() {
+            self.close_idle(id);
         }
     }
 
     /// Closes a connection that no call is on.
-    pub fn drop_idle(&mut self, id: ConnId) {
-        if let Some(Role::Endpoint(endpoint)) = self.conns.get(id).map(|c| c.role) {
+    pub fn close_idle(&mut self, id: ConnectionId) {
+        if let Some(Role::Endpoint(endpoint)) = self.connections.get(id).map(|c| c.role) {
             self.endpoints[endpoint].idle.retain(|c| *c != id);
         }
-        self.endpoints.emptying.remove(&id);
-        self.deadlines.clear(Due::Conn(id));
-        self.conns.close(id);
+        self.endpoints.draining_responses.remove(&id);
+        self.deadlines.clear(Timer::Connection(id));
+        self.connections.close(id);
     }
 
     /// Gives back the idle connection that was used longest ago, so that a client or a call finds a descriptor.
-    pub fn shed_idle(&mut self) -> bool {
+    pub fn close_oldest_idle(&mut self) -> bool {
         let idle = |id: EndpointId| self.endpoints[id].idle.first().copied();
         let Some(oldest) = self.endpoints.ids().filter_map(idle).next() else {
             return false;
         };
-        self.drop_idle(oldest);
+        self.close_idle(oldest);
         true
     }
 
@@ -253,13 +253,17 @@
     fn in_time(&self, slot: MessageSlot) -> bool {
         self.messages
             .get(slot)
-            .and_then(|m| m.call)
-            .is_some_and(|c| self.now < c.until)
+            .and_then(|m| m.attempt)
+            .is_some_and(|c| self.now < c.deadline)
     }
 
     /// Reads on in an answer. True: it is whole.
-    fn read_on(&mut self, id: ConnId, answer: &mut Answer) -> Result<bool, http::Malformed> {
-        let Some(conn) = self.conns.get_mut(id) else {
+    fn read_response(
+        &mut self,
+        id: ConnectionId,
+        answer: &mut ResponseProgress,
+    ) -> Result<bool, http::Malformed> {
+        let Some(conn) = self.connections.get_mut(id) else {
             return Err(http::Malformed);
         };
         if answer.head.is_none() {
@@ -270,30 +274,35 @@
         };
         let whole = head.body.discard(&mut conn.input, &mut answer.left)?;
         // Without a length it ends with its connection.
-        Ok(whole || (conn.ended && head.body == http::Body::UntilEnd))
+        Ok(whole || (conn.peer_closed && head.body == http::Body::UntilEnd))
     }
 
     /// The answer to a call, as far as it has come. True: it is known. Anything but a message relayed is believed only when
     /// the answer is whole and sound: a spoilt one may stand for a message that ran, and would go out again.
-    pub fn answer(&mut self, id: ConnId, slot: MessageSlot) -> Result<bool, http::Malformed> {
-        let Some(conn) = self.conns.get_mut(id) else {
+    pub fn read_attempt_response(
+        &mut self,
+        id: ConnectionId,
+        slot: MessageSlot,
+    ) -> Result<bool, http::Malformed> {
+        let Some(conn) = self.connections.get_mut(id) else {
             return Ok(true);
         };
-        if conn.input.is_empty() && !conn.ended {
+        if conn.input.is_empty() && !conn.peer_closed {
             return Ok(false);
         }
         let written = conn.output.is_empty();
-        let begun = self.endpoints.answers.remove(&id);
+        let begun = self.endpoints.responses.remove(&id);
         if begun.is_none() {
-            self.deadlines.set(Due::Conn(id), self.now + ANSWER_WITHIN);
+            self.deadlines
+                .set(Timer::Connection(id), self.now + RESPONSE_TIMEOUT);
         }
-        let mut answer = begun.unwrap_or(Answer {
+        let mut answer = begun.unwrap_or(ResponseProgress {
             head: None,
-            left: BODY_MOST,
+            left: MAX_BODY_BYTES,
         });
-        let read = self.read_on(id, &mut answer);
+        let read = self.read_response(id, &mut answer);
         let first = self
-            .conns
+            .connections
             .get_mut(id)
             .is_some_and(|c| http::starts_with_success(c.input.contiguous()));
         let (status, retry_after) = answer
@@ -304,7 +313,7 @@
         let outcome = match status {
             _ if relayed => Outcome::Delivered,
             _ if !read? => {
-                self.endpoints.answers.insert(id, answer);
+                self.endpoints.responses.insert(id, answer);
                 return Ok(false);
             }
             503 if retry_after.is_none()
@@ -331,8 +340,8 @@
             .as_ref()
             .and_then(|head| head.load_report)
             .filter(|_| self.reports_limits);
-        self.heed_report(slot, report);
-        self.endpoints.calls.remove(&id);
+        self.apply_load_report(slot, report);
+        self.endpoints.attempts.remove(&id);
         match read {
             Ok(whole)
                 if written
@@ -341,35 +350,35 @@
                         .as_ref()
                         .is_some_and(|head| head.closes_connection) =>
             {
-                self.endpoints.emptying.insert(id, answer);
+                self.endpoints.draining_responses.insert(id, answer);
                 if whole {
-                    self.emptied(id);
-                } else if self.conns.arm(id).is_err() {
-                    self.drop_idle(id);
+                    self.response_complete(id);
+                } else if self.connections.arm(id).is_err() {
+                    self.close_idle(id);
                 }
             }
-            _ => self.drop_idle(id),
+            _ => self.close_idle(id),
         }
-        self.end_call(slot, outcome, status == 410);
+        self.end_attempt(slot, outcome, status == 410);
         Ok(true)
     }
 
     /// A report that cannot be read changes nothing; that is said once.
-    fn heed_report(
+    fn apply_load_report(
         &mut self,
         slot: MessageSlot,
         report: Option<Result<f64, http::InvalidLoadReport>>,
     ) {
         match (
             report,
-            self.messages.get_mut(slot).and_then(|m| m.call.as_mut()),
+            self.messages.get_mut(slot).and_then(|m| m.attempt.as_mut()),
         ) {
-            (Some(Ok(limit)), Some(call)) => call.limit = Some(limit),
+            (Some(Ok(limit)), Some(call)) => call.reported_limit = Some(limit),
             (Some(Err(http::InvalidLoadReport)), _)
-                if !std::mem::replace(&mut self.bad_report_said, true) =>
+                if !std::mem::replace(&mut self.invalid_report_logged, true) =>
             {
                 log::warn!(
-                    "an answer's load report tells no `{}` from 0 to 1e9; such reports are passed over",
+                    "a load report has no `{}` between 0 and 1e9; such reports are ignored",
                     http::LIMIT
                 )
             }
@@ -378,40 +387,40 @@
     }
 
     /// An answer is whole: its connection is kept for the next call.
-    fn emptied(&mut self, id: ConnId) {
-        self.endpoints.emptying.remove(&id);
-        self.deadlines.clear(Due::Conn(id));
+    fn response_complete(&mut self, id: ConnectionId) {
+        self.endpoints.draining_responses.remove(&id);
+        self.deadlines.clear(Timer::Connection(id));
         self.pool(id);
     }
 }
 
 impl Daemon {
     /// Something happened on a connection to an endpoint.
-    pub fn endpoint_ready(&mut self, id: ConnId) {
+    pub fn endpoint_ready(&mut self, id: ConnectionId) {
         let runtime = &mut self.runtime;
-        let Some(conn) = runtime.conns.get(id) else {
+        let Some(conn) = runtime.connections.get(id) else {
             return;
         };
-        let Some(&slot) = runtime.endpoints.calls.get(&id) else {
-            return self.idle_ready(id);
+        let Some(&slot) = runtime.endpoints.attempts.get(&id) else {
+            return self.unassigned_ready(id);
         };
-        if conn.rising {
-            return self.connection_rose(id, slot);
+        if conn.connecting {
+            return self.connection_established(id, slot);
         }
-        let filled = runtime.conns.fill(id);
-        let ended = filled.is_err() || runtime.conns.get(id).is_some_and(|c| c.ended);
-        match self.runtime.answer(id, slot) {
+        let filled = runtime.connections.read(id);
+        let ended = filled.is_err() || runtime.connections.get(id).is_some_and(|c| c.peer_closed);
+        match self.runtime.read_attempt_response(id, slot) {
             Ok(true) => {}
             // What is not written by its time is not written later: its deadline is the next thing seen.
             Ok(false) if !ended && !self.runtime.in_time(slot) => {}
             // Half written, and its window has closed, or a drain or a wait has begun: what is not whole never runs.
-            Ok(false) if !ended && self.may_not_end(slot) => {
-                self.runtime.break_call(slot, Outcome::ConnectionReset)
+            Ok(false) if !ended && self.must_abort_partial_request(slot) => {
+                self.runtime.abort_attempt(slot, Outcome::ConnectionReset)
             }
-            Ok(false) if !ended && self.runtime.conns.flush(id).is_ok() => {}
+            Ok(false) if !ended && self.runtime.connections.flush(id).is_ok() => {}
             // The end before an answer: nobody knows whether it ran.
-            Ok(_) => self.runtime.break_call(slot, Outcome::ConnectionReset),
-            Err(_) => self.runtime.break_call(slot, Outcome::MalformedResponse),
+            Ok(_) => self.runtime.abort_attempt(slot, Outcome::ConnectionReset),
+            Err(_) => self.runtime.abort_attempt(slot, Outcome::MalformedResponse),
         }
     }
 
@@ -419,68 +428,68 @@
     /// which the message may be repeated may have closed: only the decisions know. Or its time is up, and its deadline is the
     /// next thing seen: a dispatcher that stood still would otherwise send messages whose queue lifetime is long over. A message
     /// turned back here has not been sent, and the connection is kept.
-    fn connection_rose(&mut self, id: ConnId, slot: MessageSlot) {
+    fn connection_established(&mut self, id: ConnectionId, slot: MessageSlot) {
         let runtime = &mut self.runtime;
-        match runtime.conns.risen(id) {
+        match runtime.connections.finish_connect(id) {
             Ok(()) => {
-                runtime.deadlines.clear(Due::Conn(id));
+                runtime.deadlines.clear(Timer::Connection(id));
                 let call = runtime
                     .messages
                     .get(slot)
-                    .and_then(|m| Some((m.id, m.call?.endpoint)));
+                    .and_then(|m| Some((m.id, m.attempt?.endpoint)));
                 let open = call.is_some_and(|(message, e)| {
                     self.dispatcher.may_start_attempt(runtime.now, message, e)
                 });
                 if open && runtime.in_time(slot) {
-                    runtime.write_call(slot, id);
+                    runtime.write_request(slot, id);
                 } else {
-                    runtime.endpoints.calls.remove(&id);
+                    runtime.endpoints.attempts.remove(&id);
                     runtime.pool(id);
-                    runtime.end_call(slot, Outcome::NotSent { no_capacity: false }, false);
+                    runtime.end_attempt(slot, Outcome::NotSent { no_capacity: false }, false);
                 }
             }
-            Err(_) => runtime.break_call(slot, Outcome::ConnectFailed),
+            Err(_) => runtime.abort_attempt(slot, Outcome::ConnectFailed),
         }
     }
 
     /// Whether a call is not whole yet, and might not begin now.
-    fn may_not_end(&self, slot: MessageSlot) -> bool {
+    fn must_abort_partial_request(&self, slot: MessageSlot) -> bool {
         let Some((id, call)) = self
             .runtime
             .messages
             .get(slot)
-            .and_then(|m| Some((m.id, m.call?)))
+            .and_then(|m| Some((m.id, m.attempt?)))
         else {
             return false;
         };
         let half = call
-            .conn
-            .and_then(|c| self.runtime.conns.get(c))
+            .connection
+            .and_then(|c| self.runtime.connections.get(c))
             .is_some_and(|c| !c.output.is_empty());
         half && !self
             .dispatcher
             .may_start_attempt(self.runtime.now, id, call.endpoint)
     }
 
-    fn idle_ready(&mut self, id: ConnId) {
+    fn unassigned_ready(&mut self, id: ConnectionId) {
         let runtime = &mut self.runtime;
-        let mut good = runtime.conns.fill(id).is_ok();
-        let Some(conn) = runtime.conns.get_mut(id) else {
+        let mut good = runtime.connections.read(id).is_ok();
+        let Some(conn) = runtime.connections.get_mut(id) else {
             return;
         };
-        good &= !conn.ended;
+        good &= !conn.peer_closed;
         let empty = conn.input.is_empty();
-        if let Some(mut answer) = runtime.endpoints.emptying.remove(&id) {
-            let last = |answer: &Answer| {
+        if let Some(mut answer) = runtime.endpoints.draining_responses.remove(&id) {
+            let last = |answer: &ResponseProgress| {
                 answer
                     .head
                     .as_ref()
                     .is_some_and(|head| head.closes_connection)
             };
-            match runtime.read_on(id, &mut answer) {
-                Ok(true) if !last(&answer) => return runtime.emptied(id),
+            match runtime.read_response(id, &mut answer) {
+                Ok(true) if !last(&answer) => return runtime.response_complete(id),
                 Ok(false) if good && !last(&answer) => {
-                    runtime.endpoints.emptying.insert(id, answer);
+                    runtime.endpoints.draining_responses.insert(id, answer);
                 }
                 _ => good = false,
             }
@@ -488,8 +497,8 @@
             // Nothing is owed on an idle connection.
             good &= empty;
         }
-        if !good || runtime.conns.arm(id).is_err() {
-            runtime.drop_idle(id);
+        if !good || runtime.connections.arm(id).is_err() {
+            runtime.close_idle(id);
         }
     }
 }
@@ -508,11 +517,14 @@
             .map(|entry| entry.destination)
             .collect();
         for destination in dropped {
-            if self.runtime.held_for.contains_key(&destination)
+            if self
+                .runtime
+                .pending_by_destination
+                .contains_key(&destination)
                 && self.look_up(destination).is_err()
             {
                 log::warn!(
-                    "destination {destination} cannot be looked up, all in the cache are in use"
+                    "destination {destination} cannot be looked up: every cache entry is in use"
                 );
             }
         }
@@ -523,7 +535,7 @@
         let runtime = &mut self.runtime;
         let mut entries = Vec::with_capacity(list.endpoints.len());
         for listed in &list.endpoints {
-            let replaced = runtime.end_replaced(listed);
+            let replaced = runtime.remove_replaced(listed);
             let retry_after_until =
                 replaced.map(|old| self.dispatcher.suspended_until(old.endpoint));
             entries.extend(replaced);
@@ -547,9 +559,9 @@
         for (id, serving) in told {
             runtime.set_serving(id, serving);
         }
-        // Held out by hand, whatever the list says: the decisions know before they hear of it.
+        // PendingMessage out by hand, whatever the list says: the decisions know before they hear of it.
         let held: Vec<EndpointId> = runtime
-            .held_out
+            .disabled
             .iter()
             .filter_map(|name| runtime.endpoints.find(name))
             .collect();
@@ -568,14 +580,14 @@
 
 impl Runtime {
     /// What the decisions are told of the endpoint that had a listed one's name and is another by its entry: it is gone.
-    fn end_replaced(&mut self, listed: &ListedEndpoint) -> Option<EndpointEntry> {
+    fn remove_replaced(&mut self, listed: &ListedEndpoint) -> Option<EndpointEntry> {
         if !listed.serving {
             return None;
         }
         let endpoint = self.endpoints.release_name(listed)?;
         let destination = self.endpoints[endpoint].destination.unwrap_or_default();
         log::info!(
-            "endpoint {} is another by its entry: it was one of destination {destination}",
+            "endpoint {} was replaced by its new entry, the old one belonged to destination {destination}",
             listed.name
         );
         Some(EndpointEntry {
@@ -597,9 +609,9 @@
         if known.is_none() && !listed.serving {
             return Ok(None);
         }
-        let endpoint = self.endpoints.know(listed, addr);
+        let endpoint = self.endpoints.register(listed, addr);
         if self.endpoints[endpoint].addr != addr {
-            self.move_endpoint(endpoint, addr);
+            self.relocate_endpoint(endpoint, addr);
         }
         let names = self.discovery.names();
         let find = |names: &[String], name: &str| {
@@ -626,18 +638,18 @@
     }
 
     /// An endpoint listens elsewhere from now on.
-    fn move_endpoint(&mut self, endpoint: EndpointId, addr: SocketAddr) {
+    fn relocate_endpoint(&mut self, endpoint: EndpointId, addr: SocketAddr) {
         self.close_idle_connections(endpoint);
         self.endpoints[endpoint].addr = addr;
         // What still comes up at the old address would be somebody else's by then.
-        let rises = |id: &ConnId| {
-            self.conns
+        let rises = |id: &ConnectionId| {
+            self.connections
                 .get(*id)
-                .is_some_and(|c| c.rising && c.role == Role::Endpoint(endpoint))
+                .is_some_and(|c| c.connecting && c.role == Role::Endpoint(endpoint))
         };
-        let calls = self.endpoints.calls.iter().filter(|(id, _)| rises(id));
+        let calls = self.endpoints.attempts.iter().filter(|(id, _)| rises(id));
         for slot in calls.map(|(_, slot)| *slot).collect::<Vec<_>>() {
-            self.break_call(slot, Outcome::NotSent { no_capacity: false });
+            self.abort_attempt(slot, Outcome::NotSent { no_capacity: false });
         }
     }
 }
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -2,14 +2,14 @@
 
 use crate::backoff::Backoff;
 use crate::clock;
-use crate::conns::{ConnId, Conns, Role, Seen};
+use crate::conns::{ConnectionId, ConnectionTable, PollEvent, Role};
 use crate::discovery::{Discovery, WatchTimer};
 use crate::endpoint_list;
 use crate::endpoints::Endpoints;
 use crate::journal::{MessageJournal, Recovered};
-use crate::leaving::{LET_IN_FOR, Leaving};
-use crate::messages::{Due, Runtime, Stage};
-use crate::notices::Notices;
+use crate::leaving::{ACCEPT_CLIENTS_FOR, ShutdownPhase};
+use crate::messages::{DeliveryState, Runtime, Timer};
+use crate::notices::Notifications;
 use crate::scope::{self, SAVE_EVERY, ScopeFile};
 use crate::slot_table::SlotTable;
 use crate::start::{self, Source, Start};
@@ -31,9 +31,9 @@
 const MS: Nanos = 1_000_000;
 /// Between looks at what a process beside this one does in the folder: the journal that it still holds, and the endpoints
 /// that it was told to hold out.
-const BESIDE_EVERY: Nanos = 100 * MS;
+const NEIGHBOUR_CHECK_INTERVAL: Nanos = 100 * MS;
 /// Between lines on how things stand.
-const STANDING: Nanos = 10_000 * MS;
+const STATUS_INTERVAL: Nanos = 10_000 * MS;
 
 /// The clients' listener, which a new version of the dispatcher shares while the old one ends.
 fn shared_listener(at: std::net::SocketAddr) -> io::Result<TcpListener> {
@@ -50,7 +50,7 @@
 }
 
 /// The watch that a dispatcher keeps, and for a part of the configuration the file in which that lasts.
-fn watch_of(start: &Start) -> (Watch, Option<ScopeFile>) {
+fn build_watch(start: &Start) -> (Watch, Option<ScopeFile>) {
     let facts = &start.boot.settings;
     let Some(installation) = &start.installation else {
         let backoff = Backoff::new(facts.seed, facts.dispatchers);
@@ -67,7 +67,7 @@
         list
     });
     log::info!(
-        "the configuration of {} destinations is known, version {}",
+        "loaded the configuration of {} destinations, version {}",
         list.len(),
         list.version().0
     );
@@ -80,7 +80,7 @@
 }
 
 /// How long this process has been on a processor, as far as the system tells.
-fn busy() -> Nanos {
+fn cpu_time() -> Nanos {
     let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     text.split(' ')
         .next()
@@ -89,33 +89,33 @@
 }
 
 /// What a dispatcher is told from outside: a byte on `wake` has it look at the two.
-pub struct Told {
+pub struct Signals {
     pub wake: UnixStream,
     /// It is to leave.
-    pub leave: Arc<AtomicBool>,
+    pub shutdown: Arc<AtomicBool>,
     /// It is to read its configuration again.
-    pub reread: Arc<AtomicBool>,
+    pub reload: Arc<AtomicBool>,
 }
 
-impl Told {
+impl Signals {
     /// SIGTERM and SIGINT tell it to leave, SIGHUP to read its configuration again.
-    pub fn by_signals() -> io::Result<Told> {
+    pub fn install() -> io::Result<Signals> {
         let (wake, sender) = UnixStream::pair()?;
-        let told = Told {
+        let signals = Signals {
             wake,
-            leave: Arc::default(),
-            reread: Arc::default(),
+            shutdown: Arc::default(),
+            reload: Arc::default(),
         };
         for (signal, what) in [
-            (SIGTERM, &told.leave),
-            (SIGINT, &told.leave),
-            (SIGHUP, &told.reread),
+            (SIGTERM, &signals.shutdown),
+            (SIGINT, &signals.shutdown),
+            (SIGHUP, &signals.reload),
         ] {
             // In this order: whoever is woken finds what for.
             signal_hook::flag::register(signal, Arc::clone(what))?;
             signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
         }
-        Ok(told)
+        Ok(signals)
     }
 }
 
@@ -124,31 +124,31 @@
     pub runtime: Runtime,
     pub classes: Vec<ClassSettings>,
     /// There was no place for a client that came last.
-    pub turned_away: bool,
-    leave: Arc<AtomicBool>,
-    reread: Arc<AtomicBool>,
+    pub at_client_limit: bool,
+    shutdown_requested: Arc<AtomicBool>,
+    reload_requested: Arc<AtomicBool>,
     /// What the configuration was read from, and what of it only a restart takes.
     source: Option<Source>,
     fixed: Vec<(&'static str, Value)>,
-    pub(crate) leaving: Leaving,
-    pub(crate) told_to_leave: Nanos,
+    pub(crate) shutdown_phase: ShutdownPhase,
+    pub(crate) shutdown_requested_at: Nanos,
     /// Drained by an operator: `PING` says no, clients are parted with between requests; all else goes on.
     pub(crate) draining: bool,
     /// The folder that lasts.
-    pub state: std::path::PathBuf,
+    pub state_folder: std::path::PathBuf,
     /// Of the list of endpoints held out there, as it was read or written last.
-    pub held_stamp: Option<(u64, SystemTime)>,
+    pub disabled_stamp: Option<(u64, SystemTime)>,
     /// What calls have changed of that list and is not written yet: whether the endpoint is out.
-    pub held_unwritten: BTreeMap<String, bool>,
+    pub unsaved_disabled: BTreeMap<String, bool>,
     /// What is kept of the scoped configuration, where there is one.
     pub scope_file: Option<ScopeFile>,
 }
 
 impl Daemon {
     /// Takes up what the journal holds, and listens. Clients are answered once it runs.
-    pub fn start(start: Start, told: Told) -> io::Result<Daemon> {
+    pub fn start(start: Start, signals: Signals) -> io::Result<Daemon> {
         let now = clock::now();
-        let (watch, scope_file) = watch_of(&start);
+        let (watch, scope_file) = build_watch(&start);
         let boot = start.boot;
         let (facts, names) = (
             Settings {
@@ -164,94 +164,103 @@
         };
         let in_folder =
             |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", start.state.display()));
-        let (mut journal, mut kept) = start_retry::wait_out(&told.leave, || {
+        let (mut journal, mut kept) = start_retry::wait_out(&signals.shutdown, || {
             MessageJournal::open(&start.state, journal_bytes)
         })
         .map_err(in_folder)?;
         // What an old process left is taken before clients are answered; one that still runs is looked for again.
         let (adopted, others_held) = journal.adopt();
-        let held_out = start_retry::wait_out(&told.leave, || crate::mgmt::load_held(&start.state))
-            .map_err(in_folder)?;
+        let disabled = start_retry::wait_out(&signals.shutdown, || {
+            crate::mgmt::load_disabled(&start.state)
+        })
+        .map_err(in_folder)?;
         kept.messages.extend(adopted.messages);
         kept.pending_notifications
             .extend(adopted.pending_notifications);
-        let held_stamp = crate::mgmt::held_stamp(&start.state);
-        let bind = start_retry::wait_out(&told.leave, || shared_listener(start.listen));
+        let disabled_stamp = crate::mgmt::disabled_stamp(&start.state);
+        let bind = start_retry::wait_out(&signals.shutdown, || shared_listener(start.listen));
         let listener =
             bind.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", start.listen)))?;
-        // Kept for calls, the watch and notices.
+        // Kept for calls, the watch and notifications.
         let reserve = facts.max_in_flight + 8;
         let mut daemon = Daemon {
             classes: facts.classes.clone(),
             runtime: Runtime {
                 now,
-                conns: Conns::new(
+                connections: ConnectionTable::new(
                     listener,
-                    told.wake,
+                    signals.wake,
                     start.sockets,
                     reserve,
                     start.memory_bytes as usize / 2,
                 )?,
                 deadlines: TimerQueue::default(),
                 messages: SlotTable::default(),
-                slots: BTreeMap::new(),
-                held_for: BTreeMap::new(),
+                by_id: BTreeMap::new(),
+                pending_by_destination: BTreeMap::new(),
                 endpoints: Endpoints::default(),
                 discovery: Discovery::new(watch, names),
-                notices: Notices::new(start.discovery),
+                notifications: Notifications::new(start.discovery),
                 journal,
-                ended: VecDeque::new(),
+                attempt_ends: VecDeque::new(),
                 class_names,
                 connect_timeout: facts.connect_timeout,
                 keep_alive: boot.keep_alive,
                 reports_limits: boot.reports_limits,
-                bad_report_said: false,
-                figures: Default::default(),
-                held_out,
-                recent: Default::default(),
+                invalid_report_logged: false,
+                metrics: Default::default(),
+                disabled,
+                recently_ended: Default::default(),
             },
             dispatcher: Dispatcher::new(now, facts),
-            turned_away: false,
-            leave: told.leave,
-            reread: told.reread,
+            at_client_limit: false,
+            shutdown_requested: signals.shutdown,
+            reload_requested: signals.reload,
             source: start.source,
             fixed: start.fixed,
-            leaving: Leaving::No,
-            told_to_leave: 0,
+            shutdown_phase: ShutdownPhase::Running,
+            shutdown_requested_at: 0,
             draining: false,
-            held_stamp,
-            held_unwritten: BTreeMap::new(),
+            disabled_stamp,
+            unsaved_disabled: BTreeMap::new(),
             scope_file,
-            state: start.state.clone(),
+            state_folder: start.state.clone(),
         };
         if let Some(mgmt) = start.mgmt {
-            let bind = start_retry::wait_out(&daemon.leave, || TcpListener::bind(mgmt));
-            let bind = bind.and_then(|listener| daemon.runtime.conns.listen_mgmt(listener));
+            let bind =
+                start_retry::wait_out(&daemon.shutdown_requested, || TcpListener::bind(mgmt));
+            let bind = bind.and_then(|listener| daemon.runtime.connections.listen_admin(listener));
             bind.map_err(|e| io::Error::new(e.kind(), format!("mgmt: {mgmt}: {e}")))?;
-            log::info!("operators' calls on {mgmt}");
+            log::info!("admin requests are served on {mgmt}");
             daemon
                 .runtime
                 .deadlines
-                .set(Due::HeldOut, now + BESIDE_EVERY);
+                .set(Timer::DisabledEndpoints, now + NEIGHBOUR_CHECK_INTERVAL);
         }
-        daemon.list_known(&start.known);
+        daemon.apply_known_list(&start.known);
         let (discovery, mut io) = daemon.runtime.watch();
         discovery.start(&mut io, boot.drain_grace);
         daemon.recover(kept);
-        daemon.runtime.deadlines.set(Due::Standing, now + STANDING);
+        daemon
+            .runtime
+            .deadlines
+            .set(Timer::StatusLog, now + STATUS_INTERVAL);
         if daemon.scope_file.is_some() {
             daemon
                 .runtime
                 .deadlines
-                .set(Due::SaveScope, now + SAVE_EVERY);
+                .set(Timer::SaveScope, now + SAVE_EVERY);
         }
         if others_held {
-            daemon.runtime.deadlines.set(Due::Adopt, now + BESIDE_EVERY);
+            daemon
+                .runtime
+                .deadlines
+                .set(Timer::AdoptJournals, now + NEIGHBOUR_CHECK_INTERVAL);
         }
         daemon.settle();
-        daemon.runtime.send_notices();
+        daemon.runtime.send_notifications();
         log::info!(
-            "{} listens on {}, {} messages held",
+            "{} listens on {}, {} messages pending",
             start.name,
             start.listen,
             daemon.runtime.messages.len()
@@ -260,38 +269,38 @@
     }
 
     /// Something happened on a connection of the watch.
-    fn watch_ready(&mut self, id: ConnId) {
+    fn watch_ready(&mut self, id: ConnectionId) {
         let (discovery, mut io) = self.runtime.watch();
-        let received = discovery.conn_ready(&mut io, id);
+        let received = discovery.connection_ready(&mut io, id);
         self.apply_changes(&received.looked_up);
         for document in received.documents {
             if self.scope_file.is_none() {
-                self.list_document(&document);
-            } else if !self.scoped_document(id, &document) {
+                self.apply_plain_document(&document);
+            } else if !self.apply_scoped_document(id, &document) {
                 break;
             }
         }
         let (discovery, mut io) = self.runtime.watch();
-        discovery.go_on(&mut io, id);
+        discovery.flush(&mut io, id);
     }
 
     /// A document of a plain watch.
-    fn list_document(&mut self, document: &[u8]) {
+    fn apply_plain_document(&mut self, document: &[u8]) {
         match serde_json::from_slice::<Value>(document) {
-            Ok(json) => self.list(&json),
-            Err(e) => log::warn!("discovery: a line that is no JSON was skipped: {e}"),
+            Ok(json) => self.apply_json_list(&json),
+            Err(e) => log::warn!("discovery: skipped a line that is not valid JSON: {e}"),
         }
     }
 
     /// A document of a scoped watch. False: it could not be applied, and the connection is closed.
-    fn scoped_document(&mut self, id: ConnId, document: &[u8]) -> bool {
+    fn apply_scoped_document(&mut self, id: ConnectionId, document: &[u8]) -> bool {
         let (discovery, mut io) = self.runtime.watch();
         let applied = discovery.apply(&mut io, id, document);
         match &applied {
             Ok(applied) => self.apply_changes(applied),
             Err(e) => {
                 log::warn!(
-                    "configuration: a line was not taken, another control process is asked: {e}"
+                    "configuration: rejected a line, reconnecting to another control process: {e}"
                 )
             }
         }
@@ -300,9 +309,9 @@
 
     /// The endpoints that are known at the start: of the scoped configuration those that it kept, else those that the
     /// platform's file names.
-    fn list_known(&mut self, known: &Value) {
+    fn apply_known_list(&mut self, known: &Value) {
         let Some(list) = self.runtime.discovery.scoped_list() else {
-            return self.list(known);
+            return self.apply_json_list(known);
         };
         let entries = Applied {
             changed: list.entries().cloned().collect(),
@@ -321,19 +330,19 @@
     }
 
     /// A list as discovery writes it.
-    fn list(&mut self, json: &Value) {
+    fn apply_json_list(&mut self, json: &Value) {
         if let Some(list) = endpoint_list::read(json, self.runtime.discovery.names()) {
             self.apply_list(&list);
         }
     }
 
-    /// Messages go back to the decisions with their past; notices are owed until they are answered.
+    /// Messages go back to the decisions with their past; notifications are owed until they are answered.
     fn recover(&mut self, kept: Recovered) {
         for id in self.runtime.journal.take_resolved() {
-            self.runtime.recent.note(self.runtime.now, id);
+            self.runtime.recently_ended.note(self.runtime.now, id);
         }
         for (id, ending) in kept.pending_notifications {
-            self.runtime.notices.owe(id, ending);
+            self.runtime.notifications.enqueue(id, ending);
         }
         // One met twice, in two journals, is taken once.
         let mut kept = Recovered {
@@ -341,14 +350,14 @@
             ..kept
         };
         kept.messages
-            .retain(|m| !self.runtime.slots.contains_key(&m.id));
+            .retain(|m| !self.runtime.by_id.contains_key(&m.id));
         for message in &kept.messages {
-            self.runtime.hold(message.clone());
+            self.runtime.insert(message.clone());
         }
         for message in &kept.messages {
             if self.look_up(message.destination).is_err() {
                 log::warn!(
-                    "destination {} cannot be looked up, all in the cache are in use",
+                    "destination {} cannot be looked up: every cache entry is in use",
                     message.destination
                 );
             }
@@ -357,12 +366,12 @@
             |m: &crate::journal::JournaledMessage| self.runtime.class_of(&m.class).is_some();
         let (known, unknown): (Vec<_>, Vec<_>) = kept.messages.into_iter().partition(known);
         for message in unknown {
-            if let Some(&slot) = self.runtime.slots.get(&message.id) {
+            if let Some(&slot) = self.runtime.by_id.get(&message.id) {
                 log::warn!(
-                    "message {:016x} is of no class that is known now",
+                    "message {:016x}: its queue class is not configured any more",
                     message.id.0
                 );
-                self.runtime.shift(slot, Stage::Bounced);
+                self.runtime.transition(slot, DeliveryState::Failed);
             }
         }
         if !known.is_empty() {
@@ -372,12 +381,12 @@
 
     /// Runs until it is told to leave and has left.
     pub fn run(&mut self) -> io::Result<()> {
-        while self.leaving != Leaving::Gone {
+        while self.shutdown_phase != ShutdownPhase::Finished {
             self.turn()?;
         }
         self.save_scope();
         log::info!(
-            "left, {} messages held for the next process",
+            "shutdown complete, {} messages left in the journal for the next process",
             self.runtime.messages.len()
         );
         Ok(())
@@ -389,14 +398,17 @@
             .deadlines
             .next_deadline()
             .map(|at| at.saturating_sub(clock::now()));
-        let seen = self.runtime.conns.wait(wait.map(Duration::from_nanos))?;
+        let seen = self
+            .runtime
+            .connections
+            .wait(wait.map(Duration::from_nanos))?;
         for what in seen {
             self.runtime.now = clock::now();
             match what {
-                Seen::Listener => drop(self.let_in()),
-                Seen::Mgmt => self.let_callers_in(),
-                Seen::Signals => self.told()?,
-                Seen::Conn(id) => self.ready(id),
+                PollEvent::ClientListener => drop(self.accept_clients()),
+                PollEvent::AdminListener => self.accept_admin_connections(),
+                PollEvent::Signals => self.handle_signals()?,
+                PollEvent::Connection(id) => self.ready(id),
             }
             self.settle();
         }
@@ -405,156 +417,165 @@
         while let Some(due) = self.runtime.deadlines.pop_expired(self.runtime.now) {
             // After a stand-still much is due at once: woken first, the decisions would take attempts for out that have
             // had their time, and bounce what never ran.
-            wake |= due == Due::Wake;
-            if due != Due::Wake {
-                self.fell_due(due);
+            wake |= due == Timer::Wakeup;
+            if due != Timer::Wakeup {
+                self.timer_expired(due);
                 self.settle();
             }
         }
         if wake {
-            self.fell_due(Due::Wake);
+            self.timer_expired(Timer::Wakeup);
             self.settle();
         }
         self.runtime.watch_journal();
-        self.runtime.send_notices();
-        if self.may_end() {
-            self.leaving = Leaving::Gone;
+        self.runtime.send_notifications();
+        if self.shutdown_complete() {
+            self.shutdown_phase = ShutdownPhase::Finished;
         }
         Ok(())
     }
 
     /// Tells the decisions of the outcomes that became known while they were at work.
     fn settle(&mut self) {
-        while let Some(end) = self.runtime.ended.pop_front() {
-            if self.leaving < Leaving::Ending {
+        while let Some(end) = self.runtime.attempt_ends.pop_front() {
+            if self.shutdown_phase < ShutdownPhase::FinishingAttempts {
                 self.dispatcher
                     .attempt_ended(self.runtime.now, end, &mut self.runtime);
             }
         }
     }
 
-    fn ready(&mut self, id: ConnId) {
-        match self.runtime.conns.get(id).map(|c| c.role) {
+    fn ready(&mut self, id: ConnectionId) {
+        match self.runtime.connections.get(id).map(|c| c.role) {
             Some(Role::Client) => {
                 self.client_ready(id);
-                self.part(id);
+                self.close_if_done(id);
             }
             Some(Role::Endpoint(_)) => self.endpoint_ready(id),
             Some(Role::Watch) => self.watch_ready(id),
-            Some(Role::Notices) => self.runtime.notices_ready(id),
-            Some(Role::Caller) => self.caller_ready(id),
+            Some(Role::Notifications) => self.runtime.notification_ready(id),
+            Some(Role::Admin) => self.admin_ready(id),
             None => {}
         }
     }
 
-    fn fell_due(&mut self, due: Due) {
+    fn timer_expired(&mut self, due: Timer) {
         let runtime = &mut self.runtime;
         let now = runtime.now;
         match due {
-            Due::Wake if self.leaving < Leaving::Ending => self.dispatcher.wakeup(now, runtime),
-            Due::Wake => {}
-            Due::Call(slot) => runtime.break_call(slot, Outcome::TimedOut),
-            Due::Conn(id) => match runtime.conns.get(id).map(|c| c.role) {
-                Some(Role::Endpoint(_)) => match runtime.endpoints.calls.get(&id) {
-                    Some(&slot) if runtime.endpoints.answers.contains_key(&id) => {
-                        runtime.break_call(slot, Outcome::MalformedResponse)
+            Timer::Wakeup if self.shutdown_phase < ShutdownPhase::FinishingAttempts => {
+                self.dispatcher.wakeup(now, runtime)
+            }
+            Timer::Wakeup => {}
+            Timer::Attempt(slot) => runtime.abort_attempt(slot, Outcome::TimedOut),
+            Timer::Connection(id) => match runtime.connections.get(id).map(|c| c.role) {
+                Some(Role::Endpoint(_)) => match runtime.endpoints.attempts.get(&id) {
+                    Some(&slot) if runtime.endpoints.responses.contains_key(&id) => {
+                        runtime.abort_attempt(slot, Outcome::MalformedResponse)
                     }
-                    Some(&slot) => runtime.break_call(slot, Outcome::ConnectFailed),
-                    None => runtime.drop_idle(id),
+                    Some(&slot) => runtime.abort_attempt(slot, Outcome::ConnectFailed),
+                    None => runtime.close_idle(id),
                 },
-                Some(Role::Watch) => runtime.watch_timer(WatchTimer::Conn(id)),
-                Some(Role::Notices) => runtime.notices_broke(),
-                Some(Role::Caller) => runtime.close_caller(id),
+                Some(Role::Watch) => runtime.watch_timer(WatchTimer::Connection(id)),
+                Some(Role::Notifications) => runtime.notification_failed(),
+                Some(Role::Admin) => runtime.close_admin(id),
                 Some(Role::Client) => self.client_overdue(id),
                 None => {}
             },
-            Due::Read(id) => self.ready(id),
-            Due::Watch => runtime.watch_timer(WatchTimer::Reconnect),
-            Due::SaveScope => {
-                runtime.deadlines.set(Due::SaveScope, now + SAVE_EVERY);
+            Timer::ReadClient(id) => self.ready(id),
+            Timer::WatchReconnect => runtime.watch_timer(WatchTimer::Reconnect),
+            Timer::SaveScope => {
+                runtime.deadlines.set(Timer::SaveScope, now + SAVE_EVERY);
                 self.save_scope();
             }
-            Due::LookUp => runtime.watch_timer(WatchTimer::LookUp),
-            Due::Notices => runtime.notices_rested(),
-            Due::Journal => runtime.catch_up_journal(),
-            Due::Accept => drop(self.let_in()),
-            Due::Leave => self.leave_on(),
-            Due::Adopt => {
+            Timer::LookupRetry => runtime.watch_timer(WatchTimer::LookupRetry),
+            Timer::NotificationRetry => runtime.end_notification_backoff(),
+            Timer::JournalRetry => runtime.retry_journal(),
+            Timer::AcceptClients => drop(self.accept_clients()),
+            Timer::ShutdownPhase => self.advance_shutdown(),
+            Timer::AdoptJournals => {
                 let (kept, again) = runtime.journal.adopt();
                 if again {
-                    runtime.deadlines.set(Due::Adopt, now + BESIDE_EVERY);
+                    runtime
+                        .deadlines
+                        .set(Timer::AdoptJournals, now + NEIGHBOUR_CHECK_INTERVAL);
                 }
                 self.recover(kept);
             }
-            Due::HeldOut => {
-                runtime.deadlines.set(Due::HeldOut, now + BESIDE_EVERY);
-                self.heed_held_out();
+            Timer::DisabledEndpoints => {
+                runtime
+                    .deadlines
+                    .set(Timer::DisabledEndpoints, now + NEIGHBOUR_CHECK_INTERVAL);
+                self.refresh_disabled();
             }
-            Due::Standing => {
-                let out = runtime
+            Timer::StatusLog => {
+                let in_flight = runtime
                     .messages
                     .iter()
-                    .filter(|(_, m)| m.call.is_some())
+                    .filter(|(_, m)| m.attempt.is_some())
                     .count();
-                let (held, owed, open) = (
+                let (pending, notifications, open) = (
                     runtime.messages.len(),
-                    runtime.notices.owed(),
-                    runtime.conns.len(),
+                    runtime.notifications.pending(),
+                    runtime.connections.len(),
                 );
-                let busy = busy() / MS;
+                let cpu_ms = cpu_time() / MS;
                 log::info!(
-                    "standing: {held} messages held, {out} out, {owed} notices owed, {open} connections, busy for {busy} ms"
+                    "status: {pending} messages pending, {in_flight} in flight, {notifications} notifications pending, \
+                     {open} connections, {cpu_ms} ms of CPU time"
                 );
-                runtime.deadlines.set(Due::Standing, now + STANDING);
+                runtime
+                    .deadlines
+                    .set(Timer::StatusLog, now + STATUS_INTERVAL);
             }
         }
     }
 
-    fn told(&mut self) -> io::Result<()> {
-        self.runtime.conns.take_signals()?;
-        if self.reread.swap(false, Ordering::SeqCst) {
-            self.read_again();
+    fn handle_signals(&mut self) -> io::Result<()> {
+        self.runtime.connections.drain_signals()?;
+        if self.reload_requested.swap(false, Ordering::SeqCst) {
+            self.reload();
         }
-        if self.leave.load(Ordering::SeqCst) && self.leaving == Leaving::No {
+        if self.shutdown_requested.load(Ordering::SeqCst)
+            && self.shutdown_phase == ShutdownPhase::Running
+        {
             log::info!(
-                "told to leave, {} messages held",
+                "shutdown requested, {} messages pending",
                 self.runtime.messages.len()
             );
-            self.leaving = Leaving::Told;
-            self.told_to_leave = self.runtime.now;
-            self.runtime
-                .deadlines
-                .set(Due::Leave, self.told_to_leave + LET_IN_FOR);
+            self.shutdown_phase = ShutdownPhase::AcceptingClients;
+            self.shutdown_requested_at = self.runtime.now;
+            self.runtime.deadlines.set(
+                Timer::ShutdownPhase,
+                self.shutdown_requested_at + ACCEPT_CLIENTS_FOR,
+            );
         }
         Ok(())
     }
 
     /// Reads the configuration again. A bad one is not taken: a half-written file must not end a dispatcher that serves.
-    fn read_again(&mut self) {
+    fn reload(&mut self) {
         let Some(Source { file, state }) = self.source.clone() else {
             return;
         };
         let new = match start::read(&file, state) {
             Ok(new) => new,
             Err(e) => {
-                self.runtime.figures.reload_errors += 1;
-                return log::error!("the new configuration is not taken: {e}");
+                self.runtime.metrics.reload_errors += 1;
+                return log::error!("configuration not reloaded: {e}");
             }
         };
-        self.runtime.figures.reloads += 1;
+        self.runtime.metrics.reloads += 1;
         for ((field, old), (_, new)) in self.fixed.iter().zip(&new.fixed) {
             if old != new {
                 log::warn!(
-                    "the new configuration: another `{field}` needs a restart, the old one stays"
+                    "configuration reload: `{field}` has changed but needs a restart, the old value stays in force"
                 );
             }
         }
-        log::info!(
-            "the configuration was read again, discovery is at {}",
-            new.discovery
-        );
+        log::info!("configuration reloaded, discovery is at {}", new.discovery);
         let (discovery, mut io) = self.runtime.watch();
         discovery.relocate(&mut io, new.discovery);
-        self.runtime.notify_at(new.discovery);
+        self.runtime.set_notification_address(new.discovery);
     }
 }
--- a/crates/daemon/src/leaving.rs
+++ b/crates/daemon/src/leaving.rs
@@ -1,89 +1,94 @@
 //! How a dispatcher leaves, and how an operator drains it: whom it still lets in, serves and waits for.
 
-use crate::conns::{ConnId, Role};
+use crate::conns::{ConnectionId, Role};
 use crate::event_loop::Daemon;
-use crate::messages::Due;
+use crate::messages::Timer;
 use bellsill_core::interface::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// Leaving, counted from the signal. The platform lets new clients come for 400 ms and kills after 3.7 s. Those inside
+/// ShutdownPhase, counted from the signal. The platform lets new clients come for 400 ms and kills after 3.7 s. Those inside
 /// ask on for as long as they are let: parted with early, all of their messages would go to dispatchers that have work enough.
-pub const LET_IN_FOR: Nanos = 500 * MS;
-const ANSWER_FOR: Nanos = 2_300 * MS;
-const DECIDE_FOR: Nanos = 2_900 * MS;
-const GONE_AFTER: Nanos = 3_500 * MS;
+pub const ACCEPT_CLIENTS_FOR: Nanos = 500 * MS;
+const SERVE_CLIENTS_UNTIL: Nanos = 2_300 * MS;
+const CLOSE_CLIENTS_UNTIL: Nanos = 2_900 * MS;
+const FINISH_BY: Nanos = 3_500 * MS;
 
 /// How far a dispatcher is on its way out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Leaving {
-    No,
+pub enum ShutdownPhase {
+    Running,
     /// All as ever: clients still come.
-    Told,
+    AcceptingClients,
     /// No new clients; those inside are served.
-    Shut,
+    ServingClients,
     /// No more clients; messages held still go out.
-    Parting,
+    ClosingClients,
     /// The decisions are asked no more; calls that are out still end. What is held is the next process's.
-    Ending,
-    Gone,
+    FinishingAttempts,
+    Finished,
 }
 
 impl Daemon {
     /// Whether a process on its way out has nothing left to wait for. Only then are messages and connections looked
     /// through: with a large backlog a look in each turn took more time than the messages themselves.
-    pub(crate) fn may_end(&self) -> bool {
-        if self.leaving < Leaving::Parting {
+    pub(crate) fn shutdown_complete(&self) -> bool {
+        if self.shutdown_phase < ShutdownPhase::ClosingClients {
             return false;
         }
         // A client still here is within a request, has not read its answer, or has not ended its side.
         let inside = self
             .runtime
-            .conns
+            .connections
             .iter()
             .any(|(_, c)| c.role == Role::Client);
         let recorded = !self.runtime.journal.has_unwritten();
         let quiet = self.runtime.messages.is_empty()
-            && self.runtime.notices.owed() == 0
+            && self.runtime.notifications.pending() == 0
             && !inside
             && recorded;
-        let out = || self.runtime.messages.iter().any(|(_, m)| m.call.is_some());
-        (self.leaving == Leaving::Parting && quiet)
-            || (self.leaving == Leaving::Ending && !inside && !out())
+        let out = || {
+            self.runtime
+                .messages
+                .iter()
+                .any(|(_, m)| m.attempt.is_some())
+        };
+        (self.shutdown_phase == ShutdownPhase::ClosingClients && quiet)
+            || (self.shutdown_phase == ShutdownPhase::FinishingAttempts && !inside && !out())
     }
 
     /// The next step of leaving.
-    pub(crate) fn leave_on(&mut self) {
-        let (next, then) = match self.leaving {
-            Leaving::Told => (Leaving::Shut, ANSWER_FOR),
-            Leaving::Shut => (Leaving::Parting, DECIDE_FOR),
-            Leaving::Parting => (Leaving::Ending, GONE_AFTER),
+    pub(crate) fn advance_shutdown(&mut self) {
+        let (next, then) = match self.shutdown_phase {
+            ShutdownPhase::AcceptingClients => (ShutdownPhase::ServingClients, SERVE_CLIENTS_UNTIL),
+            ShutdownPhase::ServingClients => (ShutdownPhase::ClosingClients, CLOSE_CLIENTS_UNTIL),
+            ShutdownPhase::ClosingClients => (ShutdownPhase::FinishingAttempts, FINISH_BY),
             _ => {
-                self.leaving = Leaving::Gone;
+                self.shutdown_phase = ShutdownPhase::Finished;
                 return;
             }
         };
-        self.leaving = next;
+        self.shutdown_phase = next;
         self.runtime
             .deadlines
-            .set(Due::Leave, self.told_to_leave + then);
-        if next == Leaving::Shut {
+            .set(Timer::ShutdownPhase, self.shutdown_requested_at + then);
+        if next == ShutdownPhase::ServingClients {
             // Whoever has come is let in: closed over them, the listener would reset them.
-            while self.let_in() {}
-            self.runtime.deadlines.clear(Due::Accept);
-            self.runtime.conns.close_listener();
+            while self.accept_clients() {}
+            self.runtime.deadlines.clear(Timer::AcceptClients);
+            self.runtime.connections.close_listener();
         }
-        if next == Leaving::Parting {
+        if next == ShutdownPhase::ClosingClients {
             for id in self.clients() {
                 self.client_ready(id);
-                self.part(id);
+                self.close_if_done(id);
             }
         }
     }
 
     /// All clients that are inside now.
-    fn clients(&self) -> Vec<ConnId> {
+    fn clients(&self) -> Vec<ConnectionId> {
         self.runtime
-            .conns
+            .connections
             .iter()
             .filter(|(_, c)| c.role == Role::Client)
             .map(|(id, _)| id)
@@ -91,17 +96,17 @@
     }
 
     /// On the way out, parts with a client whose last request is answered; it sends its next one elsewhere.
-    pub(crate) fn part(&mut self, id: ConnId) {
-        let between = |c: &crate::conns::Conn| c.between() && !c.lingers;
-        let parts = self.leaving >= Leaving::Parting || self.draining;
-        if parts && self.runtime.conns.get(id).is_some_and(between) {
-            self.runtime.part_with(id);
+    pub(crate) fn close_if_done(&mut self, id: ConnectionId) {
+        let between = |c: &crate::conns::Connection| c.is_idle() && !c.lingering;
+        let parts = self.shutdown_phase >= ShutdownPhase::ClosingClients || self.draining;
+        if parts && self.runtime.connections.get(id).is_some_and(between) {
+            self.runtime.close_gracefully(id);
         }
     }
 
     /// Whether clients are told yes: neither drained nor leaving.
-    pub fn serves(&self) -> bool {
-        !self.draining && self.leaving < Leaving::Shut
+    pub fn accepts_clients(&self) -> bool {
+        !self.draining && self.shutdown_phase < ShutdownPhase::ServingClients
     }
 
     /// Drains, or takes clients again. Those between requests go at once; the others once they are answered.
@@ -112,17 +117,17 @@
         log::info!(
             "{}",
             if on {
-                "drained by a call"
+                "draining by an admin request"
             } else {
-                "takes clients again"
+                "draining ended by an admin request"
             }
         );
         if on {
             for id in self.clients() {
                 // What has come is met first; and one that came just now has its time to ask.
                 self.client_ready(id);
-                if self.runtime.conns.get(id).is_some_and(|c| c.asked) {
-                    self.part(id);
+                if self.runtime.connections.get(id).is_some_and(|c| c.answered) {
+                    self.close_if_done(id);
                 }
             }
         }
@@ -130,6 +135,6 @@
 
     /// Whether new messages are still taken.
     pub fn accepts_messages(&self) -> bool {
-        self.leaving < Leaving::Ending
+        self.shutdown_phase < ShutdownPhase::FinishingAttempts
     }
 }
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -1,12 +1,12 @@
 //! The messages held and all that carries them: what the decisions answer is done here, by connections, deadlines and the
 //! message journal. Nothing here decides; no answer of the decisions calls them again before it returns.
 
-use crate::conns::{ConnId, Conns};
+use crate::conns::{ConnectionId, ConnectionTable};
 use crate::discovery::{Discovery, WatchIo, WatchTimer};
 use crate::endpoints::Endpoints;
 use crate::event_loop::Daemon;
 use crate::journal::{JournaledAttempt, JournaledMessage, MessageJournal, Resolution};
-use crate::notices::Notices;
+use crate::notices::Notifications;
 use crate::recent_ids::RecentIds;
 use crate::slot_table::{SlotId, SlotTable};
 use crate::timer_queue::TimerQueue;
@@ -27,137 +27,142 @@
 }
 
 /// Between two tries of a journal that cannot be written.
-const JOURNAL_AGAIN: Nanos = 50_000_000;
+const JOURNAL_RETRY_INTERVAL: Nanos = 50_000_000;
 /// Lifetimes are said in whole milliseconds.
 const LIFETIME_SLACK: Nanos = 1_000_000;
 
 /// What falls due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum Timer {
     /// The decisions asked to be woken.
-    Wake,
+    Wakeup,
     /// An attempt has had its time.
-    Call(MessageSlot),
-    /// A connection has stood so for too long: rising, idle, or without the answer to notices.
-    Conn(ConnId),
+    Attempt(MessageSlot),
+    /// A connection has stood so for too long: rising, idle, or without the answer to notifications.
+    Connection(ConnectionId),
     /// Discovery is to be connected to again.
-    Watch,
-    /// Notices that failed are to be sent again.
-    Notices,
+    WatchReconnect,
+    /// Notifications that failed are to be sent again.
+    NotificationRetry,
     /// Clients may be let in again.
-    Accept,
+    AcceptClients,
     /// A client has sent more than was its turn.
-    Read(ConnId),
+    ReadClient(ConnectionId),
     /// The next step of leaving.
-    Leave,
+    ShutdownPhase,
     /// A line on how things stand.
-    Standing,
+    StatusLog,
     /// The journal of a process that still ends beside this one is looked for.
-    Adopt,
+    AdoptJournals,
     /// The list of endpoints held out may have been written by a process beside this one.
-    HeldOut,
+    DisabledEndpoints,
     /// What could not be written to the journal is to be written.
-    Journal,
+    JournalRetry,
     /// Destinations are to be looked up again.
-    LookUp,
+    LookupRetry,
     /// What is kept of the scoped configuration is to be saved.
     SaveScope,
 }
 
-impl From<WatchTimer> for Due {
-    fn from(timer: WatchTimer) -> Due {
+impl From<WatchTimer> for Timer {
+    fn from(timer: WatchTimer) -> Timer {
         match timer {
-            WatchTimer::Reconnect => Due::Watch,
-            WatchTimer::LookUp => Due::LookUp,
-            WatchTimer::Conn(conn) => Due::Conn(conn),
+            WatchTimer::Reconnect => Timer::WatchReconnect,
+            WatchTimer::LookupRetry => Timer::LookupRetry,
+            WatchTimer::Connection(conn) => Timer::Connection(conn),
         }
     }
 }
 
 /// Where a message stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum DeliveryState {
     Waiting,
     /// Its attempt waits for a connection to come up; nothing of it is written.
-    Rising,
+    Connecting,
     /// Its first byte may be written.
-    Out,
-    Relayed,
-    Deferred(Nanos),
-    Bounced,
+    InFlight,
+    Delivered,
+    Rejected {
+        retry_after: Nanos,
+    },
+    Failed,
     /// Over, by what its destination said.
     Withdrawn,
 }
 
-impl Stage {
-    pub fn ended(self) -> bool {
-        !matches!(self, Stage::Waiting | Stage::Rising | Stage::Out)
+impl DeliveryState {
+    pub fn is_final(self) -> bool {
+        !matches!(
+            self,
+            DeliveryState::Waiting | DeliveryState::Connecting | DeliveryState::InFlight
+        )
     }
 }
 
 /// An attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
-    pub no: AttemptNumber,
+pub struct AttemptInFlight {
+    pub number: AttemptNumber,
     pub endpoint: EndpointId,
-    pub conn: Option<ConnId>,
-    pub at: Nanos,
-    pub until: Nanos,
+    pub connection: Option<ConnectionId>,
+    pub started_at: Nanos,
+    pub deadline: Nanos,
     /// Its first byte may be written, and the journal says so.
-    pub begun: bool,
+    pub request_started: bool,
     /// The limit that its answer reported.
-    pub limit: Option<f64>,
+    pub reported_limit: Option<f64>,
 }
 
-pub struct Held {
+pub struct PendingMessage {
     pub id: MessageId,
     pub destination: u64,
-    pub due: Nanos,
+    pub deadline: Nanos,
     /// Its row of the classes; none for one of no class known now.
     pub class: Option<usize>,
-    pub tag: String,
+    pub idempotency_key: String,
     pub body: Vec<u8>,
-    pub stage: Stage,
+    pub state: DeliveryState,
     pub attempts: u32,
-    pub call: Option<Call>,
+    pub attempt: Option<AttemptInFlight>,
 }
 
 /// Everything but the decisions.
 pub struct Runtime {
     pub now: Nanos,
-    pub conns: Conns,
-    pub deadlines: TimerQueue<Due>,
-    pub messages: SlotTable<MessageSlot, Held>,
-    pub slots: BTreeMap<MessageId, MessageSlot>,
+    pub connections: ConnectionTable,
+    pub deadlines: TimerQueue<Timer>,
+    pub messages: SlotTable<MessageSlot, PendingMessage>,
+    pub by_id: BTreeMap<MessageId, MessageSlot>,
     /// How many messages are held for each destination.
-    pub held_for: BTreeMap<u64, usize>,
+    pub pending_by_destination: BTreeMap<u64, usize>,
     pub endpoints: Endpoints,
     pub discovery: Discovery,
-    pub notices: Notices,
+    pub notifications: Notifications,
     pub journal: MessageJournal,
     /// Outcomes that the decisions have not been told.
-    pub ended: VecDeque<AttemptEnd>,
+    pub attempt_ends: VecDeque<AttemptEnd>,
     pub class_names: Vec<String>,
     pub connect_timeout: Nanos,
     pub keep_alive: Nanos,
     /// Answers may tell limits, as the settings say.
     pub reports_limits: bool,
     /// A report that cannot be read has been said.
-    pub bad_report_said: bool,
+    pub invalid_report_logged: bool,
     /// What operators are shown.
-    pub figures: crate::mgmt::Figures,
+    pub metrics: crate::mgmt::Metrics,
     /// The endpoints taken out by hand, by their ids in the list; kept in the folder that lasts.
-    pub held_out: std::collections::BTreeSet<String>,
+    pub disabled: std::collections::BTreeSet<String>,
     /// Messages that have ended of late.
-    pub recent: RecentIds,
+    pub recently_ended: RecentIds,
 }
 
 impl Runtime {
     /// The watch, and what it works with.
-    pub fn watch(&mut self) -> (&mut Discovery, WatchIo<'_, Due>) {
+    pub fn watch(&mut self) -> (&mut Discovery, WatchIo<'_, Timer>) {
         let io = WatchIo {
             now: self.now,
-            conns: &mut self.conns,
+            connections: &mut self.connections,
             deadlines: &mut self.deadlines,
         };
         (&mut self.discovery, io)
@@ -170,11 +175,11 @@
     }
 
     /// Holds a message that is new to the journal. False: there is no room.
-    fn take(&mut self, message: JournaledMessage) -> bool {
+    fn accept_journaled(&mut self, message: JournaledMessage) -> bool {
         if self.journal.append_accepted(&message).is_err() {
             return false;
         }
-        self.hold(message);
+        self.insert(message);
         true
     }
 
@@ -184,32 +189,35 @@
     }
 
     /// Holds a message that the journal knows.
-    pub fn hold(&mut self, message: JournaledMessage) {
+    pub fn insert(&mut self, message: JournaledMessage) {
         let attempts = message.attempts.len() as u32;
         let class = self.class_of(&message.class);
-        let slot = self.messages.insert(|_| Held {
+        let slot = self.messages.insert(|_| PendingMessage {
             id: message.id,
             destination: message.destination,
-            due: message.deadline,
+            deadline: message.deadline,
             class,
-            tag: message.idempotency_key,
+            idempotency_key: message.idempotency_key,
             body: message.body,
-            stage: Stage::Waiting,
+            state: DeliveryState::Waiting,
             attempts,
-            call: None,
+            attempt: None,
         });
-        self.slots.insert(message.id, slot);
-        *self.held_for.entry(message.destination).or_default() += 1;
+        self.by_id.insert(message.id, slot);
+        *self
+            .pending_by_destination
+            .entry(message.destination)
+            .or_default() += 1;
     }
 
     /// A message for a destination is held no longer.
     fn release(&mut self, destination: u64) {
-        let Some(held) = self.held_for.get_mut(&destination) else {
+        let Some(held) = self.pending_by_destination.get_mut(&destination) else {
             return;
         };
         *held -= 1;
         if *held == 0 {
-            self.held_for.remove(&destination);
+            self.pending_by_destination.remove(&destination);
         }
     }
 
@@ -217,184 +225,184 @@
     pub fn watch_journal(&mut self) {
         if self.journal.has_unwritten() {
             self.deadlines
-                .set_if_unset(Due::Journal, self.now + JOURNAL_AGAIN);
+                .set_if_unset(Timer::JournalRetry, self.now + JOURNAL_RETRY_INTERVAL);
         } else {
-            self.notices.recorded();
+            self.notifications.recorded();
         }
     }
 
     /// The journal tries again.
-    pub fn catch_up_journal(&mut self) {
+    pub fn retry_journal(&mut self) {
         // Whether it went shows when it is looked at again.
         let _ = self.journal.write_pending();
     }
 
-    /// The only place where a message changes its stage: keeps the journal, the notices owed and the tables true.
-    pub fn shift(&mut self, slot: MessageSlot, to: Stage) {
+    /// The only place where a message changes its stage: keeps the journal, the notifications owed and the tables true.
+    pub fn transition(&mut self, slot: MessageSlot, to: DeliveryState) {
         let Some(message) = self.messages.get_mut(slot) else {
             return;
         };
         let (id, due, from) = (
             message.id,
-            message.due,
-            std::mem::replace(&mut message.stage, to),
+            message.deadline,
+            std::mem::replace(&mut message.state, to),
         );
-        if to.ended() && !from.ended() {
+        if to.is_final() && !from.is_final() {
             let ending = match to {
-                Stage::Deferred(come_back) => Some(Resolution::Rejected {
-                    retry_after: come_back,
-                }),
-                Stage::Bounced => Some(Resolution::Failed),
+                DeliveryState::Rejected { retry_after } => {
+                    Some(Resolution::Rejected { retry_after })
+                }
+                DeliveryState::Failed => Some(Resolution::Failed),
                 _ => None,
             };
             let counted = match to {
-                Stage::Relayed => Some(crate::mgmt::COMPLETED),
-                Stage::Deferred(_) => Some(crate::mgmt::REJECTED),
-                Stage::Bounced => Some(crate::mgmt::FAILED),
+                DeliveryState::Delivered => Some(crate::mgmt::COMPLETED),
+                DeliveryState::Rejected { .. } => Some(crate::mgmt::REJECTED),
+                DeliveryState::Failed => Some(crate::mgmt::FAILED),
                 _ => None,
             };
             if let (Some(class), Some(end)) = (message.class, counted) {
-                self.figures.count(class, end);
+                self.metrics.count(class, end);
             }
             message.body = Vec::new();
             // A notice that went ahead of its record would be forgotten by a kill, and the message sent after it.
             let recorded = self.journal.append_resolved(id, ending).is_ok();
             match ending {
-                Some(ending) if recorded => self.notices.owe(id, ending),
-                Some(ending) => self.notices.owe_once_recorded(id, ending, due),
+                Some(ending) if recorded => self.notifications.enqueue(id, ending),
+                Some(ending) => self.notifications.enqueue_once_recorded(id, ending, due),
                 None => {}
             }
         }
-        if to.ended() && self.messages.get(slot).is_some_and(|m| m.call.is_none()) {
+        if to.is_final() && self.messages.get(slot).is_some_and(|m| m.attempt.is_none()) {
             self.messages
                 .remove(slot)
                 .into_iter()
                 .for_each(|gone| self.release(gone.destination));
-            self.slots.remove(&id);
-            self.recent.note(self.now, id);
+            self.by_id.remove(&id);
+            self.recently_ended.note(self.now, id);
         }
     }
 
     /// Ends a message's attempt: the decisions are told once they are not at work. The connection is the caller's.
-    pub fn end_call(&mut self, slot: MessageSlot, outcome: Outcome, over: bool) {
+    pub fn end_attempt(&mut self, slot: MessageSlot, outcome: Outcome, over: bool) {
         let Some(message) = self.messages.get_mut(slot) else {
             return;
         };
-        let Some(call) = message.call.take() else {
+        let Some(call) = message.attempt.take() else {
             return;
         };
         if outcome == Outcome::NotStarted {
             message.attempts -= 1;
         }
-        let (id, stage) = (message.id, message.stage);
+        let (id, stage) = (message.id, message.state);
         log::debug!(
-            "message {:016x}: attempt {} ended, begun {}: {outcome:?}",
+            "message {:016x}: attempt {} ended, request started: {}: {outcome:?}",
             id.0,
-            call.no.0,
-            call.begun
+            call.number.0,
+            call.request_started
         );
-        self.deadlines.clear(Due::Call(slot));
-        let was_over = stage.ended();
-        if call.begun && !was_over && outcome != Outcome::Delivered {
+        self.deadlines.clear(Timer::Attempt(slot));
+        let was_over = stage.is_final();
+        if call.request_started && !was_over && outcome != Outcome::Delivered {
             // Until it is written the message counts as one that may have run.
             let _ = self.journal.append_outcome(id, outcome.may_have_run());
         }
         let over = over || was_over || outcome == Outcome::Delivered;
-        self.shift(
+        self.transition(
             slot,
             match outcome {
                 _ if was_over => stage,
-                Outcome::Delivered => Stage::Relayed,
-                _ if over => Stage::Withdrawn,
-                _ => Stage::Waiting,
+                Outcome::Delivered => DeliveryState::Delivered,
+                _ if over => DeliveryState::Withdrawn,
+                _ => DeliveryState::Waiting,
             },
         );
-        let took = self.now - call.at;
-        self.ended.push_back(AttemptEnd {
+        let took = self.now - call.started_at;
+        self.attempt_ends.push_back(AttemptEnd {
             message: id,
-            number: call.no,
+            number: call.number,
             outcome,
             message_ended: over,
             elapsed: took,
-            reported_limit: call.limit,
+            reported_limit: call.reported_limit,
         });
     }
 
     /// Breaks an attempt off: its connection is closed, which tells the endpoint. What has come until then is read first: an
     /// answer that arrived in the moment in which its time fell due, or in which it is called off, is an answer.
-    pub fn break_call(&mut self, slot: MessageSlot, outcome: Outcome) {
-        let Some(call) = self.messages.get(slot).and_then(|m| m.call) else {
+    pub fn abort_attempt(&mut self, slot: MessageSlot, outcome: Outcome) {
+        let Some(call) = self.messages.get(slot).and_then(|m| m.attempt) else {
             return;
         };
         let in_time = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
-        if let Some(conn) = call.conn.filter(|_| call.begun && in_time) {
+        if let Some(conn) = call.connection.filter(|_| call.request_started && in_time) {
             // What cannot be read is as good as not come.
-            let _ = self.conns.fill(conn);
-            if matches!(self.answer(conn, slot), Ok(true)) {
+            let _ = self.connections.read(conn);
+            if matches!(self.read_attempt_response(conn, slot), Ok(true)) {
                 return;
             }
         }
         let written = call
-            .conn
-            .and_then(|c| self.conns.get(c))
+            .connection
+            .and_then(|c| self.connections.get(c))
             .is_some_and(|c| c.output.is_empty());
         let outcome = match outcome {
             Outcome::NotSent { .. } | Outcome::NotStarted => outcome,
             // Not all of it was written: it never ran.
-            _ if !call.begun || !written => Outcome::ConnectFailed,
+            _ if !call.request_started || !written => Outcome::ConnectFailed,
             outcome => outcome,
         };
-        if let Some(conn) = call.conn {
-            self.endpoints.calls.remove(&conn);
-            self.endpoints.answers.remove(&conn);
-            self.deadlines.clear(Due::Conn(conn));
-            self.conns.close(conn);
+        if let Some(conn) = call.connection {
+            self.endpoints.attempts.remove(&conn);
+            self.endpoints.responses.remove(&conn);
+            self.deadlines.clear(Timer::Connection(conn));
+            self.connections.close(conn);
         }
-        self.end_call(slot, outcome, false);
+        self.end_attempt(slot, outcome, false);
     }
 
     /// Writes a message to a connection that is up, the journal first.
-    pub fn write_call(&mut self, slot: MessageSlot, conn: ConnId) {
+    pub fn write_request(&mut self, slot: MessageSlot, conn: ConnectionId) {
         let (now, Some(message)) = (self.now, self.messages.get_mut(slot)) else {
             return;
         };
-        let Some(call) = &mut message.call else {
+        let Some(call) = &mut message.attempt else {
             return;
         };
         let endpoint = &self.endpoints[call.endpoint];
         let room = self.journal.append_attempt(message.id, now, &endpoint.zone);
         let head = crate::http::event_request(
             message.id.0,
-            &message.tag,
+            &message.idempotency_key,
             endpoint.addr,
-            call.until.saturating_sub(now),
+            call.deadline.saturating_sub(now),
             message.body.len(),
         );
-        call.conn = Some(conn);
+        call.connection = Some(conn);
         if room.is_err() {
-            self.endpoints.calls.remove(&conn);
+            self.endpoints.attempts.remove(&conn);
             self.pool(conn);
-            self.end_call(slot, Outcome::NotStarted, false);
+            self.end_attempt(slot, Outcome::NotStarted, false);
             return;
         }
-        call.begun = true;
+        call.request_started = true;
         log::debug!(
-            "message {:016x}: attempt {} to {}, {} ms after it was decided",
+            "message {:016x}: attempt {} to {} started, {} ms after the decision",
             message.id.0,
-            call.no.0,
+            call.number.0,
             endpoint.addr,
-            (now - call.at) / 1_000_000
+            (now - call.started_at) / 1_000_000
         );
-        self.figures.upstream += 1;
-        if let Some(to) = self.conns.get_mut(conn) {
+        self.metrics.attempts += 1;
+        if let Some(to) = self.connections.get_mut(conn) {
             // The ring is made for the longest call and was empty.
             to.output.push(head.as_bytes());
             to.output.push(&message.body);
         }
-        self.endpoints.calls.insert(conn, slot);
-        self.shift(slot, Stage::Out);
-        if self.conns.flush(conn).is_err() {
-            self.break_call(slot, Outcome::ConnectionReset);
+        self.endpoints.attempts.insert(conn, slot);
+        self.transition(slot, DeliveryState::InFlight);
+        if self.connections.flush(conn).is_err() {
+            self.abort_attempt(slot, Outcome::ConnectionReset);
         }
     }
 }
@@ -402,9 +410,9 @@
 /// Destinations, as far as they are known.
 impl Runtime {
     /// Whether messages for a destination are taken: an endpoint of it is known, or it can be looked up.
-    fn may_serve(&self, destination: u64) -> bool {
+    fn accepts_destination(&self, destination: u64) -> bool {
         let Some(list) = self.discovery.scoped_list() else {
-            return self.endpoints.serve(destination);
+            return self.endpoints.has_destination(destination);
         };
         list.knowledge(destination) != Knowledge::Cached
             || list.entries_of(destination).next().is_some()
@@ -413,74 +421,76 @@
 
 impl Actions for Runtime {
     fn send_attempt(&mut self, message: MessageId, endpoint: EndpointId, time_out: Nanos) {
-        let Some(&slot) = self.slots.get(&message) else {
+        let Some(&slot) = self.by_id.get(&message) else {
             return;
         };
         let Some(held) = self.messages.get_mut(slot) else {
             return;
         };
-        let (at, until) = (self.now, self.now + time_out);
-        let no = AttemptNumber(held.attempts);
+        let (started_at, deadline) = (self.now, self.now + time_out);
+        let number = AttemptNumber(held.attempts);
         held.attempts += 1;
-        held.call = Some(Call {
-            no,
+        held.attempt = Some(AttemptInFlight {
+            number,
             endpoint,
-            conn: None,
-            at,
-            until,
-            begun: false,
-            limit: None,
+            connection: None,
+            started_at,
+            deadline,
+            request_started: false,
+            reported_limit: None,
         });
-        self.deadlines.set(Due::Call(slot), until);
-        self.place(slot, endpoint);
+        self.deadlines.set(Timer::Attempt(slot), deadline);
+        self.connect_attempt(slot, endpoint);
     }
 
-    fn reject(&mut self, message: MessageId, come_back: Nanos) {
-        self.give_up(message, Stage::Deferred(come_back));
+    fn reject(&mut self, message: MessageId, retry_after: Nanos) {
+        self.end_message(message, DeliveryState::Rejected { retry_after });
     }
 
     fn fail(&mut self, message: MessageId) {
-        self.give_up(message, Stage::Bounced);
+        self.end_message(message, DeliveryState::Failed);
     }
 
-    fn cancel_attempt(&mut self, message: MessageId, no: AttemptNumber) {
-        let Some(&slot) = self.slots.get(&message) else {
+    fn cancel_attempt(&mut self, message: MessageId, number: AttemptNumber) {
+        let Some(&slot) = self.by_id.get(&message) else {
             return;
         };
         if self
             .messages
             .get(slot)
-            .and_then(|m| m.call)
-            .is_some_and(|c| c.no == no)
+            .and_then(|m| m.attempt)
+            .is_some_and(|c| c.number == number)
         {
-            self.break_call(slot, Outcome::Cancelled);
+            self.abort_attempt(slot, Outcome::Cancelled);
         }
     }
 
     fn close_idle_connections(&mut self, endpoint: EndpointId) {
         for conn in std::mem::take(&mut self.endpoints[endpoint].idle) {
-            self.deadlines.clear(Due::Conn(conn));
-            self.conns.close(conn);
+            self.deadlines.clear(Timer::Connection(conn));
+            self.connections.close(conn);
         }
     }
 
     fn endpoint_removed(&mut self, endpoint: EndpointId) {
-        let of = |c: &crate::conns::Conn| c.role == crate::conns::Role::Endpoint(endpoint);
+        let of = |c: &crate::conns::Connection| c.role == crate::conns::Role::Endpoint(endpoint);
         // What the next one of that number finds is its own.
-        let conns: Vec<ConnId> = self
-            .conns
+        let connections: Vec<ConnectionId> = self
+            .connections
             .iter()
             .filter(|(_, c)| of(c))
             .map(|(id, _)| id)
             .collect();
-        conns.into_iter().for_each(|conn| self.drop_idle(conn));
-        self.endpoints.forget(endpoint);
+        connections
+            .into_iter()
+            .for_each(|conn| self.close_idle(conn));
+        self.endpoints.remove(endpoint);
     }
 
     // The watch is kept open here, whatever the settings say.
     fn request_watch(&mut self) {}
     fn schedule_wakeup(&mut self, after: Nanos) {
-        self.deadlines.set(Due::Wake, self.now + after);
+        self.deadlines.set(Timer::Wakeup, self.now + after);
     }
 
     fn log(&mut self, line: &str) {
@@ -489,34 +499,34 @@
 }
 
 impl Runtime {
-    fn give_up(&mut self, message: MessageId, to: Stage) {
-        let Some(&slot) = self.slots.get(&message) else {
+    fn end_message(&mut self, message: MessageId, to: DeliveryState) {
+        let Some(&slot) = self.by_id.get(&message) else {
             return;
         };
-        self.shift(slot, to);
+        self.transition(slot, to);
         // Once its end is told nothing of it may go out: an attempt that has not begun ends here.
         if self
             .messages
             .get(slot)
-            .and_then(|m| m.call)
-            .is_some_and(|c| !c.begun)
+            .and_then(|m| m.attempt)
+            .is_some_and(|c| !c.request_started)
         {
-            self.break_call(slot, Outcome::ConnectFailed);
+            self.abort_attempt(slot, Outcome::ConnectFailed);
         }
     }
 }
 
 /// Why a message is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Refusal {
+pub enum Rejection {
     UnknownClass,
     UnknownDestination,
     /// Its queue class is tagged, and it carries no tag.
-    Untagged,
+    MissingIdempotencyKey,
     /// It says a longer queue lifetime than its class has.
-    TooLong,
+    LifetimeTooLong,
     /// Handing it in again is harmless.
-    NoRoom,
+    NoCapacity,
 }
 
 impl Daemon {
@@ -526,25 +536,25 @@
         &mut self,
         message: JournaledMessage,
         answer: impl FnOnce(&mut Runtime),
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         let takes = self.accepts_messages();
         let runtime = &mut self.runtime;
         let class = runtime
             .class_of(&message.class)
-            .ok_or(Refusal::UnknownClass)?;
+            .ok_or(Rejection::UnknownClass)?;
         let facts = &self.classes[class];
         if message.idempotency_key.is_empty()
             && matches!(facts.semantics, DeliverySemantics::IdempotencyKey { .. })
         {
-            return Err(Refusal::Untagged);
+            return Err(Rejection::MissingIdempotencyKey);
         }
         if message.deadline > runtime.now + facts.lifetime + LIFETIME_SLACK {
-            return Err(Refusal::TooLong);
+            return Err(Rejection::LifetimeTooLong);
         }
-        if !runtime.may_serve(message.destination) {
-            return Err(Refusal::UnknownDestination);
+        if !runtime.accepts_destination(message.destination) {
+            return Err(Rejection::UnknownDestination);
         }
-        if runtime.slots.contains_key(&message.id) || runtime.recent.contains(message.id) {
+        if runtime.by_id.contains_key(&message.id) || runtime.recently_ended.contains(message.id) {
             answer(runtime);
             return Ok(());
         }
@@ -552,11 +562,11 @@
             .dispatcher
             .admits(ClassId(class), DestinationId(message.destination));
         if !takes || !admitted || self.look_up(message.destination).is_err() {
-            return Err(Refusal::NoRoom);
+            return Err(Rejection::NoCapacity);
         }
         let runtime = &mut self.runtime;
-        if !runtime.take(message.clone()) {
-            return Err(Refusal::NoRoom);
+        if !runtime.accept_journaled(message.clone()) {
+            return Err(Rejection::NoCapacity);
         }
         answer(runtime);
         self.decide_on(&[message]);
@@ -575,12 +585,12 @@
         }
         let mut io = WatchIo {
             now: runtime.now,
-            conns: &mut runtime.conns,
+            connections: &mut runtime.connections,
             deadlines: &mut runtime.deadlines,
         };
-        let held_for = &runtime.held_for;
-        let in_use = |other: u64| held_for.contains_key(&other);
-        let gave_way = runtime.discovery.want(&mut io, destination, &in_use)?;
+        let pending_by_destination = &runtime.pending_by_destination;
+        let in_use = |other: u64| pending_by_destination.contains_key(&other);
+        let gave_way = runtime.discovery.lookup(&mut io, destination, &in_use)?;
         self.apply_changes(&gave_way);
         Ok(())
     }
--- a/crates/daemon/src/resp.rs
+++ b/crates/daemon/src/resp.rs
@@ -4,11 +4,11 @@
 use std::ops::Range;
 
 /// The most that a body may hold.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The most that a whole command may take.
-pub const COMMAND_MOST: usize = BODY_MOST + 4 * 1024;
-const WORDS_MOST: usize = 64;
-const LINE_MOST: usize = 1024;
+pub const MAX_COMMAND_BYTES: usize = MAX_BODY_BYTES + 4 * 1024;
+const MAX_WORDS: usize = 64;
+const MAX_LINE_BYTES: usize = 1024;
 
 /// What is wrong with a command, said plainly.
 #[derive(Debug, PartialEq)]
@@ -21,7 +21,7 @@
 fn line(bytes: &[u8], from: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
     let rest = &bytes[from..];
     match rest.iter().position(|&b| b == b'\n') {
-        Some(end) if end > LINE_MOST => Err(Malformed("a line is too long")),
+        Some(end) if end > MAX_LINE_BYTES => Err(Malformed("a line is too long")),
         Some(end) => {
             let text = &rest[..end];
             Ok(Some((
@@ -29,7 +29,7 @@
                 from + end + 1,
             )))
         }
-        None if rest.len() > LINE_MOST => Err(Malformed("a line is too long")),
+        None if rest.len() > MAX_LINE_BYTES => Err(Malformed("a line is too long")),
         None => Ok(None),
     }
 }
@@ -63,7 +63,7 @@
             Err(Malformed("expected '*'"))
         };
     }
-    let count = number(&head[1..], WORDS_MOST, "invalid multibulk length")?;
+    let count = number(&head[1..], MAX_WORDS, "invalid multibulk length")?;
     let mut words = Vec::with_capacity(count);
     for _ in 0..count {
         let Some((head, from)) = line(bytes, at)? else {
@@ -72,7 +72,7 @@
         if head.first() != Some(&b'$') {
             return Err(Malformed("expected '$'"));
         }
-        let end = from + number(&head[1..], BODY_MOST, "invalid bulk length")?;
+        let end = from + number(&head[1..], MAX_BODY_BYTES, "invalid bulk length")?;
         match bytes.get(end..end + 2) {
             None => return Ok(None),
             Some(b"\r\n") => {}
@@ -86,17 +86,17 @@
 
 /// A message as a client hands it in.
 #[derive(Debug, PartialEq)]
-pub struct Put {
+pub struct PutCommand {
     pub key: u64,
     pub id: u64,
     pub class: String,
     pub lifetime_ms: u64,
     pub destination: u64,
-    pub tag: String,
+    pub idempotency_key: String,
 }
 
 /// Reads the words of MSG.PUT but for the body; says which is bad.
-pub fn put(words: &[&[u8]]) -> Result<Put, String> {
+pub fn put(words: &[&[u8]]) -> Result<PutCommand, String> {
     let [_, key, id, fields, _] = words else {
         return Err(
             "wrong number of arguments for 'MSG.PUT': expected key, id, fields and body".into(),
@@ -124,16 +124,16 @@
             .and_then(|v| v.parse::<u64>().ok())
             .ok_or(format!("{name}: expected a whole number"))
     };
-    let tag = find("k").unwrap_or("");
-    if tag.len() > 64 || !tag.bytes().all(|b| b.is_ascii_graphic()) {
+    let idempotency_key = find("k").unwrap_or("");
+    if idempotency_key.len() > 64 || !idempotency_key.bytes().all(|b| b.is_ascii_graphic()) {
         return Err("k: expected at most 64 plain characters".into());
     }
-    Ok(Put {
+    Ok(PutCommand {
         key,
         id,
         class: find("c").ok_or("c: expected a class")?.to_string(),
         lifetime_ms: whole("d")?,
         destination: whole("dest")?,
-        tag: tag.to_string(),
+        idempotency_key: idempotency_key.to_string(),
     })
 }
--- a/crates/daemon/tests/mgmt.rs
+++ b/crates/daemon/tests/mgmt.rs
@@ -1,22 +1,23 @@
 //! The parser of operators' calls, the list of endpoints held out and the figures, without a socket.
 
 use bellsill_daemon::mgmt::{
-    COMPLETED, Call, FAILED, Figures, Gauges, HELD_MOST, ID_MOST, parse, read_held, render,
+    COMPLETED, FAILED, Gauges, MAX_DISABLED, MAX_ENDPOINT_ID_BYTES, Metrics, Request, parse,
+    parse_disabled, render,
 };
 
 #[test]
 fn every_call_is_read() {
-    assert_eq!(parse(b"ready"), Ok(Call::Ready));
-    assert_eq!(parse(b"show-stat"), Ok(Call::ShowStat));
-    assert_eq!(parse(b"drain"), Ok(Call::Drain));
-    assert_eq!(parse(b"  resume "), Ok(Call::Resume));
+    assert_eq!(parse(b"ready"), Ok(Request::Ready));
+    assert_eq!(parse(b"show-stat"), Ok(Request::ShowStat));
+    assert_eq!(parse(b"drain"), Ok(Request::Drain));
+    assert_eq!(parse(b"  resume "), Ok(Request::Resume));
     assert_eq!(
         parse(b"disable-server s-5be2a07c"),
-        Ok(Call::Disable("s-5be2a07c".into()))
+        Ok(Request::Disable("s-5be2a07c".into()))
     );
     assert_eq!(
         parse(b"enable-server s-5be2a07c"),
-        Ok(Call::Enable("s-5be2a07c".into()))
+        Ok(Request::Enable("s-5be2a07c".into()))
     );
 }
 
@@ -34,27 +35,27 @@
         let why = parse(line).expect_err("a bad call");
         assert!(why.contains(says), "{line:?}: {why}");
     }
-    let long = format!("disable-server {}", "x".repeat(ID_MOST + 1));
+    let long = format!("disable-server {}", "x".repeat(MAX_ENDPOINT_ID_BYTES + 1));
     assert!(parse(long.as_bytes()).is_err());
 }
 
 #[test]
 fn held_out_lists_are_read_with_bad_lines_said() {
-    let (held, bad) = read_held("s-1\n\ns-2\ns-1\na b\n");
+    let (held, bad) = parse_disabled("s-1\n\ns-2\ns-1\na b\n");
     assert_eq!(held.into_iter().collect::<Vec<_>>(), ["s-1", "s-2"]);
     assert_eq!(bad, ["line 5: no endpoint id"]);
-    let many: String = (0..HELD_MOST + 2).map(|n| format!("s-{n}\n")).collect();
-    let (held, bad) = read_held(&many);
-    assert_eq!((held.len(), bad.len()), (HELD_MOST, 2));
+    let many: String = (0..MAX_DISABLED + 2).map(|n| format!("s-{n}\n")).collect();
+    let (held, bad) = parse_disabled(&many);
+    assert_eq!((held.len(), bad.len()), (MAX_DISABLED, 2));
 }
 
 #[test]
 fn figures_are_written_for_each_class() {
-    let mut figures = Figures::default();
+    let mut figures = Metrics::default();
     figures.count(1, FAILED);
     figures.count(0, COMPLETED);
     figures.count(0, COMPLETED);
-    figures.upstream = 3;
+    figures.attempts = 3;
     let gauges = Gauges {
         pending: 4,
         members: 5,
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -520,14 +520,16 @@
 fn an_endpoint_s_row_is_the_next_one_s_once_it_is_forgotten() {
     let mut endpoints = Endpoints::default();
     let addr = "127.0.0.1:1".parse().unwrap();
-    let stays = endpoints.know(&listed("stays", 1), addr);
+    let stays = endpoints.register(&listed("stays", 1), addr);
     for n in 0..1000 {
-        let id = endpoints.know(&listed(&format!("e{n}"), 2), addr);
-        assert_eq!(endpoints.know(&listed(&format!("e{n}"), 2), addr), id);
-        assert!(id != stays && endpoints.ids().count() <= 2 && endpoints.serve(2));
-        endpoints.forget(id);
+        let id = endpoints.register(&listed(&format!("e{n}"), 2), addr);
+        assert_eq!(endpoints.register(&listed(&format!("e{n}"), 2), addr), id);
+        assert!(id != stays && endpoints.ids().count() <= 2 && endpoints.has_destination(2));
+        endpoints.remove(id);
         assert!(
-            endpoints.find(&format!("e{n}")).is_none() && !endpoints.serve(2) && endpoints.serve(1)
+            endpoints.find(&format!("e{n}")).is_none()
+                && !endpoints.has_destination(2)
+                && endpoints.has_destination(1)
         );
     }
 }
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -4,7 +4,7 @@
 
 use bellsill_core::interface::MessageId;
 use bellsill_daemon::journal::{JournaledMessage, MessageJournal, Recovered, Resolution};
-use bellsill_daemon::mgmt::load_held;
+use bellsill_daemon::mgmt::load_disabled;
 use common::*;
 use std::path::{Path, PathBuf};
 
@@ -165,7 +165,7 @@
 
 #[test]
 fn the_list_of_disabled_endpoints_is_read() {
-    let disabled = load_held(&fixture("disabled")).unwrap();
+    let disabled = load_disabled(&fixture("disabled")).unwrap();
     assert!(disabled.iter().eq(["endpoint-2", "s-5be2a07c"]));
 }
 
