--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -1,6 +1,7 @@
 //! The command line: what to do, and with which files.
 
-use crate::event_loop::{Daemon, Signals};
+use crate::event_loop::Daemon;
+use crate::signals::Signals;
 use crate::start;
 use std::ffi::OsString;
 use std::path::PathBuf;
--- a/crates/daemon/src/conns.rs
+++ b/crates/daemon/src/connection/table.rs
@@ -1,8 +1,9 @@
-//! The connections, in a table of numbered connections: the one owner of every socket and of the poller.
+//! The table of connections: the one owner of every socket and of the poller.
 
+use super::limits::{CLIENT_BYTES, RESERVED_DESCRIPTORS};
+use crate::connection::{Connection, ConnectionId, Role};
 use crate::ring_buffer::RingBuffer;
-use crate::slot_table::{SlotId, SlotTable};
-use bellsill_core::interface::{EndpointId, Nanos};
+use crate::slot_table::SlotTable;
 use polling::{Event, Events, Poller};
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,85 +11,15 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionId(u64);
-
-impl SlotId for ConnectionId {
-    fn from_raw(raw: u64) -> Self {
-        ConnectionId(raw)
-    }
-    fn raw(self) -> u64 {
-        self.0
-    }
-}
-
 /// The poller's keys of what is no connection; connections' numbers stay far below.
-const CLIENT_LISTENER: usize = usize::MAX - 1;
-const SIGNALS: usize = usize::MAX - 2;
-const ADMIN_LISTENER: usize = usize::MAX - 3;
-/// Descriptors of the process that are no connections: standard streams, listener, poller, signals, journal.
-const RESERVED_DESCRIPTORS: usize = 16;
-/// Operators' admins have so many descriptors of their own: in a crowd of clients they are still answered.
-pub const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// The most that a client's rings hold in use.
-const CLIENT_BYTES: usize = crate::resp::MAX_COMMAND_BYTES + 8 * 1024;
-/// A connection's number goes through the poller as a key.
-const _: () = assert!(usize::BITS == 64);
+pub(super) const CLIENT_LISTENER: usize = usize::MAX - 1;
 
-/// Whom a connection is with.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Role {
-    Client,
-    Endpoint(EndpointId),
-    Watch,
-    Notifications,
-    /// An operator's caller on the management listener.
-    Admin,
-}
-
-pub struct Connection {
-    stream: TcpStream,
-    pub role: Role,
-    /// Where it was opened to; none where the other side came.
-    pub opened_to: Option<SocketAddr>,
-    pub input: RingBuffer,
-    pub output: RingBuffer,
-    /// Its handshake is still out.
-    pub connecting: bool,
-    /// It is closed once its output is written.
-    pub close_after_output: bool,
-    /// The other side sends no more.
-    pub peer_closed: bool,
-    /// Its last answer is written; what still comes is thrown away until the other side has read it and ended.
-    pub lingering: bool,
-    /// When it came up, or was used last.
-    pub last_active: Nanos,
-    /// When something came from a client last.
-    pub last_received: Nanos,
-    /// A client that was answered at least once.
-    pub answered: bool,
-    /// What it was told that was wrong with what it sent.
-    pub protocol_errors: u32,
-    /// What the poller watches it for: reading, writing.
-    armed: Option<(bool, bool)>,
-}
+pub(super) const SIGNALS: usize = usize::MAX - 2;
 
-impl Connection {
-    /// Queues an answer to a client.
-    pub fn queue_answer(&mut self, answer: &str, now: Nanos) {
-        match answer.starts_with('-') && !answer.starts_with("-BUSY") {
-            true => self.protocol_errors += 1,
-            false if answer.is_empty() => return,
-            false => (self.answered, self.last_active) = (true, now),
-        }
-        self.output.push(answer.as_bytes());
-    }
+pub(super) const ADMIN_LISTENER: usize = usize::MAX - 3;
 
-    /// Nothing has begun to come, and nothing is left to be read by the other side.
-    pub fn is_idle(&self) -> bool {
-        self.input.is_empty() && self.output.is_empty()
-    }
-}
+/// A connection's number goes through the poller as a key.
+const _: () = assert!(usize::BITS == 64);
 
 /// What the poller saw.
 pub enum PollEvent {
@@ -99,22 +30,22 @@
 }
 
 pub struct ConnectionTable {
-    poller: Poller,
+    pub(super) poller: Poller,
     events: Events,
     connections: SlotTable<ConnectionId, Connection>,
-    listener: Option<TcpListener>,
-    admin_listener: Option<TcpListener>,
-    signals: UnixStream,
+    pub(super) listener: Option<TcpListener>,
+    pub(super) admin_listener: Option<TcpListener>,
+    pub(super) signals: UnixStream,
     /// The most connections that may be open, and of these the most that clients may hold.
     pub max_connections: usize,
     pub max_clients: usize,
-    clients: usize,
-    admins: usize,
+    pub(super) clients: usize,
+    pub(super) admins: usize,
 }
 
 /// The one place where the poller is handed a source.
 #[allow(unsafe_code)]
-fn add(poller: &Poller, source: &impl AsRawFd, event: Event) -> io::Result<()> {
+pub(super) fn add(poller: &Poller, source: &impl AsRawFd, event: Event) -> io::Result<()> {
     // SAFETY: whatever is added is owned by `ConnectionTable`, which deletes it from the poller before it is closed.
     unsafe { poller.add(source, event) }
 }
@@ -188,109 +119,6 @@
         self.connections.is_empty()
     }
 
-    /// Whether clients hold all that they may.
-    pub fn clients_full(&self) -> bool {
-        self.clients >= self.max_clients
-    }
-
-    /// Whether all descriptors are taken but those of admins.
-    pub fn is_full(&self) -> bool {
-        self.len() - self.admins >= self.max_connections
-    }
-
-    /// Whether admins hold all descriptors that they have.
-    pub fn admin_full(&self) -> bool {
-        self.admins >= MAX_ADMIN_CONNECTIONS
-    }
-
-    /// The client that is missed least, of those that may be parted with: one told its last answer, else one that never
-    /// said anything, else one between requests, else one in the middle of a request; of these the one heard of longest
-    /// ago. `silent` and `idle` are the times before which something must have come last from the second, and from the
-    /// latter two.
-    pub fn least_needed_client(&self, silent: Nanos, idle: Nanos) -> Option<ConnectionId> {
-        let rank = |c: &Connection| match c {
-            _ if c.role != Role::Client => None,
-            _ if c.lingering => Some(0),
-            _ if !c.answered && c.is_idle() && c.last_received <= silent => Some(1),
-            _ if c.is_idle() && c.last_received <= idle => Some(2),
-            _ if c.output.is_empty() && c.last_received <= idle => Some(3),
-            _ => None,
-        };
-        let clients = self
-            .iter()
-            .filter_map(|(id, c)| Some((rank(c)?, c.last_received, id)));
-        clients.min().map(|(_, _, id)| id)
-    }
-
-    /// The next client that waits to be let in.
-    pub fn accept_client(&mut self) -> io::Result<Option<ConnectionId>> {
-        let Some(listener) = &self.listener else {
-            return Ok(None);
-        };
-        self.insert_accepted(
-            listener.accept(),
-            Role::Client,
-            crate::resp::MAX_COMMAND_BYTES,
-        )
-    }
-
-    /// What came of accepting on a listener; `bound` is that of both rings.
-    fn insert_accepted(
-        &mut self,
-        accepted: io::Result<(TcpStream, SocketAddr)>,
-        role: Role,
-        bound: usize,
-    ) -> io::Result<Option<ConnectionId>> {
-        match accepted {
-            Ok((stream, _)) => {
-                stream.set_nonblocking(true)?;
-                self.insert(stream, role, (bound, bound), false).map(Some)
-            }
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
-            Err(e) => Err(e),
-        }
-    }
-
-    /// Listens for operators' calls too.
-    pub fn listen_admin(&mut self, listener: TcpListener) -> io::Result<()> {
-        listener.set_nonblocking(true)?;
-        add(&self.poller, &listener, Event::readable(ADMIN_LISTENER))?;
-        self.admin_listener = Some(listener);
-        self.max_connections = self
-            .max_connections
-            .saturating_sub(MAX_ADMIN_CONNECTIONS)
-            .max(8);
-        self.max_clients = self
-            .max_clients
-            .saturating_sub(MAX_ADMIN_CONNECTIONS)
-            .max(self.max_connections / 4)
-            .max(1);
-        Ok(())
-    }
-
-    /// The next caller that waits on the management listener; the listener is armed again.
-    pub fn accept_admin(&mut self, bound: usize) -> io::Result<Option<ConnectionId>> {
-        let Some(listener) = &self.admin_listener else {
-            return Ok(None);
-        };
-        let accepted = listener.accept();
-        self.poller
-            .modify(listener, Event::readable(ADMIN_LISTENER))?;
-        self.insert_accepted(accepted, Role::Admin, bound)
-    }
-
-    pub fn arm_listener(&self) -> io::Result<()> {
-        self.listener.as_ref().map_or(Ok(()), |l| {
-            self.poller.modify(l, Event::readable(CLIENT_LISTENER))
-        })
-    }
-
-    pub fn close_listener(&mut self) {
-        if let Some(listener) = self.listener.take() {
-            let _ = self.poller.delete(&listener);
-        }
-    }
-
     /// Starts a connection; it is up once it has become writable without an error.
     pub fn open(
         &mut self,
@@ -315,7 +143,7 @@
         Ok(id)
     }
 
-    fn insert(
+    pub(crate) fn insert(
         &mut self,
         stream: TcpStream,
         role: Role,
@@ -429,13 +257,6 @@
         }
         Ok(())
     }
-
-    /// Empties the pipe of signals and arms it again.
-    pub fn drain_signals(&mut self) -> io::Result<()> {
-        let mut ring = RingBuffer::new(64);
-        ring.read_from(&mut self.signals)?;
-        self.poller.modify(&self.signals, Event::readable(SIGNALS))
-    }
 }
 
 impl Drop for ConnectionTable {
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The sockets and deadlines of the watch on the configuration: carries out what [`Watch`] commands, and tells it what
 //! happened. Nothing here decides, and nothing here knows messages or the loop.
 
-use crate::conns::{ConnectionId, ConnectionTable, Role};
+use crate::connection::{ConnectionId, ConnectionTable, Role};
 use crate::timer_queue::TimerQueue;
 use bellsill_discovery_client::{
     Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -16,26 +16,26 @@
 pub use bellsill_discovery_client::backoff;
 pub use bellsill_net::{http, ring_buffer, slot_table, timer_queue};
 
+pub mod admin;
+pub mod client;
 pub mod clock;
 pub mod command_line;
-pub mod start;
-pub mod start_retry;
-
-pub mod event_loop;
-pub mod leaving;
-
-pub mod clients;
-pub mod endpoints;
-pub mod messages;
-pub mod mgmt;
-pub mod notices;
-
-pub mod conns;
+pub mod connection;
+pub mod delivery;
 pub mod discovery;
+pub mod endpoint;
 pub mod endpoint_list;
+pub mod event_loop;
 pub mod installation;
 pub mod journal;
 pub mod logger;
+pub mod notification;
 pub mod recent_ids;
-pub mod resp;
+pub mod reload;
 pub mod scope;
+pub mod shutdown;
+pub mod signals;
+pub mod start;
+pub mod start_retry;
+pub mod startup;
+pub mod timer;
--- a/crates/daemon/src/notices.rs
+++ b/crates/daemon/src/notification/mod.rs
@@ -1,19 +1,25 @@
-//! Notifications: what the platform is pending for messages that were accepted and not relayed, until it has answered.
+//! Notifications: what the platform is owed for messages that were accepted and not delivered, until it has acknowledged it.
 
-use crate::conns::{ConnectionId, Role};
-use crate::http::{self, Body, Head};
+use crate::connection::{ConnectionId, Role};
+use crate::delivery::Runtime;
+use crate::http;
+use crate::http::{Body, Head};
 use crate::journal::Resolution;
-use crate::messages::{Runtime, Timer};
+use crate::timer::Timer;
 use bellsill_core::interface::{MessageId, Nanos};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// How long to wait for an answer, and before notifications that failed are sent again.
 const ANSWER_TIMEOUT: Nanos = 400_000_000;
+
 const MIN_BACKOFF: Nanos = 50_000_000;
+
 const MAX_BACKOFF: Nanos = 200_000_000;
+
 /// The most notifications of one request, and the most that it can take.
 const MAX_BATCH: usize = 256;
+
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
 pub struct Notifications {
@@ -64,7 +70,7 @@
         self.pending.len()
     }
 
-    fn lines(&self) -> String {
+    pub(crate) fn lines(&self) -> String {
         let line = |id: &MessageId| match self.pending[id] {
             Resolution::Failed => format!("{{\"ref\":\"{:016x}\",\"result\":\"dead\"}}\n", id.0),
             Resolution::Rejected { retry_after: wait } => {
@@ -158,7 +164,10 @@
         }
     }
 
-    fn read_notification_answer(&mut self, id: ConnectionId) -> Result<(), http::Malformed> {
+    pub(crate) fn read_notification_answer(
+        &mut self,
+        id: ConnectionId,
+    ) -> Result<(), http::Malformed> {
         let broken = |_| http::Malformed;
         if self.connections.get(id).is_some_and(|c| c.connecting) {
             self.connections.finish_connect(id).map_err(broken)?;
--- a/crates/daemon/src/leaving.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,16 +1,20 @@
-//! How a dispatcher leaves, and how an operator drains it: whom it still lets in, serves and waits for.
+//! Graceful shutdown and draining: which clients are still accepted and served, and what is still waited for.
 
-use crate::conns::{ConnectionId, Role};
+use crate::connection::Role;
 use crate::event_loop::Daemon;
-use crate::messages::Timer;
+use crate::timer::Timer;
 use bellsill_core::interface::Nanos;
 
 const MS: Nanos = 1_000_000;
+
 /// ShutdownPhase, counted from the signal. The platform lets new clients come for 400 ms and kills after 3.7 s. Those inside
 /// ask on for as long as they are let: parted with early, all of their messages would go to dispatchers that have work enough.
 pub const ACCEPT_CLIENTS_FOR: Nanos = 500 * MS;
+
 const SERVE_CLIENTS_UNTIL: Nanos = 2_300 * MS;
+
 const CLOSE_CLIENTS_UNTIL: Nanos = 2_900 * MS;
+
 const FINISH_BY: Nanos = 3_500 * MS;
 
 /// How far a dispatcher is on its way out.
@@ -85,25 +89,6 @@
         }
     }
 
-    /// All clients that are inside now.
-    fn clients(&self) -> Vec<ConnectionId> {
-        self.runtime
-            .connections
-            .iter()
-            .filter(|(_, c)| c.role == Role::Client)
-            .map(|(id, _)| id)
-            .collect()
-    }
-
-    /// On the way out, parts with a client whose last request is answered; it sends its next one elsewhere.
-    pub(crate) fn close_if_done(&mut self, id: ConnectionId) {
-        let between = |c: &crate::conns::Connection| c.is_idle() && !c.lingering;
-        let parts = self.shutdown_phase >= ShutdownPhase::ClosingClients || self.draining;
-        if parts && self.runtime.connections.get(id).is_some_and(between) {
-            self.runtime.close_gracefully(id);
-        }
-    }
-
     /// Whether clients are told yes: neither drained nor leaving.
     pub fn accepts_clients(&self) -> bool {
         !self.draining && self.shutdown_phase < ShutdownPhase::ServingClients
--- a/crates/daemon/tests/mgmt.rs
+++ b/crates/daemon/tests/mgmt.rs
@@ -1,6 +1,6 @@
 //! The parser of operators' calls, the list of endpoints held out and the figures, without a socket.
 
-use bellsill_daemon::mgmt::{
+use bellsill_daemon::admin::{
     COMPLETED, FAILED, Gauges, MAX_DISABLED, MAX_ENDPOINT_ID_BYTES, Metrics, Request, parse,
     parse_disabled, render,
 };
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -2,14 +2,14 @@
 
 use bellsill_core::interface::{MessageId, Nanos};
 use bellsill_daemon::backoff::{Backoff, FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
+use bellsill_daemon::client::resp;
 use bellsill_daemon::discovery::KEPT_FOR;
+use bellsill_daemon::endpoint::Endpoints;
 use bellsill_daemon::endpoint_list::ListedEndpoint;
-use bellsill_daemon::endpoints::Endpoints;
 use bellsill_daemon::http::{self, Body};
 use bellsill_daemon::journal::{
     JournaledAttempt, JournaledMessage, MessageJournal, NoRoom, Recovered, Resolution,
 };
-use bellsill_daemon::resp;
 use bellsill_daemon::ring_buffer::RingBuffer;
 use bellsill_daemon::slot_table::{SlotId, SlotTable};
 use bellsill_daemon::timer_queue::TimerQueue;
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use bellsill_core::interface::MessageId;
+use bellsill_daemon::admin::load_disabled;
 use bellsill_daemon::journal::{JournaledMessage, MessageJournal, Recovered, Resolution};
-use bellsill_daemon::mgmt::load_disabled;
 use common::*;
 use std::path::{Path, PathBuf};
 
