--- a/crates/daemon/src/admin/disabled.rs
+++ b/crates/daemon/src/admin/disabled.rs
@@ -1,127 +1,154 @@
-//! The list of endpoints that an operator has disabled, and the file in which it outlasts the process.
+//! The endpoints that an operator has disabled, and the file in which they outlast the process.
 
 use super::request::{Request, parse};
-use crate::event_loop::Daemon;
+use crate::delivery::Delivery;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::os::unix::fs::MetadataExt;
+use std::path::{Path, PathBuf};
+use std::time::SystemTime;
 
-/// Endpoints that may be held out by hand at once: the list of them outlasts the process and must stay small.
+/// The most endpoints that may be disabled at once, so that the file stays small.
 pub const MAX_DISABLED: usize = 1024;
+/// The file of the state folder that names them, one a line.
+pub(super) const DISABLED_FILE: &str = "held-out";
 
-/// The file of the folder that lasts that names them, one a line.
-pub const DISABLED_FILE: &str = "held-out";
-
-/// Reads the endpoints held out by hand. A line that is no id is skipped and said, and so are those beyond the bound.
-pub fn parse_disabled(text: &str) -> (std::collections::BTreeSet<String>, Vec<String>) {
-    let (mut held, mut bad) = (std::collections::BTreeSet::new(), Vec::new());
+/// Reads the names of disabled endpoints. Lines that are no name, and those beyond the most, are described in the second
+/// part and skipped.
+pub fn parse_disabled(text: &str) -> (BTreeSet<String>, Vec<String>) {
+    let (mut disabled, mut errors) = (BTreeSet::new(), Vec::new());
     for (n, line) in text
         .lines()
         .enumerate()
         .filter(|(_, l)| !l.trim().is_empty())
     {
         match parse(format!("disable-server {line}").as_bytes()) {
-            Ok(Request::Disable(id)) if held.len() < MAX_DISABLED => drop(held.insert(id)),
-            Ok(_) => bad.push(format!(
+            Ok(Request::Disable(id)) if disabled.len() < MAX_DISABLED => {
+                disabled.insert(id);
+            }
+            Ok(_) => errors.push(format!(
                 "line {}: more than {MAX_DISABLED} endpoints",
                 n + 1
             )),
-            Err(_) => bad.push(format!("line {}: no endpoint id", n + 1)),
+            Err(_) => errors.push(format!("line {}: no endpoint id", n + 1)),
         }
     }
-    (held, bad)
+    (disabled, errors)
 }
 
-/// The endpoints held out by hand, as the folder that lasts has them. What is no id is said, and the rest is used.
-pub fn load_disabled(
-    folder: &std::path::Path,
-) -> std::io::Result<std::collections::BTreeSet<String>> {
+/// The disabled endpoints by the file in the state folder; none if there is no file. Lines that cannot be read are logged
+/// and skipped.
+pub fn load_disabled(folder: &Path) -> io::Result<BTreeSet<String>> {
     let path = folder.join(DISABLED_FILE);
     let text = match std::fs::read(&path) {
         Ok(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => String::new(),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
         Err(e) => return Err(e),
     };
-    let (held, bad) = parse_disabled(&text);
-    bad.iter()
-        .for_each(|why| log::error!("{}: {why}, skipped", path.display()));
-    log::info!("{} endpoints are disabled", held.len());
-    Ok(held)
-}
-
-/// Takes an endpoint out or puts it back. True: that was a change.
-pub fn set_disabled_flag(
-    held: &mut std::collections::BTreeSet<String>,
-    name: &str,
-    out: bool,
-) -> bool {
-    if out {
-        held.insert(name.to_string())
-    } else {
-        held.remove(name)
+    let (disabled, errors) = parse_disabled(&text);
+    for error in errors {
+        log::error!("{}: {error}, skipped", path.display());
     }
+    log::info!("{} endpoints are disabled", disabled.len());
+    Ok(disabled)
 }
 
-/// What changes with the list of endpoints held out each time that it is written: none while there is none.
-pub fn disabled_stamp(folder: &std::path::Path) -> Option<(u64, std::time::SystemTime)> {
-    use std::os::unix::fs::MetadataExt;
-    let file = std::fs::metadata(folder.join(DISABLED_FILE)).ok()?;
-    Some((file.ino(), file.modified().ok()?))
+/// What differs between two versions of the file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct FileStamp {
+    inode: u64,
+    modified: SystemTime,
 }
 
-/// Writes the endpoints held out beside the file, then puts it in its place: a reader finds the old list or the new.
-pub fn write_disabled(
-    folder: &std::path::Path,
-    held: &std::collections::BTreeSet<String>,
-) -> std::io::Result<()> {
-    let next = folder.join(format!("{DISABLED_FILE}.{}", std::process::id()));
-    let text: String = held.iter().map(|id| format!("{id}\n")).collect();
-    std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, folder.join(DISABLED_FILE)))
+/// The file, which processes that share the state folder share too.
+pub(crate) struct DisabledFile {
+    folder: PathBuf,
+    /// Of the version read or written last; none if there was no file.
+    stamp: Option<FileStamp>,
+    /// Changes that are not written yet: whether the endpoint is disabled.
+    unsaved: BTreeMap<String, bool>,
 }
 
-impl Daemon {
-    /// Takes up the list of endpoints held out where another process of this folder has written it: a call reaches the old
-    /// or the new version while both run, and binds both.
-    pub fn refresh_disabled(&mut self) {
-        let stamp = disabled_stamp(&self.state_folder);
-        if stamp != self.disabled_stamp {
-            match load_disabled(&self.state_folder) {
-                Ok(mut held) => {
-                    self.disabled_stamp = stamp;
-                    for (name, &out) in &self.unsaved_disabled {
-                        set_disabled_flag(&mut held, name, out);
-                    }
-                    self.replace_disabled(held);
+impl DisabledFile {
+    /// The file in this folder, of which the present version has been loaded.
+    pub(crate) fn new(folder: &Path) -> DisabledFile {
+        DisabledFile {
+            folder: folder.to_path_buf(),
+            stamp: stamp(folder),
+            unsaved: BTreeMap::new(),
+        }
+    }
+
+    /// The disabled endpoints, if another process has written the file since it was read or written here. Changes that
+    /// are not written yet are applied.
+    fn read_changes(&mut self) -> Option<BTreeSet<String>> {
+        let stamp = stamp(&self.folder);
+        if stamp == self.stamp {
+            return None;
+        }
+        match load_disabled(&self.folder) {
+            Ok(mut disabled) => {
+                self.stamp = stamp;
+                for (name, &is_disabled) in &self.unsaved {
+                    set(&mut disabled, name, is_disabled);
                 }
-                Err(e) => log::error!("{DISABLED_FILE}: cannot be read: {e}"),
+                Some(disabled)
+            }
+            Err(e) => {
+                log::error!("{DISABLED_FILE}: cannot be read: {e}");
+                None
             }
         }
-        // Said when the call came.
-        let _ = self.save_disabled();
     }
 
-    /// Writes the list of endpoints held out where a call has changed it. It is in force before: the platform counts the
-    /// endpoint as out a second after the call, whatever becomes of the file. A write that fails is tried again whenever
-    /// the list is looked at.
-    pub(crate) fn save_disabled(&mut self) -> std::io::Result<()> {
-        if !self.unsaved_disabled.is_empty() {
-            write_disabled(&self.state_folder, &self.runtime.disabled)?;
-            self.unsaved_disabled.clear();
-            self.disabled_stamp = disabled_stamp(&self.state_folder);
+    /// Writes the file if a request has changed the list. The list is in force before, whatever becomes of the file:
+    /// the platform counts an endpoint as disabled a second after the request. A write that fails is tried again whenever
+    /// the file is looked at.
+    pub(super) fn save(&mut self, disabled: &BTreeSet<String>) -> io::Result<()> {
+        if !self.unsaved.is_empty() {
+            write(&self.folder, disabled)?;
+            self.unsaved.clear();
+            self.stamp = stamp(&self.folder);
         }
         Ok(())
     }
 
-    /// From now on these are held out by hand and no others.
-    pub(crate) fn replace_disabled(&mut self, held: std::collections::BTreeSet<String>) {
-        let (now, runtime) = (self.runtime.now, &mut self.runtime);
-        let before = std::mem::replace(&mut runtime.disabled, held);
-        let changed: Vec<String> = before
-            .symmetric_difference(&runtime.disabled)
-            .cloned()
-            .collect();
-        for name in changed {
-            let out = runtime.disabled.contains(&name);
-            if let Some(id) = runtime.endpoints.find(&name) {
-                self.dispatcher.set_disabled(now, id, out, runtime);
-            }
-        }
+    /// A request has changed whether an endpoint is disabled.
+    pub(super) fn note_change(&mut self, name: String, disabled: bool) {
+        self.unsaved.insert(name, disabled);
     }
 }
+
+/// Takes over what another process that shares the state folder has written: a request reaches the old or the new version
+/// while both run, and applies to both.
+pub(crate) fn refresh_disabled(delivery: &mut Delivery, file: &mut DisabledFile) {
+    if let Some(disabled) = file.read_changes() {
+        delivery.set_disabled(disabled);
+    }
+    // The error was logged when the request came.
+    file.save(delivery.disabled()).ok();
+}
+
+/// Disables or enables an endpoint, and returns whether that was a change.
+pub(super) fn set(disabled: &mut BTreeSet<String>, name: &str, is_disabled: bool) -> bool {
+    if is_disabled {
+        disabled.insert(name.to_string())
+    } else {
+        disabled.remove(name)
+    }
+}
+
+fn stamp(folder: &Path) -> Option<FileStamp> {
+    let file = std::fs::metadata(folder.join(DISABLED_FILE)).ok()?;
+    Some(FileStamp {
+        inode: file.ino(),
+        modified: file.modified().ok()?,
+    })
+}
+
+/// Writes a new file and renames it, so that a reader finds the old list or the new one.
+fn write(folder: &Path, disabled: &BTreeSet<String>) -> io::Result<()> {
+    let next = folder.join(format!("{DISABLED_FILE}.{}", std::process::id()));
+    let text: String = disabled.iter().map(|id| format!("{id}\n")).collect();
+    std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, folder.join(DISABLED_FILE)))
+}
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,13 +1,15 @@
 //! Admin requests: one line in, one line out (`show-stat`: lines up to `EOT`), on a listener of their own.
 
+mod commands;
 mod connections;
 mod disabled;
-mod metrics;
 mod request;
+mod stats;
 
-pub use disabled::{
-    DISABLED_FILE, MAX_DISABLED, disabled_stamp, load_disabled, parse_disabled, set_disabled_flag,
-    write_disabled,
-};
-pub use metrics::{COMPLETED, FAILED, Gauges, Metrics, REJECTED, render, scope_lines};
-pub use request::{MAX_ENDPOINT_ID_BYTES, Request, parse};
+pub use crate::metrics::{ClassEnds, End, Metrics};
+pub(crate) use commands::{AdminContext, DrainRequest, execute};
+pub(crate) use connections::{AdminInput, accept, answer, close, end_turn, next_request, read};
+pub(crate) use disabled::{DisabledFile, refresh_disabled};
+pub use disabled::{MAX_DISABLED, load_disabled, parse_disabled};
+pub use request::{MAX_ENDPOINT_ID_BYTES, Request, RequestError, parse};
+pub use stats::{Gauges, render};
--- a/crates/daemon/src/admin/metrics.rs
+++ b/crates/daemon/src/admin/stats.rs
@@ -1,57 +1,33 @@
-//! What is counted, and the text of `show-stat`.
+//! The text of `show-stat`.
 
+use crate::delivery::Delivery;
+use crate::metrics::Metrics;
 use crate::scope::ScopeFile;
 use bellsill_discovery_client::{Counters, ScopedList};
-use std::fmt::Write;
 
-/// What has happened since the process began, counted where it happens.
-#[derive(Clone, Debug, Default)]
-pub struct Metrics {
-    /// For each class: relayed, turned back (deferred or told `-BUSY`), bounced.
-    pub resolutions: Vec<[u64; 3]>,
-    /// Attempts whose call was written.
-    pub attempts: u64,
-    pub reloads: u64,
-    pub reload_errors: u64,
-}
-
-pub const COMPLETED: usize = 0;
-
-pub const REJECTED: usize = 1;
-
-pub const FAILED: usize = 2;
-
-impl Metrics {
-    pub fn count(&mut self, class: usize, end: usize) {
-        if self.resolutions.len() <= class {
-            self.resolutions.resize(class + 1, [0; 3]);
-        }
-        self.resolutions[class][end] += 1;
-    }
-}
-
-/// What `show-stat` says beside the counts.
+/// What is shown beside the counters.
 pub struct Gauges {
+    /// Pending messages.
     pub pending: usize,
+    /// Endpoints that take messages by their list.
     pub members: usize,
+    /// Endpoints that the decisions send nothing to for now.
     pub unavailable: usize,
 }
 
-/// The answer to `show-stat`, `EOT` its last line.
+/// The answer to `show-stat` without the scoped configuration, `EOT` its last line.
 pub fn render(metrics: &Metrics, classes: &[String], gauges: &Gauges) -> String {
     let mut text = String::from("SUCCESS\n");
     for (c, name) in classes.iter().enumerate() {
-        let resolutions = metrics.resolutions.get(c).copied().unwrap_or_default();
-        for (end, word) in [
-            (COMPLETED, "completed"),
-            (REJECTED, "rejected"),
-            (FAILED, "failed"),
+        let ends = metrics.ends(c);
+        for (word, count) in [
+            ("completed", ends.completed),
+            ("rejected", ends.rejected),
+            ("failed", ends.failed),
         ] {
-            let _ = writeln!(
-                text,
-                "dispatcher.downstream_requests.{name}.{word}={}",
-                resolutions[end]
-            );
+            text.push_str(&format!(
+                "dispatcher.downstream_requests.{name}.{word}={count}\n"
+            ));
         }
     }
     let lines = [
@@ -63,14 +39,30 @@
         ("config_reload_errors", metrics.reload_errors as usize),
     ];
     for (name, value) in lines {
-        let _ = writeln!(text, "dispatcher.{name}={value}");
+        text.push_str(&format!("dispatcher.{name}={value}\n"));
     }
     text.push_str("EOT\n");
     text
 }
 
-/// The lines of `show-stat` on the scoped configuration.
-pub fn scope_lines(list: &ScopedList, calls: Counters, file: &ScopeFile) -> String {
+/// The answer to `show-stat`.
+pub(super) fn show_stat(delivery: &Delivery, scope_file: Option<&ScopeFile>) -> String {
+    let runtime = &delivery.runtime;
+    let gauges = Gauges {
+        pending: runtime.messages().len(),
+        members: runtime.endpoints().serving(),
+        unavailable: delivery.unavailable_endpoints(),
+    };
+    let text = render(&runtime.metrics, delivery.class_names(), &gauges);
+    let (Some(list), Some(file)) = (delivery.discovery().scoped_list(), scope_file) else {
+        return text;
+    };
+    let lines = scope_lines(list, delivery.discovery().counters(), file);
+    text.replace("EOT\n", &format!("{lines}EOT\n"))
+}
+
+/// The lines on the scoped configuration.
+fn scope_lines(list: &ScopedList, calls: Counters, file: &ScopeFile) -> String {
     let (counters, unsaved) = (list.counters(), file.lacks(list));
     let file = file.counters;
     let lines = [
--- a/crates/daemon/src/client/accept.rs
+++ b/crates/daemon/src/client/accept.rs
@@ -1,102 +1,127 @@
 //! Accepting clients, and making room for them.
 
-use super::session::REQUEST_TIMEOUT;
+use super::closing::{REQUEST_TIMEOUT, close};
+use super::resp::MAX_COMMAND_BYTES;
+use super::session::{Input, read};
+use crate::connection::ConnectionId;
 use crate::delivery::Runtime;
-use crate::event_loop::Daemon;
 use crate::timer::Timer;
 use bellsill_core::interface::Nanos;
+use std::io;
 
-/// How long no more clients are let in when there is no place for them.
+/// How long no client is accepted when there is no room for one.
 const ACCEPT_BACKOFF: Nanos = 50_000_000;
-
-/// The most clients let in, and the most commands of one client answered, before all others have their turn.
+/// The most clients accepted before other events are handled.
 const ACCEPTS_PER_TURN: usize = 32;
-
-/// With no place left, clients that have said nothing for so long give way; and after those, the ones that have asked no
-/// more, or sent no more of what they ask, for so long.
+/// At the limit, clients that have sent nothing for this long are closed for new ones.
 const SILENT_EVICTION_AGE: Nanos = 250_000_000;
-
+/// After those, clients whose last request, or part of one, is this long ago.
 const IDLE_EVICTION_AGE: Nanos = 500_000_000;
 
-impl Runtime {
-    /// Sees to it that one more client can be let in. Idle connections to endpoints give way first, then a client that
-    /// will not be missed: hundreds that say nothing, or ask once and stay, would otherwise lock out all others. It also
-    /// covers clients told their last answer that do not go. One that gives way just before its next request sends it
-    /// once more, as whenever a connection is closed between requests; one whose request has come is served, for closed
-    /// then, its message would be lost.
-    pub(crate) fn make_room_for_client(&mut self) -> bool {
-        while self.connections.clients_full() {
-            let now = self.now;
-            let least = self.connections.least_needed_client(
-                now.saturating_sub(SILENT_EVICTION_AGE),
-                now.saturating_sub(IDLE_EVICTION_AGE),
-            );
-            let Some(id) = least else { return false };
-            // One that lingers has nothing more to say.
-            let lingers = self.connections.get(id).is_some_and(|c| c.lingering);
-            if !lingers && matches!(self.read_client(id), Ok(true)) {
-                self.deadlines.set(Timer::ReadClient(id), now);
-            } else {
-                // Its place is lookup now; and what it was told last has long been read.
-                self.close_client(id);
-            }
-        }
-        !self.connections.is_full() || self.close_oldest_idle()
-    }
+/// Whether more clients may wait to be accepted.
+#[must_use]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AcceptStatus {
+    /// The turn was over first.
+    MoreMayWait,
+    /// None waits, or none can be accepted now.
+    Done,
 }
 
-impl Daemon {
-    /// Lets clients in, while there are descriptors for them. Idle connections to endpoints give way first; then new
-    /// clients wait a little in the kernel's queue, so that the ones served already are not starved.
-    /// True: more may wait.
-    pub fn accept_clients(&mut self) -> bool {
-        let runtime = &mut self.runtime;
-        let (mut again, mut more) = (Ok(()), true);
+/// There is no room for one more client.
+struct AtLimit;
+
+/// Accepts clients.
+#[derive(Default)]
+pub(crate) struct Clients {
+    /// There was no room for the last client; logged once until there is.
+    at_limit: bool,
+}
+
+impl Clients {
+    /// Accepts clients as long as there are descriptors for them. At the limit new ones wait in the kernel's queue for a
+    /// while, so that those connected are served.
+    pub(crate) fn accept(&mut self, runtime: &mut Runtime) -> AcceptStatus {
         for _ in 0..ACCEPTS_PER_TURN {
-            if !runtime.make_room_for_client() {
-                // Said once, until there is place again.
-                if !std::mem::replace(&mut self.at_client_limit, true) {
+            if make_room(runtime).is_err() {
+                if !std::mem::replace(&mut self.at_limit, true) {
                     log::warn!(
                         "client limit reached, {} connections are open",
                         runtime.connections.len()
                     );
                 }
-                runtime
-                    .deadlines
-                    .set(Timer::AcceptClients, runtime.now + ACCEPT_BACKOFF);
-                return false;
+                back_off(runtime);
+                return AcceptStatus::Done;
             }
-            match runtime.connections.accept_client() {
+            match runtime.connections.accept_client(MAX_COMMAND_BYTES) {
                 Ok(Some(id)) => {
-                    self.at_client_limit = false;
-                    let now = runtime.now;
-                    runtime
-                        .connections
-                        .get_mut(id)
-                        .into_iter()
-                        .for_each(|c| (c.last_active, c.last_received) = (now, now));
-                    runtime
-                        .deadlines
-                        .set(Timer::Connection(id), now + REQUEST_TIMEOUT);
+                    self.at_limit = false;
+                    welcome(runtime, id);
                 }
                 Ok(None) => {
-                    more = false;
-                    break;
+                    arm_listener(runtime, Ok(()));
+                    return AcceptStatus::Done;
                 }
-                // It has gone again while it waited.
-                Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
+                // The client has closed its connection while it waited.
+                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) => {
-                    (again, more) = (Err(e), false);
-                    break;
+                    arm_listener(runtime, Err(e));
+                    return AcceptStatus::Done;
                 }
             }
         }
-        if let Err(e) = again.and_then(|()| runtime.connections.arm_listener()) {
-            log::warn!("a client connection could not be accepted: {e}");
-            runtime
-                .deadlines
-                .set(Timer::AcceptClients, runtime.now + ACCEPT_BACKOFF);
+        arm_listener(runtime, Ok(()));
+        AcceptStatus::MoreMayWait
+    }
+}
+
+fn welcome(runtime: &mut Runtime, id: ConnectionId) {
+    let now = runtime.now;
+    if let Some(conn) = runtime.connections.get_mut(id) {
+        (conn.last_active, conn.last_received) = (now, now);
+    }
+    runtime
+        .timers
+        .set(Timer::Connection(id), now + REQUEST_TIMEOUT);
+}
+
+fn back_off(runtime: &mut Runtime) {
+    runtime
+        .timers
+        .set(Timer::AcceptClients, runtime.now + ACCEPT_BACKOFF);
+}
+
+/// Has the poller watch the listener again, unless accepting failed.
+fn arm_listener(runtime: &mut Runtime, accepted: io::Result<()>) {
+    if let Err(e) = accepted.and_then(|()| runtime.connections.arm_listener()) {
+        log::warn!("a client connection could not be accepted: {e}");
+        back_off(runtime);
+    }
+}
+
+/// Makes room for one more client. Idle connections to endpoints are closed for it, and at the clients' limit the least
+/// needed client: hundreds that are silent, or that ask once and stay, would otherwise lock out all others. A client
+/// closed just before its next request sends it again, as always when its connection is closed between requests. One
+/// whose request has arrived is served instead, since its message would be lost.
+fn make_room(runtime: &mut Runtime) -> Result<(), AtLimit> {
+    while runtime.connections.clients_full() {
+        let now = runtime.now;
+        let least_needed = runtime.connections.least_needed_client(
+            now.saturating_sub(SILENT_EVICTION_AGE),
+            now.saturating_sub(IDLE_EVICTION_AGE),
+        );
+        let id = least_needed.ok_or(AtLimit)?;
+        // A lingering client has had its last answer, long enough ago to have read it.
+        let lingering = runtime.connections.get(id).is_some_and(|c| c.lingering);
+        if !lingering && matches!(read(runtime, id), Ok(Input::Received)) {
+            runtime.timers.set(Timer::ReadClient(id), now);
+        } else {
+            close(runtime, id);
         }
-        more
+    }
+    if runtime.connections.is_full() {
+        runtime.close_oldest_idle().or(Err(AtLimit))
+    } else {
+        Ok(())
     }
 }
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -1,194 +1,231 @@
 //! The commands of clients: PING, QUIT and MSG.PUT.
 
-use super::session::{IDLE_TIMEOUT, LINGER_TIMEOUT, REQUEST_TIMEOUT};
-use crate::client::resp;
-use crate::connection::ConnectionId;
-use crate::delivery::Runtime;
-use crate::delivery::admission::Rejection;
-use crate::event_loop::Daemon;
+use super::ClientPolicy;
+use super::closing::{IDLE_TIMEOUT, REQUEST_TIMEOUT, linger};
+use super::resp::{self, MAX_COMMAND_BYTES, PutCommand};
+use crate::connection::{Connection, ConnectionId};
+use crate::delivery::{Admission, Delivery, Rejection, Runtime};
 use crate::journal::JournaledMessage;
+use crate::metrics::End;
 use crate::timer::Timer;
-use bellsill_core::interface::MessageId;
+use bellsill_core::interface::{MessageId, Nanos};
 
+/// The most commands of one client answered before other events are handled.
 const COMMANDS_PER_TURN: usize = 64;
-
-/// The longest text that PING gives back.
+/// The longest text that PING returns.
 const MAX_PING_BYTES: usize = 1024;
-
-/// After so many errors a client is parted with.
+/// After this many errors a client is closed.
 const MAX_PROTOCOL_ERRORS: u32 = 16;
+/// With less room for answers than this, input waits until the client has read some.
+const MIN_ANSWER_ROOM: usize = MAX_COMMAND_BYTES / 2;
+const NANOS_PER_MS: Nanos = 1_000_000;
 
-impl Daemon {
-    /// Answers the commands that have come whole. False: the connection is done.
-    pub(crate) fn answer_commands(&mut self, id: ConnectionId) -> bool {
-        let now = self.runtime.now;
-        let serves = self.accepts_clients();
-        let mut left = COMMANDS_PER_TURN;
-        loop {
-            let Some(conn) = self.runtime.connections.get_mut(id) else {
-                return true;
-            };
-            if left == 0 {
-                // What else it sent waits until all others have had their turn.
-                self.runtime.deadlines.set(Timer::ReadClient(id), now + 1);
-                break;
-            }
-            left -= 1;
-            // With no room for an answer, what has come waits until the client has read.
-            if conn.close_after_output
-                || conn.input.is_empty()
-                || conn.output.available() < resp::MAX_COMMAND_BYTES / 2
-            {
-                break;
-            }
-            let full = conn.input.available() == 0;
-            let bytes = conn.input.contiguous();
-            let (words, taken) = match resp::command(bytes) {
-                Ok(Some(command)) => command,
-                Ok(None) if !full => break,
-                bad => {
-                    let why = bad.err().map_or("a command is too long", |bad| bad.0);
-                    conn.output
-                        .push(format!("-ERR Protocol error: {why}\r\n").as_bytes());
-                    conn.close_after_output = true;
-                    break;
-                }
-            };
-            let words: Vec<&[u8]> = words.into_iter().map(|range| &bytes[range]).collect();
-            let name = words
-                .first()
-                .map(|name| name.to_ascii_uppercase())
-                .unwrap_or_default();
-            let mut last = false;
-            let mut new = None;
-            let answer = match (name.as_slice(), words.len()) {
-                (b"", _) => String::new(),
-                (b"PING", _) if !serves => "-ERR draining\r\n".into(),
-                (b"PING", 1) => "+PONG\r\n".into(),
-                (b"PING", 2) if words[1].len() > MAX_PING_BYTES => {
-                    "-ERR the text is too long\r\n".into()
-                }
-                (b"PING", 2) => {
-                    let text = String::from_utf8_lossy(words[1]);
-                    format!("${}\r\n{text}\r\n", text.len())
-                }
-                (b"QUIT", _) => {
-                    last = true;
-                    "+OK\r\n".into()
-                }
-                (b"MSG.PUT", _) => match resp::put(&words) {
-                    Ok(put) => {
-                        new = Some((put, words[4].to_vec()));
-                        String::new()
-                    }
-                    Err(why) => format!("-ERR {why}\r\n"),
-                },
-                _ => format!("-ERR unknown command '{}'\r\n", name.escape_ascii()),
-            };
-            conn.input.consume(taken);
-            conn.queue_answer(&answer, now);
-            conn.close_after_output |= last;
-            if let Some((put, body)) = new {
-                self.put_message(id, put, body);
-            }
-            if let Some(conn) = self
-                .runtime
-                .connections
-                .get_mut(id)
-                .filter(|c| c.protocol_errors >= MAX_PROTOCOL_ERRORS)
-            {
-                conn.close_after_output = true;
-            }
+/// The connection is to be closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct SessionEnded;
+
+/// A message that a client hands in.
+struct NewMessage {
+    put: PutCommand,
+    body: Vec<u8>,
+}
+
+/// What came of the next command.
+enum Step {
+    /// None is complete, or none can be answered now.
+    Wait,
+    /// It is answered.
+    Answered,
+    /// It is answered once the message is accepted or rejected.
+    Put(NewMessage),
+}
+
+/// The answer to a command.
+enum Reply {
+    Text(String),
+    /// The last answer before the connection is closed.
+    Last(&'static str),
+    Put(NewMessage),
+}
+
+/// Answers the commands that have arrived completely.
+pub(super) fn answer_commands(
+    delivery: &mut Delivery,
+    id: ConnectionId,
+    policy: ClientPolicy,
+) -> Result<(), SessionEnded> {
+    let now = delivery.runtime.now;
+    let mut left = COMMANDS_PER_TURN;
+    loop {
+        let Some(conn) = delivery.runtime.connections.get_mut(id) else {
+            return Ok(());
+        };
+        if left == 0 {
+            // The rest waits until all others have had their turn.
+            delivery.runtime.timers.set(Timer::ReadClient(id), now + 1);
+            break;
         }
-        let runtime = &mut self.runtime;
-        if runtime.connections.flush(id).is_err() {
-            return false;
+        left -= 1;
+        match next_command(conn, now, policy) {
+            Step::Wait => break,
+            Step::Answered => {}
+            Step::Put(new) => put_message(delivery, id, new),
+        }
+        if let Some(conn) = delivery
+            .runtime
+            .connections
+            .get_mut(id)
+            .filter(|c| c.protocol_errors >= MAX_PROTOCOL_ERRORS)
+        {
+            conn.close_after_output = true;
         }
-        let Some(conn) = runtime.connections.get(id) else {
-            return true;
+    }
+    end_turn(&mut delivery.runtime, id, left == 0)
+}
+
+/// Sends the answers, and closes the connection if it is to be closed and has had its turn.
+fn end_turn(
+    runtime: &mut Runtime,
+    id: ConnectionId,
+    turn_used_up: bool,
+) -> Result<(), SessionEnded> {
+    if runtime.connections.flush(id).is_err() {
+        return Err(SessionEnded);
+    }
+    let Some(conn) = runtime.connections.get(id) else {
+        return Ok(());
+    };
+    let ends = conn.close_after_output || conn.peer_closed;
+    if !conn.output.is_empty() || turn_used_up || !ends {
+        let limit = if conn.answered && conn.is_idle() {
+            IDLE_TIMEOUT
+        } else {
+            REQUEST_TIMEOUT
         };
-        if !conn.output.is_empty() || left == 0 || !(conn.close_after_output || conn.peer_closed) {
-            let stay = if conn.answered && conn.is_idle() {
-                IDLE_TIMEOUT
-            } else {
-                REQUEST_TIMEOUT
-            };
-            runtime
-                .deadlines
-                .set(Timer::Connection(id), conn.last_active + stay);
-            return true;
+        let at = conn.last_active + limit;
+        runtime.timers.set(Timer::Connection(id), at);
+        return Ok(());
+    }
+    // Closed with unread input, a connection is reset, and the last answer may be lost.
+    if !conn.peer_closed && linger(runtime, id).is_ok() {
+        return Ok(());
+    }
+    Err(SessionEnded)
+}
+
+/// Answers the next command of the input, if it is complete.
+fn next_command(conn: &mut Connection, now: Nanos, policy: ClientPolicy) -> Step {
+    if conn.close_after_output || conn.input.is_empty() || conn.output.available() < MIN_ANSWER_ROOM
+    {
+        return Step::Wait;
+    }
+    let full = conn.input.available() == 0;
+    let bytes = conn.input.contiguous();
+    let (words, taken) = match resp::command(bytes) {
+        Ok(Some(command)) => command,
+        Ok(None) if !full => return Step::Wait,
+        bad => {
+            let why = bad.err().map_or("a command is too long", |bad| bad.0);
+            conn.output
+                .push(format!("-ERR Protocol error: {why}\r\n").as_bytes());
+            conn.close_after_output = true;
+            return Step::Wait;
         }
-        // Closed with input unread, a connection is reset, and the answer to what was wrong with it may be lost.
-        if !conn.peer_closed
-            && runtime
-                .connections
-                .shutdown_write(id)
-                .and_then(|()| runtime.connections.arm(id))
-                .is_ok()
-        {
-            runtime
-                .deadlines
-                .set(Timer::Connection(id), runtime.now + LINGER_TIMEOUT);
-            return true;
+    };
+    let words: Vec<&[u8]> = words.into_iter().map(|range| &bytes[range]).collect();
+    let reply = reply_to(&words, policy);
+    conn.input.consume(taken);
+    match reply {
+        Reply::Text(text) => conn.queue_answer(&text, now),
+        Reply::Last(text) => {
+            conn.queue_answer(text, now);
+            conn.close_after_output = true;
         }
-        false
+        Reply::Put(new) => return Step::Put(new),
     }
+    Step::Answered
+}
 
-    /// A message is handed in.
-    pub(crate) fn put_message(&mut self, conn: ConnectionId, put: resp::PutCommand, body: Vec<u8>) {
-        let say = |runtime: &mut Runtime, answer: &str| {
-            let now = runtime.now;
-            if let Some(to) = runtime.connections.get_mut(conn) {
-                to.queue_answer(answer, now);
+fn reply_to(words: &[&[u8]], policy: ClientPolicy) -> Reply {
+    let name = words
+        .first()
+        .map(|name| name.to_ascii_uppercase())
+        .unwrap_or_default();
+    Reply::Text(match (name.as_slice(), words.len()) {
+        (b"", _) => String::new(),
+        (b"PING", _) if !policy.ready => "-ERR draining\r\n".into(),
+        (b"PING", 1) => "+PONG\r\n".into(),
+        (b"PING", 2) if words[1].len() > MAX_PING_BYTES => "-ERR the text is too long\r\n".into(),
+        (b"PING", 2) => {
+            let text = String::from_utf8_lossy(words[1]);
+            format!("${}\r\n{text}\r\n", text.len())
+        }
+        (b"QUIT", _) => return Reply::Last("+OK\r\n"),
+        (b"MSG.PUT", _) => match resp::put(words) {
+            Ok(put) => {
+                let body = words[4].to_vec();
+                return Reply::Put(NewMessage { put, body });
             }
-            // At once, for the client's wait is short. A break shows when its commands are done.
-            let _ = runtime.connections.flush(conn);
-        };
-        // A client that has ended its side may have given up waiting and handed the message in elsewhere: taken here too, it
-        // would go out twice. It covers a dispatcher that stood still; the harm is a needless -BUSY to one that ends its
-        // side early and yet listens.
-        let listens = self
+            Err(why) => format!("-ERR {why}\r\n"),
+        },
+        _ => format!("-ERR unknown command '{}'\r\n", name.escape_ascii()),
+    })
+}
+
+/// Queues an answer and sends it at once, since the client waits for it only for a short while.
+fn answer(runtime: &mut Runtime, id: ConnectionId, text: &str) {
+    let now = runtime.now;
+    if let Some(conn) = runtime.connections.get_mut(id) {
+        conn.queue_answer(text, now);
+    }
+    // An error shows again at the end of the client's turn.
+    runtime.connections.flush(id).ok();
+}
+
+/// A client hands in a message.
+fn put_message(delivery: &mut Delivery, id: ConnectionId, new: NewMessage) {
+    // A client that has ended its side may have given up and handed the message in elsewhere: accepted here too, it would
+    // be sent twice. This happens when the process was suspended. A client that ends its side early and still listens
+    // gets a needless -BUSY.
+    let listens = delivery
+        .runtime
+        .connections
+        .get(id)
+        .is_some_and(|c| !c.peer_closed);
+    let NewMessage { put, body } = new;
+    let class = delivery.class_index(&put.class);
+    let message = JournaledMessage {
+        id: MessageId(put.id),
+        class: put.class,
+        key: put.key,
+        destination: put.destination,
+        deadline: delivery
             .runtime
-            .connections
-            .get(conn)
-            .is_some_and(|c| !c.peer_closed);
-        let class = self.runtime.class_of(&put.class);
-        let message = JournaledMessage {
-            id: MessageId(put.id),
-            class: put.class,
-            key: put.key,
-            destination: put.destination,
-            deadline: self
-                .runtime
-                .now
-                .saturating_add(put.lifetime_ms.saturating_mul(1_000_000)),
-            idempotency_key: put.idempotency_key,
-            body,
-            attempts: vec![],
-        };
-        let taken = match listens {
-            true => self.accept(message, |runtime| say(runtime, "+OK\r\n")),
-            false => Err(Rejection::NoCapacity),
-        };
-        match taken {
-            Ok(()) => {}
-            Err(Rejection::UnknownClass) => say(&mut self.runtime, "-ERR c: unknown class\r\n"),
-            Err(Rejection::UnknownDestination) => {
-                say(&mut self.runtime, "-ERR dest: unknown destination\r\n")
-            }
-            Err(Rejection::LifetimeTooLong) => say(
-                &mut self.runtime,
-                "-ERR d: longer than the class allows\r\n",
-            ),
-            Err(Rejection::MissingIdempotencyKey) => {
-                say(&mut self.runtime, "-ERR k: expected in this class\r\n")
-            }
-            Err(Rejection::NoCapacity) => {
-                if let Some(class) = class {
-                    self.runtime.metrics.count(class, crate::admin::REJECTED);
-                }
-                say(&mut self.runtime, "-BUSY\r\n")
+            .now
+            .saturating_add(put.lifetime_ms.saturating_mul(NANOS_PER_MS)),
+        idempotency_key: put.idempotency_key,
+        body,
+        attempts: vec![],
+    };
+    let admission = match listens {
+        true => delivery.admit(message),
+        false => Err(Rejection::NoCapacity),
+    };
+    let text = match &admission {
+        Ok(_) => "+OK\r\n",
+        Err(Rejection::UnknownClass) => "-ERR c: unknown class\r\n",
+        Err(Rejection::UnknownDestination) => "-ERR dest: unknown destination\r\n",
+        Err(Rejection::LifetimeTooLong) => "-ERR d: longer than the class allows\r\n",
+        Err(Rejection::MissingIdempotencyKey) => "-ERR k: expected in this class\r\n",
+        Err(Rejection::NoCapacity) => {
+            if let Some(class) = class {
+                delivery.runtime.metrics.count(class, End::Rejected);
             }
+            "-BUSY\r\n"
         }
+    };
+    answer(&mut delivery.runtime, id, text);
+    if let Ok(Admission::New(message)) = admission {
+        delivery.decide(&[message]);
     }
 }
--- a/crates/daemon/src/client/resp.rs
+++ b/crates/daemon/src/client/resp.rs
@@ -1,23 +1,29 @@
-//! RESP2 as clients speak it: commands in, replies out. Its words end here.
+//! RESP2 as clients speak it: commands in, answers out. The words of the protocol end here.
 
+use crate::delivery::MAX_BODY_BYTES;
 use std::collections::BTreeMap;
 use std::ops::Range;
+use thiserror::Error;
 
-/// The most that a body may hold.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The most that a whole command may take.
+/// The most that a complete command may take.
 pub const MAX_COMMAND_BYTES: usize = MAX_BODY_BYTES + 4 * 1024;
+/// The most words of a command.
 const MAX_WORDS: usize = 64;
+/// The longest line: of inline words, or of a length.
 const MAX_LINE_BYTES: usize = 1024;
+/// The longest idempotency key.
+const MAX_KEY_BYTES: usize = 64;
+/// Keys and ids are written with this many digits.
+const HEX_DIGITS: usize = 16;
 
-/// What is wrong with a command, said plainly.
+/// Why input is not a command; the text goes into the answer.
 #[derive(Debug, PartialEq)]
 pub struct Malformed(pub &'static str);
 
-/// Where the words of a command stand in the input, and how much of it the command took.
+/// Where the words of a command are in the input, and how much of the input the command took.
 pub type Command = (Vec<Range<usize>>, usize);
 
-/// The line at `from`, and where the next one begins.
+/// The line that begins at `from`, and where the next one begins.
 fn line(bytes: &[u8], from: usize) -> Result<Option<(&[u8], usize)>, Malformed> {
     let rest = &bytes[from..];
     match rest.iter().position(|&b| b == b'\n') {
@@ -42,26 +48,13 @@
         .ok_or(Malformed(wrong))
 }
 
-/// The first command of the input, once all of it has come: an array of bulk strings, or words on one line.
+/// The first command of the input, once all of it has arrived: an array of bulk strings, or words on one line.
 pub fn command(bytes: &[u8]) -> Result<Option<Command>, Malformed> {
     let Some((head, mut at)) = line(bytes, 0)? else {
         return Ok(None);
     };
     if head.first() != Some(&b'*') {
-        let mut words = Vec::new();
-        let mut from = 0;
-        for part in head.split(|b| *b == b' ') {
-            if !part.is_empty() {
-                words.push(from..from + part.len());
-            }
-            from += part.len() + 1;
-        }
-        let plain = head.iter().all(|b| (b' '..=b'~').contains(b));
-        return if plain {
-            Ok(Some((words, at)))
-        } else {
-            Err(Malformed("expected '*'"))
-        };
+        return inline(head).map(|words| Some((words, at)));
     }
     let count = number(&head[1..], MAX_WORDS, "invalid multibulk length")?;
     let mut words = Vec::with_capacity(count);
@@ -84,56 +77,106 @@
     Ok(Some((words, at)))
 }
 
-/// A message as a client hands it in.
+/// Words on one line.
+fn inline(line: &[u8]) -> Result<Vec<Range<usize>>, Malformed> {
+    let mut words = Vec::new();
+    let mut from = 0;
+    for part in line.split(|b| *b == b' ') {
+        if !part.is_empty() {
+            words.push(from..from + part.len());
+        }
+        from += part.len() + 1;
+    }
+    if line.iter().all(|b| (b' '..=b'~').contains(b)) {
+        Ok(words)
+    } else {
+        Err(Malformed("expected '*'"))
+    }
+}
+
+/// MSG.PUT without its body: a message as a client hands it in.
 #[derive(Debug, PartialEq)]
 pub struct PutCommand {
+    /// Messages of one key are delivered in order; zero for none.
     pub key: u64,
+    /// The client's id of the message.
     pub id: u64,
+    /// The name of its class: field `c`.
     pub class: String,
+    /// Its queue lifetime: field `d`.
     pub lifetime_ms: u64,
+    /// Where it goes: field `dest`.
     pub destination: u64,
+    /// The idempotency key, which may be empty: field `k`.
     pub idempotency_key: String,
 }
 
-/// Reads the words of MSG.PUT but for the body; says which is bad.
-pub fn put(words: &[&[u8]]) -> Result<PutCommand, String> {
+/// Why MSG.PUT is not accepted; the text goes into the answer.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum PutError {
+    /// It has too many or too few words.
+    #[error("wrong number of arguments for 'MSG.PUT': expected key, id, fields and body")]
+    Arguments,
+    /// An argument is not a number as it is to be written.
+    #[error("{0}: expected 16 hex digits")]
+    NotHex(&'static str),
+    /// The fields are not text.
+    #[error("fields: expected text")]
+    FieldsNotText,
+    /// A field occurs twice.
+    #[error("{}: named twice", .0.escape_debug())]
+    Duplicate(String),
+    /// A field is missing or not a number.
+    #[error("{0}: expected a whole number")]
+    NotNumber(&'static str),
+    /// The idempotency key is too long, or has other characters.
+    #[error("k: expected at most 64 plain characters")]
+    Key,
+    /// The class is missing.
+    #[error("c: expected a class")]
+    NoClass,
+}
+
+/// Reads the words of MSG.PUT except the body.
+pub fn put(words: &[&[u8]]) -> Result<PutCommand, PutError> {
     let [_, key, id, fields, _] = words else {
-        return Err(
-            "wrong number of arguments for 'MSG.PUT': expected key, id, fields and body".into(),
-        );
-    };
-    let hex = |name: &str, word: &[u8]| {
-        let digits =
-            word.len() == 16 && word.iter().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        let text = std::str::from_utf8(word).ok().filter(|_| digits);
-        text.and_then(|t| u64::from_str_radix(t, 16).ok())
-            .ok_or(format!("{name}: expected 16 hex digits"))
+        return Err(PutError::Arguments);
     };
     let (key, id) = (hex("key", key)?, hex("id", id)?);
-    let fields = std::str::from_utf8(fields).map_err(|_| "fields: expected text")?;
+    let fields = std::str::from_utf8(fields).or(Err(PutError::FieldsNotText))?;
     let mut values = BTreeMap::new();
     for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
         if values.insert(name, value).is_some() {
-            return Err(format!("{}: named twice", name.escape_debug()));
+            return Err(PutError::Duplicate(name.to_string()));
         }
     }
-    let find = |name: &str| values.get(name).copied();
-    let whole = |name: &str| {
-        let digits = find(name).filter(|v| v.bytes().all(|b| b.is_ascii_digit()));
+    let number = |name: &'static str| {
+        let digits = values
+            .get(name)
+            .filter(|value| value.bytes().all(|b| b.is_ascii_digit()));
         digits
-            .and_then(|v| v.parse::<u64>().ok())
-            .ok_or(format!("{name}: expected a whole number"))
+            .and_then(|value| value.parse::<u64>().ok())
+            .ok_or(PutError::NotNumber(name))
     };
-    let idempotency_key = find("k").unwrap_or("");
-    if idempotency_key.len() > 64 || !idempotency_key.bytes().all(|b| b.is_ascii_graphic()) {
-        return Err("k: expected at most 64 plain characters".into());
+    let idempotency_key = values.get("k").copied().unwrap_or("");
+    let plain = idempotency_key.bytes().all(|b| b.is_ascii_graphic());
+    if idempotency_key.len() > MAX_KEY_BYTES || !plain {
+        return Err(PutError::Key);
     }
     Ok(PutCommand {
         key,
         id,
-        class: find("c").ok_or("c: expected a class")?.to_string(),
-        lifetime_ms: whole("d")?,
-        destination: whole("dest")?,
+        class: values.get("c").ok_or(PutError::NoClass)?.to_string(),
+        lifetime_ms: number("d")?,
+        destination: number("dest")?,
         idempotency_key: idempotency_key.to_string(),
     })
 }
+
+fn hex(name: &'static str, word: &[u8]) -> Result<u64, PutError> {
+    let digits =
+        word.len() == HEX_DIGITS && word.iter().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    let text = std::str::from_utf8(word).ok().filter(|_| digits);
+    text.and_then(|t| u64::from_str_radix(t, 16).ok())
+        .ok_or(PutError::NotHex(name))
+}
--- a/crates/daemon/src/connection/listeners.rs
+++ b/crates/daemon/src/connection/listeners.rs
@@ -1,27 +1,26 @@
-//! The listeners for clients and for admin requests, and the pipe on which signals arrive.
+//! The listeners for clients and for operators, and the pipe on which signals arrive.
 
-use super::table::{ADMIN_LISTENER, CLIENT_LISTENER, SIGNALS, add};
-use crate::connection::{ConnectionId, ConnectionTable, MAX_ADMIN_CONNECTIONS, Role};
+use super::socket::BufferBounds;
+use super::table::{ADMIN_LISTENER, CLIENT_LISTENER, Handshake, SIGNALS, add};
+use super::{ConnectionId, ConnectionTable, Role};
 use crate::ring_buffer::RingBuffer;
 use polling::Event;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
+/// A read of the signals' pipe takes this much.
+const SIGNAL_BUFFER_BYTES: usize = 64;
+
 impl ConnectionTable {
-    /// The next client that waits to be let in.
-    pub fn accept_client(&mut self) -> io::Result<Option<ConnectionId>> {
+    /// The next client that waits to be accepted; `bound` is that of both buffers.
+    pub(crate) fn accept_client(&mut self, bound: usize) -> io::Result<Option<ConnectionId>> {
         let Some(listener) = &self.listener else {
             return Ok(None);
         };
-        self.insert_accepted(
-            listener.accept(),
-            Role::Client,
-            crate::client::resp::MAX_COMMAND_BYTES,
-        )
+        self.insert_accepted(listener.accept(), Role::Client, bound)
     }
 
-    /// What came of accepting on a listener; `bound` is that of both rings.
-    pub(crate) fn insert_accepted(
+    fn insert_accepted(
         &mut self,
         accepted: io::Result<(TcpStream, SocketAddr)>,
         role: Role,
@@ -30,32 +29,28 @@
         match accepted {
             Ok((stream, _)) => {
                 stream.set_nonblocking(true)?;
-                self.insert(stream, role, (bound, bound), false).map(Some)
+                let bounds = BufferBounds {
+                    input: bound,
+                    output: bound,
+                };
+                self.insert(stream, role, bounds, Handshake::Over).map(Some)
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
             Err(e) => Err(e),
         }
     }
 
-    /// Listens for operators' calls too.
-    pub fn listen_admin(&mut self, listener: TcpListener) -> io::Result<()> {
+    /// Listens for operators too.
+    pub(crate) fn listen_admin(&mut self, listener: TcpListener) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         add(&self.poller, &listener, Event::readable(ADMIN_LISTENER))?;
         self.admin_listener = Some(listener);
-        self.max_connections = self
-            .max_connections
-            .saturating_sub(MAX_ADMIN_CONNECTIONS)
-            .max(8);
-        self.max_clients = self
-            .max_clients
-            .saturating_sub(MAX_ADMIN_CONNECTIONS)
-            .max(self.max_connections / 4)
-            .max(1);
+        self.limits.reserve_for_admin();
         Ok(())
     }
 
-    /// The next caller that waits on the management listener; the listener is armed again.
-    pub fn accept_admin(&mut self, bound: usize) -> io::Result<Option<ConnectionId>> {
+    /// The next operator that waits to be accepted; `bound` is that of both buffers. The listener is armed again.
+    pub(crate) fn accept_admin(&mut self, bound: usize) -> io::Result<Option<ConnectionId>> {
         let Some(listener) = &self.admin_listener else {
             return Ok(None);
         };
@@ -65,21 +60,24 @@
         self.insert_accepted(accepted, Role::Admin, bound)
     }
 
-    pub fn arm_listener(&self) -> io::Result<()> {
+    /// Has the poller watch the clients' listener again.
+    pub(crate) fn arm_listener(&self) -> io::Result<()> {
         self.listener.as_ref().map_or(Ok(()), |l| {
             self.poller.modify(l, Event::readable(CLIENT_LISTENER))
         })
     }
 
-    pub fn close_listener(&mut self) {
+    /// Closes the clients' listener.
+    pub(crate) fn close_listener(&mut self) {
         if let Some(listener) = self.listener.take() {
-            let _ = self.poller.delete(&listener);
+            // It is closed all the same, and the kernel removes it then.
+            self.poller.delete(&listener).ok();
         }
     }
 
     /// Empties the pipe of signals and arms it again.
-    pub fn drain_signals(&mut self) -> io::Result<()> {
-        let mut ring = RingBuffer::new(64);
+    pub(crate) fn drain_signals(&mut self) -> io::Result<()> {
+        let mut ring = RingBuffer::new(SIGNAL_BUFFER_BYTES);
         ring.read_from(&mut self.signals)?;
         self.poller.modify(&self.signals, Event::readable(SIGNALS))
     }
--- a/crates/daemon/src/connection/mod.rs
+++ b/crates/daemon/src/connection/mod.rs
@@ -8,12 +8,13 @@
 mod socket;
 mod table;
 
-pub use limits::MAX_ADMIN_CONNECTIONS;
-pub use socket::Connection;
-pub use table::{ConnectionTable, PollEvent};
+pub(crate) use limits::{ConnectionLimits, MAX_ADMIN_CONNECTIONS};
+pub(crate) use socket::{BufferBounds, Connection};
+pub(crate) use table::{ConnectionTable, PollEvent};
 
+/// The number of a connection; a later connection never has the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnectionId(u64);
+pub(crate) struct ConnectionId(u64);
 
 impl SlotId for ConnectionId {
     fn from_raw(raw: u64) -> Self {
@@ -24,13 +25,17 @@
     }
 }
 
-/// Whom a connection is with.
+/// Who is at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Role {
+pub(crate) enum Role {
+    /// A client that hands in messages.
     Client,
+    /// An endpoint, to which messages are delivered.
     Endpoint(EndpointId),
+    /// Discovery or a control process, whose configuration is watched.
     Watch,
+    /// The platform, which takes notifications.
     Notifications,
-    /// An operator's caller on the management listener.
+    /// An operator.
     Admin,
 }
--- a/crates/daemon/src/connection/table.rs
+++ b/crates/daemon/src/connection/table.rs
@@ -1,7 +1,8 @@
 //! The table of connections: the one owner of every socket and of the poller.
 
-use super::limits::{CLIENT_BYTES, RESERVED_DESCRIPTORS};
-use crate::connection::{Connection, ConnectionId, Role};
+use super::limits::ConnectionLimits;
+use super::socket::{BufferBounds, Interest};
+use super::{Connection, ConnectionId, Role};
 use crate::ring_buffer::RingBuffer;
 use crate::slot_table::SlotTable;
 use polling::{Event, Events, Poller};
@@ -11,61 +12,68 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// The poller's keys of what is no connection; connections' numbers stay far below.
+/// The poller's keys of what is not a connection; the numbers of connections stay far below.
 pub(super) const CLIENT_LISTENER: usize = usize::MAX - 1;
-
 pub(super) const SIGNALS: usize = usize::MAX - 2;
-
 pub(super) const ADMIN_LISTENER: usize = usize::MAX - 3;
-
-/// A connection's number goes through the poller as a key.
+/// A connection's number is used as the poller's key.
 const _: () = assert!(usize::BITS == 64);
 
-/// What the poller saw.
-pub enum PollEvent {
+/// What the poller has reported.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum PollEvent {
+    /// A client waits to be accepted.
     ClientListener,
+    /// An operator waits to be accepted.
     AdminListener,
+    /// A signal has arrived.
     Signals,
+    /// A connection can be read or written.
     Connection(ConnectionId),
 }
 
-pub struct ConnectionTable {
+/// Whether the TCP handshake of a new connection is over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Handshake {
+    UnderWay,
+    Over,
+}
+
+/// All connections of the process.
+pub(crate) struct ConnectionTable {
     pub(super) poller: Poller,
     events: Events,
     connections: SlotTable<ConnectionId, Connection>,
     pub(super) listener: Option<TcpListener>,
     pub(super) admin_listener: Option<TcpListener>,
     pub(super) signals: UnixStream,
-    /// The most connections that may be open, and of these the most that clients may hold.
-    pub max_connections: usize,
-    pub max_clients: usize,
+    pub(super) limits: ConnectionLimits,
     pub(super) clients: usize,
     pub(super) admins: usize,
 }
 
 /// The one place where the poller is handed a source.
-#[allow(unsafe_code)]
+#[expect(
+    unsafe_code,
+    reason = "the poller borrows descriptors without a lifetime"
+)]
 pub(super) fn add(poller: &Poller, source: &impl AsRawFd, event: Event) -> io::Result<()> {
     // SAFETY: whatever is added is owned by `ConnectionTable`, which deletes it from the poller before it is closed.
     unsafe { poller.add(source, event) }
 }
 
 impl ConnectionTable {
-    /// `sockets` is the limit on descriptors, of which `reserve` are kept from clients; `client_bytes` is the memory
-    /// that clients' rings may take.
-    pub fn new(
+    /// A table with the clients' listener and the pipe of signals.
+    pub(crate) fn new(
         listener: TcpListener,
         signals: UnixStream,
-        sockets: usize,
-        reserve: usize,
-        client_bytes: usize,
+        limits: ConnectionLimits,
     ) -> io::Result<ConnectionTable> {
         let poller = Poller::new()?;
         listener.set_nonblocking(true)?;
         signals.set_nonblocking(true)?;
         add(&poller, &listener, Event::readable(CLIENT_LISTENER))?;
         add(&poller, &signals, Event::readable(SIGNALS))?;
-        let most = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         Ok(ConnectionTable {
             poller,
             events: Events::new(),
@@ -73,21 +81,16 @@
             listener: Some(listener),
             admin_listener: None,
             signals,
-            max_connections: most,
-            max_clients: most
-                .saturating_sub(reserve)
-                .max(most / 4)
-                .min(client_bytes / CLIENT_BYTES)
-                .max(1),
+            limits,
             clients: 0,
             admins: 0,
         })
     }
 
-    /// Waits for something to happen, no longer than this.
-    pub fn wait(&mut self, most: Option<Duration>) -> io::Result<Vec<PollEvent>> {
+    /// Waits until something happens, at most for `timeout`.
+    pub(crate) fn wait(&mut self, timeout: Option<Duration>) -> io::Result<Vec<PollEvent>> {
         self.events.clear();
-        match self.poller.wait(&mut self.events, most) {
+        match self.poller.wait(&mut self.events, timeout) {
             Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
             _ => {}
         }
@@ -100,7 +103,7 @@
                 key => {
                     let id = ConnectionId(key as u64);
                     match self.connections.get_mut(id) {
-                        // The poller tells once, then waits to be armed again.
+                        // The poller reports once, then waits to be armed again.
                         Some(conn) => conn.armed = None,
                         None => continue,
                     }
@@ -111,20 +114,17 @@
         Ok(seen)
     }
 
-    pub fn len(&self) -> usize {
+    /// How many connections are open.
+    pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.connections.is_empty()
-    }
-
-    /// Starts a connection; it is up once it has become writable without an error.
-    pub fn open(
+    /// Opens a connection; it is established once it is writable without an error.
+    pub(crate) fn open(
         &mut self,
         to: SocketAddr,
         role: Role,
-        bounds: (usize, usize),
+        bounds: BufferBounds,
     ) -> io::Result<ConnectionId> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(to),
@@ -136,29 +136,33 @@
             Err(e) if !connect_in_progress(&e) => return Err(e),
             _ => {}
         }
-        let id = self.insert(socket.into(), role, bounds, true)?;
-        self.get_mut(id)
-            .into_iter()
-            .for_each(|conn| conn.opened_to = Some(to));
+        let id = self.insert(socket.into(), role, bounds, Handshake::UnderWay)?;
+        if let Some(conn) = self.get_mut(id) {
+            conn.opened_to = Some(to);
+        }
         Ok(id)
     }
 
-    pub(crate) fn insert(
+    pub(super) fn insert(
         &mut self,
         stream: TcpStream,
         role: Role,
-        bounds: (usize, usize),
-        connecting: bool,
+        bounds: BufferBounds,
+        handshake: Handshake,
     ) -> io::Result<ConnectionId> {
-        // Small writes must not wait for acknowledgements; without it the connection still works.
-        let _ = stream.set_nodelay(true);
-        let armed = (!connecting, connecting);
+        // Small writes should not wait for acknowledgements; without the option the connection works too.
+        stream.set_nodelay(true).ok();
+        let connecting = handshake == Handshake::UnderWay;
+        let interest = Interest {
+            read: !connecting,
+            write: connecting,
+        };
         let id = self.connections.insert(|_| Connection {
             stream,
             role,
             opened_to: None,
-            input: RingBuffer::new(bounds.0),
-            output: RingBuffer::new(bounds.1),
+            input: RingBuffer::new(bounds.input),
+            output: RingBuffer::new(bounds.output),
             connecting,
             close_after_output: false,
             peer_closed: false,
@@ -167,10 +171,10 @@
             last_received: 0,
             answered: false,
             protocol_errors: 0,
-            armed: Some(armed),
+            armed: Some(interest),
         });
-        let conn = self.connections.get(id).expect("just added");
-        let added = add(&self.poller, &conn.stream, event(id, armed));
+        let conn = self.connections.get(id).expect("just inserted");
+        let added = add(&self.poller, &conn.stream, event(id, interest));
         self.clients += usize::from(role == Role::Client);
         self.admins += usize::from(role == Role::Admin);
         if let Err(e) = added {
@@ -180,43 +184,55 @@
         Ok(id)
     }
 
-    /// The one place where a connection is given back.
-    pub fn close(&mut self, id: ConnectionId) {
+    /// The one place where a connection is closed.
+    pub(crate) fn close(&mut self, id: ConnectionId) {
         if let Some(conn) = self.connections.remove(id) {
             self.clients -= usize::from(conn.role == Role::Client);
             self.admins -= usize::from(conn.role == Role::Admin);
-            let _ = self.poller.delete(&conn.stream);
+            // It is closed all the same, and the kernel removes it then.
+            self.poller.delete(&conn.stream).ok();
         }
     }
 
-    pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
+    /// A connection, if it is open.
+    pub(crate) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(id)
     }
 
-    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    /// A connection, if it is open.
+    pub(crate) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
+    /// All open connections.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         self.connections.iter()
     }
 
-    /// What came of a rising connection.
-    pub fn finish_connect(&mut self, id: ConnectionId) -> io::Result<()> {
+    /// The numbers of all clients' connections.
+    pub(crate) fn clients(&self) -> Vec<ConnectionId> {
+        self.iter()
+            .filter(|(_, c)| c.role == Role::Client)
+            .map(|(id, _)| id)
+            .collect()
+    }
+
+    /// Ends the handshake of a connection that the poller has reported, with its error if it failed.
+    pub(crate) fn finish_connect(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
         };
         if let Some(e) = conn.stream.take_error()? {
             return Err(e);
         }
-        // It is told once the handshake is over: one that has no other side then has failed.
+        // The poller reports when the handshake is over: with no peer then, it has failed.
         conn.stream.peer_addr()?;
         conn.connecting = false;
         Ok(())
     }
 
-    /// Ends the sending side, so that the other side reads all that was written before the end.
-    pub fn shutdown_write(&mut self, id: ConnectionId) -> io::Result<()> {
+    /// Shuts down the sending side, so that the other side can read all that was sent before.
+    pub(crate) fn shutdown_write(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
         };
@@ -224,8 +240,8 @@
         conn.stream.shutdown(Shutdown::Write)
     }
 
-    /// Reads what has come.
-    pub fn read(&mut self, id: ConnectionId) -> io::Result<()> {
+    /// Reads what has arrived into the input buffer.
+    pub(crate) fn read(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
         };
@@ -233,8 +249,8 @@
         Ok(())
     }
 
-    /// Writes what can be written.
-    pub fn flush(&mut self, id: ConnectionId) -> io::Result<()> {
+    /// Sends as much of the output buffer as the kernel takes.
+    pub(crate) fn flush(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id).filter(|c| !c.connecting) else {
             return Ok(());
         };
@@ -242,18 +258,20 @@
         self.arm(id)
     }
 
-    /// Has the poller watch for what the connection waits for. With a full input, or much unread output, nothing more
-    /// is read from it.
-    pub fn arm(&mut self, id: ConnectionId) -> io::Result<()> {
+    /// Has the poller watch for what the connection waits for. With a full input buffer, or much output that the other
+    /// side does not read, nothing more is read from it.
+    pub(crate) fn arm(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
         };
         let unread = conn.output.len() > conn.output.available();
-        let read = !conn.connecting && !conn.peer_closed && conn.input.available() > 0 && !unread;
-        let lookup = (read, conn.connecting || !conn.output.is_empty());
-        if conn.armed != Some(lookup) {
-            conn.armed = Some(lookup);
-            self.poller.modify(&conn.stream, event(id, lookup))?;
+        let interest = Interest {
+            read: !conn.connecting && !conn.peer_closed && conn.input.available() > 0 && !unread,
+            write: conn.connecting || !conn.output.is_empty(),
+        };
+        if conn.armed != Some(interest) {
+            conn.armed = Some(interest);
+            self.poller.modify(&conn.stream, event(id, interest))?;
         }
         Ok(())
     }
@@ -264,14 +282,15 @@
         let open: Vec<ConnectionId> = self.iter().map(|(id, _)| id).collect();
         open.into_iter().for_each(|id| self.close(id));
         self.close_listener();
-        if let Some(admin_listener) = self.admin_listener.take() {
-            let _ = self.poller.delete(&admin_listener);
+        // What is deleted here is closed next, and the kernel removes it then.
+        if let Some(listener) = self.admin_listener.take() {
+            self.poller.delete(&listener).ok();
         }
-        let _ = self.poller.delete(&self.signals);
+        self.poller.delete(&self.signals).ok();
     }
 }
 
-/// Whether a connect that answered this is under way: one that was interrupted goes on by itself too.
+/// Whether a connect with this error is under way; one that was interrupted also continues by itself.
 fn connect_in_progress(e: &io::Error) -> bool {
     e.raw_os_error() == Some(libc::EINPROGRESS)
         || matches!(
@@ -280,6 +299,6 @@
         )
 }
 
-fn event(id: ConnectionId, (read, write): (bool, bool)) -> Event {
-    Event::new(id.0 as usize, read, write)
+fn event(id: ConnectionId, interest: Interest) -> Event {
+    Event::new(id.0 as usize, interest.read, interest.write)
 }
--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: whether a message is accepted, and if not, why.
 
-use crate::delivery::Runtime;
+use super::Delivery;
+use super::message::{DeliveryState, PendingMessage};
 use crate::discovery::WatchIo;
-use crate::event_loop::Daemon;
 use crate::journal::{JournaledAttempt, JournaledMessage};
 use bellsill_core::interface::{
     ClassId, DeliverySemantics, DestinationId, KeyId, MessageHistory, Nanos, NewMessage,
@@ -10,143 +10,150 @@
 };
 use bellsill_discovery_client::{CacheFull, Knowledge};
 
-/// Lifetimes are said in whole milliseconds.
+/// Lifetimes are given in whole milliseconds, so a message may exceed the lifetime of its class by one.
 const LIFETIME_SLACK: Nanos = 1_000_000;
 
+/// An accepted message. Its client is answered, then it is handed to [`Delivery::decide`].
+#[must_use]
+pub(crate) enum Admission {
+    /// It is in the journal.
+    New(JournaledMessage),
+    /// It is pending already, or has ended recently: its client is answered as if it were new.
+    Duplicate,
+}
+
 /// Why a message is not accepted.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Rejection {
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Rejection {
+    /// No class has this name.
     UnknownClass,
+    /// No endpoint serves the destination.
     UnknownDestination,
-    /// Its queue class is tagged, and it carries no tag.
+    /// Messages of its class need an idempotency key.
     MissingIdempotencyKey,
-    /// It says a longer queue lifetime than its class has.
+    /// Its queue lifetime is longer than that of its class.
     LifetimeTooLong,
-    /// Handing it in again is harmless.
+    /// Its client may send it again.
     NoCapacity,
 }
 
-impl Runtime {
-    /// Holds a message that is new to the journal. False: there is no room.
-    pub(crate) fn accept_journaled(&mut self, message: JournaledMessage) -> bool {
-        if self.journal.append_accepted(&message).is_err() {
-            return false;
-        }
-        self.insert(message);
-        true
-    }
-
-    /// Whether messages for a destination are taken: an endpoint of it is known, or it can be looked up.
-    pub(crate) fn accepts_destination(&self, destination: u64) -> bool {
-        let Some(list) = self.discovery.scoped_list() else {
-            return self.endpoints.has_destination(destination);
-        };
-        list.knowledge(destination) != Knowledge::Cached
-            || list.entries_of(destination).next().is_some()
-    }
-}
-
-impl Daemon {
-    /// Accepts a message, by whatever front it came: it is written to the journal, then its client is answered, then the
-    /// decisions begin. One that is held already, or has ended of late, is answered like one that was just taken.
-    pub fn accept(
-        &mut self,
-        message: JournaledMessage,
-        answer: impl FnOnce(&mut Runtime),
-    ) -> Result<(), Rejection> {
-        let takes = self.accepts_messages();
-        let runtime = &mut self.runtime;
-        let class = runtime
-            .class_of(&message.class)
+impl Delivery {
+    /// Accepts a message if there is capacity for it, and writes it to the journal.
+    pub(crate) fn admit(&mut self, message: JournaledMessage) -> Result<Admission, Rejection> {
+        let class = self
+            .class_index(&message.class)
             .ok_or(Rejection::UnknownClass)?;
-        let facts = &self.classes[class];
+        let settings = &self.classes[class];
         if message.idempotency_key.is_empty()
-            && matches!(facts.semantics, DeliverySemantics::IdempotencyKey { .. })
+            && matches!(settings.semantics, DeliverySemantics::IdempotencyKey { .. })
         {
             return Err(Rejection::MissingIdempotencyKey);
         }
-        if message.deadline > runtime.now + facts.lifetime + LIFETIME_SLACK {
+        if message.deadline > self.runtime.now + settings.lifetime + LIFETIME_SLACK {
             return Err(Rejection::LifetimeTooLong);
         }
-        if !runtime.accepts_destination(message.destination) {
+        if !self.may_have_endpoints(message.destination) {
             return Err(Rejection::UnknownDestination);
         }
-        if runtime.by_id.contains_key(&message.id) || runtime.recently_ended.contains(message.id) {
-            answer(runtime);
-            return Ok(());
+        if self.runtime.messages.is_known(message.id) {
+            return Ok(Admission::Duplicate);
         }
         let admitted = self
             .dispatcher
             .admits(ClassId(class), DestinationId(message.destination));
-        if !takes || !admitted || self.look_up(message.destination).is_err() {
+        if self.stopped || !admitted || self.look_up(message.destination).is_err() {
             return Err(Rejection::NoCapacity);
         }
-        let runtime = &mut self.runtime;
-        if !runtime.accept_journaled(message.clone()) {
+        if self.runtime.journal.append_accepted(&message).is_err() {
             return Err(Rejection::NoCapacity);
         }
-        answer(runtime);
-        self.decide_on(&[message]);
-        Ok(())
+        self.insert(message.clone());
+        Ok(Admission::New(message))
     }
 
-    /// Has a destination looked up that is not known; with no scoped configuration there is nothing to be done.
-    pub fn look_up(&mut self, destination: u64) -> Result<(), CacheFull> {
-        let runtime = &mut self.runtime;
-        let Some(list) = runtime.discovery.scoped_list() else {
+    /// Whether the destination has an endpoint, or may have one that is not looked up yet.
+    fn may_have_endpoints(&self, destination: u64) -> bool {
+        let Some(list) = self.discovery.scoped_list() else {
+            return self.runtime.endpoints.has_destination(destination);
+        };
+        list.knowledge(destination) != Knowledge::Cached
+            || list.entries_of(destination).next().is_some()
+    }
+
+    /// Adds a message that is in the journal to the pending ones.
+    pub(super) fn insert(&mut self, message: JournaledMessage) {
+        let class = self.class_index(&message.class);
+        self.runtime.messages.insert(PendingMessage {
+            id: message.id,
+            destination: message.destination,
+            deadline: message.deadline,
+            class,
+            idempotency_key: message.idempotency_key,
+            body: message.body,
+            state: DeliveryState::Waiting,
+            attempts: message.attempts.len() as u32,
+            attempt: None,
+        });
+    }
+
+    /// Has a destination looked up that is not known. Without a scoped configuration all are known.
+    pub(super) fn look_up(&mut self, destination: u64) -> Result<(), CacheFull> {
+        let Some(list) = self.discovery.scoped_list() else {
             return Ok(());
         };
         if list.knowledge(destination) != Knowledge::Unknown {
-            runtime.discovery.touch(destination);
+            self.discovery.touch(destination);
             return Ok(());
         }
         let mut io = WatchIo {
-            now: runtime.now,
-            connections: &mut runtime.connections,
-            deadlines: &mut runtime.deadlines,
+            now: self.runtime.now,
+            connections: &mut self.runtime.connections,
+            timers: &mut self.runtime.timers,
         };
-        let pending_by_destination = &runtime.pending_by_destination;
-        let in_use = |other: u64| pending_by_destination.contains_key(&other);
-        let gave_way = runtime.discovery.lookup(&mut io, destination, &in_use)?;
-        self.apply_changes(&gave_way);
+        let messages = &self.runtime.messages;
+        let in_use = |other: u64| messages.has_destination(other);
+        let evicted = self.discovery.lookup(&mut io, destination, &in_use)?;
+        self.apply_changes(&evicted);
         Ok(())
     }
 
-    /// Takes messages that are held to the decisions, with what a former process did for them. Those of no class that is
-    /// known are not among them: their end is given where they are found.
-    pub fn decide_on(&mut self, messages: &[JournaledMessage]) {
-        let runtime = &mut self.runtime;
+    /// Hands pending messages to the decisions, with what an earlier process did for them. Their classes are configured.
+    pub(crate) fn decide(&mut self, messages: &[JournaledMessage]) {
+        let zones = self.discovery.zones();
         let new = |message: &JournaledMessage| {
-            // By another class's rules it might run twice.
-            let class = ClassId(runtime.class_of(&message.class)?);
+            // By the rules of another class it might run twice.
+            let class = ClassId(self.class_index(&message.class)?);
             Some(NewMessage {
                 id: message.id,
                 class,
                 key: Some(KeyId(message.key)).filter(|key| key.0 != 0),
                 destination: DestinationId(message.destination),
                 deadline: message.deadline,
-                history: past(&message.attempts, runtime.discovery.zones()),
+                history: history(&message.attempts, zones),
             })
         };
         let all: Vec<NewMessage> = messages.iter().filter_map(new).collect();
-        self.dispatcher.accept(runtime.now, all, runtime);
+        self.dispatcher
+            .accept(self.runtime.now, all, &mut self.runtime);
     }
 }
 
-/// What the decisions are told of a message's past: an outcome that nobody knows may mean that it ran.
-fn past(attempts: &[JournaledAttempt], zones: &[String]) -> MessageHistory {
-    let ran = attempts.iter().find(|c| c.may_have_run != Some(false));
-    let zone = |c: &JournaledAttempt| {
+/// What the decisions know of a message's earlier attempts: one with an unknown outcome may have run.
+fn history(attempts: &[JournaledAttempt], zones: &[String]) -> MessageHistory {
+    let ran = attempts
+        .iter()
+        .find(|attempt| attempt.may_have_run != Some(false));
+    let zone = |attempt: &JournaledAttempt| {
         zones
             .iter()
-            .position(|z| *z == c.zone)
+            .position(|zone| *zone == attempt.zone)
             .unwrap_or(usize::MAX)
     };
     MessageHistory {
         attempts: attempts.len() as u32,
-        possible_run: ran.map(|c| PossibleRun {
-            sent_at: c.sent_at,
-            zone: ZoneId(zone(c)),
+        possible_run: ran.map(|attempt| PossibleRun {
+            sent_at: attempt.sent_at,
+            zone: ZoneId(zone(attempt)),
         }),
     }
 }
--- a/crates/daemon/src/delivery/attempts.rs
+++ b/crates/daemon/src/delivery/attempts.rs
@@ -1,17 +1,34 @@
-//! Attempts in flight: from the connection they wait for to their outcome.
+//! Attempts in flight: from the connection that they wait for to their outcome.
 
-use crate::client::resp::MAX_COMMAND_BYTES;
-use crate::connection::{ConnectionId, Role};
-use crate::delivery::Runtime;
-use crate::delivery::message::{DeliveryState, MessageSlot};
-use crate::endpoint::{MAX_BODY_BYTES, RESPONSE_TIMEOUT, ResponseProgress};
-use crate::event_loop::Daemon;
-use crate::http;
+use super::message::{DeliveryState, MAX_BODY_BYTES};
+use super::runtime::Runtime;
+use crate::connection::{BufferBounds, ConnectionId, Role};
+use crate::endpoint::{RESPONSE_TIMEOUT, ResponseProgress, Reuse, Unassigned, Verdict};
+use crate::http::{self, InvalidLoadReport, Malformed};
+use crate::message_slot::MessageSlot;
 use crate::timer::Timer;
-use bellsill_core::interface::{AttemptEnd, EndpointId, Outcome};
+use bellsill_core::interface::{AttemptEnd, EndpointId, Nanos, Outcome};
+use std::io;
 
-/// Whether a connection could not be opened for want of something on this machine.
-fn is_local(e: &std::io::Error) -> bool {
+/// The most that a request's head takes.
+const REQUEST_HEAD_BYTES: usize = 4 * 1024;
+const REQUEST_BUFFERS: BufferBounds = BufferBounds {
+    input: http::MAX_HEAD_BYTES,
+    output: MAX_BODY_BYTES + REQUEST_HEAD_BYTES,
+};
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// Whether the response to an attempt has brought its outcome.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AttemptProgress {
+    /// The attempt is still in flight.
+    InFlight,
+    /// Its outcome is known and recorded.
+    Ended,
+}
+
+/// Whether a connection could not be opened because this machine has run out of something.
+fn is_local(e: &io::Error) -> bool {
     matches!(
         e.raw_os_error(),
         Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL)
@@ -19,283 +36,252 @@
 }
 
 impl Runtime {
-    /// Finds a connection for an attempt: an idle one, or a new one that has to come up.
-    pub fn connect_attempt(&mut self, slot: MessageSlot, endpoint: EndpointId) {
-        while let Some(conn) = self.endpoints[endpoint].idle.pop() {
-            // After a stand-still its time may be up, and its deadline not seen yet.
-            let in_time = !self.deadlines.is_expired(Timer::Connection(conn), self.now);
-            self.deadlines.clear(Timer::Connection(conn));
-            // The other side may have closed it, and the poller not yet told: a call written then would be lost.
-            let good = in_time
-                && self.connections.read(conn).is_ok()
-                && self
-                    .connections
-                    .get(conn)
-                    .is_some_and(|c| !c.peer_closed && c.input.is_empty());
-            if good {
-                return self.write_request(slot, conn);
-            }
-            self.connections.close(conn);
+    /// Finds a connection for an attempt: an idle one, or a new one that has to be established.
+    pub(super) fn connect_attempt(&mut self, slot: MessageSlot, endpoint: EndpointId) {
+        let (endpoints, mut io) = self.pool();
+        if let Some(conn) = endpoints.take_idle(&mut io, endpoint) {
+            return self.write_request(slot, conn);
         }
         if self.connections.is_full() {
-            self.close_oldest_idle();
+            // If there is none, the table is still full below.
+            self.close_oldest_idle().ok();
         }
-        let bounds = (http::MAX_HEAD_BYTES, MAX_COMMAND_BYTES);
         let opened = match !self.connections.is_full() {
             true => self.connections.open(
-                self.endpoints[endpoint].addr,
+                self.endpoints.addr(endpoint),
                 Role::Endpoint(endpoint),
-                bounds,
+                REQUEST_BUFFERS,
             ),
-            false => Err(std::io::Error::other("no descriptor is left")),
+            false => Err(io::Error::other("no descriptor is left")),
         };
         match opened {
             Ok(conn) => {
-                self.endpoints.attempts.insert(conn, slot);
-                self.deadlines
-                    .set(Timer::Connection(conn), self.now + self.connect_timeout);
-                if let Some(call) = self.messages.get_mut(slot).and_then(|m| m.attempt.as_mut()) {
-                    call.connection = Some(conn);
+                self.attempts.insert(conn, slot);
+                self.timers.set(
+                    Timer::Connection(conn),
+                    self.now + self.settings.connect_timeout,
+                );
+                if let Some(attempt) = self.messages.attempt_mut(slot) {
+                    attempt.connection = Some(conn);
                 }
-                self.transition(slot, crate::delivery::message::DeliveryState::Connecting);
+                self.transition(slot, DeliveryState::Connecting);
             }
-            // Nobody was asked: taken for a refusal it would speak against the endpoint.
+            // The endpoint was not asked: a failed connect would count against it.
             Err(e) if self.connections.is_full() || is_local(&e) => {
-                self.end_attempt(slot, Outcome::NotStarted, false)
+                self.end_attempt(slot, Outcome::NotStarted, false);
             }
             Err(_) => self.end_attempt(slot, Outcome::ConnectFailed, false),
         }
     }
 
-    /// Writes a message to a connection that is up, the journal first.
-    pub fn write_request(&mut self, slot: MessageSlot, conn: ConnectionId) {
+    /// Sends a message on a connection that is established, after the journal has its attempt.
+    pub(super) fn write_request(&mut self, slot: MessageSlot, conn: ConnectionId) {
         let (now, Some(message)) = (self.now, self.messages.get_mut(slot)) else {
             return;
         };
-        let Some(call) = &mut message.attempt else {
+        let Some(attempt) = &mut message.attempt else {
             return;
         };
-        let endpoint = &self.endpoints[call.endpoint];
-        let room = self.journal.append_attempt(message.id, now, &endpoint.zone);
-        let head = crate::http::event_request(
+        let addr = self.endpoints.addr(attempt.endpoint);
+        let zone = self.endpoints.zone(attempt.endpoint);
+        let recorded = self.journal.append_attempt(message.id, now, zone);
+        let head = http::event_request(
             message.id.0,
             &message.idempotency_key,
-            endpoint.addr,
-            call.deadline.saturating_sub(now),
+            addr,
+            attempt.deadline.saturating_sub(now),
             message.body.len(),
         );
-        call.connection = Some(conn);
-        if room.is_err() {
-            self.endpoints.attempts.remove(&conn);
-            self.pool(conn);
+        attempt.connection = Some(conn);
+        if recorded.is_err() {
+            self.attempts.remove(&conn);
+            let (endpoints, mut io) = self.pool();
+            endpoints.pool(&mut io, conn);
             self.end_attempt(slot, Outcome::NotStarted, false);
             return;
         }
-        call.request_started = true;
+        attempt.request_started = true;
         log::debug!(
             "message {:016x}: attempt {} to {} started, {} ms after the decision",
             message.id.0,
-            call.number.0,
-            endpoint.addr,
-            (now - call.started_at) / 1_000_000
+            attempt.number.0,
+            addr,
+            (now - attempt.started_at) / NANOS_PER_MS
         );
         self.metrics.attempts += 1;
         if let Some(to) = self.connections.get_mut(conn) {
-            // The ring is made for the longest call and was empty.
+            // The buffer has room for the largest request and was empty.
             to.output.push(head.as_bytes());
             to.output.push(&message.body);
         }
-        self.endpoints.attempts.insert(conn, slot);
+        self.attempts.insert(conn, slot);
         self.transition(slot, DeliveryState::InFlight);
         if self.connections.flush(conn).is_err() {
             self.abort_attempt(slot, Outcome::ConnectionReset);
         }
     }
 
-    /// Ends a message's attempt: the decisions are told once they are not at work. The connection is the caller's.
-    pub fn end_attempt(&mut self, slot: MessageSlot, outcome: Outcome, over: bool) {
+    /// Ends a message's attempt; the decisions learn of it by the next `settle`. The connection is the caller's to close
+    /// or keep. With `message_ended` the message is over, whatever the outcome.
+    pub(super) fn end_attempt(&mut self, slot: MessageSlot, outcome: Outcome, message_ended: bool) {
         let Some(message) = self.messages.get_mut(slot) else {
             return;
         };
-        let Some(call) = message.attempt.take() else {
+        let Some(attempt) = message.attempt.take() else {
             return;
         };
         if outcome == Outcome::NotStarted {
             message.attempts -= 1;
         }
-        let (id, stage) = (message.id, message.state);
+        let (id, state) = (message.id, message.state);
         log::debug!(
             "message {:016x}: attempt {} ended, request started: {}: {outcome:?}",
             id.0,
-            call.number.0,
-            call.request_started
+            attempt.number.0,
+            attempt.request_started
         );
-        self.deadlines.clear(Timer::Attempt(slot));
-        let was_over = stage.is_final();
-        if call.request_started && !was_over && outcome != Outcome::Delivered {
-            // Until it is written the message counts as one that may have run.
-            let _ = self.journal.append_outcome(id, outcome.may_have_run());
+        self.timers.clear(Timer::Attempt(slot));
+        let was_final = state.is_final();
+        if attempt.request_started && !was_final && outcome != Outcome::Delivered {
+            // Until it is written, the message counts as one that may have run.
+            self.journal.append_outcome(id, outcome.may_have_run()).ok();
         }
-        let over = over || was_over || outcome == Outcome::Delivered;
-        self.transition(
-            slot,
-            match outcome {
-                _ if was_over => stage,
-                Outcome::Delivered => DeliveryState::Delivered,
-                _ if over => DeliveryState::Withdrawn,
-                _ => DeliveryState::Waiting,
-            },
-        );
-        let took = self.now - call.started_at;
+        let message_ended = message_ended || was_final || outcome == Outcome::Delivered;
+        let next = match outcome {
+            _ if was_final => state,
+            Outcome::Delivered => DeliveryState::Delivered,
+            _ if message_ended => DeliveryState::Withdrawn,
+            _ => DeliveryState::Waiting,
+        };
+        self.transition(slot, next);
         self.attempt_ends.push_back(AttemptEnd {
             message: id,
-            number: call.number,
+            number: attempt.number,
             outcome,
-            message_ended: over,
-            elapsed: took,
-            reported_limit: call.reported_limit,
+            message_ended,
+            elapsed: self.now - attempt.started_at,
+            reported_limit: attempt.reported_limit,
         });
     }
 
-    /// Breaks an attempt off: its connection is closed, which tells the endpoint. What has come until then is read first: an
-    /// answer that arrived in the moment in which its time fell due, or in which it is called off, is an answer.
-    pub fn abort_attempt(&mut self, slot: MessageSlot, outcome: Outcome) {
-        let Some(call) = self.messages.get(slot).and_then(|m| m.attempt) else {
+    /// Aborts an attempt by closing its connection. What has arrived until then is read first: a response that arrived
+    /// just when the attempt reached its deadline or was cancelled is a response.
+    pub(crate) fn abort_attempt(&mut self, slot: MessageSlot, outcome: Outcome) {
+        let Some(attempt) = self.messages.attempt(slot) else {
             return;
         };
-        let in_time = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
-        if let Some(conn) = call.connection.filter(|_| call.request_started && in_time) {
-            // What cannot be read is as good as not come.
-            let _ = self.connections.read(conn);
-            if matches!(self.read_attempt_response(conn, slot), Ok(true)) {
+        let may_have_answered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
+        if let Some(conn) = attempt
+            .connection
+            .filter(|_| attempt.request_started && may_have_answered)
+        {
+            // What cannot be read counts as not arrived.
+            self.connections.read(conn).ok();
+            if matches!(self.read_response(conn, slot), Ok(AttemptProgress::Ended)) {
                 return;
             }
         }
-        let written = call
+        let written = attempt
             .connection
             .and_then(|c| self.connections.get(c))
             .is_some_and(|c| c.output.is_empty());
         let outcome = match outcome {
             Outcome::NotSent { .. } | Outcome::NotStarted => outcome,
-            // Not all of it was written: it never ran.
-            _ if !call.request_started || !written => Outcome::ConnectFailed,
+            // A request that was not sent completely has not run.
+            _ if !attempt.request_started || !written => Outcome::ConnectFailed,
             outcome => outcome,
         };
-        if let Some(conn) = call.connection {
-            self.endpoints.attempts.remove(&conn);
-            self.endpoints.responses.remove(&conn);
-            self.deadlines.clear(Timer::Connection(conn));
+        if let Some(conn) = attempt.connection {
+            self.attempts.remove(&conn);
+            self.responses.remove(&conn);
+            self.timers.clear(Timer::Connection(conn));
             self.connections.close(conn);
         }
         self.end_attempt(slot, outcome, false);
     }
 
-    /// Whether an attempt's time is not up.
-    pub(crate) fn in_time(&self, slot: MessageSlot) -> bool {
+    /// The timer of a connection to an endpoint has expired.
+    pub(crate) fn endpoint_connection_timed_out(&mut self, id: ConnectionId) {
+        match self.attempts.get(&id) {
+            Some(&slot) if self.responses.contains_key(&id) => {
+                self.abort_attempt(slot, Outcome::MalformedResponse);
+            }
+            Some(&slot) => self.abort_attempt(slot, Outcome::ConnectFailed),
+            None => {
+                let (endpoints, mut io) = self.pool();
+                endpoints.close_connection(&mut io, id);
+            }
+        }
+    }
+
+    /// Ends what waits for a connection to the earlier address of an endpoint, which may be another's by then.
+    pub(super) fn abort_connecting(&mut self, endpoint: EndpointId) {
+        let connecting = |id: &ConnectionId| {
+            self.connections
+                .get(*id)
+                .is_some_and(|c| c.connecting && c.role == Role::Endpoint(endpoint))
+        };
+        let attempts = self.attempts.iter().filter(|(id, _)| connecting(id));
+        for slot in attempts.map(|(_, slot)| *slot).collect::<Vec<_>>() {
+            self.abort_attempt(slot, Outcome::NotSent { no_capacity: false });
+        }
+    }
+
+    /// Whether an attempt has not reached its deadline.
+    pub(super) fn before_deadline(&self, slot: MessageSlot) -> bool {
         self.messages
-            .get(slot)
-            .and_then(|m| m.attempt)
-            .is_some_and(|c| self.now < c.deadline)
+            .attempt(slot)
+            .is_some_and(|attempt| self.now < attempt.deadline)
     }
 
-    /// The answer to a call, as far as it has come. True: it is known. Anything but a message relayed is believed only when
-    /// the answer is whole and sound: a spoilt one may stand for a message that ran, and would go out again.
-    pub fn read_attempt_response(
+    /// Reads the response to an attempt as far as it has arrived, and ends the attempt once the outcome is certain.
+    pub(super) fn read_response(
         &mut self,
         id: ConnectionId,
         slot: MessageSlot,
-    ) -> Result<bool, http::Malformed> {
+    ) -> Result<AttemptProgress, Malformed> {
         let Some(conn) = self.connections.get_mut(id) else {
-            return Ok(true);
+            return Ok(AttemptProgress::Ended);
         };
         if conn.input.is_empty() && !conn.peer_closed {
-            return Ok(false);
+            return Ok(AttemptProgress::InFlight);
         }
-        let written = conn.output.is_empty();
-        let begun = self.endpoints.responses.remove(&id);
-        if begun.is_none() {
-            self.deadlines
+        let mut progress = self.responses.remove(&id).unwrap_or_else(|| {
+            self.timers
                 .set(Timer::Connection(id), self.now + RESPONSE_TIMEOUT);
-        }
-        let mut answer = begun.unwrap_or(ResponseProgress {
-            head: None,
-            left: MAX_BODY_BYTES,
+            ResponseProgress::new()
         });
-        let read = self.read_response(id, &mut answer);
-        let first = self
-            .connections
-            .get_mut(id)
-            .is_some_and(|c| http::starts_with_success(c.input.contiguous()));
-        let (status, retry_after) = answer
-            .head
-            .as_ref()
-            .map_or((0, None), |head| (head.status, head.retry_after));
-        let relayed = status == 200 || (answer.head.is_none() && first);
-        let outcome = match status {
-            _ if relayed => Outcome::Delivered,
-            _ if !read? => {
-                self.endpoints.responses.insert(id, answer);
-                return Ok(false);
-            }
-            503 if retry_after.is_none()
-                && answer.head.as_ref().is_some_and(|head| head.no_capacity) =>
-            {
-                Outcome::NotSent { no_capacity: true }
+        let response = match progress.advance(conn)? {
+            Verdict::Known(response) => response,
+            Verdict::Incomplete => {
+                self.responses.insert(id, progress);
+                return Ok(AttemptProgress::InFlight);
             }
-            // A server with no place for one more connection takes it, says so and closes it: no limit was met. Could
-            // take another refusal for that, where the server closes after each: that route alone then rests.
-            503 if retry_after.is_none()
-                && answer
-                    .head
-                    .as_ref()
-                    .is_some_and(|head| head.closes_connection) =>
-            {
-                Outcome::ConnectFailed
-            }
-            429 | 503 => Outcome::RateLimited { retry_after },
-            504 | 410 => Outcome::NotSent { no_capacity: false },
-            _ => Outcome::ServerError,
         };
-        let report = answer
-            .head
-            .as_ref()
-            .and_then(|head| head.load_report)
-            .filter(|_| self.reports_limits);
+        let report = response
+            .load_report
+            .filter(|_| self.settings.reports_limits);
         self.apply_load_report(slot, report);
-        self.endpoints.attempts.remove(&id);
-        match read {
-            Ok(whole)
-                if written
-                    && !answer
-                        .head
-                        .as_ref()
-                        .is_some_and(|head| head.closes_connection) =>
-            {
-                self.endpoints.draining_responses.insert(id, answer);
-                if whole {
-                    self.response_complete(id);
-                } else if self.connections.arm(id).is_err() {
-                    self.close_idle(id);
-                }
-            }
-            _ => self.close_idle(id),
+        self.attempts.remove(&id);
+        let (endpoints, mut io) = self.pool();
+        match response.reuse {
+            Reuse::Now => endpoints.give_back(&mut io, id, progress, Unassigned::Idle),
+            Reuse::AfterRest => endpoints.give_back(&mut io, id, progress, Unassigned::MoreToRead),
+            Reuse::Close => endpoints.close_connection(&mut io, id),
         }
-        self.end_attempt(slot, outcome, status == 410);
-        Ok(true)
+        self.end_attempt(slot, response.outcome, response.ends_message);
+        Ok(AttemptProgress::Ended)
     }
 
-    /// A report that cannot be read changes nothing; that is said once.
-    pub(crate) fn apply_load_report(
+    /// A report that cannot be read changes nothing; that is logged once.
+    fn apply_load_report(
         &mut self,
         slot: MessageSlot,
-        report: Option<Result<f64, http::InvalidLoadReport>>,
+        report: Option<Result<f64, InvalidLoadReport>>,
     ) {
-        match (
-            report,
-            self.messages.get_mut(slot).and_then(|m| m.attempt.as_mut()),
-        ) {
-            (Some(Ok(limit)), Some(call)) => call.reported_limit = Some(limit),
-            (Some(Err(http::InvalidLoadReport)), _)
+        match (report, self.messages.attempt_mut(slot)) {
+            (Some(Ok(limit)), Some(attempt)) => attempt.reported_limit = Some(limit),
+            (Some(Err(InvalidLoadReport)), _)
                 if !std::mem::replace(&mut self.invalid_report_logged, true) =>
             {
                 log::warn!(
@@ -307,112 +293,3 @@
         }
     }
 }
-
-impl Daemon {
-    /// Something happened on a connection to an endpoint.
-    pub fn endpoint_ready(&mut self, id: ConnectionId) {
-        let runtime = &mut self.runtime;
-        let Some(conn) = runtime.connections.get(id) else {
-            return;
-        };
-        let Some(&slot) = runtime.endpoints.attempts.get(&id) else {
-            return self.unassigned_ready(id);
-        };
-        if conn.connecting {
-            return self.connection_established(id, slot);
-        }
-        let filled = runtime.connections.read(id);
-        let ended = filled.is_err() || runtime.connections.get(id).is_some_and(|c| c.peer_closed);
-        match self.runtime.read_attempt_response(id, slot) {
-            Ok(true) => {}
-            // What is not written by its time is not written later: its deadline is the next thing seen.
-            Ok(false) if !ended && !self.runtime.in_time(slot) => {}
-            // Half written, and its window has closed, or a drain or a wait has begun: what is not whole never runs.
-            Ok(false) if !ended && self.must_abort_partial_request(slot) => {
-                self.runtime.abort_attempt(slot, Outcome::ConnectionReset)
-            }
-            Ok(false) if !ended && self.runtime.connections.flush(id).is_ok() => {}
-            // The end before an answer: nobody knows whether it ran.
-            Ok(_) => self.runtime.abort_attempt(slot, Outcome::ConnectionReset),
-            Err(_) => self.runtime.abort_attempt(slot, Outcome::MalformedResponse),
-        }
-    }
-
-    /// While the connection came up its endpoint may have started to drain, a wait may have begun there, or the window in
-    /// which the message may be repeated may have closed: only the decisions know. Or its time is up, and its deadline is the
-    /// next thing seen: a dispatcher that stood still would otherwise send messages whose queue lifetime is long over. A message
-    /// turned back here has not been sent, and the connection is kept.
-    pub(crate) fn connection_established(&mut self, id: ConnectionId, slot: MessageSlot) {
-        let runtime = &mut self.runtime;
-        match runtime.connections.finish_connect(id) {
-            Ok(()) => {
-                runtime.deadlines.clear(Timer::Connection(id));
-                let call = runtime
-                    .messages
-                    .get(slot)
-                    .and_then(|m| Some((m.id, m.attempt?.endpoint)));
-                let open = call.is_some_and(|(message, e)| {
-                    self.dispatcher.may_start_attempt(runtime.now, message, e)
-                });
-                if open && runtime.in_time(slot) {
-                    runtime.write_request(slot, id);
-                } else {
-                    runtime.endpoints.attempts.remove(&id);
-                    runtime.pool(id);
-                    runtime.end_attempt(slot, Outcome::NotSent { no_capacity: false }, false);
-                }
-            }
-            Err(_) => runtime.abort_attempt(slot, Outcome::ConnectFailed),
-        }
-    }
-
-    /// Whether a call is not whole yet, and might not begin now.
-    pub(crate) fn must_abort_partial_request(&self, slot: MessageSlot) -> bool {
-        let Some((id, call)) = self
-            .runtime
-            .messages
-            .get(slot)
-            .and_then(|m| Some((m.id, m.attempt?)))
-        else {
-            return false;
-        };
-        let half = call
-            .connection
-            .and_then(|c| self.runtime.connections.get(c))
-            .is_some_and(|c| !c.output.is_empty());
-        half && !self
-            .dispatcher
-            .may_start_attempt(self.runtime.now, id, call.endpoint)
-    }
-
-    pub(crate) fn unassigned_ready(&mut self, id: ConnectionId) {
-        let runtime = &mut self.runtime;
-        let mut good = runtime.connections.read(id).is_ok();
-        let Some(conn) = runtime.connections.get_mut(id) else {
-            return;
-        };
-        good &= !conn.peer_closed;
-        let empty = conn.input.is_empty();
-        if let Some(mut answer) = runtime.endpoints.draining_responses.remove(&id) {
-            let last = |answer: &ResponseProgress| {
-                answer
-                    .head
-                    .as_ref()
-                    .is_some_and(|head| head.closes_connection)
-            };
-            match runtime.read_response(id, &mut answer) {
-                Ok(true) if !last(&answer) => return runtime.response_complete(id),
-                Ok(false) if good && !last(&answer) => {
-                    runtime.endpoints.draining_responses.insert(id, answer);
-                }
-                _ => good = false,
-            }
-        } else {
-            // Nothing is owed on an idle connection.
-            good &= empty;
-        }
-        if !good || runtime.connections.arm(id).is_err() {
-            runtime.close_idle(id);
-        }
-    }
-}
--- /dev/null
+++ b/crates/daemon/src/delivery/configuration.rs
@@ -0,0 +1,131 @@
+//! Changes of the configuration, from discovery or from the control processes, on their way to the endpoints.
+
+use super::Delivery;
+use crate::connection::ConnectionId;
+use crate::endpoint::ListUpdate;
+use crate::endpoint_list::{self, EndpointList};
+use crate::scope;
+use bellsill_core::interface::{Actions, EndpointId, EndpointUpdate};
+use bellsill_discovery_client::{Applied, ScopedLineError};
+use serde_json::Value;
+use std::collections::BTreeSet;
+
+impl Delivery {
+    /// Something happened on a connection of the watch.
+    pub(crate) fn watch_ready(&mut self, id: ConnectionId) {
+        let scoped = self.discovery.scoped_list().is_some();
+        let (discovery, mut io) = self.watch();
+        let received = discovery.connection_ready(&mut io, id);
+        self.apply_changes(&received.looked_up);
+        for document in received.documents {
+            if !scoped {
+                self.apply_plain_document(&document);
+            } else if let Err(e) = self.apply_scoped_document(id, &document) {
+                log::warn!(
+                    "configuration: rejected a line, reconnecting to another control process: {e}"
+                );
+                break;
+            }
+        }
+        let (discovery, mut io) = self.watch();
+        discovery.flush(&mut io, id);
+    }
+
+    fn apply_plain_document(&mut self, document: &[u8]) {
+        match serde_json::from_slice::<Value>(document) {
+            Ok(json) => self.apply_json_list(&json),
+            Err(e) => log::warn!("discovery: skipped a line that is not valid JSON: {e}"),
+        }
+    }
+
+    /// Applies a document of a scoped watch. An error has closed the connection.
+    fn apply_scoped_document(
+        &mut self,
+        id: ConnectionId,
+        document: &[u8],
+    ) -> Result<(), ScopedLineError> {
+        let (discovery, mut io) = self.watch();
+        let applied = discovery.apply(&mut io, id, document)?;
+        self.apply_changes(&applied);
+        Ok(())
+    }
+
+    /// Applies the endpoints that are known at the start: those of the scope file where there is one, else those of the
+    /// platform's file.
+    pub(crate) fn apply_known_list(&mut self, known: &Value) {
+        let Some(list) = self.discovery.scoped_list() else {
+            return self.apply_json_list(known);
+        };
+        let entries = Applied {
+            changed: list.entries().cloned().collect(),
+            ..Applied::default()
+        };
+        self.apply_changes(&entries);
+    }
+
+    fn apply_json_list(&mut self, json: &Value) {
+        if let Some(list) = endpoint_list::read(json, self.discovery.names()) {
+            self.apply_list(&list);
+        }
+    }
+
+    /// Applies what has changed in the scoped configuration. A destination that was dropped, and for which messages are
+    /// pending, is looked up.
+    pub(super) fn apply_changes(&mut self, applied: &Applied) {
+        if applied.changed.is_empty() && applied.dropped.is_empty() {
+            return;
+        }
+        self.apply_list(&scope::list_of(applied, self.discovery.names()));
+        let dropped: BTreeSet<u64> = applied
+            .dropped
+            .iter()
+            .map(|entry| entry.destination)
+            .collect();
+        for destination in dropped {
+            if self.runtime.messages.has_destination(destination) {
+                self.look_up_for_pending(destination);
+            }
+        }
+    }
+
+    fn apply_list(&mut self, list: &EndpointList) {
+        let dispatcher = &self.dispatcher;
+        let update = self
+            .runtime
+            .endpoints
+            .apply(list, self.discovery.names(), |id| {
+                dispatcher.suspended_until(id)
+            });
+        let ListUpdate {
+            entries,
+            relocated,
+            not_serving,
+        } = update;
+        for endpoint in relocated {
+            self.runtime.close_idle_connections(endpoint);
+            self.runtime.abort_connecting(endpoint);
+        }
+        self.discovery.applied(list.version);
+        for endpoint in not_serving {
+            self.runtime.close_idle_connections(endpoint);
+        }
+        let now = self.runtime.now;
+        // Whatever the list says of a disabled endpoint, the decisions know first that it is disabled.
+        let disabled: Vec<EndpointId> = self
+            .disabled
+            .iter()
+            .filter_map(|name| self.runtime.endpoints.find(name))
+            .collect();
+        for id in disabled {
+            self.dispatcher
+                .set_disabled(now, id, true, &mut self.runtime);
+        }
+        let scope = if list.whole {
+            EndpointUpdate::Snapshot
+        } else {
+            EndpointUpdate::Delta
+        };
+        self.dispatcher
+            .update_endpoints(now, scope, &entries, &mut self.runtime);
+    }
+}
--- a/crates/daemon/src/delivery/message.rs
+++ b/crates/daemon/src/delivery/message.rs
@@ -1,40 +1,36 @@
 //! A pending message and its attempt in flight.
 
 use crate::connection::ConnectionId;
-use crate::slot_table::SlotId;
 use bellsill_core::interface::{AttemptNumber, EndpointId, MessageId, Nanos};
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MessageSlot(u64);
+/// The most bytes that the body of a message can have.
+pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 
-impl SlotId for MessageSlot {
-    fn from_raw(raw: u64) -> Self {
-        MessageSlot(raw)
-    }
-    fn raw(self) -> u64 {
-        self.0
-    }
-}
-
-/// Where a message stands.
+/// How far a message has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeliveryState {
+pub(crate) enum DeliveryState {
+    /// It has no attempt.
     Waiting,
-    /// Its attempt waits for a connection to come up; nothing of it is written.
+    /// Its attempt waits for a connection; nothing of it is sent.
     Connecting,
-    /// Its first byte may be written.
+    /// Its first byte may be sent.
     InFlight,
+    /// An endpoint has taken it.
     Delivered,
+    /// It was given back; its client may send it again.
     Rejected {
+        /// After this time.
         retry_after: Nanos,
     },
+    /// It failed for good.
     Failed,
-    /// Over, by what its destination said.
+    /// Its destination has said that it is over.
     Withdrawn,
 }
 
 impl DeliveryState {
-    pub fn is_final(self) -> bool {
+    /// Whether the message has ended.
+    pub(crate) fn is_final(self) -> bool {
         !matches!(
             self,
             DeliveryState::Waiting | DeliveryState::Connecting | DeliveryState::InFlight
@@ -44,27 +40,41 @@
 
 /// An attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptInFlight {
-    pub number: AttemptNumber,
-    pub endpoint: EndpointId,
-    pub connection: Option<ConnectionId>,
-    pub started_at: Nanos,
-    pub deadline: Nanos,
-    /// Its first byte may be written, and the journal says so.
-    pub request_started: bool,
-    /// The limit that its answer reported.
-    pub reported_limit: Option<f64>,
+pub(crate) struct AttemptInFlight {
+    /// Its number among those of its message.
+    pub(crate) number: AttemptNumber,
+    /// Where it goes.
+    pub(crate) endpoint: EndpointId,
+    /// None before one is opened.
+    pub(crate) connection: Option<ConnectionId>,
+    /// When it was decided on.
+    pub(crate) started_at: Nanos,
+    /// When it is aborted.
+    pub(crate) deadline: Nanos,
+    /// Its first byte may be sent, and the journal says so.
+    pub(crate) request_started: bool,
+    /// The rate limit that its response reported.
+    pub(crate) reported_limit: Option<f64>,
 }
 
-pub struct PendingMessage {
-    pub id: MessageId,
-    pub destination: u64,
-    pub deadline: Nanos,
-    /// Its row of the classes; none for one of no class known now.
-    pub class: Option<usize>,
-    pub idempotency_key: String,
-    pub body: Vec<u8>,
-    pub state: DeliveryState,
-    pub attempts: u32,
-    pub attempt: Option<AttemptInFlight>,
+/// A message that was accepted and has not ended.
+pub(crate) struct PendingMessage {
+    /// The client's id of it.
+    pub(crate) id: MessageId,
+    /// Where it goes.
+    pub(crate) destination: u64,
+    /// When its queue lifetime ends.
+    pub(crate) deadline: Nanos,
+    /// The index of its class; none if that is not configured now.
+    pub(crate) class: Option<usize>,
+    /// Empty in a class without idempotency keys.
+    pub(crate) idempotency_key: String,
+    /// Emptied once the message has ended.
+    pub(crate) body: Vec<u8>,
+    /// How far it has come.
+    pub(crate) state: DeliveryState,
+    /// How many attempts it has had.
+    pub(crate) attempts: u32,
+    /// Its attempt in flight.
+    pub(crate) attempt: Option<AttemptInFlight>,
 }
--- a/crates/daemon/src/delivery/recovery.rs
+++ b/crates/daemon/src/delivery/recovery.rs
@@ -1,41 +1,60 @@
 //! Recovery: messages of an earlier process are handed to the decisions with their history.
 
-use crate::delivery::message::DeliveryState;
-use crate::event_loop::Daemon;
-use crate::journal::JournaledMessage;
+use super::Delivery;
+use super::message::DeliveryState;
 use crate::journal::Recovered;
 
-impl Daemon {
-    /// Messages go back to the decisions with their past; notifications are owed until they are answered.
-    pub(crate) fn recover(&mut self, kept: Recovered) {
+/// Whether another process that shares the state folder still holds a journal.
+#[must_use]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Adoption {
+    /// None does.
+    Complete,
+    /// One does, which may leave it later.
+    MoreLater,
+}
+
+impl Adoption {
+    /// What the journal reported.
+    pub(crate) fn from_held_by_others(held: bool) -> Adoption {
+        if held {
+            Adoption::MoreLater
+        } else {
+            Adoption::Complete
+        }
+    }
+}
+
+impl Delivery {
+    /// Takes over the journals that other processes have left in the state folder.
+    pub(crate) fn adopt_journals(&mut self) -> Adoption {
+        let (recovered, held) = self.runtime.journal.adopt();
+        self.recover(recovered);
+        Adoption::from_held_by_others(held)
+    }
+
+    /// Takes over what a journal held: messages go to the decisions, and notifications are sent until acknowledged.
+    pub(crate) fn recover(&mut self, recovered: Recovered) {
         for id in self.runtime.journal.take_resolved() {
-            self.runtime.recently_ended.note(self.runtime.now, id);
-        }
-        for (id, ending) in kept.pending_notifications {
-            self.runtime.notifications.enqueue(id, ending);
-        }
-        // One met twice, in two journals, is taken once.
-        let mut kept = Recovered {
-            pending_notifications: Vec::new(),
-            ..kept
-        };
-        kept.messages
-            .retain(|m| !self.runtime.by_id.contains_key(&m.id));
-        for message in &kept.messages {
-            self.runtime.insert(message.clone());
-        }
-        for message in &kept.messages {
-            if self.look_up(message.destination).is_err() {
-                log::warn!(
-                    "destination {} cannot be looked up: every cache entry is in use",
-                    message.destination
-                );
-            }
+            self.runtime.messages.note_ended(self.runtime.now, id);
+        }
+        for (id, resolution) in recovered.pending_notifications {
+            self.runtime.notifications.enqueue(id, resolution);
+        }
+        // A message can be in two journals.
+        let mut messages = recovered.messages;
+        messages.retain(|message| self.runtime.messages.slot_of(message.id).is_none());
+        for message in &messages {
+            self.insert(message.clone());
         }
-        let known = |m: &JournaledMessage| self.runtime.class_of(&m.class).is_some();
-        let (known, unknown): (Vec<_>, Vec<_>) = kept.messages.into_iter().partition(known);
+        for message in &messages {
+            self.look_up_for_pending(message.destination);
+        }
+        let (known, unknown): (Vec<_>, Vec<_>) = messages
+            .into_iter()
+            .partition(|message| self.class_index(&message.class).is_some());
         for message in unknown {
-            if let Some(&slot) = self.runtime.by_id.get(&message.id) {
+            if let Some(slot) = self.runtime.messages.slot_of(message.id) {
                 log::warn!(
                     "message {:016x}: its queue class is not configured any more",
                     message.id.0
@@ -44,7 +63,16 @@
             }
         }
         if !known.is_empty() {
-            self.decide_on(&known);
+            self.decide(&known);
+        }
+    }
+
+    /// Has a destination looked up for which messages are pending.
+    pub(super) fn look_up_for_pending(&mut self, destination: u64) {
+        if self.look_up(destination).is_err() {
+            log::warn!(
+                "destination {destination} cannot be looked up: every cache entry is in use"
+            );
         }
     }
 }
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -1,7 +1,7 @@
-//! The sockets and deadlines of the watch on the configuration: carries out what [`Watch`] commands, and tells it what
-//! happened. Nothing here decides, and nothing here knows messages or the loop.
+//! The sockets and timers of the watch on the configuration: carries out what [`Watch`] commands, and reports to it what
+//! happened. Nothing here decides, and nothing here knows messages or the event loop.
 
-use crate::connection::{ConnectionId, ConnectionTable, Role};
+use crate::connection::{BufferBounds, ConnectionId, ConnectionTable, Role};
 use crate::timer_queue::TimerQueue;
 use bellsill_discovery_client::{
     Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer,
@@ -13,35 +13,45 @@
 
 pub use bellsill_discovery_client::watch::KEPT_FOR;
 
-/// How much of an answer is read before it is taken.
+/// How much of an answer is buffered.
 const INPUT_BYTES: usize = 64 * 1024;
-/// Room for a request; a longer one is given what it needs.
+/// Room for a request; a longer one gets more.
 const OUTPUT_BYTES: usize = 1024;
 
-/// What falls due for the watch; whoever has the deadlines says what that is among them.
+/// The timers of the watch, as part of those of the event loop.
 #[derive(Clone, Copy, Debug)]
-pub enum WatchTimer {
+pub(crate) enum WatchTimer {
+    /// The watch is to be opened again.
     Reconnect,
+    /// Destinations are to be looked up again.
     LookupRetry,
+    /// A connection has been without an expected answer for too long.
     Connection(ConnectionId),
 }
 
 /// What the watch's commands are carried out with.
-pub struct WatchIo<'a, K> {
-    pub now: Nanos,
-    pub connections: &'a mut ConnectionTable,
-    pub deadlines: &'a mut TimerQueue<K>,
+pub(crate) struct WatchIo<'a, K> {
+    pub(crate) now: Nanos,
+    pub(crate) connections: &'a mut ConnectionTable,
+    pub(crate) timers: &'a mut TimerQueue<K>,
+}
+
+/// A call of the watch and its connection.
+struct OpenCall {
+    call: CallId,
+    connection: ConnectionId,
 }
 
 /// The watch, and the connections of its calls.
-pub struct Discovery {
+pub(crate) struct Discovery {
     watch: Watch,
-    calls: Vec<(CallId, ConnectionId)>,
+    calls: Vec<OpenCall>,
     names: Names,
 }
 
 impl Discovery {
-    pub fn new(watch: Watch, names: Names) -> Discovery {
+    /// A watch that is not open yet.
+    pub(crate) fn new(watch: Watch, names: Names) -> Discovery {
         Discovery {
             watch,
             calls: Vec::new(),
@@ -49,33 +59,36 @@
         }
     }
 
-    pub fn names(&self) -> &Names {
+    /// The names of classes, zones and kinds.
+    pub(crate) fn names(&self) -> &Names {
         &self.names
     }
 
-    pub fn zones(&self) -> &[String] {
+    /// The names of the zones.
+    pub(crate) fn zones(&self) -> &[String] {
         &self.names.zones
     }
 
-    /// What is kept of the scoped configuration; none where discovery tells everything.
-    pub fn scoped_list(&self) -> Option<&ScopedList> {
+    /// The scoped configuration; none where discovery sends the complete one.
+    pub(crate) fn scoped_list(&self) -> Option<&ScopedList> {
         self.watch.list()
     }
 
-    pub fn counters(&self) -> Counters {
+    /// What has happened to the calls of the watch.
+    pub(crate) fn counters(&self) -> Counters {
         self.watch.counters()
     }
 
     /// Notes that a destination is used.
-    pub fn touch(&mut self, destination: u64) {
+    pub(crate) fn touch(&mut self, destination: u64) {
         self.watch
             .list_mut()
             .into_iter()
             .for_each(|list| list.touch(destination));
     }
 
-    /// Has a destination looked up; `in_use` says which ones must not give way to it. What gave way is answered.
-    pub fn lookup<K>(
+    /// Has a destination looked up; `in_use` says which ones must not be evicted for it. Returns what was evicted.
+    pub(crate) fn lookup<K>(
         &mut self,
         io: &mut WatchIo<K>,
         destination: u64,
@@ -90,7 +103,7 @@
     }
 
     /// Applies a document of a scoped watch. One that cannot be applied ends the connection that it came on.
-    pub fn apply<K>(
+    pub(crate) fn apply<K>(
         &mut self,
         io: &mut WatchIo<K>,
         conn: ConnectionId,
@@ -108,13 +121,13 @@
         applied
     }
 
-    /// A document of the watch has been applied, of that version.
-    pub fn told(&mut self, version: u64) {
+    /// A document of this version has been applied.
+    pub(crate) fn applied(&mut self, version: u64) {
         self.watch.told(version);
     }
 
-    /// Begins.
-    pub fn start<K>(&mut self, io: &mut WatchIo<K>, drain_grace: Nanos)
+    /// Opens the watch.
+    pub(crate) fn start<K>(&mut self, io: &mut WatchIo<K>, drain_grace: Nanos)
     where
         K: Ord + Copy + From<WatchTimer>,
     {
@@ -122,8 +135,8 @@
         self.carry_out(io, commands);
     }
 
-    /// Discovery has moved.
-    pub fn relocate<K>(&mut self, io: &mut WatchIo<K>, address: SocketAddr)
+    /// Discovery has another address.
+    pub(crate) fn relocate<K>(&mut self, io: &mut WatchIo<K>, address: SocketAddr)
     where
         K: Ord + Copy + From<WatchTimer>,
     {
@@ -131,8 +144,8 @@
         self.carry_out(io, commands);
     }
 
-    /// A deadline of the watch has come.
-    pub fn timer_fired<K>(&mut self, io: &mut WatchIo<K>, timer: WatchTimer)
+    /// A timer of the watch has expired.
+    pub(crate) fn timer_fired<K>(&mut self, io: &mut WatchIo<K>, timer: WatchTimer)
     where
         K: Ord + Copy + From<WatchTimer>,
     {
@@ -148,9 +161,13 @@
         self.carry_out(io, commands);
     }
 
-    /// Something happened on a connection of the watch. What has come: a lookup's changes, or documents to be applied in
-    /// their order.
-    pub fn connection_ready<K>(&mut self, io: &mut WatchIo<K>, conn: ConnectionId) -> Received
+    /// Something happened on a connection of the watch. Returns what has arrived: the changes of a lookup, or documents to
+    /// be applied in their order.
+    pub(crate) fn connection_ready<K>(
+        &mut self,
+        io: &mut WatchIo<K>,
+        conn: ConnectionId,
+    ) -> Received
     where
         K: Ord + Copy + From<WatchTimer>,
     {
@@ -180,7 +197,7 @@
     }
 
     /// Writes what can be written, and waits for more on a connection of the watch.
-    pub fn flush<K>(&mut self, io: &mut WatchIo<K>, conn: ConnectionId)
+    pub(crate) fn flush<K>(&mut self, io: &mut WatchIo<K>, conn: ConnectionId)
     where
         K: Ord + Copy + From<WatchTimer>,
     {
@@ -220,17 +237,17 @@
                     self.conn_of(call)
                         .into_iter()
                         .for_each(|conn| io.connections.close(conn));
-                    self.calls.retain(|(c, _)| *c != call);
+                    self.calls.retain(|open| open.call != call);
                 }
                 Command::SetTimer(timer, at) => {
                     self.key(timer)
                         .into_iter()
-                        .for_each(|key| io.deadlines.set(key, at));
+                        .for_each(|key| io.timers.set(key, at));
                 }
                 Command::ClearTimer(timer) => {
                     self.key(timer)
                         .into_iter()
-                        .for_each(|key| io.deadlines.clear(key));
+                        .for_each(|key| io.timers.clear(key));
                 }
             }
         }
@@ -241,17 +258,23 @@
     where
         K: Ord + Copy + From<WatchTimer>,
     {
-        let bounds = (INPUT_BYTES, OUTPUT_BYTES.max(2 * request.len()));
+        let bounds = BufferBounds {
+            input: INPUT_BYTES,
+            output: OUTPUT_BYTES.max(2 * request.len()),
+        };
         let Ok(conn) = io.connections.open(address, Role::Watch, bounds) else {
             return self.broken(io, call);
         };
-        self.calls.push((call, conn));
+        self.calls.push(OpenCall {
+            call,
+            connection: conn,
+        });
         if let Some(to) = io.connections.get_mut(conn) {
             to.output.push(request);
         }
     }
 
-    /// The deadline of a timer; none for that of a call whose connection is gone.
+    /// The timer of the event loop; none for that of a call whose connection is closed.
     fn key<K: From<WatchTimer>>(&self, timer: Timer) -> Option<K> {
         Some(K::from(match timer {
             Timer::Reconnect => WatchTimer::Reconnect,
@@ -263,14 +286,14 @@
     fn conn_of(&self, call: CallId) -> Option<ConnectionId> {
         self.calls
             .iter()
-            .find(|(c, _)| *c == call)
-            .map(|(_, conn)| *conn)
+            .find(|open| open.call == call)
+            .map(|open| open.connection)
     }
 
     fn call_of(&self, conn: ConnectionId) -> Option<CallId> {
         self.calls
             .iter()
-            .find(|(_, c)| *c == conn)
-            .map(|(call, _)| *call)
+            .find(|open| open.connection == conn)
+            .map(|open| open.call)
     }
 }
--- a/crates/daemon/src/endpoint/mod.rs
+++ b/crates/daemon/src/endpoint/mod.rs
@@ -1,9 +1,11 @@
-//! Endpoints: their registry, the pool of idle connections, one HTTP exchange, and how the endpoint list is applied.
+//! Endpoints: their registry, the pool of idle connections, one HTTP exchange, and what an endpoint list changes.
 
 mod exchange;
 mod list;
 mod pool;
 mod registry;
 
-pub use exchange::{MAX_BODY_BYTES, RESPONSE_TIMEOUT, ResponseProgress};
-pub use registry::{Endpoint, Endpoints};
+pub(crate) use exchange::{RESPONSE_TIMEOUT, ResponseProgress, Reuse, Verdict};
+pub(crate) use list::ListUpdate;
+pub(crate) use pool::{NoIdleConnection, PoolIo, Unassigned};
+pub use registry::Endpoints;
--- a/crates/daemon/src/endpoint/pool.rs
+++ b/crates/daemon/src/endpoint/pool.rs
@@ -1,59 +1,173 @@
 //! Idle connections to endpoints, kept for the next attempt.
 
-use crate::connection::{ConnectionId, Role};
-use crate::delivery::Runtime;
+use super::Endpoints;
+use super::exchange::{Arrived, ResponseProgress};
+use crate::connection::{ConnectionId, ConnectionTable, Role};
 use crate::timer::Timer;
-use bellsill_core::interface::EndpointId;
+use crate::timer_queue::TimerQueue;
+use bellsill_core::interface::{EndpointId, Nanos};
 
-impl Runtime {
-    /// Keeps a connection for the next call, while it is sure to be good.
-    pub fn pool(&mut self, id: ConnectionId) {
-        let Some(conn) = self.connections.get(id) else {
+/// What the pool works with.
+pub(crate) struct PoolIo<'a> {
+    pub(crate) now: Nanos,
+    pub(crate) connections: &'a mut ConnectionTable,
+    pub(crate) timers: &'a mut TimerQueue<Timer>,
+    /// How long endpoints keep an idle connection open.
+    pub(crate) keep_alive: Nanos,
+}
+
+/// No endpoint has an idle connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct NoIdleConnection;
+
+/// How a connection without an attempt is handed to the pool.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Unassigned {
+    /// Nothing is to come on it.
+    Idle,
+    /// The rest of a response is still to come.
+    MoreToRead,
+}
+
+impl Endpoints {
+    /// An idle connection to an endpoint that is certain to be good, or none. Those that are not are closed.
+    pub(crate) fn take_idle(
+        &mut self,
+        io: &mut PoolIo,
+        endpoint: EndpointId,
+    ) -> Option<ConnectionId> {
+        while let Some(conn) = self.row_mut(endpoint).idle.pop() {
+            // After the process was suspended its timer may have expired and not been handled yet.
+            let in_time = !io.timers.is_expired(Timer::Connection(conn), io.now);
+            io.timers.clear(Timer::Connection(conn));
+            // The other side may have closed it without the poller having reported that yet; a request would be lost.
+            let good = in_time
+                && io.connections.read(conn).is_ok()
+                && io
+                    .connections
+                    .get(conn)
+                    .is_some_and(|c| !c.peer_closed && c.input.is_empty());
+            if good {
+                return Some(conn);
+            }
+            io.connections.close(conn);
+        }
+        None
+    }
+
+    /// Takes a connection back whose attempt is over.
+    pub(crate) fn give_back(
+        &mut self,
+        io: &mut PoolIo,
+        id: ConnectionId,
+        response: ResponseProgress,
+        state: Unassigned,
+    ) {
+        match state {
+            Unassigned::Idle => {
+                io.timers.clear(Timer::Connection(id));
+                self.pool(io, id);
+            }
+            Unassigned::MoreToRead => {
+                self.draining.insert(id, response);
+                if io.connections.arm(id).is_err() {
+                    self.close_connection(io, id);
+                }
+            }
+        }
+    }
+
+    /// Keeps a connection for the next attempt, unless it may not be good then.
+    pub(crate) fn pool(&mut self, io: &mut PoolIo, id: ConnectionId) {
+        let Some(conn) = io.connections.get(id) else {
             return;
         };
         let Role::Endpoint(endpoint) = conn.role else {
             return;
         };
-        let row = &self.endpoints[endpoint];
-        // An endpoint that has moved while the call was out is elsewhere now.
-        let there = conn.opened_to == Some(row.addr);
-        if conn.peer_closed || !conn.input.is_empty() || !row.serving || !there {
-            self.connections.close(id);
+        let row = self.row_mut(endpoint);
+        // The endpoint may have been relocated during the attempt.
+        let current = conn.opened_to == Some(row.addr);
+        if conn.peer_closed || !conn.input.is_empty() || !row.serving || !current {
+            io.connections.close(id);
             return;
         }
-        self.endpoints[endpoint].idle.push(id);
-        // A request written when the other side has just closed is lost, so it is closed here a little earlier.
-        self.deadlines
-            .set(Timer::Connection(id), self.now + self.keep_alive / 20 * 19);
-        if self.connections.arm(id).is_err() {
-            self.close_idle(id);
+        row.idle.push(id);
+        // A request that is sent just when the other side closes is lost, so it is closed here a little earlier.
+        io.timers
+            .set(Timer::Connection(id), io.now + io.keep_alive / 20 * 19);
+        if io.connections.arm(id).is_err() {
+            self.close_connection(io, id);
         }
     }
 
-    /// Closes a connection that no call is on.
-    pub fn close_idle(&mut self, id: ConnectionId) {
-        if let Some(Role::Endpoint(endpoint)) = self.connections.get(id).map(|c| c.role) {
-            self.endpoints[endpoint].idle.retain(|c| *c != id);
+    /// Closes a connection that has no attempt.
+    pub(crate) fn close_connection(&mut self, io: &mut PoolIo, id: ConnectionId) {
+        if let Some(Role::Endpoint(endpoint)) = io.connections.get(id).map(|c| c.role) {
+            self.row_mut(endpoint).idle.retain(|c| *c != id);
         }
-        self.endpoints.draining_responses.remove(&id);
-        self.deadlines.clear(Timer::Connection(id));
-        self.connections.close(id);
+        self.draining.remove(&id);
+        io.timers.clear(Timer::Connection(id));
+        io.connections.close(id);
     }
 
-    /// Gives back the idle connection that was used longest ago, so that a client or a call finds a descriptor.
-    pub fn close_oldest_idle(&mut self) -> bool {
-        let idle = |id: EndpointId| self.endpoints[id].idle.first().copied();
-        let Some(oldest) = self.endpoints.ids().filter_map(idle).next() else {
-            return false;
-        };
-        self.close_idle(oldest);
-        true
+    /// Closes the idle connections to an endpoint.
+    pub(crate) fn close_idle(&mut self, io: &mut PoolIo, endpoint: EndpointId) {
+        for conn in std::mem::take(&mut self.row_mut(endpoint).idle) {
+            io.timers.clear(Timer::Connection(conn));
+            io.connections.close(conn);
+        }
+    }
+
+    /// Closes an idle connection, the oldest one of its endpoint, so that a client or an attempt finds a descriptor.
+    pub(crate) fn close_oldest_idle(&mut self, io: &mut PoolIo) -> Result<(), NoIdleConnection> {
+        let idle = |id: EndpointId| self.row(id).idle.first().copied();
+        let oldest = self.ids().filter_map(idle).next();
+        self.close_connection(io, oldest.ok_or(NoIdleConnection)?);
+        Ok(())
     }
 
-    /// An answer is whole: its connection is kept for the next call.
-    pub(crate) fn response_complete(&mut self, id: ConnectionId) {
-        self.endpoints.draining_responses.remove(&id);
-        self.deadlines.clear(Timer::Connection(id));
-        self.pool(id);
+    /// Removes an endpoint and closes its connections: the next endpoint of that number must not find them.
+    pub(crate) fn remove_with_connections(&mut self, io: &mut PoolIo, endpoint: EndpointId) {
+        let connections: Vec<ConnectionId> = io
+            .connections
+            .iter()
+            .filter(|(_, c)| c.role == Role::Endpoint(endpoint))
+            .map(|(id, _)| id)
+            .collect();
+        for id in connections {
+            self.close_connection(io, id);
+        }
+        self.remove(endpoint);
+    }
+
+    /// Something happened on a connection that has no attempt.
+    pub(crate) fn unassigned_ready(&mut self, io: &mut PoolIo, id: ConnectionId) {
+        let read = io.connections.read(id);
+        let Some(conn) = io.connections.get_mut(id) else {
+            return;
+        };
+        let mut good = read.is_ok() && !conn.peer_closed;
+        // Nothing may arrive on an idle connection.
+        let empty = conn.input.is_empty();
+        if let Some(mut response) = self.draining.remove(&id) {
+            let read = response.read(conn);
+            let closes = response.closes_connection();
+            match read {
+                Ok(Arrived::Completely) if !closes => {
+                    io.timers.clear(Timer::Connection(id));
+                    return self.pool(io, id);
+                }
+                Ok(Arrived::Partly) if good && !closes => {
+                    self.draining.insert(id, response);
+                }
+                _ => good = false,
+            }
+        } else {
+            good &= empty;
+        }
+        if !good || io.connections.arm(id).is_err() {
+            self.close_connection(io, id);
+        }
     }
 }
--- a/crates/daemon/src/endpoint/registry.rs
+++ b/crates/daemon/src/endpoint/registry.rs
@@ -2,57 +2,58 @@
 
 use super::exchange::ResponseProgress;
 use crate::connection::ConnectionId;
-use crate::delivery::message::MessageSlot;
 use crate::endpoint_list::ListedEndpoint;
 use bellsill_core::interface::EndpointId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::ops::{Index, IndexMut};
 
-pub struct Endpoint {
-    /// Its name in the list; empty once it is forgotten.
+/// One endpoint.
+pub(super) struct Endpoint {
+    /// Its name in the list; empty once another endpoint has the name or it is removed.
     name: String,
-    pub addr: SocketAddr,
-    pub zone: String,
-    pub kind: String,
-    pub serving: bool,
-    /// Where it was listed last; none once it is forgotten.
-    pub destination: Option<u64>,
-    /// The last one was used last.
-    pub idle: Vec<ConnectionId>,
+    pub(super) addr: SocketAddr,
+    pub(super) zone: String,
+    kind: String,
+    pub(super) serving: bool,
+    /// The destination under which it was listed; none once it is removed.
+    pub(super) destination: Option<u64>,
+    /// Its idle connections; the last one was used last.
+    pub(super) idle: Vec<ConnectionId>,
 }
 
+/// All endpoints that the decisions know, and their idle connections.
 #[derive(Default)]
 pub struct Endpoints {
     rows: Vec<Endpoint>,
-    /// Rows of endpoints that are forgotten, for the next ones.
+    /// Rows of removed endpoints, for the next ones.
     free: Vec<EndpointId>,
     by_name: BTreeMap<String, EndpointId>,
-    /// How many endpoints are known of each destination.
+    /// How many endpoints each destination has.
     by_destination: BTreeMap<u64, usize>,
-    /// The attempts that connections carry or rise for.
-    pub attempts: BTreeMap<ConnectionId, MessageSlot>,
-    /// Answers to calls that have begun to come.
-    pub responses: BTreeMap<ConnectionId, ResponseProgress>,
-    /// Connections on which the rest of an answer that is known is still to come.
-    pub draining_responses: BTreeMap<ConnectionId, ResponseProgress>,
+    /// Connections without an attempt on which the rest of a response is still to come.
+    pub(super) draining: BTreeMap<ConnectionId, ResponseProgress>,
 }
 
-impl Index<EndpointId> for Endpoints {
-    type Output = Endpoint;
-    fn index(&self, id: EndpointId) -> &Endpoint {
+impl Endpoints {
+    pub(super) fn row(&self, id: EndpointId) -> &Endpoint {
         &self.rows[id.0 as usize]
     }
-}
 
-impl IndexMut<EndpointId> for Endpoints {
-    fn index_mut(&mut self, id: EndpointId) -> &mut Endpoint {
+    pub(super) fn row_mut(&mut self, id: EndpointId) -> &mut Endpoint {
         &mut self.rows[id.0 as usize]
     }
-}
 
-impl Endpoints {
-    /// The number of a listed endpoint, which is given one if it has none.
+    /// Where an endpoint listens.
+    pub fn addr(&self, id: EndpointId) -> SocketAddr {
+        self.row(id).addr
+    }
+
+    /// The zone of an endpoint.
+    pub fn zone(&self, id: EndpointId) -> &str {
+        &self.row(id).zone
+    }
+
+    /// The number of a listed endpoint, which gets one if it has none.
     pub fn register(&mut self, listed: &ListedEndpoint, addr: SocketAddr) -> EndpointId {
         if let Some(id) = self.find(&listed.name) {
             return id;
@@ -69,7 +70,7 @@
         };
         let id = match self.free.pop() {
             Some(id) => {
-                self[id] = row;
+                *self.row_mut(id) = row;
                 id
             }
             None => {
@@ -81,11 +82,11 @@
         id
     }
 
-    /// Takes the name from an endpoint whose entry now says another destination, zone or kind: what goes to it, and may be
-    /// repeated there, hangs on all three, so that name is another endpoint's from now on. The number of the old one.
-    pub(crate) fn release_name(&mut self, listed: &ListedEndpoint) -> Option<EndpointId> {
+    /// Takes the name from an endpoint whose entry now has another destination, zone or kind, and returns its number.
+    /// What may be sent to an endpoint, and repeated there, depends on all three, so the name is that of a new endpoint.
+    pub(super) fn release_name(&mut self, listed: &ListedEndpoint) -> Option<EndpointId> {
         let id = self.find(&listed.name)?;
-        let row = &mut self[id];
+        let row = self.row_mut(id);
         let same = row.destination == Some(listed.destination)
             && row.zone == listed.zone
             && row.kind == listed.kind;
@@ -97,37 +98,44 @@
         Some(id)
     }
 
-    /// Endpoints come under new names for as long as a dispatcher runs: one that the decisions have forgotten gives its
-    /// row to the next one.
+    /// Removes an endpoint that the decisions have removed. Its row is used again, since new names appear for as long as
+    /// a dispatcher runs.
     pub fn remove(&mut self, id: EndpointId) {
-        let name = std::mem::take(&mut self[id].name);
+        let name = std::mem::take(&mut self.row_mut(id).name);
         self.by_name.remove(&name);
-        if let Some(destination) = self[id].destination.take() {
+        if let Some(destination) = self.row_mut(id).destination.take() {
             self.decrement_destination(destination);
         }
         self.free.push(id);
     }
 
-    pub(crate) fn decrement_destination(&mut self, destination: u64) {
-        let Some(known) = self.by_destination.get_mut(&destination) else {
+    fn decrement_destination(&mut self, destination: u64) {
+        let Some(count) = self.by_destination.get_mut(&destination) else {
             return;
         };
-        *known -= 1;
-        if *known == 0 {
+        *count -= 1;
+        if *count == 0 {
             self.by_destination.remove(&destination);
         }
     }
 
-    /// Whether any endpoint is known of that destination, gone ones too: news of the next one may be late.
+    /// Whether the destination has any endpoint, serving or not: the list of its next one may be late.
     pub fn has_destination(&self, destination: u64) -> bool {
         self.by_destination.contains_key(&destination)
     }
 
+    /// The number of an endpoint by its name.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.by_name.get(name).copied()
     }
 
+    /// The numbers of all rows, those of removed endpoints among them.
     pub fn ids(&self) -> impl Iterator<Item = EndpointId> + use<> {
         (0..self.rows.len() as u32).map(EndpointId)
     }
+
+    /// How many endpoints take messages.
+    pub fn serving(&self) -> usize {
+        self.rows.iter().filter(|row| row.serving).count()
+    }
 }
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -1,246 +1,242 @@
 //! The event loop: one thread that waits for sockets, signals and timers, and hands on what happened.
 
+use crate::admin::{self, AdminContext, AdminInput, DisabledFile, DrainRequest, refresh_disabled};
+use crate::client::{self, Clients};
 use crate::clock;
 use crate::connection::{ConnectionId, PollEvent, Role};
-use crate::delivery::Runtime;
+use crate::delivery::{Adoption, Delivery};
 use crate::discovery::WatchTimer;
+use crate::reload::{Configuration, Reload};
 use crate::scope::{SAVE_EVERY, ScopeFile};
-use crate::shutdown::{ACCEPT_CLIENTS_FOR, ShutdownPhase};
-use crate::start::Source;
-use crate::timer::Timer;
-use bellsill_core::control::Dispatcher;
-use bellsill_core::interface::{ClassSettings, Nanos, Outcome};
-use serde_json::Value;
-use std::collections::BTreeMap;
+use crate::shutdown::{Shutdown, ShutdownPhase};
+use crate::signals::{SignalFlags, Signals};
+use crate::start::Start;
+use crate::startup::{self, Parts};
+use crate::status::log_status;
+use crate::timer::{NEIGHBOUR_CHECK_INTERVAL, STATUS_INTERVAL, Timer};
+use bellsill_core::interface::Outcome;
 use std::io;
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::{Duration, SystemTime};
-
-const MS: Nanos = 1_000_000;
-
-/// Between looks at what a process beside this one does in the folder: the journal that it still holds, and the endpoints
-/// that it was told to hold out.
-pub(crate) const NEIGHBOUR_CHECK_INTERVAL: Nanos = 100 * MS;
-
-/// Between lines on how things stand.
-pub(crate) const STATUS_INTERVAL: Nanos = 10_000 * MS;
-
-/// How long this process has been on a processor, as far as the system tells.
-fn cpu_time() -> Nanos {
-    let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
-    text.split(' ')
-        .next()
-        .and_then(|n| n.parse().ok())
-        .unwrap_or(0)
-}
+use std::time::Duration;
 
+/// A dispatcher as a service.
 pub struct Daemon {
-    pub dispatcher: Dispatcher,
-    pub runtime: Runtime,
-    pub classes: Vec<ClassSettings>,
-    /// There was no place for a client that came last.
-    pub at_client_limit: bool,
-    pub(crate) shutdown_requested: Arc<AtomicBool>,
-    pub(crate) reload_requested: Arc<AtomicBool>,
-    /// What the configuration was read from, and what of it only a restart takes.
-    pub(crate) source: Option<Source>,
-    pub(crate) fixed: Vec<(&'static str, Value)>,
-    pub(crate) shutdown_phase: ShutdownPhase,
-    pub(crate) shutdown_requested_at: Nanos,
-    /// Drained by an operator: `PING` says no, clients are parted with between requests; all else goes on.
-    pub(crate) draining: bool,
-    /// The folder that lasts.
-    pub state_folder: std::path::PathBuf,
-    /// Of the list of endpoints held out there, as it was read or written last.
-    pub disabled_stamp: Option<(u64, SystemTime)>,
-    /// What calls have changed of that list and is not written yet: whether the endpoint is out.
-    pub unsaved_disabled: BTreeMap<String, bool>,
-    /// What is kept of the scoped configuration, where there is one.
-    pub scope_file: Option<ScopeFile>,
+    delivery: Delivery,
+    clients: Clients,
+    disabled_file: DisabledFile,
+    scope_file: Option<ScopeFile>,
+    shutdown: Shutdown,
+    configuration: Configuration,
+    flags: SignalFlags,
 }
 
 impl Daemon {
-    /// Saves what is kept of the scoped configuration.
-    pub(crate) fn save_scope(&mut self) {
-        if let (Some(file), Some(list)) =
-            (&mut self.scope_file, self.runtime.discovery.scoped_list())
-        {
-            file.save(list);
-        }
+    /// Takes over what the journal holds, and listens. Clients are answered once it runs.
+    pub fn start(start: Start, signals: Signals) -> io::Result<Daemon> {
+        let Parts {
+            delivery,
+            disabled_file,
+            scope_file,
+            configuration,
+            flags,
+        } = startup::build(start, signals)?;
+        Ok(Daemon {
+            delivery,
+            clients: Clients::default(),
+            disabled_file,
+            scope_file,
+            shutdown: Shutdown::new(),
+            configuration,
+            flags,
+        })
     }
 
-    /// Runs until it is told to leave and has left.
+    /// Runs until shutdown is requested and complete.
     pub fn run(&mut self) -> io::Result<()> {
-        while self.shutdown_phase != ShutdownPhase::Finished {
+        while self.shutdown.phase() != ShutdownPhase::Finished {
             self.turn()?;
         }
         self.save_scope();
         log::info!(
             "shutdown complete, {} messages left in the journal for the next process",
-            self.runtime.messages.len()
+            self.delivery.runtime.messages().len()
         );
         Ok(())
     }
 
-    pub(crate) fn turn(&mut self) -> io::Result<()> {
+    fn turn(&mut self) -> io::Result<()> {
         let wait = self
+            .delivery
             .runtime
-            .deadlines
+            .timers
             .next_deadline()
             .map(|at| at.saturating_sub(clock::now()));
-        let seen = self
+        let events = self
+            .delivery
             .runtime
             .connections
             .wait(wait.map(Duration::from_nanos))?;
-        for what in seen {
-            self.runtime.now = clock::now();
-            match what {
-                PollEvent::ClientListener => drop(self.accept_clients()),
-                PollEvent::AdminListener => self.accept_admin_connections(),
+        for event in events {
+            self.delivery.runtime.now = clock::now();
+            match event {
+                PollEvent::ClientListener => self.accept_clients(),
+                PollEvent::AdminListener => admin::accept(&mut self.delivery.runtime),
                 PollEvent::Signals => self.handle_signals()?,
-                PollEvent::Connection(id) => self.ready(id),
-            }
-            self.settle();
-        }
-        self.runtime.now = clock::now();
-        let mut wake = false;
-        while let Some(due) = self.runtime.deadlines.pop_expired(self.runtime.now) {
-            // After a stand-still much is due at once: woken first, the decisions would take attempts for out that have
-            // had their time, and bounce what never ran.
-            wake |= due == Timer::Wakeup;
-            if due != Timer::Wakeup {
-                self.timer_expired(due);
-                self.settle();
+                PollEvent::Connection(id) => self.connection_ready(id),
             }
+            self.delivery.settle();
         }
-        if wake {
-            self.timer_expired(Timer::Wakeup);
-            self.settle();
-        }
-        self.runtime.watch_journal();
-        self.runtime.send_notifications();
-        if self.shutdown_complete() {
-            self.shutdown_phase = ShutdownPhase::Finished;
-        }
+        self.expire_timers();
+        self.delivery.runtime.watch_journal();
+        self.delivery.runtime.send_notifications();
+        self.shutdown.finish_if_quiet(&self.delivery);
         Ok(())
     }
 
-    /// Tells the decisions of the outcomes that became known while they were at work.
-    pub(crate) fn settle(&mut self) {
-        while let Some(end) = self.runtime.attempt_ends.pop_front() {
-            if self.shutdown_phase < ShutdownPhase::FinishingAttempts {
-                self.dispatcher
-                    .attempt_ended(self.runtime.now, end, &mut self.runtime);
+    /// The decisions are woken up last. After the process was suspended many timers expire together, and woken up first,
+    /// the decisions would count attempts as in flight that have timed out, and fail messages that never ran.
+    fn expire_timers(&mut self) {
+        self.delivery.runtime.now = clock::now();
+        let now = self.delivery.runtime.now;
+        let mut wakeup = false;
+        while let Some(timer) = self.delivery.runtime.timers.pop_expired(now) {
+            if timer == Timer::Wakeup {
+                wakeup = true;
+            } else {
+                self.timer_expired(timer);
+                self.delivery.settle();
             }
         }
+        if wakeup {
+            self.delivery.wakeup();
+            self.delivery.settle();
+        }
     }
 
-    pub(crate) fn ready(&mut self, id: ConnectionId) {
-        match self.runtime.connections.get(id).map(|c| c.role) {
+    fn connection_ready(&mut self, id: ConnectionId) {
+        let delivery = &mut self.delivery;
+        match delivery.runtime.connections.get(id).map(|c| c.role) {
             Some(Role::Client) => {
-                self.client_ready(id);
-                self.close_if_done(id);
+                client::ready_or_closing(delivery, id, self.shutdown.client_policy());
             }
-            Some(Role::Endpoint(_)) => self.endpoint_ready(id),
-            Some(Role::Watch) => self.watch_ready(id),
-            Some(Role::Notifications) => self.runtime.notification_ready(id),
+            Some(Role::Endpoint(_)) => delivery.endpoint_ready(id),
+            Some(Role::Watch) => delivery.watch_ready(id),
+            Some(Role::Notifications) => delivery.runtime.notification_ready(id),
             Some(Role::Admin) => self.admin_ready(id),
             None => {}
         }
     }
 
-    pub(crate) fn timer_expired(&mut self, due: Timer) {
-        let runtime = &mut self.runtime;
-        let now = runtime.now;
-        match due {
-            Timer::Wakeup if self.shutdown_phase < ShutdownPhase::FinishingAttempts => {
-                self.dispatcher.wakeup(now, runtime)
-            }
-            Timer::Wakeup => {}
-            Timer::Attempt(slot) => runtime.abort_attempt(slot, Outcome::TimedOut),
-            Timer::Connection(id) => match runtime.connections.get(id).map(|c| c.role) {
-                Some(Role::Endpoint(_)) => match runtime.endpoints.attempts.get(&id) {
-                    Some(&slot) if runtime.endpoints.responses.contains_key(&id) => {
-                        runtime.abort_attempt(slot, Outcome::MalformedResponse)
-                    }
-                    Some(&slot) => runtime.abort_attempt(slot, Outcome::ConnectFailed),
-                    None => runtime.close_idle(id),
-                },
-                Some(Role::Watch) => runtime.watch_timer(WatchTimer::Connection(id)),
-                Some(Role::Notifications) => runtime.notification_failed(),
-                Some(Role::Admin) => runtime.close_admin(id),
-                Some(Role::Client) => self.client_overdue(id),
-                None => {}
-            },
-            Timer::ReadClient(id) => self.ready(id),
-            Timer::WatchReconnect => runtime.watch_timer(WatchTimer::Reconnect),
+    fn connection_timed_out(&mut self, id: ConnectionId) {
+        let delivery = &mut self.delivery;
+        match delivery.runtime.connections.get(id).map(|c| c.role) {
+            Some(Role::Client) => client::timed_out(delivery, id, self.shutdown.client_policy()),
+            Some(Role::Endpoint(_)) => delivery.runtime.endpoint_connection_timed_out(id),
+            Some(Role::Watch) => delivery.watch_timer_expired(WatchTimer::Connection(id)),
+            Some(Role::Notifications) => delivery.runtime.notification_timed_out(),
+            Some(Role::Admin) => admin::close(&mut delivery.runtime, id),
+            None => {}
+        }
+    }
+
+    fn timer_expired(&mut self, timer: Timer) {
+        let delivery = &mut self.delivery;
+        match timer {
+            Timer::Wakeup => delivery.wakeup(),
+            Timer::Attempt(slot) => delivery.runtime.abort_attempt(slot, Outcome::TimedOut),
+            Timer::Connection(id) => self.connection_timed_out(id),
+            Timer::ReadClient(id) => self.connection_ready(id),
+            Timer::WatchReconnect => delivery.watch_timer_expired(WatchTimer::Reconnect),
+            Timer::LookupRetry => delivery.watch_timer_expired(WatchTimer::LookupRetry),
+            Timer::NotificationRetry => delivery.runtime.end_notification_backoff(),
+            Timer::JournalRetry => delivery.runtime.retry_journal(),
+            Timer::AcceptClients => self.accept_clients(),
+            Timer::ShutdownPhase => self.shutdown.advance(delivery, &mut self.clients),
             Timer::SaveScope => {
-                runtime.deadlines.set(Timer::SaveScope, now + SAVE_EVERY);
+                self.set_timer(Timer::SaveScope, SAVE_EVERY);
                 self.save_scope();
             }
-            Timer::LookupRetry => runtime.watch_timer(WatchTimer::LookupRetry),
-            Timer::NotificationRetry => runtime.end_notification_backoff(),
-            Timer::JournalRetry => runtime.retry_journal(),
-            Timer::AcceptClients => drop(self.accept_clients()),
-            Timer::ShutdownPhase => self.advance_shutdown(),
             Timer::AdoptJournals => {
-                let (kept, again) = runtime.journal.adopt();
-                if again {
-                    runtime
-                        .deadlines
-                        .set(Timer::AdoptJournals, now + NEIGHBOUR_CHECK_INTERVAL);
+                if delivery.adopt_journals() == Adoption::MoreLater {
+                    self.set_timer(Timer::AdoptJournals, NEIGHBOUR_CHECK_INTERVAL);
                 }
-                self.recover(kept);
             }
             Timer::DisabledEndpoints => {
-                runtime
-                    .deadlines
-                    .set(Timer::DisabledEndpoints, now + NEIGHBOUR_CHECK_INTERVAL);
-                self.refresh_disabled();
+                refresh_disabled(delivery, &mut self.disabled_file);
+                self.set_timer(Timer::DisabledEndpoints, NEIGHBOUR_CHECK_INTERVAL);
             }
             Timer::StatusLog => {
-                let in_flight = runtime
-                    .messages
-                    .iter()
-                    .filter(|(_, m)| m.attempt.is_some())
-                    .count();
-                let (pending, notifications, open) = (
-                    runtime.messages.len(),
-                    runtime.notifications.pending(),
-                    runtime.connections.len(),
-                );
-                let cpu_ms = cpu_time() / MS;
-                log::info!(
-                    "status: {pending} messages pending, {in_flight} in flight, {notifications} notifications pending, \
-                     {open} connections, {cpu_ms} ms of CPU time"
-                );
-                runtime
-                    .deadlines
-                    .set(Timer::StatusLog, now + STATUS_INTERVAL);
+                log_status(&delivery.runtime);
+                self.set_timer(Timer::StatusLog, STATUS_INTERVAL);
             }
         }
     }
 
-    pub(crate) fn handle_signals(&mut self) -> io::Result<()> {
-        self.runtime.connections.drain_signals()?;
-        if self.reload_requested.swap(false, Ordering::SeqCst) {
+    fn set_timer(&mut self, timer: Timer, after: u64) {
+        let runtime = &mut self.delivery.runtime;
+        runtime.timers.set(timer, runtime.now + after);
+    }
+
+    /// If more clients wait, the poller reports their listener again.
+    fn accept_clients(&mut self) {
+        let _more = self.clients.accept(&mut self.delivery.runtime);
+    }
+
+    fn save_scope(&mut self) {
+        let list = self.delivery.discovery().scoped_list();
+        if let (Some(file), Some(list)) = (&mut self.scope_file, list) {
+            file.save(list);
+        }
+    }
+
+    fn handle_signals(&mut self) -> io::Result<()> {
+        self.delivery.runtime.connections.drain_signals()?;
+        if self.flags.take_reload() {
             self.reload();
         }
-        if self.shutdown_requested.load(Ordering::SeqCst)
-            && self.shutdown_phase == ShutdownPhase::Running
-        {
-            log::info!(
-                "shutdown requested, {} messages pending",
-                self.runtime.messages.len()
-            );
-            self.shutdown_phase = ShutdownPhase::AcceptingClients;
-            self.shutdown_requested_at = self.runtime.now;
-            self.runtime.deadlines.set(
-                Timer::ShutdownPhase,
-                self.shutdown_requested_at + ACCEPT_CLIENTS_FOR,
-            );
+        if self.flags.shutdown_requested() {
+            self.shutdown.request(&mut self.delivery);
         }
         Ok(())
     }
+
+    fn reload(&mut self) {
+        match self.configuration.reload() {
+            Reload::NoFile => {}
+            Reload::Rejected => self.delivery.runtime.metrics.reload_errors += 1,
+            Reload::Taken { discovery } => {
+                self.delivery.runtime.metrics.reloads += 1;
+                self.delivery.relocate_discovery(discovery);
+            }
+        }
+    }
+
+    fn admin_ready(&mut self, id: ConnectionId) {
+        let read = admin::read(&mut self.delivery.runtime, id);
+        loop {
+            let text = match admin::next_request(&mut self.delivery.runtime, id) {
+                AdminInput::Closed => return,
+                AdminInput::Waiting => break,
+                AdminInput::Line(Ok(request)) => self.execute(request),
+                AdminInput::Line(Err(e)) => format!("FAILURE {e}\n"),
+            };
+            admin::answer(&mut self.delivery.runtime, id, &text);
+        }
+        admin::end_turn(&mut self.delivery.runtime, id, &read);
+    }
+
+    /// Does what an operator asks for, and returns the answer.
+    fn execute(&mut self, request: admin::Request) -> String {
+        let context = AdminContext {
+            delivery: &mut self.delivery,
+            disabled_file: &mut self.disabled_file,
+            scope_file: self.scope_file.as_ref(),
+            ready: self.shutdown.is_ready(),
+        };
+        let answer = admin::execute(request, context);
+        if let Some(drain) = answer.drain {
+            let draining = drain == DrainRequest::Drain;
+            self.shutdown.set_draining(draining, &mut self.delivery);
+        }
+        answer.text
+    }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The dispatcher as a service: the decisions of `bellsill` on real sockets. [`start`] reads what a dispatcher is told,
-//! [`event_loop::Daemon`] runs it; `docs/daemon.md` says how the parts fit.
+//! The dispatcher as a service: the decisions of `bellsill-core` on real sockets. [`start`] reads the configuration,
+//! [`event_loop::Daemon`] runs the dispatcher; `docs/daemon.md` describes how the parts fit together.
 // Not finished yet: see docs/ROADMAP.md.
 #![allow(
     missing_docs,
@@ -20,8 +20,8 @@
 pub mod client;
 pub mod clock;
 pub mod command_line;
-pub mod connection;
-pub mod delivery;
+mod connection;
+mod delivery;
 pub mod discovery;
 pub mod endpoint;
 pub mod endpoint_list;
@@ -29,13 +29,16 @@
 pub mod installation;
 pub mod journal;
 pub mod logger;
-pub mod notification;
+mod message_slot;
+mod metrics;
+mod notification;
 pub mod recent_ids;
-pub mod reload;
+mod reload;
 pub mod scope;
-pub mod shutdown;
+mod shutdown;
 pub mod signals;
 pub mod start;
 pub mod start_retry;
-pub mod startup;
-pub mod timer;
+mod startup;
+mod status;
+mod timer;
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,23 +1,50 @@
 //! Reading the configuration again.
 
-use crate::event_loop::Daemon;
-use crate::start;
-use crate::start::Source;
+use crate::start::{self, Source};
+use serde_json::Value;
+use std::net::SocketAddr;
 
-impl Daemon {
-    /// Reads the configuration again. A bad one is not taken: a half-written file must not end a dispatcher that serves.
-    pub(crate) fn reload(&mut self) {
+/// Where the configuration came from.
+pub(crate) struct Configuration {
+    /// None where it came from no file.
+    source: Option<Source>,
+    /// The fields that take effect at a restart only, as they were at the start.
+    fixed: Vec<(&'static str, Value)>,
+}
+
+/// What came of reading it again.
+#[must_use]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Reload {
+    /// It came from no file.
+    NoFile,
+    /// It cannot be read. The old one stays in force: a half-written file must not end a dispatcher that serves.
+    Rejected,
+    /// It is taken.
+    Taken {
+        /// The address of discovery.
+        discovery: SocketAddr,
+    },
+}
+
+impl Configuration {
+    /// The configuration as it was at the start.
+    pub(crate) fn new(source: Option<Source>, fixed: Vec<(&'static str, Value)>) -> Configuration {
+        Configuration { source, fixed }
+    }
+
+    /// Reads the configuration again, and logs what has changed and needs a restart.
+    pub(crate) fn reload(&self) -> Reload {
         let Some(Source { file, state }) = self.source.clone() else {
-            return;
+            return Reload::NoFile;
         };
         let new = match start::read(&file, state) {
             Ok(new) => new,
             Err(e) => {
-                self.runtime.metrics.reload_errors += 1;
-                return log::error!("configuration not reloaded: {e}");
+                log::error!("configuration not reloaded: {e}");
+                return Reload::Rejected;
             }
         };
-        self.runtime.metrics.reloads += 1;
         for ((field, old), (_, new)) in self.fixed.iter().zip(&new.fixed) {
             if old != new {
                 log::warn!(
@@ -26,8 +53,8 @@
             }
         }
         log::info!("configuration reloaded, discovery is at {}", new.discovery);
-        let (discovery, mut io) = self.runtime.watch();
-        discovery.relocate(&mut io, new.discovery);
-        self.runtime.set_notification_address(new.discovery);
+        Reload::Taken {
+            discovery: new.discovery,
+        }
     }
 }
--- /dev/null
+++ b/crates/daemon/src/status.rs
@@ -0,0 +1,26 @@
+//! The status line of the log.
+
+use crate::delivery::Runtime;
+
+const NANOS_PER_MS: u64 = 1_000_000;
+
+/// The processor time of this process in nanoseconds, as far as the system reports it.
+fn cpu_time() -> u64 {
+    let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
+    text.split(' ')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
+}
+
+/// Logs how much is pending.
+pub(crate) fn log_status(runtime: &Runtime) {
+    log::info!(
+        "status: {} messages pending, {} in flight, {} notifications pending, {} connections, {} ms of CPU time",
+        runtime.messages().len(),
+        runtime.messages().in_flight(),
+        runtime.pending_notifications(),
+        runtime.connections.len(),
+        cpu_time() / NANOS_PER_MS
+    );
+}
--- a/crates/daemon/src/timer.rs
+++ b/crates/daemon/src/timer.rs
@@ -1,39 +1,45 @@
 //! The timers of the event loop.
 
 use crate::connection::ConnectionId;
-use crate::delivery::message::MessageSlot;
 use crate::discovery::WatchTimer;
+use crate::message_slot::MessageSlot;
+use bellsill_core::interface::Nanos;
 
-/// What falls due.
+/// How often is looked for what another process that shares the state folder has left or changed there.
+pub(crate) const NEIGHBOUR_CHECK_INTERVAL: Nanos = 100_000_000;
+/// Between status lines.
+pub(crate) const STATUS_INTERVAL: Nanos = 10_000_000_000;
+
+/// What is to be done at a time. Of timers that expire at the same time the first in this order comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timer {
-    /// The decisions asked to be woken.
+pub(crate) enum Timer {
+    /// The decisions asked to be woken up.
     Wakeup,
-    /// An attempt has had its time.
+    /// An attempt has reached its deadline.
     Attempt(MessageSlot),
-    /// A connection has stood so for too long: rising, idle, or without the answer to notifications.
+    /// A connection has been connecting, idle, or without an expected answer for too long.
     Connection(ConnectionId),
-    /// Discovery is to be connected to again.
+    /// The watch of the configuration is to be opened again.
     WatchReconnect,
     /// Notifications that failed are to be sent again.
     NotificationRetry,
-    /// Clients may be let in again.
+    /// Clients may be accepted again.
     AcceptClients,
-    /// A client has sent more than was its turn.
+    /// A client has input left from its last turn.
     ReadClient(ConnectionId),
-    /// The next step of leaving.
+    /// The current phase of the shutdown is over.
     ShutdownPhase,
-    /// A line on how things stand.
+    /// The status line is to be logged.
     StatusLog,
-    /// The journal of a process that still ends beside this one is looked for.
+    /// A process that shared the state folder may have left a journal.
     AdoptJournals,
-    /// The list of endpoints held out may have been written by a process beside this one.
+    /// Another process that shares the state folder may have changed the list of disabled endpoints.
     DisabledEndpoints,
-    /// What could not be written to the journal is to be written.
+    /// Records that could not be written to the journal are to be written.
     JournalRetry,
     /// Destinations are to be looked up again.
     LookupRetry,
-    /// What is kept of the scoped configuration is to be saved.
+    /// The scope file is to be saved.
     SaveScope,
 }
 
--- a/crates/daemon/tests/mgmt.rs
+++ b/crates/daemon/tests/mgmt.rs
@@ -1,8 +1,8 @@
 //! The parser of operators' calls, the list of endpoints held out and the figures, without a socket.
 
 use bellsill_daemon::admin::{
-    COMPLETED, FAILED, Gauges, MAX_DISABLED, MAX_ENDPOINT_ID_BYTES, Metrics, Request, parse,
-    parse_disabled, render,
+    End, Gauges, MAX_DISABLED, MAX_ENDPOINT_ID_BYTES, Metrics, Request, parse, parse_disabled,
+    render,
 };
 
 #[test]
@@ -32,7 +32,7 @@
         (b"enable-server a b", "takes no word"),
         (b"\xff", "UTF-8"),
     ] {
-        let why = parse(line).expect_err("a bad call");
+        let why = parse(line).expect_err("a bad call").to_string();
         assert!(why.contains(says), "{line:?}: {why}");
     }
     let long = format!("disable-server {}", "x".repeat(MAX_ENDPOINT_ID_BYTES + 1));
@@ -52,9 +52,9 @@
 #[test]
 fn figures_are_written_for_each_class() {
     let mut figures = Metrics::default();
-    figures.count(1, FAILED);
-    figures.count(0, COMPLETED);
-    figures.count(0, COMPLETED);
+    figures.count(1, End::Failed);
+    figures.count(0, End::Completed);
+    figures.count(0, End::Completed);
     figures.attempts = 3;
     let gauges = Gauges {
         pending: 4,
