--- a/crates/daemon/tests/operators.rs
+++ b/crates/daemon/tests/admin_and_configuration.rs
@@ -1,4 +1,4 @@
-//! What operators do: the configuration, the log, the calls at `mgmt`.
+//! What operators do: the configuration, the log, admin requests.
 
 mod common;
 
@@ -8,79 +8,78 @@
 use std::net::{TcpListener, TcpStream};
 use std::process::{Command, Stdio};
 
+/// A field, a bad value of it in JSON, and the name that the error gives it.
+const BAD_FIELDS: [(&str, &str, &str); 15] = [
+    ("/listen", r#""nowhere""#, "listen"),
+    ("/limits/sockets", r#""many""#, "limits.sockets"),
+    (
+        "/settings/services/0/repeat",
+        r#""sometimes""#,
+        "settings.services[0].repeat",
+    ),
+    (
+        "/settings/family-info/workers",
+        "0",
+        "settings.family-info.workers",
+    ),
+    (
+        "/settings/guarantees/ramp-time-ns",
+        "null",
+        "settings.guarantees.ramp-time-ns",
+    ),
+    ("/settings/balancers", "0", "settings.balancers"),
+    ("/settings/balancers", "4294967296", "settings.balancers"),
+    (
+        "/settings/guarantees/cold-share",
+        "0",
+        "settings.guarantees.cold-share",
+    ),
+    (
+        "/settings/guarantees/tip-multiple",
+        "-2.0",
+        "settings.guarantees.tip-multiple",
+    ),
+    (
+        "/settings/services/0/worth",
+        "-1",
+        "settings.services[0].worth",
+    ),
+    (
+        "/settings/penalties",
+        r#"{"probe": 0.01, "handshake": -0.04}"#,
+        "settings.penalties.handshake",
+    ),
+    (
+        "/settings/penalties",
+        r#"{"probe": "dear"}"#,
+        "settings.penalties.probe",
+    ),
+    (
+        "/settings/family-info/per-call",
+        "[0]",
+        "settings.family-info.per-call",
+    ),
+    (
+        "/settings/family-info/per-call",
+        "[1, 20]",
+        "settings.family-info.per-call",
+    ),
+    (
+        "/settings/discovery",
+        r#""sometimes""#,
+        "settings.discovery",
+    ),
+];
+
 #[test]
 fn a_bad_configuration_ends_with_status_2_and_names_the_field() {
-    for (place, value, named) in [
-        ("/listen", json!("nowhere"), "listen"),
-        ("/limits/sockets", json!("many"), "limits.sockets"),
-        (
-            "/settings/services/0/repeat",
-            json!("sometimes"),
-            "settings.services[0].repeat",
-        ),
-        (
-            "/settings/family-info/workers",
-            json!(0),
-            "settings.family-info.workers",
-        ),
-        (
-            "/settings/guarantees/ramp-time-ns",
-            json!(null),
-            "settings.guarantees.ramp-time-ns",
-        ),
-        ("/settings/balancers", json!(0), "settings.balancers"),
-        (
-            "/settings/balancers",
-            json!(1u64 << 32),
-            "settings.balancers",
-        ),
-        (
-            "/settings/guarantees/cold-share",
-            json!(0),
-            "settings.guarantees.cold-share",
-        ),
-        (
-            "/settings/guarantees/tip-multiple",
-            json!(-2.0),
-            "settings.guarantees.tip-multiple",
-        ),
-        (
-            "/settings/services/0/worth",
-            json!(-1),
-            "settings.services[0].worth",
-        ),
-        (
-            "/settings/penalties",
-            json!({"probe": 0.01, "handshake": -0.04}),
-            "settings.penalties.handshake",
-        ),
-        (
-            "/settings/penalties",
-            json!({"probe": "dear"}),
-            "settings.penalties.probe",
-        ),
-        (
-            "/settings/family-info/per-call",
-            json!([0]),
-            "settings.family-info.per-call",
-        ),
-        (
-            "/settings/family-info/per-call",
-            json!([1, 20]),
-            "settings.family-info.per-call",
-        ),
-        (
-            "/settings/discovery",
-            json!("sometimes"),
-            "settings.discovery",
-        ),
-    ] {
+    for (place, value, named) in BAD_FIELDS {
         let mut rig = Rig::new(&[]);
         rig.json["settings"]["penalties"] = json!({"probe": 0.01});
         rig.json["settings"]["discovery"] = json!("pushed");
         rig.json["settings"]["family-info"]["per-call"] = json!([1]);
         assert!(rig.command("check").output().unwrap().status.success());
-        *rig.json.pointer_mut(place).unwrap() = value;
+        *rig.json.pointer_mut(place).unwrap() = serde_json::from_str(value).unwrap();
         for what in ["serve", "check"] {
             let end = rig.command(what).stdout(Stdio::piped()).output().unwrap();
             let text = String::from_utf8(end.stderr).unwrap();
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_stops_nothing() {
+fn a_log_that_nobody_reads_blocks_nothing() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     let mut command = rig.command("serve");
@@ -132,8 +131,20 @@
     wait_for("the message", || e.calls().len() == 1);
 }
 
+/// The metrics after the counted run below.
+const COUNTED: [(&str, u64); 8] = [
+    ("downstream_requests.notice.completed", 5),
+    ("downstream_requests.notice.rejected", 1),
+    ("downstream_requests.notice.failed", 0),
+    ("downstream_requests.payment.completed", 0),
+    ("downstream_requests.payment.failed", 1),
+    ("pending", 1),
+    ("members", 3),
+    ("members_unavailable", 0),
+];
+
 #[test]
-fn calls_are_answered_whatever_other_callers_do_and_figures_are_those_of_a_counted_run() {
+fn admin_requests_are_answered_whatever_others_do_and_metrics_equal_a_counted_run() {
     let (sound, failing, shut) = (
         Endpoint::start(OK),
         Endpoint::start(Does::Says("500 No")),
@@ -177,17 +188,7 @@
                 .iter()
                 .all(|id| rig.platform.notice(id).is_some())
     });
-    let figures = [
-        ("downstream_requests.notice.completed", 5),
-        ("downstream_requests.notice.rejected", 1),
-        ("downstream_requests.notice.failed", 0),
-        ("downstream_requests.payment.completed", 0),
-        ("downstream_requests.payment.failed", 1),
-        ("pending", 1),
-        ("members", 3),
-        ("members_unavailable", 0),
-    ];
-    for (name, value) in figures {
+    for (name, value) in COUNTED {
         wait_for(name, || rig.figure(name) == value);
     }
     let calls = sound.calls().len() + failing.calls().len() + shut.calls().len();
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn a_drained_dispatcher_says_no_keeps_what_it_holds_and_takes_clients_again() {
+fn a_drained_dispatcher_is_not_ready_keeps_pending_messages_and_accepts_clients_again() {
     let (sound, hung) = (Endpoint::start(OK), Endpoint::start(Does::Hangs));
     let mut rig = Rig::new(&[(&sound, 7), (&hung, 8)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
@@ -219,9 +220,9 @@
     assert!(rig.call("drain")[0].starts_with("SUCCESS"));
     assert!(rig.call("drain")[0].starts_with("SUCCESS"), "twice is once");
     assert_eq!((asks.line().as_str(), asks.line().as_str()), ("+OK", ""));
-    assert_eq!(idle.line(), "", "parted with");
+    assert_eq!(idle.line(), "", "closed");
     assert_eq!(within.says(&first[30..]), "+OK");
-    assert_eq!(within.line(), "", "parted with once it is answered");
+    assert_eq!(within.line(), "", "closed once it is answered");
     assert!(rig.client().says(b"PING\r\n").starts_with("-ERR draining"));
     assert!(rig.call("ready")[0].starts_with("FAILURE"));
     // One that comes nonetheless is served, and what was held goes on.
@@ -251,40 +252,43 @@
     assert!(rig.platform.notices().is_empty());
 }
 
+/// Has this many messages delivered, by either endpoint.
+fn send(client: &mut Client, endpoints: [&Endpoint; 2], many: usize) {
+    let calls = || endpoints.iter().map(|e| e.calls().len()).sum::<usize>();
+    let before = calls();
+    (0..many).for_each(|_| drop(client.message("notice", 7, 20_000, "x")));
+    wait_for("the messages", || calls() == before + many);
+}
+
 #[test]
-fn an_endpoint_out_by_hand_stays_out_over_lists_restarts_and_upgrades() {
+fn a_disabled_endpoint_stays_disabled_over_lists_restarts_and_upgrades() {
     let (a, b) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&a, 7), (&b, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
-    // Left by a process that was stopped in the middle of things: what is no id is passed over.
+    // Left by a process that was stopped halfway: a line that is no id is skipped.
     std::fs::write(rig.folder.join("state/held-out"), "two words\ne0\n\n").unwrap();
     rig.start();
     let mut client = rig.client();
-    let messages = |client: &mut Client, many: usize| {
-        let before = a.calls().len() + b.calls().len();
-        (0..many).for_each(|_| drop(client.message("notice", 7, 20_000, "x")));
-        wait_for("the messages", || {
-            a.calls().len() + b.calls().len() == before + many
-        });
-    };
+    let calls = || (a.calls().len(), b.calls().len());
+    let messages = |client: &mut Client, many| send(client, [&a, &b], many);
     messages(&mut client, 10);
-    assert_eq!(
-        (a.calls().len(), b.calls().len()),
-        (0, 10),
-        "held out by the list left"
-    );
+    assert_eq!(calls(), (0, 10), "disabled by the file found");
     assert!(rig.call("enable-server e0")[0].starts_with("SUCCESS"));
     for _ in 0..2 {
         assert!(rig.call("disable-server e1")[0].starts_with("SUCCESS"));
     }
     // What discovery says meanwhile changes nothing.
-    let up = json!({"version": 2, "full": true, "servers": [a.entry("e0", 7, "up"), b.entry("e1", 7, "up"),
-        a.entry("e2", 8, "up")]});
+    let up = [
+        a.entry("e0", 7, "up"),
+        b.entry("e1", 7, "up"),
+        a.entry("e2", 8, "up"),
+    ];
+    let up = json!({"version": 2, "full": true, "servers": up});
     rig.platform.tell(&format!("{up}\n"));
     wait_for("the list", || rig.figure("members") == 3);
     messages(&mut client, 10);
-    assert_eq!((a.calls().len(), b.calls().len()), (10, 10));
-    // An end that the journal does not have yet would be owed again.
+    assert_eq!(calls(), (10, 10));
+    // A message whose end is not in the journal yet would be sent again.
     wait_for("their ends", || {
         rig.figure("downstream_requests.notice.completed") == 20
     });
@@ -292,34 +296,26 @@
     rig.start();
     client = rig.client();
     messages(&mut client, 10);
-    assert_eq!(
-        (a.calls().len(), b.calls().len()),
-        (20, 10),
-        "over a restart"
-    );
-    // A new version beside it, then a call to the old one: the new one heeds it too.
+    assert_eq!(calls(), (20, 10), "over a restart");
+    // A new version beside it, then a request to the old one: it applies to the new one too.
     let mut old = rig.child.take().unwrap();
     rig.json["mgmt"] = rig.mgmt_at(1).into();
     rig.start_beside();
     assert!(call_at(&rig.mgmt_at(0), "enable-server e1")[0].starts_with("SUCCESS"));
-    wait_for("the call back at the new one", || {
+    wait_for("the endpoint enabled at the new one", || {
         rig.figure("members_unavailable") == 0
     });
     assert!(call_at(&rig.mgmt_at(0), "disable-server e0")[0].starts_with("SUCCESS"));
     let out = || std::fs::read_to_string(rig.folder.join("state/held-out")).unwrap();
     assert_eq!(out(), "e0\n");
-    wait_for("the call out at the new one", || {
+    wait_for("the endpoint disabled at the new one", || {
         rig.figure("members_unavailable") == 1
     });
     old.kill().unwrap();
     old.wait().unwrap();
     client = rig.client();
     messages(&mut client, 10);
-    assert_eq!(
-        (a.calls().len(), b.calls().len()),
-        (20, 20),
-        "over an upgrade"
-    );
+    assert_eq!(calls(), (20, 20), "over an upgrade");
     assert!(
         rig.call("enable-server e0")[0].starts_with("SUCCESS"),
         "one call undoes two"
@@ -328,7 +324,7 @@
 }
 
 #[test]
-fn a_mgmt_address_that_cannot_be_had_is_named() {
+fn an_admin_address_that_cannot_be_bound_is_named() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut rig = Rig::new(&[]);
     rig.json["mgmt"] = taken.local_addr().unwrap().to_string().into();
--- a/crates/daemon/tests/calls.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints: what counts as relayed, and connections that come late or are turned away.
+//! Attempts: which responses count as delivered, and connections that are established late or rejected.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn what_is_no_http_is_a_reset_and_a_connection_s_end_is_met() {
+fn a_response_that_is_not_http_is_a_reset_and_a_closed_connection_is_replaced() {
     let babbles = Does::Writes("no HTTP at all\r\n\r\n");
     let e = Endpoint::start(babbles);
     let mut rig = Rig::new(&[(&e, 7)]);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_unless_its_first_line_says_relayed() {
+fn a_malformed_response_may_have_run_unless_its_status_line_is_a_success() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -86,19 +86,19 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_message_s_time_gets_nothing() {
+fn a_connection_established_after_the_deadline_gets_no_request() {
     let (slow, filler) = crowded();
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
     let mut rig = Rig::new(&[]);
     rig.json["known"]["servers"] = json!([entry]);
     rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
-    // The connection is kept, and closed when it has been idle for so long.
+    // The connection is kept, and closed when it has been idle that long.
     rig.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
     rig.start();
     let mut client = rig.client();
     let (id, from) = (client.message("payment", 7, 3000, "x"), Instant::now());
     assert_eq!(client.says(b"PING\r\n"), "+PONG");
-    // The dispatcher stands still while the connection comes up, until the queue lifetime is over.
+    // The dispatcher is suspended while the connection comes up, until the queue lifetime is over.
     rig.signal(Signal::STOP);
     drop((slow.accept().unwrap(), filler));
     let mut late = slow.accept().unwrap().0;
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_its_endpoint_began_to_drain_gets_nothing() {
+fn a_connection_established_after_its_endpoint_began_to_drain_gets_no_request() {
     let (slow, filler) = crowded();
     let addr = slow.local_addr().unwrap().to_string();
     let entry = |state: &str| entry("slow", &addr, 7, state);
@@ -135,7 +135,7 @@
     let news = json!({"version": 2, "full": false, "servers": [entry("draining"), second.entry("more", 9, "up")]});
     rig.platform.tell(&format!("{news}\n"));
     // Its destination is in the same line, so when it goes out the drain is known.
-    // Until the line is read its destination is unknown, and a message to it is turned away unheard.
+    // Until the line is read its destination is unknown, and a message to it is rejected.
     let later = fresh();
     let ask = put(&later, &format!("c=notice,d=19000,k=k{later},dest=9"), "x");
     wait_for("the news", || match rig.client().says(&ask).as_str() {
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_refused_message_goes_to_another_route_and_one_that_is_over_is_over() {
+fn a_rejected_message_goes_to_another_route_and_a_withdrawn_one_ends() {
     let (full, open) = (
         Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
         Endpoint::start(Does::Says("410 Gone")),
@@ -174,12 +174,12 @@
     assert_eq!(
         rig.platform.notices().len(),
         0,
-        "nothing is owed for what is over"
+        "no notification for a withdrawn message"
     );
 }
 
 #[test]
-fn a_connection_turned_away_with_503_and_closed_closes_no_sibling() {
+fn a_503_that_closes_its_connection_suspends_no_sibling() {
     let full = Endpoint::start(Does::SaysLast(
         "503 Service Unavailable\r\nConnection: close",
     ));
@@ -208,7 +208,7 @@
 /// Seen on join+mass, zone+brink and split+brink: a repeat was decided inside its window and written up to 1.5 s later, once its
 /// connection came up, outside of it.
 #[test]
-fn a_connection_that_comes_up_after_the_window_for_repeats_gets_no_repeat() {
+fn a_connection_established_after_the_idempotency_window_gets_no_retry() {
     let slow = crowded_but_for(1);
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
     let mut rig = Rig::new(&[]);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_after_its_endpoint_has_moved_gets_nothing() {
+fn a_connection_established_after_its_endpoint_was_relocated_gets_no_request() {
     let (old, filler) = crowded();
     let moved = Endpoint::start(OK);
     let entry = |addr: String| up("e0", &addr, 7);
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients see: answers in order, bad input, and who is parted with when there are too many.
+//! What clients see: answers in order, bad input, and who is closed when there are too many.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn split_and_pipelined_input_is_answered_in_order_and_relayed() {
+fn split_and_pipelined_input_is_answered_in_order_and_delivered() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -118,13 +118,13 @@
 }
 
 #[test]
-fn a_message_whose_client_has_gone_on_is_not_taken() {
+fn a_message_whose_client_has_closed_its_side_is_not_accepted() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
     let (mut client, id) = (rig.client(), fresh());
     assert_eq!(client.says(b"PING\r\n"), "+PONG");
-    // The dispatcher stands still while the client hands in a message and ends its side.
+    // The dispatcher is suspended while the client hands in a message and ends its side.
     rig.signal(Signal::STOP);
     client
         .to
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn clients_that_say_nothing_or_stop_half_way_are_parted_with_and_starve_nobody() {
+fn clients_that_send_nothing_or_half_a_request_are_closed_and_starve_nobody() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.json["limits"]["sockets"] = json!(64);
@@ -150,7 +150,7 @@
     let mut bad: Vec<Client> = (0..150).map(|_| rig.client()).collect();
     for (n, client) in bad.iter_mut().enumerate() {
         // Some end up where there is no place for them yet; whatever happens to them is an end.
-        let _ = client.to.write_all(&whole[..n % 3 * 20]);
+        client.to.write_all(&whole[..n % 3 * 20]).ok();
     }
     for n in 1..=3 {
         rig.client().message("notice", 7, 8000, "a usual client");
@@ -170,9 +170,9 @@
     assert_eq!(e.calls().len(), 3);
 }
 
-/// Found on crowd+term+scrape: with no place left a client was parted with whose request had come and was not read yet.
+/// Found on crowd+term+scrape: at the limit a client was closed whose request had arrived and was not read yet.
 #[test]
-fn a_client_whose_request_has_come_gives_way_to_nobody() {
+fn a_client_whose_request_has_arrived_is_not_closed_for_another() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.json["limits"]["sockets"] = json!(64);
@@ -183,7 +183,7 @@
         inside.iter_mut().all(|c| c.says(b"PING\r\n") == "+PONG"),
         "they and the one before are inside"
     );
-    // While the dispatcher stands still a crowd comes first, then the requests; all of them find it at once.
+    // While the dispatcher is suspended a crowd comes first, then the requests; all of them find it at once.
     rig.signal(Signal::STOP);
     let crowd: Vec<Client> = (0..150).map(|_| rig.client()).collect();
     let ids = [fresh(), fresh()];
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_client_that_keeps_erring_is_parted_with_and_hundreds_of_commands_are_all_answered() {
+fn a_client_with_many_errors_is_closed_and_hundreds_of_commands_are_all_answered() {
     let mut rig = Rig::new(&[]);
     rig.start();
     let mut client = rig.client();
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn more_clients_than_descriptors_wait_and_those_inside_are_served() {
+fn clients_beyond_the_descriptors_wait_and_those_connected_are_served() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.json["limits"]["sockets"] = json!(64);
@@ -247,7 +247,7 @@
 /// Seen on the short days of another customer: a full hold gave up up to 860 messages a day that had surely not run, most of them
 /// right after they had been accepted.
 #[test]
-fn what_is_accepted_keeps_its_place_and_a_hung_destination_leaves_room_for_others() {
+fn accepted_messages_keep_their_place_and_a_hung_destination_leaves_capacity_for_others() {
     let (hung, sound) = (Endpoint::start(Does::Hangs), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&hung, 7), (&sound, 9)]);
     rig.start();
@@ -276,7 +276,7 @@
 /// A request that arrives between the last read and the end of a resting client: nothing of it is accepted, and no reset takes away
 /// what the client has not read.
 #[test]
-fn a_request_that_crosses_the_parting_is_not_accepted_and_resets_nothing() {
+fn a_request_that_crosses_the_close_is_not_accepted_and_resets_nothing() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
@@ -284,7 +284,7 @@
     let mut resting = rig.client();
     resting.message("notice", 7, 8000, "before");
     assert!(rig.call("drain")[0].starts_with("SUCCESS"));
-    assert_eq!(resting.line(), "", "parted with");
+    assert_eq!(resting.line(), "", "closed");
     let crossing = fresh();
     resting
         .to
--- a/crates/daemon/tests/common/control.rs
+++ b/crates/daemon/tests/common/control.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// How many buckets a region has.
-pub const BUCKETS: u32 = 4;
+pub(crate) const BUCKETS: u32 = 4;
 /// The region's buckets come first among all.
 const HELD_ZONE: &str = "north";
 const LOG: &str = "c0ffee";
@@ -37,13 +37,13 @@
 }
 
 #[derive(Clone)]
-pub struct Control {
-    pub addr: String,
+pub(crate) struct Control {
+    pub(crate) addr: String,
     state: Arc<Mutex<State>>,
 }
 
 impl Control {
-    pub fn start() -> Control {
+    pub(crate) fn start() -> Control {
         let state: Arc<Mutex<State>> = Arc::default();
         let served = Arc::clone(&state);
         let addr = stand_in(move |stream| serve(stream, &served));
@@ -51,7 +51,7 @@
     }
 
     /// Writes an endpoint, as `POST /api/targets` does.
-    pub fn write(&self, id: &str, addr: &str, zone: &str, destination: u64, up: bool) {
+    pub(crate) fn write(&self, id: &str, addr: &str, zone: &str, destination: u64, up: bool) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
         let entry = EndpointEntry {
@@ -73,34 +73,34 @@
     }
 
     /// Ends all watches; the next ones are served.
-    pub fn end_watches(&self) {
+    pub(crate) fn end_watches(&self) {
         self.state.lock().unwrap().epoch += 1;
     }
 
     /// Assigns the dispatcher's buckets to another one.
-    pub fn take_buckets_away(&self) {
+    pub(crate) fn take_buckets_away(&self) {
         self.state.lock().unwrap().taken_away = true;
     }
 
     /// Tells a line that no dispatcher may take.
-    pub fn tell_whole_list(&self) {
+    pub(crate) fn tell_whole_list(&self) {
         self.state.lock().unwrap().whole_list_next = true;
     }
 
-    pub fn fail_lookups(&self, fail: bool) {
+    pub(crate) fn fail_lookups(&self, fail: bool) {
         self.state.lock().unwrap().lookups_fail = fail;
     }
 
-    pub fn watch_queries(&self) -> Vec<String> {
+    pub(crate) fn watch_queries(&self) -> Vec<String> {
         self.state.lock().unwrap().watch_queries.clone()
     }
 
-    pub fn lookup_queries(&self) -> Vec<String> {
+    pub(crate) fn lookup_queries(&self) -> Vec<String> {
         self.state.lock().unwrap().lookup_queries.clone()
     }
 
     /// The query of the next watch after the first `seen` ones.
-    pub fn next_watch(&self, seen: usize) -> String {
+    pub(crate) fn next_watch(&self, seen: usize) -> String {
         wait_for("another watch", || self.watch_queries().len() > seen);
         self.watch_queries()[seen].clone()
     }
@@ -145,7 +145,8 @@
     let mut state = state.lock().unwrap();
     state.lookup_queries.push(query.to_string());
     if state.lookups_fail {
-        let _ = to.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        to.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+            .ok();
         return;
     }
     let cells = numbers(fields, "cells");
@@ -162,11 +163,12 @@
         ..ScopedLine::default()
     };
     let body = serde_json::to_string(&line).unwrap() + "\n";
-    let _ = write!(
+    write!(
         to,
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
-    );
+    )
+    .ok();
 }
 
 fn serve_watch(
--- a/crates/daemon/tests/common/faults.rs
+++ b/crates/daemon/tests/common/faults.rs
@@ -6,14 +6,14 @@
 use std::process::Command;
 
 #[path = "../preload/words.rs"]
-pub mod words;
+pub(crate) mod words;
 
-pub const ENOSPC: u64 = 28;
-pub const EIO: u64 = 5;
-pub const EINTR: u64 = 4;
+pub(crate) const ENOSPC: u64 = 28;
+pub(crate) const EIO: u64 = 5;
+pub(crate) const EINTR: u64 = 4;
 
 /// The page of one dispatcher, kept over its restarts.
-pub struct Faults {
+pub(crate) struct Faults {
     path: PathBuf,
     page: File,
 }
@@ -36,7 +36,7 @@
 
 impl Faults {
     /// A page in this folder that asks for nothing.
-    pub fn new(folder: &Path, seed: u64) -> Faults {
+    pub(crate) fn new(folder: &Path, seed: u64) -> Faults {
         let path = folder.join("faults");
         let page = OpenOptions::new()
             .read(true)
@@ -51,13 +51,13 @@
         faults
     }
 
-    pub fn ask(&self, word: usize, value: u64) {
+    pub(crate) fn ask(&self, word: usize, value: u64) {
         self.page
             .write_all_at(&value.to_ne_bytes(), word as u64 * 8)
             .unwrap();
     }
 
-    pub fn count(&self, word: usize) -> u64 {
+    pub(crate) fn count(&self, word: usize) -> u64 {
         let mut bytes = [0; 8];
         self.page
             .read_exact_at(&mut bytes, word as u64 * 8)
@@ -66,20 +66,20 @@
     }
 
     /// From now on the wall clock is this far from the machine's.
-    pub fn step_wall_clock(&self, seconds: i64) {
+    pub(crate) fn step_wall_clock(&self, seconds: i64) {
         self.ask(words::WALL_STEP_SECONDS, seconds as u64);
     }
 
     /// Writes to the folder that lasts fail with this error, after half of the bytes or before any; truncating fails too
     /// where half is written.
-    pub fn fail_writes(&self, errno: u64, half: bool) {
+    pub(crate) fn fail_writes(&self, errno: u64, half: bool) {
         self.ask(words::WRITE_HALF, u64::from(half));
         self.ask(words::TRUNCATE_ERRNO, if half { errno } else { 0 });
         self.ask(words::WRITE_ERRNO, errno);
     }
 
     /// Everything that changes files in the folder that lasts fails, opening them too.
-    pub fn fail_folder(&self, errno: u64) {
+    pub(crate) fn fail_folder(&self, errno: u64) {
         for word in [words::WRITE_ERRNO, words::TRUNCATE_ERRNO, words::OPEN_ERRNO] {
             self.ask(word, errno);
         }
@@ -88,13 +88,13 @@
     }
 
     /// The folder is good again.
-    pub fn heal_folder(&self) {
+    pub(crate) fn heal_folder(&self) {
         self.fail_folder(0);
         self.ask(words::WRITE_HALF, 0);
     }
 
     /// Has a command's process preload the library, with faults in that folder.
-    pub fn preload(&self, command: &mut Command, folder: &Path) {
+    pub(crate) fn preload(&self, command: &mut Command, folder: &Path) {
         command.env("LD_PRELOAD", library());
         command
             .env("BELLSILL_FAULTS", &self.path)
--- a/crates/daemon/tests/common/installation.rs
+++ b/crates/daemon/tests/common/installation.rs
@@ -5,12 +5,12 @@
 use rustix::process::{Pid, kill_process};
 
 /// Dispatchers `d0` to `d2` and control processes `c0` (the writer) to `c2`.
-pub const SIZE: usize = 3;
+pub(crate) const SIZE: usize = 3;
 const BUCKETS_PER_REGION: u32 = 16;
 /// The dispatchers' zones. Each bucket is held in both.
 const ZONES: [&str; SIZE] = ["north", "south", "north"];
 
-pub struct ControlProcess {
+pub(crate) struct ControlProcess {
     addr: String,
     folder: PathBuf,
     child: Option<Child>,
@@ -36,7 +36,7 @@
         }
     }
 
-    pub fn start(&mut self) {
+    pub(crate) fn start(&mut self) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill"));
         command
             .arg("control")
@@ -50,11 +50,11 @@
         });
     }
 
-    pub fn signal(&self, signal: Signal) {
+    pub(crate) fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(self.child.as_ref().unwrap()), signal).unwrap();
     }
 
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().unwrap();
             child.wait().unwrap();
@@ -78,7 +78,7 @@
 
 /// A link to one address: bytes go both ways until it is cut, then they wait, and new connections too.
 #[derive(Clone)]
-pub struct Link {
+pub(crate) struct Link {
     addr: String,
     cut: Arc<AtomicBool>,
 }
@@ -115,12 +115,12 @@
             break;
         }
     }
-    let _ = to.shutdown(std::net::Shutdown::Both);
-    let _ = from.shutdown(std::net::Shutdown::Both);
+    to.shutdown(std::net::Shutdown::Both).ok();
+    from.shutdown(std::net::Shutdown::Both).ok();
 }
 
-pub struct Dispatcher {
-    pub rig: Rig,
+pub(crate) struct Dispatcher {
+    pub(crate) rig: Rig,
     links: Vec<Link>,
 }
 
@@ -146,7 +146,7 @@
         Dispatcher { rig, links }
     }
 
-    pub fn start(&mut self) {
+    pub(crate) fn start(&mut self) {
         let mut command = self.rig.command("serve");
         command
             .arg("--installation")
@@ -155,18 +155,18 @@
     }
 
     /// Cuts or heals the link to all control processes.
-    pub fn cut(&self, cut: bool) {
+    pub(crate) fn cut(&self, cut: bool) {
         self.links
             .iter()
             .for_each(|link| link.cut.store(cut, Ordering::SeqCst));
     }
 
-    pub fn scope(&self, name: &str) -> u64 {
+    pub(crate) fn scope(&self, name: &str) -> u64 {
         self.rig.figure(&format!("scope.{name}"))
     }
 
     /// Hands in one message after another until one has come to the endpoint, whatever the ones before are answered.
-    pub fn reaches(&self, destination: u64, endpoint: &Endpoint, body: &str) {
+    pub(crate) fn reaches(&self, destination: u64, endpoint: &Endpoint, body: &str) {
         let came = || endpoint.calls().iter().any(|call| call.body == body);
         wait_for(&format!("the message {body:?} for {destination}"), || {
             let fields = format!("c=payment,d=8000,k=,dest={destination}");
@@ -178,14 +178,14 @@
     }
 }
 
-pub struct Installation {
-    pub control: Vec<ControlProcess>,
-    pub dispatchers: Vec<Dispatcher>,
+pub(crate) struct Installation {
+    pub(crate) control: Vec<ControlProcess>,
+    pub(crate) dispatchers: Vec<Dispatcher>,
 }
 
 impl Installation {
     /// All processes run, and the dispatchers are declared and hold their buckets.
-    pub fn start() -> Installation {
+    pub(crate) fn start() -> Installation {
         let places: Vec<Rig> = (0..SIZE).map(|_| Rig::new(&[])).collect();
         let addr = |n: usize| places[n].listen.replace(":6379", ":7400");
         let folder = |n: usize| places[n].folder.with_extension("control");
@@ -215,7 +215,7 @@
     }
 
     /// Waits until every bucket is held in both zones.
-    pub fn wait_for_buckets(&self) {
+    pub(crate) fn wait_for_buckets(&self) {
         wait_for("every bucket in both zones", || {
             let held: u64 = self
                 .dispatchers
@@ -227,7 +227,7 @@
     }
 
     /// Writes an endpoint of each of these destinations, at the writer.
-    pub fn write(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint) {
+    pub(crate) fn write(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint) {
         let lines = destinations
             .map(|cell| format!("{}\n", endpoint.entry(&format!("e{cell}"), cell, "up")));
         self.post("/api/targets", &lines.collect::<String>());
@@ -247,7 +247,12 @@
     }
 
     /// Every dispatcher delivers to each of these destinations.
-    pub fn all_reach(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint, what: &str) {
+    pub(crate) fn all_reach(
+        &self,
+        destinations: std::ops::Range<u64>,
+        endpoint: &Endpoint,
+        what: &str,
+    ) {
         for (n, dispatcher) in self.dispatchers.iter().enumerate() {
             for destination in destinations.clone() {
                 dispatcher.reaches(
@@ -264,7 +269,7 @@
     fn drop(&mut self) {
         for process in &mut self.control {
             process.kill();
-            let _ = std::fs::remove_dir_all(&process.folder);
+            std::fs::remove_dir_all(&process.folder).ok();
         }
     }
 }
--- a/crates/daemon/tests/common/ledger.rs
+++ b/crates/daemon/tests/common/ledger.rs
@@ -17,7 +17,7 @@
 
 /// What a client heard of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub(crate) enum Heard {
     Accepted,
     Refused,
     /// No answer, or no connection: the client handed it in elsewhere, and it counts no more.
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub(crate) enum Effect {
     Delivered,
     MayHaveRun,
     NeverRan,
@@ -51,14 +51,14 @@
 
 /// How often a message of a class may take effect.
 #[derive(Clone, Copy, Debug)]
-pub struct Class {
-    pub name: &'static str,
+pub(crate) struct Class {
+    pub(crate) name: &'static str,
     /// Repeats are dropped within this span; none: it may take effect once.
-    pub window: Option<Duration>,
+    pub(crate) window: Option<Duration>,
 }
 
 #[derive(Default)]
-pub struct Ledger {
+pub(crate) struct Ledger {
     messages: BTreeMap<String, Message>,
     /// From the signal of a restart until the next process was ready; none while it is not.
     restarts: Vec<(Instant, Option<Instant>)>,
@@ -74,15 +74,15 @@
 
 /// What the account came to.
 #[derive(Debug, Default, PartialEq)]
-pub struct Verdict {
-    pub accepted: usize,
-    pub refused: usize,
-    pub delivered: usize,
-    pub noticed: usize,
+pub(crate) struct Verdict {
+    pub(crate) accepted: usize,
+    pub(crate) refused: usize,
+    pub(crate) delivered: usize,
+    pub(crate) noticed: usize,
     /// For how long the machine stood still at the most.
-    pub stalled: Duration,
+    pub(crate) stalled: Duration,
     /// Each broken rule, in words.
-    pub broken: Vec<String>,
+    pub(crate) broken: Vec<String>,
 }
 
 impl std::fmt::Display for Verdict {
@@ -110,12 +110,12 @@
 
 impl Ledger {
     /// A thread that only sleeps was held up for so long.
-    pub fn stalled(&mut self, time: Duration) {
+    pub(crate) fn stalled(&mut self, time: Duration) {
         self.stalled = self.stalled.max(time);
     }
 
     /// A client is about to hand in a message.
-    pub fn handed_in(&mut self, id: &str, class: Class, lifetime: Duration) {
+    pub(crate) fn handed_in(&mut self, id: &str, class: Class, lifetime: Duration) {
         let message = Message {
             window: class.window,
             due: Instant::now() + lifetime,
@@ -127,18 +127,18 @@
         self.messages.insert(id.to_string(), message);
     }
 
-    pub fn heard(&mut self, id: &str, heard: Heard) {
+    pub(crate) fn heard(&mut self, id: &str, heard: Heard) {
         self.messages.get_mut(id).unwrap().heard = heard;
     }
 
     /// A client's new connection was closed with no answer once its request was written.
-    pub fn closed_unanswered(&mut self, id: &str) {
+    pub(crate) fn closed_unanswered(&mut self, id: &str) {
         self.messages.get_mut(id).unwrap().closed_at = Some(Instant::now());
     }
 
     /// A call came whole so long ago; its number among those of the message. That it was not read before is the machine's
     /// doing.
-    pub fn call_began(&mut self, id: &str, limiter: usize, ago: Duration) -> usize {
+    pub(crate) fn call_began(&mut self, id: &str, limiter: usize, ago: Duration) -> usize {
         let now = Instant::now() - ago;
         self.stalled(ago);
         let last_restart = self.restarts.last().map(|restart| restart.0);
@@ -170,7 +170,7 @@
     }
 
     /// A call is over: answered, or its connection has ended.
-    pub fn call_ended(&mut self, id: &str, number: usize, effect: Effect) {
+    pub(crate) fn call_ended(&mut self, id: &str, number: usize, effect: Effect) {
         if let Some(call) = self
             .messages
             .get_mut(id)
@@ -181,7 +181,7 @@
         }
     }
 
-    pub fn told_to_wait(&mut self, limiter: usize, wait: Duration) {
+    pub(crate) fn told_to_wait(&mut self, limiter: usize, wait: Duration) {
         let now = Instant::now();
         self.waits
             .entry(limiter)
@@ -189,7 +189,7 @@
             .push((now, now + wait));
     }
 
-    pub fn noticed(&mut self, id: &str) {
+    pub(crate) fn noticed(&mut self, id: &str) {
         match self.messages.get_mut(id) {
             Some(message) => message.notices.push(Instant::now()),
             None => self
@@ -199,7 +199,7 @@
     }
 
     /// A client that stopped in the middle of a request was told an error or closed, or waits no longer for that.
-    pub fn bad_client_ended(&mut self, began: Instant, owed: Duration) {
+    pub(crate) fn bad_client_ended(&mut self, began: Instant, owed: Duration) {
         let took = began.elapsed();
         if took > owed + LIMIT_SLACK
             && !self
@@ -215,16 +215,16 @@
     }
 
     /// A signal that ends the process, or the first of several.
-    pub fn restart_began(&mut self) {
+    pub(crate) fn restart_began(&mut self) {
         self.restarts.push((Instant::now(), None));
     }
 
     /// The next process is started.
-    pub fn started_again(&mut self) {
+    pub(crate) fn started_again(&mut self) {
         self.down_since = Some(Instant::now());
     }
 
-    pub fn restart_ended(&mut self) {
+    pub(crate) fn restart_ended(&mut self) {
         let took = self
             .down_since
             .take()
@@ -249,7 +249,7 @@
     }
 
     /// Whether all that was accepted has its end.
-    pub fn all_ended(&self) -> bool {
+    pub(crate) fn all_ended(&self) -> bool {
         let ended = |m: &Message| !m.notices.is_empty() || m.delivered().is_some();
         self.messages
             .values()
@@ -257,7 +257,7 @@
     }
 
     /// The verdict at this moment; what is still in time is not yet judged as lost.
-    pub fn verdict(&self) -> Verdict {
+    pub(crate) fn verdict(&self) -> Verdict {
         let mut verdict = Verdict {
             broken: self.wrong.clone(),
             stalled: self.stalled,
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -3,11 +3,11 @@
 // Each test binary has a copy of its own and uses only some of it.
 #![allow(dead_code)]
 
-pub mod control;
-pub mod faults;
-pub mod installation;
-pub mod ledger;
-pub mod soak;
+pub(crate) mod control;
+pub(crate) mod faults;
+pub(crate) mod installation;
+pub(crate) mod ledger;
+pub(crate) mod soak;
 
 use bellsill_daemon::journal::{MessageJournal, Recovered};
 use faults::Faults;
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 
 /// Waits for something to become true. It may take as long as it likes; only what never comes fails.
-pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+pub(crate) fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let from = Instant::now();
     while !done() {
         assert!(
@@ -34,7 +34,7 @@
 }
 
 /// Reads the head and body of one HTTP request.
-pub fn request(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
+pub(crate) fn request(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -56,7 +56,7 @@
 }
 
 /// A listener on a free port, with a thread for each connection.
-pub fn stand_in(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> String {
+pub(crate) fn stand_in(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     std::thread::spawn(move || {
@@ -69,15 +69,15 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Call {
-    pub head: Vec<String>,
-    pub body: String,
+pub(crate) struct Call {
+    pub(crate) head: Vec<String>,
+    pub(crate) body: String,
     /// Counts the connections of its endpoint.
-    pub conn: u64,
+    pub(crate) conn: u64,
 }
 
 impl Call {
-    pub fn header(&self, name: &str) -> &str {
+    pub(crate) fn header(&self, name: &str) -> &str {
         self.head
             .iter()
             .find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
@@ -87,7 +87,7 @@
 
 /// What an endpoint does with a call.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Does {
+pub(crate) enum Does {
     /// Answers with this: status line without its version, further headers.
     Says(&'static str),
     /// Answers, then closes the connection.
@@ -99,14 +99,14 @@
 }
 
 #[derive(Clone)]
-pub struct Endpoint {
-    pub addr: String,
-    pub calls: Arc<Mutex<Vec<Call>>>,
-    pub does: Arc<Mutex<Does>>,
+pub(crate) struct Endpoint {
+    pub(crate) addr: String,
+    pub(crate) calls: Arc<Mutex<Vec<Call>>>,
+    pub(crate) does: Arc<Mutex<Does>>,
 }
 
 impl Endpoint {
-    pub fn start(does: Does) -> Endpoint {
+    pub(crate) fn start(does: Does) -> Endpoint {
         let (calls, does) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(does)));
         let (seen, way, conns) = (
             Arc::clone(&calls),
@@ -136,36 +136,36 @@
         });
         Endpoint { addr, calls, does }
     }
-    pub fn does(&self, does: Does) {
+    pub(crate) fn does(&self, does: Does) {
         *self.does.lock().unwrap() = does;
     }
-    pub fn calls(&self) -> Vec<Call> {
+    pub(crate) fn calls(&self) -> Vec<Call> {
         self.calls.lock().unwrap().clone()
     }
     /// How many calls came for a message.
-    pub fn calls_of(&self, id: &str) -> usize {
+    pub(crate) fn calls_of(&self, id: &str) -> usize {
         self.calls()
             .iter()
             .filter(|call| call.header("X-Trace-Id") == id)
             .count()
     }
-    pub fn entry(&self, id: &str, cell: u64, state: &str) -> Value {
+    pub(crate) fn entry(&self, id: &str, cell: u64, state: &str) -> Value {
         entry(id, &self.addr, cell, state)
     }
 }
 
 /// Discovery and the place for notices.
 #[derive(Clone)]
-pub struct Platform {
-    pub addr: String,
-    pub watches: Arc<Mutex<Vec<TcpStream>>>,
-    pub since: Arc<Mutex<Vec<String>>>,
-    pub notices: Arc<Mutex<Vec<Value>>>,
-    pub deaf: Arc<AtomicBool>,
+pub(crate) struct Platform {
+    pub(crate) addr: String,
+    pub(crate) watches: Arc<Mutex<Vec<TcpStream>>>,
+    pub(crate) since: Arc<Mutex<Vec<String>>>,
+    pub(crate) notices: Arc<Mutex<Vec<Value>>>,
+    pub(crate) deaf: Arc<AtomicBool>,
 }
 
 impl Platform {
-    pub fn start() -> Platform {
+    pub(crate) fn start() -> Platform {
         let watches: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
         let since: Arc<Mutex<Vec<String>>> = Arc::default();
         let notices: Arc<Mutex<Vec<Value>>> = Arc::default();
@@ -209,30 +209,32 @@
         }
     }
     /// Tells all watches, each byte in a chunk of its own.
-    pub fn tell(&self, text: &str) {
+    pub(crate) fn tell(&self, text: &str) {
         wait_for("a watch", || !self.watches.lock().unwrap().is_empty());
         for watch in self.watches.lock().unwrap().iter_mut() {
             for byte in text.bytes() {
                 // One that has ended hears no more.
-                let _ = watch.write_all(&[b'1', b'\r', b'\n', byte, b'\r', b'\n']);
+                watch
+                    .write_all(&[b'1', b'\r', b'\n', byte, b'\r', b'\n'])
+                    .ok();
             }
         }
     }
-    pub fn notices(&self) -> Vec<Value> {
+    pub(crate) fn notices(&self) -> Vec<Value> {
         self.notices.lock().unwrap().clone()
     }
-    pub fn notice(&self, id: &str) -> Option<Value> {
+    pub(crate) fn notice(&self, id: &str) -> Option<Value> {
         self.notices().into_iter().find(|n| n["ref"] == id)
     }
 }
 
 /// A dispatcher's process, its folder and its world.
-pub struct Rig {
-    pub folder: PathBuf,
-    pub listen: String,
-    pub json: Value,
-    pub platform: Platform,
-    pub child: Option<Child>,
+pub(crate) struct Rig {
+    pub(crate) folder: PathBuf,
+    pub(crate) listen: String,
+    pub(crate) json: Value,
+    pub(crate) platform: Platform,
+    pub(crate) child: Option<Child>,
 }
 
 static RIGS: AtomicU64 = AtomicU64::new(0);
@@ -240,7 +242,7 @@
 static IDS: AtomicU64 = AtomicU64::new(1);
 
 impl Rig {
-    pub fn new(endpoints: &[(&Endpoint, u64)]) -> Rig {
+    pub(crate) fn new(endpoints: &[(&Endpoint, u64)]) -> Rig {
         let (n, pid) = (RIGS.fetch_add(1, Ordering::SeqCst), std::process::id());
         // An address of its own, so that nothing else is ever given its port.
         let listen = format!("127.{}.{}.{}:6379", 16 + pid % 200, pid / 200 % 250, n + 1);
@@ -265,7 +267,7 @@
         }
     }
 
-    pub fn command(&self, what: &str) -> Command {
+    pub(crate) fn command(&self, what: &str) -> Command {
         std::fs::write(self.folder.join("config.json"), self.json.to_string()).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill"));
         command
@@ -281,30 +283,30 @@
         command
     }
 
-    pub fn start(&mut self) {
+    pub(crate) fn start(&mut self) {
         let command = self.command("serve");
         self.start_by(command);
     }
 
     /// The command of a process whose system calls can be made to fail.
-    pub fn command_with(&self, faults: &Faults) -> Command {
+    pub(crate) fn command_with(&self, faults: &Faults) -> Command {
         let mut command = self.command("serve");
         faults.preload(&mut command, &self.folder.join("state"));
         command
     }
 
     /// Starts such a process, and waits until it is ready.
-    pub fn start_with(&mut self, faults: &Faults) {
+    pub(crate) fn start_with(&mut self, faults: &Faults) {
         let command = self.command_with(faults);
         self.start_by(command);
     }
 
     /// Starts such a process, and does not wait.
-    pub fn spawn_with(&mut self, faults: &Faults) {
+    pub(crate) fn spawn_with(&mut self, faults: &Faults) {
         self.child = Some(self.command_with(faults).spawn().unwrap());
     }
 
-    pub fn start_by(&mut self, mut command: Command) {
+    pub(crate) fn start_by(&mut self, mut command: Command) {
         self.child = Some(command.spawn().unwrap());
         wait_for("a dispatcher that is ready", || {
             let Ok(mut stream) = TcpStream::connect(&self.listen) else {
@@ -319,7 +321,7 @@
     }
 
     /// Starts a process beside one that runs, at the `mgmt` address that the configuration names now.
-    pub fn start_beside(&mut self) {
+    pub(crate) fn start_beside(&mut self) {
         let child = self.command("serve").spawn().unwrap();
         self.child = Some(child);
         wait_for("a new version that is ready", || {
@@ -329,12 +331,12 @@
     }
 
     /// What the journal holds at this moment.
-    pub fn kept(&self) -> Recovered {
+    pub(crate) fn kept(&self) -> Recovered {
         self.kept_in("mails")
     }
 
     /// What that journal of the folder holds at this moment.
-    pub fn kept_in(&self, journal: &str) -> Recovered {
+    pub(crate) fn kept_in(&self, journal: &str) -> Recovered {
         // A folder of its own each time: a process that another test starts just now holds a lock on the last one's file
         // until it is the program, and the journal would be taken for another's and found empty.
         let copy = self
@@ -346,44 +348,44 @@
     }
 
     /// Whether the journal says that an attempt of the message never ran.
-    pub fn never_ran(&self, id: &str) -> bool {
+    pub(crate) fn never_ran(&self, id: &str) -> bool {
         let messages = self.kept().messages;
         let message = messages.iter().find(|m| format!("{:016x}", m.id.0) == id);
         message.is_some_and(|m| m.attempts.iter().any(|c| c.may_have_run == Some(false)))
     }
 
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         let mut child = self.child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    pub fn signal(&self, signal: Signal) {
+    pub(crate) fn signal(&self, signal: Signal) {
         let pid = rustix::process::Pid::from_child(self.child.as_ref().unwrap());
         rustix::process::kill_process(pid, signal).unwrap();
     }
 
     /// Where operators call this rig's dispatcher: the n-th process beside others has an address of its own.
-    pub fn mgmt_at(&self, n: u16) -> String {
+    pub(crate) fn mgmt_at(&self, n: u16) -> String {
         let ip: std::net::SocketAddr = self.listen.parse().unwrap();
         format!("{}:{}", ip.ip(), 9100 + n)
     }
 
-    pub fn call(&self, line: &str) -> Vec<String> {
+    pub(crate) fn call(&self, line: &str) -> Vec<String> {
         call_at(self.json["mgmt"].as_str().unwrap(), line)
     }
 
-    pub fn figure(&self, name: &str) -> u64 {
+    pub(crate) fn figure(&self, name: &str) -> u64 {
         figure_at(self.json["mgmt"].as_str().unwrap(), name)
     }
 
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         connect(&self.listen).unwrap()
     }
 }
 
 /// One call as an operator makes it: a line out, the lines of the answer.
-pub fn call_at(addr: &str, line: &str) -> Vec<String> {
+pub(crate) fn call_at(addr: &str, line: &str) -> Vec<String> {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(60)))
@@ -398,7 +400,7 @@
     std::iter::once(first).chain(rest).collect()
 }
 
-pub fn figure_at(addr: &str, name: &str) -> u64 {
+pub(crate) fn figure_at(addr: &str, name: &str) -> u64 {
     let lines = call_at(addr, "show-stat");
     let value = lines
         .iter()
@@ -410,12 +412,12 @@
 }
 
 /// A process that does not outlive its test, however that ends.
-pub struct OldProcess(pub Child);
+pub(crate) struct OldProcess(pub Child);
 
 impl OldProcess {
-    pub fn kill(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+    pub(crate) fn kill(&mut self) {
+        self.0.kill().ok();
+        self.0.wait().ok();
     }
 }
 
@@ -430,16 +432,16 @@
         if self.child.is_some() {
             self.kill();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        std::fs::remove_dir_all(&self.folder).ok();
     }
 }
 
-pub struct Client {
-    pub to: TcpStream,
-    pub from: BufReader<TcpStream>,
+pub(crate) struct Client {
+    pub(crate) to: TcpStream,
+    pub(crate) from: BufReader<TcpStream>,
 }
 
-pub fn connect(to: &str) -> std::io::Result<Client> {
+pub(crate) fn connect(to: &str) -> std::io::Result<Client> {
     let stream = TcpStream::connect(to)?;
     // What never comes fails, as in `wait_for`.
     stream.set_read_timeout(Some(Duration::from_secs(60)))?;
@@ -449,7 +451,7 @@
     })
 }
 
-pub fn put(id: &str, fields: &str, body: &str) -> Vec<u8> {
+pub(crate) fn put(id: &str, fields: &str, body: &str) -> Vec<u8> {
     let words = ["MSG.PUT", "0000000000000000", id, fields, body];
     let words: String = words
         .iter()
@@ -458,22 +460,22 @@
     format!("*5\r\n{words}").into_bytes()
 }
 
-pub fn fresh() -> String {
+pub(crate) fn fresh() -> String {
     format!("{:016x}", 0xb0_0000 + IDS.fetch_add(1, Ordering::SeqCst))
 }
 
 impl Client {
-    pub fn line(&mut self) -> String {
+    pub(crate) fn line(&mut self) -> String {
         let mut line = String::new();
         self.from.read_line(&mut line).unwrap();
         line.trim_end().to_string()
     }
-    pub fn says(&mut self, bytes: &[u8]) -> String {
+    pub(crate) fn says(&mut self, bytes: &[u8]) -> String {
         self.to.write_all(bytes).unwrap();
         self.line()
     }
     /// Hands in a message that is accepted.
-    pub fn message(&mut self, class: &str, cell: u64, ms: u64, body: &str) -> String {
+    pub(crate) fn message(&mut self, class: &str, cell: u64, ms: u64, body: &str) -> String {
         let id = fresh();
         let answer = self.says(&put(
             &id,
@@ -485,17 +487,17 @@
     }
 }
 
-pub const OK: Does = Does::Says("200 OK");
+pub(crate) const OK: Does = Does::Says("200 OK");
 
 /// An endpoint whose queue of new connections is full, by the one given back: one more comes up when there is room.
-pub fn crowded() -> (TcpListener, TcpStream) {
+pub(crate) fn crowded() -> (TcpListener, TcpStream) {
     let listener = crowded_but_for(1);
     let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (listener, filler)
 }
 
 /// An endpoint whose queue takes so many new connections that it has not accepted, and no more.
-pub fn crowded_but_for(places: i32) -> TcpListener {
+pub(crate) fn crowded_but_for(places: i32) -> TcpListener {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener
@@ -511,16 +513,16 @@
 }
 
 /// An entry of the list of endpoints.
-pub fn entry(id: &str, addr: &str, cell: u64, state: &str) -> Value {
+pub(crate) fn entry(id: &str, addr: &str, cell: u64, state: &str) -> Value {
     json!({"id": id, "addr": addr, "zone": "north", "kind": "shops", "cell": cell, "state": state})
 }
 
-pub fn up(id: &str, addr: &str, cell: u64) -> Value {
+pub(crate) fn up(id: &str, addr: &str, cell: u64) -> Value {
     entry(id, addr, cell, "up")
 }
 
 /// The next connection.
-pub fn accept(at: &TcpListener) -> BufReader<TcpStream> {
+pub(crate) fn accept(at: &TcpListener) -> BufReader<TcpStream> {
     at.set_nonblocking(true).unwrap();
     let mut next = None;
     wait_for("a connection", || {
--- a/crates/daemon/tests/common/soak.rs
+++ b/crates/daemon/tests/common/soak.rs
@@ -39,22 +39,22 @@
 
 /// How a world is set up.
 #[derive(Clone)]
-pub struct Scenario {
-    pub seed: u64,
+pub(crate) struct Scenario {
+    pub(crate) seed: u64,
     /// The lifetimes that clients ask for, in milliseconds.
-    pub lifetimes_ms: std::ops::Range<u64>,
+    pub(crate) lifetimes_ms: std::ops::Range<u64>,
     /// The window of the class whose repeats are dropped.
-    pub window: Duration,
+    pub(crate) window: Duration,
     /// Of a hundred calls, how many are delivered, told to wait, answered with an error, and closed.
-    pub answers: [u32; 4],
+    pub(crate) answers: [u32; 4],
     /// Between two messages of a client.
-    pub pause: Duration,
-    pub idle_clients: usize,
+    pub(crate) pause: Duration,
+    pub(crate) idle_clients: usize,
 }
 
 impl Scenario {
     /// A scenario under these troubles, as far as they are part of its setting.
-    pub fn troubled(seed: u64, troubles: &[Trouble]) -> Scenario {
+    pub(crate) fn troubled(seed: u64, troubles: &[Trouble]) -> Scenario {
         let mut scenario = Scenario::new(seed);
         for trouble in troubles {
             match trouble {
@@ -67,7 +67,7 @@
         scenario
     }
 
-    pub fn new(seed: u64) -> Scenario {
+    pub(crate) fn new(seed: u64) -> Scenario {
         Scenario {
             seed,
             lifetimes_ms: 1_500..4_000,
@@ -81,7 +81,7 @@
 
 /// The troubles that a run is played under.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     WallSteps,
     FailingWrites,
     HalfWriteAtKill,
@@ -98,7 +98,7 @@
 }
 
 impl Trouble {
-    pub const ALL: [Trouble; 13] = [
+    pub(crate) const ALL: [Trouble; 13] = [
         Trouble::WallSteps,
         Trouble::FailingWrites,
         Trouble::HalfWriteAtKill,
@@ -117,17 +117,17 @@
 
 /// What the endpoints and the platform do beside answering.
 #[derive(Default)]
-pub struct Troubles {
+pub(crate) struct Troubles {
     /// Endpoints take calls and never answer.
-    pub hang: AtomicBool,
+    pub(crate) hang: AtomicBool,
     /// Endpoints end connections that no call is on.
-    pub close_idle: AtomicBool,
+    pub(crate) close_idle: AtomicBool,
     /// Endpoints answer half and close.
-    pub cut_answers: AtomicBool,
+    pub(crate) cut_answers: AtomicBool,
     /// Discovery answers nothing; notices are answered all the same.
-    pub discovery_silent: AtomicBool,
+    pub(crate) discovery_silent: AtomicBool,
     /// Clients stop in the middle of a request and stay.
-    pub stop_half_way: AtomicBool,
+    pub(crate) stop_half_way: AtomicBool,
 }
 
 struct Shared {
@@ -148,15 +148,15 @@
     }
 }
 
-pub struct World {
-    pub rig: Rig,
-    pub faults: Faults,
+pub(crate) struct World {
+    pub(crate) rig: Rig,
+    pub(crate) faults: Faults,
     scenario: Scenario,
     shared: Arc<Shared>,
     clients: Vec<JoinHandle<()>>,
     idle: Vec<TcpStream>,
     disturbances: Vec<Trouble>,
-    pub random: Pcg64,
+    pub(crate) random: Pcg64,
 }
 
 /// Reads the id out of a call's head.
@@ -169,8 +169,8 @@
 
 /// Waits until the other side has closed, or for as long as an endpoint hangs.
 fn wait_for_end(from: &mut BufReader<TcpStream>) {
-    let _ = from.get_ref().set_read_timeout(Some(HANG_FOR));
-    let _ = from.read(&mut [0; 64]);
+    from.get_ref().set_read_timeout(Some(HANG_FOR)).ok();
+    let _read = from.read(&mut [0; 64]);
 }
 
 /// How long ago the last bytes of a connection came, as the kernel saw it: a thread that reads them late may have been
@@ -230,7 +230,7 @@
                     shared.troubles.cut_answers.load(Ordering::SeqCst) && shared.draw(0..4) == 0;
                 if cut {
                     // Not the whole of the first line: nobody can tell that it was delivered.
-                    let _ = to.write_all(b"HTTP/1.1 20");
+                    to.write_all(b"HTTP/1.1 20").ok();
                     return end(Effect::MayHaveRun);
                 }
                 end(Effect::Delivered);
@@ -271,7 +271,8 @@
             if shared.troubles.discovery_silent.load(Ordering::SeqCst) {
                 return wait_for_end(&mut from);
             }
-            let _ = to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                .ok();
             while !shared.troubles.discovery_silent.load(Ordering::SeqCst)
                 && to.write_all(b"1\r\n\n\r\n").is_ok()
                 && !shared.stop.load(Ordering::SeqCst)
@@ -312,7 +313,7 @@
 
 fn ask(client: &mut Client, bytes: &[u8]) -> Asked {
     use std::io::BufRead;
-    let _ = client.to.set_read_timeout(Some(ANSWER_WITHIN));
+    client.to.set_read_timeout(Some(ANSWER_WITHIN)).ok();
     if client.to.write_all(bytes).is_err() {
         return Asked::Closed;
     }
@@ -363,14 +364,15 @@
         let Ok(mut client) = connect(&self.listen) else {
             return;
         };
-        let _ = client
+        client
             .to
-            .write_all(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000");
+            .write_all(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000")
+            .ok();
         let shared = Arc::clone(&self.shared);
         std::thread::spawn(move || {
             let began = Instant::now();
-            let _ = client.to.set_read_timeout(Some(2 * BAD_CLIENT_OWED));
-            let _ = client.from.read(&mut [0; 64]);
+            client.to.set_read_timeout(Some(2 * BAD_CLIENT_OWED)).ok();
+            let _read = client.from.read(&mut [0; 64]);
             shared.ledger().bad_client_ended(began, BAD_CLIENT_OWED);
         });
     }
@@ -433,7 +435,7 @@
 
 impl World {
     /// Starts a dispatcher and its world, and has clients begin.
-    pub fn start(scenario: Scenario) -> World {
+    pub(crate) fn start(scenario: Scenario) -> World {
         let shared = Arc::new(Shared {
             ledger: Mutex::default(),
             troubles: Troubles::default(),
@@ -528,12 +530,12 @@
         of_ids.map(|line| format!("  log: {line}")).collect()
     }
 
-    pub fn troubles(&self) -> &Troubles {
+    pub(crate) fn troubles(&self) -> &Troubles {
         &self.shared.troubles
     }
 
     /// Plays on for a while. The dispatcher may not end by itself.
-    pub fn play(&mut self, time: Duration) {
+    pub(crate) fn play(&mut self, time: Duration) {
         std::thread::sleep(time);
         if let Some(child) = &mut self.rig.child {
             assert_eq!(
@@ -545,19 +547,19 @@
     }
 
     /// A time between these, by the scenario's seed.
-    pub fn draw_ms(&mut self, range: std::ops::Range<u64>) -> Duration {
+    pub(crate) fn draw_ms(&mut self, range: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.random.random_range(range))
     }
 
     /// A restart by SIGKILL alone; what happens while the process is down comes between.
-    pub fn kill_and_restart(&mut self, between: impl FnOnce(&World)) {
+    pub(crate) fn kill_and_restart(&mut self, between: impl FnOnce(&World)) {
         self.shared.ledger().restart_began();
         self.rig.kill();
         self.come_back(between);
     }
 
     /// The process has ended, by whatever; the next one is started.
-    pub fn come_back(&mut self, between: impl FnOnce(&World)) {
+    pub(crate) fn come_back(&mut self, between: impl FnOnce(&World)) {
         std::thread::sleep(DOWN_FOR);
         between(self);
         self.shared.ledger().started_again();
@@ -566,14 +568,14 @@
     }
 
     /// Holds the process up.
-    pub fn stand_still(&self, time: Duration) {
+    pub(crate) fn stand_still(&self, time: Duration) {
         self.rig.signal(Signal::STOP);
         std::thread::sleep(time);
         self.rig.signal(Signal::CONT);
     }
 
     /// A planned restart: signals in series, and the kill at the earliest moment.
-    pub fn end_and_restart(&mut self, signals: &[(Signal, Duration)]) {
+    pub(crate) fn end_and_restart(&mut self, signals: &[(Signal, Duration)]) {
         self.shared.ledger().restart_began();
         self.rig.signal(Signal::TERM);
         let began = Instant::now();
@@ -601,7 +603,7 @@
     }
 
     /// Plays on for a while, with the disturbances that come and go.
-    pub fn disturb_for(&mut self, time: Duration) {
+    pub(crate) fn disturb_for(&mut self, time: Duration) {
         let until = Instant::now() + time;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -647,7 +649,7 @@
     }
 
     /// From now on, or as set up already, these troubles are there.
-    pub fn disturb_by(&mut self, troubles: &[Trouble]) {
+    pub(crate) fn disturb_by(&mut self, troubles: &[Trouble]) {
         self.disturbances = troubles.to_vec();
         for trouble in troubles {
             match trouble {
@@ -682,7 +684,7 @@
     }
 
     /// A restart by SIGKILL, in the middle of a write where that is one of the troubles.
-    pub fn kill_while_disturbed(&mut self) {
+    pub(crate) fn kill_while_disturbed(&mut self) {
         if self.is_disturbed_by(Trouble::HalfWriteAtKill) {
             let nth = self.random.random_range(1..40);
             self.shared.ledger().restart_began();
@@ -704,7 +706,7 @@
     }
 
     /// Clients stop; everything accepted is given the time to end; the verdict.
-    pub fn finish(mut self) -> Verdict {
+    pub(crate) fn finish(mut self) -> Verdict {
         self.calm();
         self.shared.stop.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
@@ -729,7 +731,7 @@
 }
 
 /// Fails with what was broken.
-pub fn assert_kept(verdict: &Verdict) {
+pub(crate) fn assert_kept(verdict: &Verdict) {
     println!("{verdict}");
     let first: Vec<_> = verdict.broken.iter().take(12).collect();
     assert!(
--- a/crates/daemon/tests/control.rs
+++ b/crates/daemon/tests/control_command.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn it_serves_until_it_is_told_to_end_and_names_what_is_wrong() {
+fn a_control_process_serves_until_sigterm_and_names_a_bad_field() {
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("control-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
--- a/crates/daemon/tests/scoped_processes.rs
+++ b/crates/daemon/tests/control_plane_processes.rs
@@ -1,5 +1,5 @@
-//! Dispatchers and control processes, three and three, each a process of its own: killed, stopped and continued, and cut off.
-//! Each test waits for what has to come, and asserts no times.
+//! Three dispatchers and three control processes: killed, suspended and resumed, and partitioned. Each test waits for what
+//! has to happen, and asserts no times.
 
 mod common;
 
@@ -11,7 +11,7 @@
 const DESTINATIONS: std::ops::Range<u64> = 0..8;
 
 #[test]
-fn every_dispatcher_delivers_to_every_destination_and_follows_what_is_written() {
+fn every_dispatcher_delivers_to_every_destination_and_follows_changes() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start();
     installation.write(DESTINATIONS, &first);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_control_process_that_is_killed_is_done_without_and_comes_back() {
+fn a_killed_control_process_is_replaced_by_another_and_rejoins() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut installation = Installation::start();
     installation.write(DESTINATIONS, &first);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_control_process_that_stands_still_is_left_for_another_one() {
+fn a_suspended_control_process_is_left_for_another_one() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start();
     installation.write(DESTINATIONS, &first);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_dispatcher_that_stands_still_goes_on_from_where_it_was() {
+fn a_suspended_dispatcher_resumes_from_its_version() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start();
     installation.write(DESTINATIONS, &first);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_dispatcher_that_is_cut_off_serves_what_it_has_and_hears_the_rest_when_it_is_not() {
+fn a_partitioned_dispatcher_serves_what_it_has_and_catches_up_afterwards() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start();
     installation.write(DESTINATIONS, &first);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn with_all_control_processes_killed_a_dispatcher_restarts_with_what_it_had() {
+fn with_all_control_processes_killed_a_dispatcher_restarts_with_its_scope_file() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut installation = Installation::start();
     installation.write(DESTINATIONS, &first);
--- a/crates/daemon/tests/endings.rs
+++ b/crates/daemon/tests/disconnects_and_restarts.rs
@@ -1,4 +1,4 @@
-//! What is still owed in the instant in which something ends: descriptors, a process, a client, a watch, a connection.
+//! What is still pending when something ends: descriptors, a process, a client, a watch, a connection.
 
 mod common;
 
@@ -34,8 +34,9 @@
             ];
             for (mut from, mut to) in ways {
                 std::thread::spawn(move || {
-                    let _ = std::io::copy(&mut from, &mut to);
-                    let _ = (to.shutdown(Shutdown::Write), from.shutdown(Shutdown::Read));
+                    std::io::copy(&mut from, &mut to).ok();
+                    to.shutdown(Shutdown::Write).ok();
+                    from.shutdown(Shutdown::Read).ok();
                 });
             }
         }
@@ -63,7 +64,7 @@
         .collect()
 }
 
-/// A place for notices that says each that has come, and answers only when it is told to; it can go for good.
+/// A stand-in for the platform that records each notification, and answers only on request; it can stop for good.
 struct Place {
     addr: String,
     posts: Arc<Mutex<Vec<String>>>,
@@ -96,9 +97,8 @@
                     let mut from = BufReader::new(stream);
                     while let Some((head, body)) = request(&mut from) {
                         if head[0].starts_with("GET ") {
-                            let _ = to.write_all(
-                                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-                            );
+                            to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                .ok();
                             continue;
                         }
                         let answers = answers.load(Ordering::SeqCst);
@@ -118,8 +118,8 @@
             thread: Some(thread),
         }
     }
-    /// How many requests have told of that message.
-    fn told(&self, id: &str) -> usize {
+    /// How many requests had a notification of that message.
+    fn notified(&self, id: &str) -> usize {
         self.posts
             .lock()
             .unwrap()
@@ -155,7 +155,7 @@
     }
 }
 
-/// Hands in a message as clients do: by the one inside, and by another connection where that one was parted with.
+/// Hands in a message as clients do: on the open connection, and on another one where that was closed.
 fn hand_in(rig: &Rig, client: Client, class: &str, cell: u64, ms: u64) -> String {
     let (id, mut client) = (fresh(), Some(client));
     let ask = put(&id, &format!("c={class},d={ms},k=k{id},dest={cell}"), "x");
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn with_clients_at_all_their_places_calls_callers_notices_and_the_watch_have_theirs() {
+fn at_the_client_limit_attempts_admin_requests_notifications_and_the_watch_have_descriptors() {
     let (sound, failing) = (Endpoint::start(OK), Endpoint::start(Does::Says("500 Oops")));
     let mut rig = Rig::new(&[(&sound, 7), (&failing, 8)]);
     let discovery = nobody(&rig, 7100);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn messages_accepted_and_untried_are_tried_by_the_next_process() {
+fn accepted_messages_without_an_attempt_are_attempted_by_the_next_process() {
     let sound = Endpoint::start(OK);
     let mut rig = Rig::new(&[]);
     // One endpoint refuses connections, at the other none comes up.
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_client_that_floods_and_goes_leaves_each_message_taken_with_one_end() {
+fn each_accepted_message_of_a_client_that_floods_and_disconnects_ends_once() {
     let sound = Endpoint::start(OK);
     let mut rig = Rig::new(&[]);
     let addr = nobody(&rig, 7200);
@@ -312,34 +312,37 @@
         rig.kept() == Recovered::default()
     });
     for id in &ids {
-        let (relayed, told) = (sound.calls_of(id), rig.platform.notice(id).is_some());
-        assert!(relayed <= 1, "{id} went out {relayed} times");
-        let ends = relayed + usize::from(told);
+        let (delivered, notified) = (sound.calls_of(id), rig.platform.notice(id).is_some());
+        assert!(delivered <= 1, "{id} was sent {delivered} times");
+        let ends = delivered + usize::from(notified);
         match taken.contains(id) {
-            true => assert_eq!(ends, 1, "{id}: relayed {relayed}, told {told}"),
-            false => assert!(ends <= 1, "{id}: relayed {relayed}, told {told}"),
+            true => assert_eq!(ends, 1, "{id}: delivered {delivered}, notified {notified}"),
+            false => assert!(
+                ends <= 1,
+                "{id}: delivered {delivered}, notified {notified}"
+            ),
         }
     }
 }
 
 #[test]
-fn a_notice_whose_answer_was_lost_is_sent_by_the_next_process_until_it_is_answered() {
+fn a_notification_whose_answer_was_lost_is_sent_by_the_next_process_until_acknowledged() {
     let failing = Endpoint::start(Does::Says("500 Oops"));
     let mut rig = Rig::new(&[(&failing, 7)]);
     let mut old = Place::start();
     rig.json["discovery"] = old.addr.clone().into();
     rig.start();
     let dead = rig.client().message("payment", 7, 8000, "x");
-    wait_for("the notice", || old.told(&dead) >= 1);
+    wait_for("the notice", || old.notified(&dead) >= 1);
     old.go();
-    let before = old.told(&dead);
+    let before = old.notified(&dead);
     assert_eq!(rig.client().says(b"PING\r\n"), "+PONG");
     rig.kill();
     assert_eq!(rig.kept().pending_notifications.len(), 1);
     let new = Place::start();
     rig.json["discovery"] = new.addr.clone().into();
     rig.start();
-    wait_for("the notice again", || new.told(&dead) >= 2);
+    wait_for("the notice again", || new.notified(&dead) >= 2);
     assert_eq!(
         rig.kept().pending_notifications.len(),
         1,
@@ -351,18 +354,18 @@
         let line: Value = serde_json::from_str(lines).unwrap();
         line == json!({"ref": dead, "result": "dead"})
     }));
-    // Answered, it is told no more: not by the next process either.
-    let told = new.told(&dead);
+    // Acknowledged, it is sent no more, by the next process neither.
+    let told = new.notified(&dead);
     rig.kill();
     rig.start();
     let later = rig.client().message("payment", 7, 8000, "x");
-    wait_for("a later notice", || new.told(&later) >= 1);
-    assert_eq!((old.told(&dead), new.told(&dead)), (before, told));
+    wait_for("a later notice", || new.notified(&later) >= 1);
+    assert_eq!((old.notified(&dead), new.notified(&dead)), (before, told));
     assert_eq!((failing.calls_of(&dead), failing.calls_of(&later)), (1, 1));
 }
 
 #[test]
-fn after_sighup_a_late_line_of_the_old_watch_is_not_heard() {
+fn after_sighup_a_late_line_of_the_old_watch_is_ignored() {
     let (known, late, new) = (
         Endpoint::start(OK),
         Endpoint::start(OK),
@@ -390,17 +393,19 @@
     assert!(rig.platform.since.lock().unwrap()[0].contains("since=0 "));
     // The list's end, and a list on one line. Where the connection has ended already that cannot be written.
     let entries = json!([late.entry("late7", 7, "up"), late.entry("late9", 9, "up")]);
-    let _ = says(
+    says(
         &mut to,
         &format!("{}]}}\n", entries.to_string().trim_matches(['[', ']'])),
-    );
-    let _ = says(
+    )
+    .ok();
+    says(
         &mut to,
         &format!(
             "{}\n",
             json!({"version": 51, "full": true, "servers": entries})
         ),
-    );
+    )
+    .ok();
     to_the_end(&mut watch);
     rig.platform.tell(&format!(
         "{}\n",
@@ -427,7 +432,7 @@
 }
 
 #[test]
-fn an_idle_connection_on_which_half_a_line_came_is_not_used_again() {
+fn an_idle_connection_that_received_half_a_line_is_not_reused() {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut rig = Rig::new(&[]);
     rig.json["known"]["servers"] =
@@ -482,7 +487,7 @@
 }
 
 #[test]
-fn a_call_out_at_sigkill_goes_again_only_where_its_class_allows() {
+fn an_attempt_in_flight_at_sigkill_is_retried_only_where_its_class_allows() {
     let hung = Endpoint::start(Does::Hangs);
     let mut rig = Rig::new(&[(&hung, 7)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
@@ -510,7 +515,7 @@
 }
 
 #[test]
-fn a_tagged_call_out_at_sigkill_does_not_go_again_after_its_window() {
+fn an_attempt_with_an_idempotency_key_in_flight_at_sigkill_is_not_retried_after_its_window() {
     let hung = Endpoint::start(Does::Hangs);
     let mut rig = Rig::new(&[(&hung, 7)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(1_000_000_000);
@@ -519,7 +524,7 @@
     wait_for("the call", || hung.calls_of(&id) >= 1);
     rig.kill();
     hung.does(OK);
-    // The journal stands still. A machine that stands still may have had it go again before.
+    // The journal does not change. On a suspended machine the retry may have been sent before.
     let held = rig.kept();
     let attempts = held
         .messages
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery_watch.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 
 #[test]
-fn the_watch_is_followed_over_splits_bad_lines_and_breaks() {
+fn the_watch_is_followed_over_split_lines_bad_lines_and_disconnects() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&first, 7)]);
     rig.start();
@@ -41,7 +41,7 @@
     let bodies = |e: &Endpoint, body: &str| e.calls().iter().filter(|c| c.body == body).count();
     wait_for("all of them", || bodies(&second, "not to the first") == 10);
     assert_eq!(bodies(&first, "not to the first"), 0);
-    // The watch breaks: it is taken up again after the last version, and goes on.
+    // The watch disconnects: it is reopened after the last version.
     for watch in rig.platform.watches.lock().unwrap().drain(..) {
         watch.shutdown(std::net::Shutdown::Both).unwrap();
     }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn of_an_endpoint_twice_in_one_list_nothing_new_goes_to_it_if_it_drains() {
+fn an_endpoint_listed_twice_gets_no_new_message_if_it_drains() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&first, 7), (&second, 7)]);
     let servers = rig.json["known"]["servers"].as_array_mut().unwrap();
@@ -80,7 +80,7 @@
 /// Seen with a scoped configuration: the connection of a call that was out when its endpoint moved was kept for the next call,
 /// and with one message after another all went to the old address.
 #[test]
-fn the_connection_of_a_call_that_was_out_while_its_endpoint_moved_is_not_used_again() {
+fn the_connection_of_an_attempt_whose_endpoint_was_relocated_is_not_reused() {
     let (old, new) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         Endpoint::start(OK),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_asked_for_anew_from_where_it_was() {
+fn a_silent_watch_is_reopened_from_its_last_version() {
     let mut rig = Rig::new(&[]);
     rig.start();
     rig.platform.tell(&format!(
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn on_sighup_discovery_moves_and_a_bad_configuration_is_not_taken() {
+fn on_sighup_discovery_is_relocated_and_a_bad_configuration_is_rejected() {
     let (failing, other) = (Endpoint::start(Does::Says("500 Oops")), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&failing, 7)]);
     rig.platform.deaf.store(true, Ordering::SeqCst);
@@ -207,7 +207,7 @@
 /// Seen on another customer's roll+mass, where a drain's grace is 250 ms: restarted dispatchers asked for the list up to 1 s
 /// after their start, and sent messages to what drained, as the platform's agent knew.
 #[test]
-fn the_watch_is_asked_for_before_the_first_client_is_answered() {
+fn the_watch_is_opened_before_the_first_client_is_answered() {
     let (discovery, addr) = by_hand();
     let mut rig = Rig::new(&[]);
     rig.json["discovery"] = addr;
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_watch_that_drips_a_line_that_never_ends_is_asked_for_anew() {
+fn a_watch_whose_line_never_ends_is_reopened() {
     let (discovery, addr) = by_hand();
     let mut rig = Rig::new(&[]);
     rig.json["discovery"] = addr;
@@ -251,7 +251,7 @@
 
 /// A discovery that serves few calls a second answers in turn: a call given up before its turn would be served for nothing.
 #[test]
-fn a_call_whose_first_line_is_late_is_kept_while_another_is_made_and_the_first_to_speak_serves() {
+fn a_slow_watch_request_is_kept_beside_a_second_one_and_the_first_to_answer_is_used() {
     let (discovery, addr) = by_hand();
     let endpoint = Endpoint::start(OK);
     let mut rig = Rig::new(&[]);
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn an_indented_list_is_read_and_one_that_breaks_off_hides_none_after_it() {
+fn an_indented_list_is_read_and_a_truncated_one_hides_none_after_it() {
     let endpoint = Endpoint::start(OK);
     let mut rig = Rig::new(&[]);
     rig.start();
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A dispatcher that leaves on SIGTERM, alone or for a new version, loses no message.
+//! A dispatcher that shuts down on SIGTERM, alone or for a new version, loses no message.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 #[test]
-fn on_sigterm_messages_held_go_out_and_clients_are_parted_with_between_requests() {
+fn on_sigterm_pending_messages_are_sent_and_clients_are_closed_between_requests() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.7"));
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -33,7 +33,7 @@
     };
     let answer = try_late().unwrap_or_default();
     assert!(answer.is_empty() || answer == "+OK\r\n", "{answer}");
-    assert_eq!(client.line(), "", "parted with");
+    assert_eq!(client.line(), "", "closed");
     assert_eq!(rig.child.take().unwrap().wait().unwrap().code(), Some(0));
     rig.start();
     let last = rig.client().message("notice", 7, 8000, "last");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn on_sigterm_clients_inside_are_served_when_no_new_ones_are_let_in() {
+fn on_sigterm_connected_clients_are_served_when_no_new_ones_are_accepted() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -65,12 +65,12 @@
     wait_for("the message", || {
         e.calls().iter().any(|c| c.body == "behind it")
     });
-    assert_eq!(client.line(), "", "parted with");
+    assert_eq!(client.line(), "", "closed");
     assert_eq!(rig.child.take().unwrap().wait().unwrap().code(), Some(0));
 }
 
 #[test]
-fn on_sigterm_a_call_that_is_never_answered_holds_up_nothing() {
+fn on_sigterm_an_attempt_without_a_response_delays_nothing() {
     let e = Endpoint::start(Does::Hangs);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -89,8 +89,35 @@
     assert_eq!(e.calls().len(), 1);
 }
 
+/// A client that hands in messages until it is stopped, and notes those that are accepted.
+fn hand_in_until(listen: &str, stop: &AtomicBool, taken: &Mutex<Vec<String>>) {
+    let mut kept: Option<Client> = None;
+    while !stop.load(Ordering::SeqCst) {
+        // Closed between requests, a client sends its request again on a new connection, under the same id.
+        let id = fresh();
+        let request = put(&id, "c=payment,d=20000,dest=7", "x");
+        for _ in 0..100 {
+            let Ok(mut client) = kept.take().map_or_else(|| connect(listen), Ok) else {
+                continue;
+            };
+            let mut line = String::new();
+            let sent = client.to.write_all(&request);
+            if sent
+                .and_then(|()| client.from.read_line(&mut line))
+                .is_ok_and(|n| n > 0)
+            {
+                assert_eq!(line, "+OK\r\n");
+                taken.lock().unwrap().push(id);
+                kept = Some(client);
+                break;
+            }
+        }
+        std::thread::sleep(Duration::from_millis(60));
+    }
+}
+
 #[test]
-fn a_new_version_takes_over_under_load_and_each_message_is_relayed_once() {
+fn a_new_version_takes_over_under_load_and_each_message_is_delivered_once() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
@@ -103,32 +130,7 @@
     let clients: Vec<_> = (0..4)
         .map(|_| {
             let (listen, stop, taken) = (rig.listen.clone(), Arc::clone(&stop), Arc::clone(&taken));
-            std::thread::spawn(move || {
-                let mut kept: Option<Client> = None;
-                while !stop.load(Ordering::SeqCst) {
-                    // Parted with between requests, a client asks once more on a new connection, under the same id.
-                    let id = fresh();
-                    let request = put(&id, "c=payment,d=20000,dest=7", "x");
-                    for _ in 0..100 {
-                        let Ok(mut client) = kept.take().map_or_else(|| connect(&listen), Ok)
-                        else {
-                            continue;
-                        };
-                        let mut line = String::new();
-                        let sent = client.to.write_all(&request);
-                        if sent
-                            .and_then(|()| client.from.read_line(&mut line))
-                            .is_ok_and(|n| n > 0)
-                        {
-                            assert_eq!(line, "+OK\r\n");
-                            taken.lock().unwrap().push(id);
-                            kept = Some(client);
-                            break;
-                        }
-                    }
-                    std::thread::sleep(Duration::from_millis(60));
-                }
-            })
+            std::thread::spawn(move || hand_in_until(&listen, &stop, &taken))
         })
         .collect();
     let count = || taken.lock().unwrap().len();
--- a/crates/daemon/tests/strict_terms.rs
+++ b/crates/daemon/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! Clauses of the pages in their strictest fair reading, each at its limit: `docs/terms-audit.md` names them by row.
+//! The guarantees of the pages in their strictest fair reading, each at its limit; `docs/terms-audit.md` lists them by row.
 
 mod common;
 
@@ -19,7 +19,7 @@
 
 /// Row R1: a message goes to an endpoint whose cell is its destination, also after a change of that cell.
 #[test]
-fn an_endpoint_whose_cell_changes_gets_only_messages_of_its_new_destination() {
+fn an_endpoint_whose_destination_changes_gets_only_messages_of_the_new_one() {
     let (moving, staying) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&moving, 7), (&staying, 7)]);
     rig.start();
@@ -59,7 +59,7 @@
 
 /// Row R2: the fields of a request name each value once.
 #[test]
-fn a_request_that_names_a_field_twice_is_refused() {
+fn a_request_with_a_duplicate_field_is_rejected() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -79,9 +79,9 @@
 }
 
 /// Row L1: what is read gets its answer. A new connection whose time is up is closed with nothing read from it any more;
-/// one that stopped in the middle of a request is told so before it is ended.
+/// one that stopped in the middle of a request gets an error before it is closed.
 #[test]
-fn a_new_connection_ends_unread_and_half_a_request_ends_with_an_error() {
+fn a_new_connection_is_closed_unread_and_half_a_request_gets_an_error() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -103,7 +103,7 @@
         began.elapsed()
     );
     // Its request crosses the end. Read and thrown away it would be lost; unread, the connection is reset.
-    let _ = silent.to.write_all(&request);
+    silent.to.write_all(&request).ok();
     let mut reset = false;
     wait_for("a reset", || {
         reset = silent.to.write_all(b"PING\r\n").is_err();
@@ -114,7 +114,7 @@
 
 /// Row T6: a start waits for a folder that fails, and answers nobody before.
 #[test]
-fn a_start_waits_out_a_folder_that_fails_and_forgets_nothing() {
+fn a_start_waits_for_a_failing_state_folder_and_loses_nothing() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
     let mut rig = Rig::new(&[(&e, 7)]);
     let faults = Faults::new(&rig.folder, 1);
@@ -139,7 +139,7 @@
         );
         assert!(
             std::net::TcpStream::connect(&rig.listen).is_err(),
-            "clients are let in"
+            "clients are accepted"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -151,7 +151,7 @@
 
 /// Row T6: what was taken over from another process's journal is not taken again, though that could not be emptied.
 #[test]
-fn a_journal_taken_over_and_not_emptied_is_not_taken_over_again() {
+fn an_adopted_journal_that_was_not_emptied_is_not_adopted_again() {
     let hung = Endpoint::start(Does::Hangs);
     let mut rig = Rig::new(&[(&hung, 7)]);
     let faults = Faults::new(&rig.folder, 1);
@@ -181,7 +181,7 @@
 
 /// Row D3: an endpoint is out from a second after the call, whatever becomes of the folder.
 #[test]
-fn an_endpoint_is_out_though_the_list_of_those_cannot_be_written() {
+fn an_endpoint_is_disabled_though_the_list_cannot_be_written() {
     let (out, other) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&out, 7), (&other, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
@@ -220,7 +220,7 @@
 
 /// Row D4: an entry that drains its endpoint counts, whatever else of it cannot be read.
 #[test]
-fn an_endpoint_drains_though_the_rest_of_its_entry_cannot_be_read() {
+fn an_endpoint_drains_though_the_rest_of_its_entry_is_unreadable() {
     let (draining, other) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut rig = Rig::new(&[(&draining, 7), (&other, 7)]);
     rig.start();
@@ -243,7 +243,7 @@
 
 /// Row C1: a message whose class the settings no longer name may run by no other class's rules.
 #[test]
-fn a_message_of_a_class_that_is_gone_after_a_restart_is_ended_and_not_sent() {
+fn a_message_of_a_class_removed_at_a_restart_fails_and_is_not_sent() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -264,9 +264,9 @@
 }
 
 /// Row K1: the folder holds no more than its limit at any time, also with an old and a new process in it, the endpoints
-/// held out, and a journal taken over.
+/// disabled, and a journal adopted.
 #[test]
-fn two_processes_in_one_folder_keep_its_limit_together() {
+fn two_processes_in_one_state_folder_stay_under_its_limit_together() {
     const LIMIT: u64 = 400_000;
     // Messages end soon, so that both journals are long with what is over.
     let e = Endpoint::start(OK);
@@ -322,9 +322,9 @@
     });
 }
 
-/// Row T5: an interrupted connect goes on by itself: it is no failure of its endpoint.
+/// Row T5: an interrupted connect continues by itself: it is no failure of its endpoint.
 #[test]
-fn an_interrupted_connect_is_no_failure() {
+fn an_interrupted_connect_is_not_a_failure() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     let faults = Faults::new(&rig.folder, 1);
@@ -344,7 +344,7 @@
 /// Row R3: a client whose connection ended before it had read its answer sends the request once more, under the same id.
 /// What was taken on, and may have ended since, is not taken on again: not by this process, and not by the next.
 #[test]
-fn a_request_sent_once_more_after_its_message_has_ended_is_answered_and_not_taken_again() {
+fn a_repeated_request_is_answered_and_not_accepted_again_after_its_message_has_ended() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -365,7 +365,7 @@
 
 /// Row W1: a wait that a refusal tells binds, whatever else the answer says.
 #[test]
-fn a_told_wait_binds_though_the_answer_names_slots_too() {
+fn a_retry_after_binds_though_the_response_has_no_capacity_too() {
     let e = Endpoint::start(Does::Says(
         "429 Full\r\nRetry-After: 1.5\r\nX-Over-Slots: 1",
     ));
@@ -410,7 +410,7 @@
 
 /// Row W3: a wait binds its endpoint also when the list says another zone of it meanwhile.
 #[test]
-fn a_told_wait_outlasts_a_change_of_its_endpoint_s_entry() {
+fn a_retry_after_outlasts_a_change_of_its_endpoint_s_entry() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 2"));
     let other = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
@@ -481,7 +481,7 @@
 
 /// Row R18: messages of one key go in the order in which they were taken, one at a time, also over a kill.
 #[test]
-fn messages_of_one_key_go_in_their_order_over_a_restart() {
+fn messages_of_one_key_are_sent_in_order_over_a_restart() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.4"));
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.json["settings"]["services"][0]["in-turn"] = json!(true);
@@ -516,7 +516,7 @@
 
 /// Row C1: a value of 60 MB is answered or closed within 6 s, and the others are served meanwhile.
 #[test]
-fn a_value_of_sixty_megabytes_is_turned_away_in_time() {
+fn a_value_of_sixty_megabytes_is_rejected_in_time() {
     let e = Endpoint::start(OK);
     let mut rig = Rig::new(&[(&e, 7)]);
     rig.start();
@@ -524,17 +524,19 @@
     let mut huge = rig.client();
     let mut to = huge.to.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
-        let _ = to.write_all(
+        to.write_all(
             b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$16\r\n00000000000000bb\r\n",
-        );
-        let _ = to.write_all(b"$28\r\nc=notice,d=8000,k=a,dest=7  \r\n$60000000\r\n");
+        )
+        .ok();
+        to.write_all(b"$28\r\nc=notice,d=8000,k=a,dest=7  \r\n$60000000\r\n")
+            .ok();
         let part = vec![b'x'; 1 << 20];
         (0..58).all(|_| to.write_all(&part).is_ok())
     });
     let served = rig.client().message("notice", 7, 8_000, "a usual one");
     wait_for("the usual one", || e.calls_of(&served) == 1);
     let mut told = Vec::new();
-    let _ = huge.from.read_to_end(&mut told);
+    huge.from.read_to_end(&mut told).ok();
     assert!(
         began.elapsed() < Duration::from_secs(6),
         "{:?}",
--- a/crates/daemon/tests/preload/lib.rs
+++ b/crates/daemon/tests/preload/lib.rs
@@ -9,7 +9,12 @@
 
 #[path = "words.rs"]
 mod words;
-use words::*;
+use words::{
+    CONNECT_ERRNO, HALF_WRITTEN, KILL_AT_WRITE, MONOTONIC_SHIFT_SECONDS, OPEN_ERRNO, OPEN_FAULTS,
+    PAGE_BYTES, RANDOM_STATE, READ_ERRNO, RENAME_ERRNO, SHORT_PERMILLE, SOCKET_FAULTS,
+    SOCKET_PERMILLE, TRUNCATE_ERRNO, TRUNCATE_FAULTS, UNLINK_ERRNO, WALL_STEP_SECONDS, WRITE_ERRNO,
+    WRITE_FAULTS, WRITE_HALF,
+};
 
 struct Page(*mut AtomicU64);
 // SAFETY: the page is mapped for as long as the process runs and is accessed by atomic operations alone.
--- a/crates/daemon/tests/scoped.rs
+++ b/crates/daemon/tests/scoped_configuration.rs
@@ -1,4 +1,4 @@
-//! A dispatcher that holds a part of the configuration, by the lines of a control process in the test's own process.
+//! A dispatcher with a part of the configuration, from a control process that the test itself stands in for.
 
 mod common;
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn entries_of_its_buckets_are_held_and_changes_are_followed() {
+fn entries_of_its_buckets_are_cached_and_changes_are_followed() {
     let (first, second, control) = (Endpoint::start(OK), Endpoint::start(OK), Control::start());
     control.write("e0", &first.addr, "north", 7, true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_message_for_another_destination_is_taken_and_delivered_once_its_entry_is_known() {
+fn a_message_for_another_destination_is_accepted_and_delivered_once_its_entry_is_known() {
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "south", 47, true);
     control.fail_lookups(true);
@@ -114,7 +114,7 @@
     assert!(endpoint.calls().is_empty());
     control.fail_lookups(false);
     taken.iter().for_each(|body| delivered(&endpoint, body));
-    // From then on its changes are told.
+    // From then on its changes are sent.
     let lookups = control.lookup_queries().len();
     let other = Endpoint::start(OK);
     control.write("e0", &other.addr, "south", 47, true);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_message_for_a_destination_that_there_is_not_ends_by_its_time_and_the_next_one_is_refused() {
+fn a_message_for_a_missing_destination_ends_at_its_deadline_and_the_next_one_is_rejected() {
     let control = Control::start();
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
     dispatcher.start();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn with_all_control_dead_a_restart_serves_what_was_known() {
+fn with_all_control_processes_dead_a_restart_serves_what_was_known() {
     let (held, cached, control) = (Endpoint::start(OK), Endpoint::start(OK), Control::start());
     control.write("e0", &held.addr, "north", 7, true);
     control.write("e1", &cached.addr, "south", 47, true);
@@ -212,7 +212,7 @@
     // One that is not known is taken, and ends by its time.
     let id = client.message("payment", 48, 1000, "unknown");
     wait_for("its end", || dispatcher.rig.platform.notice(&id).is_some());
-    // It goes on from where it was when control is back.
+    // It resumes from its version when control is back.
     drop(client);
     dispatcher.stop();
     let alive = ScopedRig::new(&[&control.addr], 8);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn what_was_saved_and_is_damaged_is_refused_and_told_anew() {
+fn a_damaged_scope_file_is_rejected_and_fetched_again() {
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_broken_watch_is_taken_up_from_where_it_was_and_a_full_cache_forgets() {
+fn a_broken_watch_resumes_from_its_version_and_a_full_cache_evicts() {
     let control = Control::start();
     let endpoints: Vec<Endpoint> = (0..3).map(|_| Endpoint::start(OK)).collect();
     for (n, endpoint) in endpoints.iter().enumerate() {
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_destination_that_messages_wait_for_or_that_is_used_does_not_give_way() {
+fn a_destination_with_pending_messages_or_recent_use_is_not_evicted() {
     let control = Control::start();
     let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
     let endpoint = Endpoint::start(OK);
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_line_that_cannot_be_taken_ends_the_watch_and_changes_nothing() {
+fn a_line_that_cannot_be_applied_ends_the_watch_and_changes_nothing() {
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn the_list_of_the_start_is_used_where_nothing_was_saved() {
+fn the_known_list_is_used_where_there_is_no_scope_file() {
     let endpoint = Endpoint::start(OK);
     let mut dispatcher = ScopedRig::new(&["127.0.0.1:1"], 8);
     dispatcher.rig.json["known"]["servers"] = vec![endpoint.entry("e0", 7, "up")].into();
@@ -378,25 +378,9 @@
     delivered(&endpoint, "by the list of the start");
 }
 
-#[test]
-fn an_installation_file_is_checked_whole_and_what_is_wrong_is_said() {
-    let rig = ScopedRig::new(&["127.0.0.1:7400"], 8);
-    let good = std::fs::read_to_string(&rig.installation).unwrap();
-    let check = |text: &str| {
-        std::fs::write(&rig.installation, text).unwrap();
-        let mut command = rig.rig.command("check");
-        let done = command
-            .arg("--installation")
-            .arg(&rig.installation)
-            .output()
-            .unwrap();
-        (
-            done.status.code().unwrap(),
-            String::from_utf8(done.stderr).unwrap(),
-        )
-    };
-    assert_eq!(check(&good).0, 0);
-    let cases = [
+/// Installation files with one error each, and what is said of it.
+fn bad_installations(good: &str) -> [(String, &'static str); 9] {
+    [
         (
             good.replace("\"d1\"", "\"d 1\""),
             "field `dispatcher`: expected the name",
@@ -433,8 +417,28 @@
             good.replace("zone = \"north\"\n", ""),
             "missing field `zone`",
         ),
-    ];
-    for (text, says) in cases {
+    ]
+}
+
+#[test]
+fn an_installation_file_is_checked_completely_and_errors_are_named() {
+    let rig = ScopedRig::new(&["127.0.0.1:7400"], 8);
+    let good = std::fs::read_to_string(&rig.installation).unwrap();
+    let check = |text: &str| {
+        std::fs::write(&rig.installation, text).unwrap();
+        let mut command = rig.rig.command("check");
+        let done = command
+            .arg("--installation")
+            .arg(&rig.installation)
+            .output()
+            .unwrap();
+        (
+            done.status.code().unwrap(),
+            String::from_utf8(done.stderr).unwrap(),
+        )
+    };
+    assert_eq!(check(&good).0, 0);
+    for (text, says) in bad_installations(&good) {
         let (status, said) = check(&text);
         assert!(
             status == 2 && said.contains(says),
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Seeded runs of a real dispatcher under two troubles at once, with restarts of both kinds; a ledger outside judges them.
+//! Seeded runs of a real dispatcher under two faults at once, with restarts of both kinds; a ledger outside judges them.
 //!
 //! `BELLSILL_SOAK_SEEDS=FIRST-LAST` plays other seeds than the few that CI plays, `BELLSILL_SOAK_SIDE_BY_SIDE=N` so many at
 //! once. A seed names its troubles and its draws; threads and sockets of the machine take their own time all the same.
@@ -15,7 +15,7 @@
 const CI_SEEDS: (u64, u64) = (1, 9);
 const SIDE_BY_SIDE: usize = 3;
 
-/// The signals after the first SIGTERM of a planned restart, each so long after the one before.
+/// The signals after the first SIGTERM of a planned restart, each with its delay after the one before.
 fn signals(random: &mut Pcg64) -> Vec<(Signal, Duration)> {
     let count = random.random_range(0..4);
     let mut one = || {
@@ -29,7 +29,7 @@
     (0..count).map(|_| one()).collect()
 }
 
-fn two_troubles(random: &mut Pcg64) -> [Trouble; 2] {
+fn two_faults(random: &mut Pcg64) -> [Trouble; 2] {
     let count = Trouble::ALL.len();
     let first = random.random_range(0..count);
     let second = (first + random.random_range(1..count)) % count;
@@ -39,7 +39,7 @@
 /// Plays one seed. What was broken, in words.
 fn play(seed: u64) -> Vec<String> {
     let mut random = Pcg64::seed_from_u64(seed);
-    let troubles = two_troubles(&mut random);
+    let troubles = two_faults(&mut random);
     let mut world = World::start(Scenario::troubled(seed, &troubles));
     world.disturb_by(&troubles);
     world.disturb_for(Duration::from_millis(random.random_range(800..2_000)));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn under_two_troubles_at_once_every_rule_is_kept() {
+fn under_two_faults_at_once_every_rule_is_kept() {
     let side_by_side = std::env::var("BELLSILL_SOAK_SIDE_BY_SIDE")
         .ok()
         .and_then(|n| n.parse().ok());
--- a/crates/daemon/tests/wire_bytes.rs
+++ b/crates/daemon/tests/wire_bytes.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn calls_to_endpoints_have_the_recorded_bytes() {
+fn requests_to_endpoints_have_the_recorded_bytes() {
     let endpoint = RecordingServer::start(|_| "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let mut rig = Rig::new(&[]);
     rig.json["known"]["servers"] = json!([up("e0", &endpoint.address, 7)]);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn notices_and_the_plain_watch_have_the_recorded_bytes() {
+fn notifications_and_the_plain_watch_have_the_recorded_bytes() {
     let failing = Endpoint::start(Does::Says("500 Oops"));
     let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
     let platform = RecordingServer::start(platform_answer);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn the_look_up_of_a_destination_has_the_recorded_query() {
+fn the_lookup_of_a_destination_has_the_recorded_query() {
     let control = Control::start();
     let mut rig = Rig::new(&[]);
     start_scoped(&mut rig, &control.addr);
