--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -1,7 +1,8 @@
 //! The command line: what to do, and with which files.
 
-use crate::event_loop::{Daemon, Told};
+use crate::event_loop::Daemon;
 use crate::logger;
+use crate::signals::Signals;
 use crate::start;
 use bellsill_control_plane as control_plane;
 use lexopt::Arg::{Long, Short, Value};
@@ -152,7 +153,7 @@
 fn run_dispatcher(arguments: Arguments) -> Result<(), CommandError> {
     logger::start(arguments.log_level);
     // Before anything is read: an early signal is handled once the dispatcher runs, and does not kill the process.
-    let signals = Told::by_signals().map_err(|e| CommandError::failure(format!("signals: {e}")))?;
+    let signals = Signals::install().map_err(|e| CommandError::failure(format!("signals: {e}")))?;
     let config = arguments
         .config
         .or_else(|| environment_path("RELAY_CONFIG"))
@@ -187,10 +188,10 @@
         .ok_or_else(|| CommandError::bad_usage("no configuration: give --config"))?;
     let config = control_plane::Config::read(&file)
         .map_err(|e| CommandError::bad_usage(format!("configuration: {e}")))?;
-    let signals = Told::by_signals().map_err(CommandError::failure)?;
+    let signals = Signals::install().map_err(CommandError::failure)?;
     let stop = control_plane::Stop {
         wake: signals.wake,
-        requested: signals.leave,
+        requested: signals.shutdown,
     };
     control_plane::run(config, stop).map_err(CommandError::failure)
 }
--- /dev/null
+++ b/crates/daemon/src/delivery/attempts.rs
@@ -0,0 +1,295 @@
+//! Attempts in flight: from the connection that they wait for to their outcome.
+
+use super::message::{DeliveryState, MAX_BODY_BYTES};
+use super::runtime::Runtime;
+use crate::connection::{BufferBounds, ConnectionId, Role};
+use crate::endpoint::{RESPONSE_TIMEOUT, ResponseProgress, Reuse, Unassigned, Verdict};
+use crate::http::{self, InvalidLoadReport, Malformed};
+use crate::message_slot::MessageSlot;
+use crate::timer::Timer;
+use bellsill_core::interface::{AttemptEnd, EndpointId, Nanos, Outcome};
+use std::io;
+
+/// The most that a request's head takes.
+const REQUEST_HEAD_BYTES: usize = 4 * 1024;
+const REQUEST_BUFFERS: BufferBounds = BufferBounds {
+    input: http::MAX_HEAD_BYTES,
+    output: MAX_BODY_BYTES + REQUEST_HEAD_BYTES,
+};
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// Whether the response to an attempt has brought its outcome.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AttemptProgress {
+    /// The attempt is still in flight.
+    InFlight,
+    /// Its outcome is known and recorded.
+    Ended,
+}
+
+/// Whether a connection could not be opened because this machine has run out of something.
+fn is_local(e: &io::Error) -> bool {
+    matches!(
+        e.raw_os_error(),
+        Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL)
+    )
+}
+
+impl Runtime {
+    /// Finds a connection for an attempt: an idle one, or a new one that has to be established.
+    pub(super) fn connect_attempt(&mut self, slot: MessageSlot, endpoint: EndpointId) {
+        let (endpoints, mut io) = self.pool();
+        if let Some(conn) = endpoints.take_idle(&mut io, endpoint) {
+            return self.write_request(slot, conn);
+        }
+        if self.connections.is_full() {
+            // If there is none, the table is still full below.
+            self.close_oldest_idle().ok();
+        }
+        let opened = match !self.connections.is_full() {
+            true => self.connections.open(
+                self.endpoints.addr(endpoint),
+                Role::Endpoint(endpoint),
+                REQUEST_BUFFERS,
+            ),
+            false => Err(io::Error::other("no descriptor is left")),
+        };
+        match opened {
+            Ok(conn) => {
+                self.attempts.insert(conn, slot);
+                self.timers.set(
+                    Timer::Connection(conn),
+                    self.now + self.settings.connect_timeout,
+                );
+                if let Some(attempt) = self.messages.attempt_mut(slot) {
+                    attempt.connection = Some(conn);
+                }
+                self.transition(slot, DeliveryState::Connecting);
+            }
+            // The endpoint was not asked: a failed connect would count against it.
+            Err(e) if self.connections.is_full() || is_local(&e) => {
+                self.end_attempt(slot, Outcome::NotStarted, false);
+            }
+            Err(_) => self.end_attempt(slot, Outcome::ConnectFailed, false),
+        }
+    }
+
+    /// Sends a message on a connection that is established, after the journal has its attempt.
+    pub(super) fn write_request(&mut self, slot: MessageSlot, conn: ConnectionId) {
+        let (now, Some(message)) = (self.now, self.messages.get_mut(slot)) else {
+            return;
+        };
+        let Some(attempt) = &mut message.attempt else {
+            return;
+        };
+        let addr = self.endpoints.addr(attempt.endpoint);
+        let zone = self.endpoints.zone(attempt.endpoint);
+        let recorded = self.journal.append_attempt(message.id, now, zone);
+        let head = http::event_request(
+            message.id.0,
+            &message.idempotency_key,
+            addr,
+            attempt.deadline.saturating_sub(now),
+            message.body.len(),
+        );
+        attempt.connection = Some(conn);
+        if recorded.is_err() {
+            self.attempts.remove(&conn);
+            let (endpoints, mut io) = self.pool();
+            endpoints.pool(&mut io, conn);
+            self.end_attempt(slot, Outcome::NotStarted, false);
+            return;
+        }
+        attempt.request_started = true;
+        log::debug!(
+            "message {:016x}: attempt {} to {} started, {} ms after the decision",
+            message.id.0,
+            attempt.number.0,
+            addr,
+            (now - attempt.started_at) / NANOS_PER_MS
+        );
+        self.metrics.attempts += 1;
+        if let Some(to) = self.connections.get_mut(conn) {
+            // The buffer has room for the largest request and was empty.
+            to.output.push(head.as_bytes());
+            to.output.push(&message.body);
+        }
+        self.attempts.insert(conn, slot);
+        self.transition(slot, DeliveryState::InFlight);
+        if self.connections.flush(conn).is_err() {
+            self.abort_attempt(slot, Outcome::ConnectionReset);
+        }
+    }
+
+    /// Ends a message's attempt; the decisions learn of it by the next `settle`. The connection is the caller's to close
+    /// or keep. With `message_ended` the message is over, whatever the outcome.
+    pub(super) fn end_attempt(&mut self, slot: MessageSlot, outcome: Outcome, message_ended: bool) {
+        let Some(message) = self.messages.get_mut(slot) else {
+            return;
+        };
+        let Some(attempt) = message.attempt.take() else {
+            return;
+        };
+        if outcome == Outcome::NotStarted {
+            message.attempts -= 1;
+        }
+        let (id, state) = (message.id, message.state);
+        log::debug!(
+            "message {:016x}: attempt {} ended, request started: {}: {outcome:?}",
+            id.0,
+            attempt.number.0,
+            attempt.request_started
+        );
+        self.timers.clear(Timer::Attempt(slot));
+        let was_final = state.is_final();
+        if attempt.request_started && !was_final && outcome != Outcome::Delivered {
+            // Until it is written, the message counts as one that may have run.
+            self.journal.append_outcome(id, outcome.may_have_run()).ok();
+        }
+        let message_ended = message_ended || was_final || outcome == Outcome::Delivered;
+        let next = match outcome {
+            _ if was_final => state,
+            Outcome::Delivered => DeliveryState::Delivered,
+            _ if message_ended => DeliveryState::Withdrawn,
+            _ => DeliveryState::Waiting,
+        };
+        self.transition(slot, next);
+        self.attempt_ends.push_back(AttemptEnd {
+            message: id,
+            number: attempt.number,
+            outcome,
+            message_ended,
+            elapsed: self.now - attempt.started_at,
+            reported_limit: attempt.reported_limit,
+        });
+    }
+
+    /// Aborts an attempt by closing its connection. What has arrived until then is read first: a response that arrived
+    /// just when the attempt reached its deadline or was cancelled is a response.
+    pub(crate) fn abort_attempt(&mut self, slot: MessageSlot, outcome: Outcome) {
+        let Some(attempt) = self.messages.attempt(slot) else {
+            return;
+        };
+        let may_have_answered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
+        if let Some(conn) = attempt
+            .connection
+            .filter(|_| attempt.request_started && may_have_answered)
+        {
+            // What cannot be read counts as not arrived.
+            self.connections.read(conn).ok();
+            if matches!(self.read_response(conn, slot), Ok(AttemptProgress::Ended)) {
+                return;
+            }
+        }
+        let written = attempt
+            .connection
+            .and_then(|c| self.connections.get(c))
+            .is_some_and(|c| c.output.is_empty());
+        let outcome = match outcome {
+            Outcome::NotSent { .. } | Outcome::NotStarted => outcome,
+            // A request that was not sent completely has not run.
+            _ if !attempt.request_started || !written => Outcome::ConnectFailed,
+            outcome => outcome,
+        };
+        if let Some(conn) = attempt.connection {
+            self.attempts.remove(&conn);
+            self.responses.remove(&conn);
+            self.timers.clear(Timer::Connection(conn));
+            self.connections.close(conn);
+        }
+        self.end_attempt(slot, outcome, false);
+    }
+
+    /// The timer of a connection to an endpoint has expired.
+    pub(crate) fn endpoint_connection_timed_out(&mut self, id: ConnectionId) {
+        match self.attempts.get(&id) {
+            Some(&slot) if self.responses.contains_key(&id) => {
+                self.abort_attempt(slot, Outcome::MalformedResponse);
+            }
+            Some(&slot) => self.abort_attempt(slot, Outcome::ConnectFailed),
+            None => {
+                let (endpoints, mut io) = self.pool();
+                endpoints.close_connection(&mut io, id);
+            }
+        }
+    }
+
+    /// Ends what waits for a connection to the earlier address of an endpoint, which may be another's by then.
+    pub(super) fn abort_connecting(&mut self, endpoint: EndpointId) {
+        let connecting = |id: &ConnectionId| {
+            self.connections
+                .get(*id)
+                .is_some_and(|c| c.connecting && c.role == Role::Endpoint(endpoint))
+        };
+        let attempts = self.attempts.iter().filter(|(id, _)| connecting(id));
+        for slot in attempts.map(|(_, slot)| *slot).collect::<Vec<_>>() {
+            self.abort_attempt(slot, Outcome::NotSent { no_capacity: false });
+        }
+    }
+
+    /// Whether an attempt has not reached its deadline.
+    pub(super) fn before_deadline(&self, slot: MessageSlot) -> bool {
+        self.messages
+            .attempt(slot)
+            .is_some_and(|attempt| self.now < attempt.deadline)
+    }
+
+    /// Reads the response to an attempt as far as it has arrived, and ends the attempt once the outcome is certain.
+    pub(super) fn read_response(
+        &mut self,
+        id: ConnectionId,
+        slot: MessageSlot,
+    ) -> Result<AttemptProgress, Malformed> {
+        let Some(conn) = self.connections.get_mut(id) else {
+            return Ok(AttemptProgress::Ended);
+        };
+        if conn.input.is_empty() && !conn.peer_closed {
+            return Ok(AttemptProgress::InFlight);
+        }
+        let mut progress = self.responses.remove(&id).unwrap_or_else(|| {
+            self.timers
+                .set(Timer::Connection(id), self.now + RESPONSE_TIMEOUT);
+            ResponseProgress::new()
+        });
+        let response = match progress.advance(conn)? {
+            Verdict::Known(response) => response,
+            Verdict::Incomplete => {
+                self.responses.insert(id, progress);
+                return Ok(AttemptProgress::InFlight);
+            }
+        };
+        let report = response
+            .load_report
+            .filter(|_| self.settings.reports_limits);
+        self.apply_load_report(slot, report);
+        self.attempts.remove(&id);
+        let (endpoints, mut io) = self.pool();
+        match response.reuse {
+            Reuse::Now => endpoints.give_back(&mut io, id, progress, Unassigned::Idle),
+            Reuse::AfterRest => endpoints.give_back(&mut io, id, progress, Unassigned::MoreToRead),
+            Reuse::Close => endpoints.close_connection(&mut io, id),
+        }
+        self.end_attempt(slot, response.outcome, response.ends_message);
+        Ok(AttemptProgress::Ended)
+    }
+
+    /// A report that cannot be read changes nothing; that is logged once.
+    fn apply_load_report(
+        &mut self,
+        slot: MessageSlot,
+        report: Option<Result<f64, InvalidLoadReport>>,
+    ) {
+        match (report, self.messages.attempt_mut(slot)) {
+            (Some(Ok(limit)), Some(attempt)) => attempt.reported_limit = Some(limit),
+            (Some(Err(InvalidLoadReport)), _)
+                if !std::mem::replace(&mut self.invalid_report_logged, true) =>
+            {
+                log::warn!(
+                    "a load report has no `{}` between 0 and 1e9; such reports are ignored",
+                    http::LIMIT
+                )
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The dispatcher as a service: the decisions of `bellsill` on real sockets. [`start`] reads what a dispatcher is told,
-//! [`event_loop::Daemon`] runs it; `docs/daemon.md` says how the parts fit.
+//! The dispatcher as a service: the decisions of `bellsill-core` on real sockets. [`start`] reads the configuration,
+//! [`event_loop::Daemon`] runs the dispatcher; `docs/daemon.md` describes how the parts fit together.
 // Not finished yet: see docs/ROADMAP.md.
 #![allow(
     missing_docs,
@@ -16,26 +16,29 @@
 pub use bellsill_discovery_client::backoff;
 pub use bellsill_net::{http, ring_buffer, slot_table, timer_queue};
 
+pub mod admin;
+pub mod client;
 pub mod clock;
 pub mod command_line;
-pub mod start;
-pub mod start_retry;
-
-pub mod event_loop;
-pub mod leaving;
-
-pub mod clients;
-pub mod endpoints;
-pub mod messages;
-pub mod mgmt;
-pub mod notices;
-
-pub mod conns;
+mod connection;
+mod delivery;
 pub mod discovery;
+pub mod endpoint;
 pub mod endpoint_list;
+pub mod event_loop;
 pub mod installation;
 pub mod journal;
 pub mod logger;
+mod message_slot;
+mod metrics;
+mod notification;
 pub mod recent_ids;
-pub mod resp;
+mod reload;
 pub mod scope;
+mod shutdown;
+pub mod signals;
+pub mod start;
+pub mod start_retry;
+mod startup;
+mod status;
+mod timer;
--- a/crates/daemon/src/scope.rs
+++ b/crates/daemon/src/scope.rs
@@ -7,8 +7,6 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-pub use crate::endpoint_list::{entries_of, list_of};
-
 /// The name of the file in the state folder.
 pub const SCOPE_FILE: &str = "scope";
 /// How often a changed list is saved, in nanoseconds: after a restart the configuration may be this old.
--- a/crates/daemon/tests/endpoint_registry.rs
+++ b/crates/daemon/tests/endpoint_registry.rs
@@ -1,7 +1,7 @@
 //! The registry of endpoints.
 
+use bellsill_daemon::endpoint::Endpoints;
 use bellsill_daemon::endpoint_list::ListedEndpoint;
-use bellsill_daemon::endpoints::Endpoints;
 
 /// An entry of the list.
 fn listed(name: &str, destination: u64) -> ListedEndpoint {
@@ -21,14 +21,16 @@
 fn a_forgotten_endpoint_s_row_is_reused() {
     let mut endpoints = Endpoints::default();
     let addr = "127.0.0.1:1".parse().unwrap();
-    let stays = endpoints.know(&listed("stays", 1), addr);
+    let stays = endpoints.register(&listed("stays", 1), addr);
     for n in 0..1000 {
-        let id = endpoints.know(&listed(&format!("e{n}"), 2), addr);
-        assert_eq!(endpoints.know(&listed(&format!("e{n}"), 2), addr), id);
-        assert!(id != stays && endpoints.ids().count() <= 2 && endpoints.serve(2));
-        endpoints.forget(id);
+        let id = endpoints.register(&listed(&format!("e{n}"), 2), addr);
+        assert_eq!(endpoints.register(&listed(&format!("e{n}"), 2), addr), id);
+        assert!(id != stays && endpoints.ids().count() <= 2 && endpoints.has_destination(2));
+        endpoints.remove(id);
         assert!(
-            endpoints.find(&format!("e{n}")).is_none() && !endpoints.serve(2) && endpoints.serve(1)
+            endpoints.find(&format!("e{n}")).is_none()
+                && !endpoints.has_destination(2)
+                && endpoints.has_destination(1)
         );
     }
 }
--- a/crates/daemon/tests/mgmt.rs
+++ b/crates/daemon/tests/mgmt.rs
@@ -1,22 +1,23 @@
 //! The parser of operators' calls, the list of disabled endpoints and the metrics, without a socket.
 
-use bellsill_daemon::mgmt::{
-    COMPLETED, Call, FAILED, Figures, Gauges, HELD_MOST, ID_MOST, parse, read_held, render,
+use bellsill_daemon::admin::{
+    End, Gauges, MAX_DISABLED, MAX_ENDPOINT_ID_BYTES, Metrics, Request, parse, parse_disabled,
+    render,
 };
 
 #[test]
 fn every_call_is_parsed() {
-    assert_eq!(parse(b"ready"), Ok(Call::Ready));
-    assert_eq!(parse(b"show-stat"), Ok(Call::ShowStat));
-    assert_eq!(parse(b"drain"), Ok(Call::Drain));
-    assert_eq!(parse(b"  resume "), Ok(Call::Resume));
+    assert_eq!(parse(b"ready"), Ok(Request::Ready));
+    assert_eq!(parse(b"show-stat"), Ok(Request::ShowStat));
+    assert_eq!(parse(b"drain"), Ok(Request::Drain));
+    assert_eq!(parse(b"  resume "), Ok(Request::Resume));
     assert_eq!(
         parse(b"disable-server s-5be2a07c"),
-        Ok(Call::Disable("s-5be2a07c".into()))
+        Ok(Request::Disable("s-5be2a07c".into()))
     );
     assert_eq!(
         parse(b"enable-server s-5be2a07c"),
-        Ok(Call::Enable("s-5be2a07c".into()))
+        Ok(Request::Enable("s-5be2a07c".into()))
     );
 }
 
@@ -31,30 +32,30 @@
         (b"enable-server a b", "takes no word"),
         (b"\xff", "UTF-8"),
     ] {
-        let why = parse(line).expect_err("an invalid call");
+        let why = parse(line).expect_err("an invalid call").to_string();
         assert!(why.contains(says), "{line:?}: {why}");
     }
-    let long = format!("disable-server {}", "x".repeat(ID_MOST + 1));
+    let long = format!("disable-server {}", "x".repeat(MAX_ENDPOINT_ID_BYTES + 1));
     assert!(parse(long.as_bytes()).is_err());
 }
 
 #[test]
 fn a_list_of_disabled_endpoints_is_read_and_invalid_lines_are_reported() {
-    let (disabled, invalid) = read_held("s-1\n\ns-2\ns-1\na b\n");
+    let (disabled, invalid) = parse_disabled("s-1\n\ns-2\ns-1\na b\n");
     assert_eq!(disabled.into_iter().collect::<Vec<_>>(), ["s-1", "s-2"]);
     assert_eq!(invalid, ["line 5: no endpoint id"]);
-    let many: String = (0..HELD_MOST + 2).map(|n| format!("s-{n}\n")).collect();
-    let (disabled, invalid) = read_held(&many);
-    assert_eq!((disabled.len(), invalid.len()), (HELD_MOST, 2));
+    let many: String = (0..MAX_DISABLED + 2).map(|n| format!("s-{n}\n")).collect();
+    let (disabled, invalid) = parse_disabled(&many);
+    assert_eq!((disabled.len(), invalid.len()), (MAX_DISABLED, 2));
 }
 
 #[test]
 fn metrics_are_rendered_for_each_class() {
-    let mut metrics = Figures::default();
-    metrics.count(1, FAILED);
-    metrics.count(0, COMPLETED);
-    metrics.count(0, COMPLETED);
-    metrics.upstream = 3;
+    let mut metrics = Metrics::default();
+    metrics.count(1, End::Failed);
+    metrics.count(0, End::Completed);
+    metrics.count(0, End::Completed);
+    metrics.attempts = 3;
     let gauges = Gauges {
         pending: 4,
         members: 5,
--- a/crates/daemon/tests/resp.rs
+++ b/crates/daemon/tests/resp.rs
@@ -2,7 +2,7 @@
 
 mod property;
 
-use bellsill_daemon::resp;
+use bellsill_daemon::client::resp;
 use property::check;
 
 #[test]
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use bellsill_core::interface::MessageId;
+use bellsill_daemon::admin::load_disabled;
 use bellsill_daemon::journal::{JournaledMessage, MessageJournal, Recovered, Resolution};
-use bellsill_daemon::mgmt::load_held;
 use common::Rig;
 use std::path::{Path, PathBuf};
 
@@ -175,7 +175,7 @@
 
 #[test]
 fn the_list_of_disabled_endpoints_is_read() {
-    let disabled = load_held(&fixture("disabled")).unwrap();
+    let disabled = load_disabled(&fixture("disabled")).unwrap();
     assert!(disabled.iter().eq(["endpoint-2", "s-5be2a07c"]));
 }
 
