--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Delivery;
 use super::message::{DeliveryState, PendingMessage};
-use crate::discovery::WatchIo;
+use crate::io::Io;
 use crate::journal::{JournaledAttempt, JournaledMessage};
 use bellsill_core::interface::{
     ClassId, DeliverySemantics, DestinationId, KeyId, MessageHistory, Nanos, NewMessage,
@@ -105,7 +105,7 @@
             self.discovery.touch(destination);
             return Ok(());
         }
-        let mut io = WatchIo {
+        let mut io = Io {
             now: self.runtime.now,
             connections: &mut self.runtime.connections,
             timers: &mut self.runtime.timers,
--- a/crates/daemon/src/delivery/mod.rs
+++ b/crates/daemon/src/delivery/mod.rs
@@ -10,8 +10,9 @@
 mod recovery;
 mod runtime;
 
-use crate::discovery::{Discovery, WatchIo, WatchTimer};
-use crate::timer::Timer;
+use crate::connection::ConnectionId;
+use crate::discovery::Discovery;
+use crate::io::Io;
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::{ClassSettings, Nanos, Settings};
 use std::collections::BTreeSet;
@@ -75,8 +76,8 @@
         self.dispatcher.unavailable_endpoints()
     }
 
-    fn watch(&mut self) -> (&mut Discovery, WatchIo<'_, Timer>) {
-        let io = WatchIo {
+    fn watch(&mut self) -> (&mut Discovery, Io<'_>) {
+        let io = Io {
             now: self.runtime.now,
             connections: &mut self.runtime.connections,
             timers: &mut self.runtime.timers,
@@ -97,10 +98,22 @@
         self.runtime.relocate_notifications(addr);
     }
 
-    /// A timer of the watch has expired.
-    pub(crate) fn watch_timer_expired(&mut self, timer: WatchTimer) {
+    /// The watch of the configuration is to be opened again.
+    pub(crate) fn reconnect_watch(&mut self) {
         let (discovery, mut io) = self.watch();
-        discovery.timer_fired(&mut io, timer);
+        discovery.reconnect(&mut io);
+    }
+
+    /// Destinations are to be looked up again.
+    pub(crate) fn retry_lookups(&mut self) {
+        let (discovery, mut io) = self.watch();
+        discovery.retry_lookups(&mut io);
+    }
+
+    /// A connection of the watch has been without an expected answer for too long.
+    pub(crate) fn watch_connection_timed_out(&mut self, id: ConnectionId) {
+        let (discovery, mut io) = self.watch();
+        discovery.connection_timed_out(&mut io, id);
     }
 
     /// The decisions asked to be woken up.
--- a/crates/daemon/src/delivery/runtime.rs
+++ b/crates/daemon/src/delivery/runtime.rs
@@ -4,11 +4,12 @@
 use super::message::DeliveryState;
 use super::pending::PendingMessages;
 use crate::connection::{ConnectionId, ConnectionTable};
-use crate::endpoint::{Endpoints, NoIdleConnection, PoolIo, ResponseProgress};
+use crate::endpoint::{Endpoints, NoIdleConnection, ResponseProgress};
+use crate::io::Io;
 use crate::journal::{MessageJournal, Resolution};
 use crate::message_slot::MessageSlot;
 use crate::metrics::{End, Metrics};
-use crate::notification::{NotificationEvent, NotificationIo, Notifications};
+use crate::notification::{NotificationEvent, Notifications};
 use crate::timer::Timer;
 use crate::timer_queue::TimerQueue;
 use bellsill_core::interface::{AttemptEnd, MessageId, Nanos, Outcome};
@@ -69,7 +70,7 @@
             timers: TimerQueue::default(),
             metrics: Metrics::default(),
             messages: PendingMessages::default(),
-            endpoints: Endpoints::default(),
+            endpoints: Endpoints::new(settings.keep_alive),
             notifications,
             journal,
             attempts: BTreeMap::new(),
@@ -91,12 +92,11 @@
     }
 
     /// The registry of endpoints, and what its pool works with.
-    pub(super) fn pool(&mut self) -> (&mut Endpoints, PoolIo<'_>) {
-        let io = PoolIo {
+    pub(super) fn pool(&mut self) -> (&mut Endpoints, Io<'_>) {
+        let io = Io {
             now: self.now,
             connections: &mut self.connections,
             timers: &mut self.timers,
-            keep_alive: self.settings.keep_alive,
         };
         (&mut self.endpoints, io)
     }
@@ -107,8 +107,8 @@
         endpoints.close_oldest_idle(&mut io)
     }
 
-    fn notifications(&mut self) -> (&mut Notifications, NotificationIo<'_>) {
-        let io = NotificationIo {
+    fn notifications(&mut self) -> (&mut Notifications, Io<'_>) {
+        let io = Io {
             now: self.now,
             connections: &mut self.connections,
             timers: &mut self.timers,
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -1,11 +1,12 @@
 //! The sockets and timers of the watch on the configuration: carries out what [`Watch`] commands, and reports to it what
 //! happened. Nothing here decides, and nothing here knows messages or the event loop.
 
-use crate::connection::{BufferBounds, ConnectionId, ConnectionTable, Role};
-use crate::timer_queue::TimerQueue;
+use crate::connection::{BufferBounds, ConnectionId, Role};
+use crate::io::Io;
+use crate::timer::Timer;
 use bellsill_discovery_client::{
-    Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList, Timer,
-    Watch,
+    Applied, CacheFull, CallId, Command, Counters, Received, ScopedLineError, ScopedList,
+    Timer as WatchTimer, Watch,
 };
 use bellsill_net::Nanos;
 use bellsill_settings::Names;
@@ -18,24 +19,6 @@
 /// Room for a request; a longer one gets more.
 const OUTPUT_BYTES: usize = 1024;
 
-/// The timers of the watch, as part of those of the event loop.
-#[derive(Clone, Copy, Debug)]
-pub(crate) enum WatchTimer {
-    /// The watch is to be opened again.
-    Reconnect,
-    /// Destinations are to be looked up again.
-    LookupRetry,
-    /// A connection has been without an expected answer for too long.
-    Connection(ConnectionId),
-}
-
-/// What the watch's commands are carried out with.
-pub(crate) struct WatchIo<'a, K> {
-    pub(crate) now: Nanos,
-    pub(crate) connections: &'a mut ConnectionTable,
-    pub(crate) timers: &'a mut TimerQueue<K>,
-}
-
 /// A call of the watch and its connection.
 struct OpenCall {
     call: CallId,
@@ -88,30 +71,24 @@
     }
 
     /// Has a destination looked up; `in_use` says which ones must not be evicted for it. Returns what was evicted.
-    pub(crate) fn lookup<K>(
+    pub(crate) fn lookup(
         &mut self,
-        io: &mut WatchIo<K>,
+        io: &mut Io,
         destination: u64,
         in_use: &dyn Fn(u64) -> bool,
-    ) -> Result<Applied, CacheFull>
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    ) -> Result<Applied, CacheFull> {
         let lookup = self.watch.want(io.now, destination, in_use)?;
         self.carry_out(io, lookup.commands);
         Ok(lookup.applied)
     }
 
     /// Applies a document of a scoped watch. One that cannot be applied ends the connection that it came on.
-    pub(crate) fn apply<K>(
+    pub(crate) fn apply(
         &mut self,
-        io: &mut WatchIo<K>,
+        io: &mut Io,
         conn: ConnectionId,
         document: &[u8],
-    ) -> Result<Applied, ScopedLineError>
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    ) -> Result<Applied, ScopedLineError> {
         let applied = self.watch.apply(document);
         if applied.is_err()
             && let Some(call) = self.call_of(conn)
@@ -127,50 +104,42 @@
     }
 
     /// Opens the watch.
-    pub(crate) fn start<K>(&mut self, io: &mut WatchIo<K>, drain_grace: Nanos)
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    pub(crate) fn start(&mut self, io: &mut Io, drain_grace: Nanos) {
         let commands = self.watch.start(io.now, drain_grace);
         self.carry_out(io, commands);
     }
 
     /// Discovery has another address.
-    pub(crate) fn relocate<K>(&mut self, io: &mut WatchIo<K>, address: SocketAddr)
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    pub(crate) fn relocate(&mut self, io: &mut Io, address: SocketAddr) {
         let commands = self.watch.relocate(io.now, address);
         self.carry_out(io, commands);
     }
 
-    /// A timer of the watch has expired.
-    pub(crate) fn timer_fired<K>(&mut self, io: &mut WatchIo<K>, timer: WatchTimer)
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
-        let timer = match timer {
-            WatchTimer::Reconnect => Timer::Reconnect,
-            WatchTimer::LookupRetry => Timer::LookUp,
-            WatchTimer::Connection(conn) => match self.call_of(conn) {
-                Some(call) => Timer::Call(call),
-                None => return,
-            },
-        };
+    /// The watch is to be opened again.
+    pub(crate) fn reconnect(&mut self, io: &mut Io) {
+        self.timer_expired(io, WatchTimer::Reconnect);
+    }
+
+    /// Destinations are to be looked up again.
+    pub(crate) fn retry_lookups(&mut self, io: &mut Io) {
+        self.timer_expired(io, WatchTimer::LookUp);
+    }
+
+    /// A connection of the watch has been without an expected answer for too long.
+    pub(crate) fn connection_timed_out(&mut self, io: &mut Io, conn: ConnectionId) {
+        if let Some(call) = self.call_of(conn) {
+            self.timer_expired(io, WatchTimer::Call(call));
+        }
+    }
+
+    fn timer_expired(&mut self, io: &mut Io, timer: WatchTimer) {
         let commands = self.watch.timer_fired(io.now, timer);
         self.carry_out(io, commands);
     }
 
     /// Something happened on a connection of the watch. Returns what has arrived: the changes of a lookup, or documents to
     /// be applied in their order.
-    pub(crate) fn connection_ready<K>(
-        &mut self,
-        io: &mut WatchIo<K>,
-        conn: ConnectionId,
-    ) -> Received
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    pub(crate) fn connection_ready(&mut self, io: &mut Io, conn: ConnectionId) -> Received {
         let Some(call) = self.call_of(conn) else {
             return Received::default();
         };
@@ -197,10 +166,7 @@
     }
 
     /// Writes what can be written, and waits for more on a connection of the watch.
-    pub(crate) fn flush<K>(&mut self, io: &mut WatchIo<K>, conn: ConnectionId)
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    pub(crate) fn flush(&mut self, io: &mut Io, conn: ConnectionId) {
         let Some(call) = self.call_of(conn) else {
             return;
         };
@@ -214,18 +180,12 @@
         }
     }
 
-    fn broken<K>(&mut self, io: &mut WatchIo<K>, call: CallId)
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    fn broken(&mut self, io: &mut Io, call: CallId) {
         let commands = self.watch.broken(io.now, call);
         self.carry_out(io, commands);
     }
 
-    fn carry_out<K>(&mut self, io: &mut WatchIo<K>, commands: Vec<Command>)
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    fn carry_out(&mut self, io: &mut Io, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Connect {
@@ -254,10 +214,7 @@
     }
 
     /// Connects to a server of the watch; the request goes out once the connection is up.
-    fn connect<K>(&mut self, io: &mut WatchIo<K>, call: CallId, address: SocketAddr, request: &[u8])
-    where
-        K: Ord + Copy + From<WatchTimer>,
-    {
+    fn connect(&mut self, io: &mut Io, call: CallId, address: SocketAddr, request: &[u8]) {
         let bounds = BufferBounds {
             input: INPUT_BYTES,
             output: OUTPUT_BYTES.max(2 * request.len()),
@@ -275,12 +232,12 @@
     }
 
     /// The timer of the event loop; none for that of a call whose connection is closed.
-    fn key<K: From<WatchTimer>>(&self, timer: Timer) -> Option<K> {
-        Some(K::from(match timer {
-            Timer::Reconnect => WatchTimer::Reconnect,
-            Timer::LookUp => WatchTimer::LookupRetry,
-            Timer::Call(call) => WatchTimer::Connection(self.conn_of(call)?),
-        }))
+    fn key(&self, timer: WatchTimer) -> Option<Timer> {
+        Some(match timer {
+            WatchTimer::Reconnect => Timer::WatchReconnect,
+            WatchTimer::LookUp => Timer::LookupRetry,
+            WatchTimer::Call(call) => Timer::Connection(self.conn_of(call)?),
+        })
     }
 
     fn conn_of(&self, call: CallId) -> Option<ConnectionId> {
--- a/crates/daemon/src/endpoint/mod.rs
+++ b/crates/daemon/src/endpoint/mod.rs
@@ -7,5 +7,5 @@
 
 pub(crate) use exchange::{RESPONSE_TIMEOUT, ResponseProgress, Reuse, Verdict};
 pub(crate) use list::ListUpdate;
-pub(crate) use pool::{NoIdleConnection, PoolIo, Unassigned};
+pub(crate) use pool::{NoIdleConnection, Unassigned};
 pub use registry::Endpoints;
--- a/crates/daemon/src/endpoint/pool.rs
+++ b/crates/daemon/src/endpoint/pool.rs
@@ -2,19 +2,10 @@
 
 use super::Endpoints;
 use super::exchange::{Arrived, ResponseProgress};
-use crate::connection::{ConnectionId, ConnectionTable, Role};
+use crate::connection::{ConnectionId, Role};
+use crate::io::Io;
 use crate::timer::Timer;
-use crate::timer_queue::TimerQueue;
-use bellsill_core::interface::{EndpointId, Nanos};
-
-/// What the pool works with.
-pub(crate) struct PoolIo<'a> {
-    pub(crate) now: Nanos,
-    pub(crate) connections: &'a mut ConnectionTable,
-    pub(crate) timers: &'a mut TimerQueue<Timer>,
-    /// How long endpoints keep an idle connection open.
-    pub(crate) keep_alive: Nanos,
-}
+use bellsill_core::interface::EndpointId;
 
 /// No endpoint has an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,11 +22,7 @@
 
 impl Endpoints {
     /// An idle connection to an endpoint that is certain to be good, or none. Those that are not are closed.
-    pub(crate) fn take_idle(
-        &mut self,
-        io: &mut PoolIo,
-        endpoint: EndpointId,
-    ) -> Option<ConnectionId> {
+    pub(crate) fn take_idle(&mut self, io: &mut Io, endpoint: EndpointId) -> Option<ConnectionId> {
         while let Some(conn) = self.row_mut(endpoint).idle.pop() {
             // After the process was suspended its timer may have expired and not been handled yet.
             let in_time = !io.timers.is_expired(Timer::Connection(conn), io.now);
@@ -58,7 +45,7 @@
     /// Takes a connection back whose attempt is over.
     pub(crate) fn give_back(
         &mut self,
-        io: &mut PoolIo,
+        io: &mut Io,
         id: ConnectionId,
         response: ResponseProgress,
         state: Unassigned,
@@ -78,7 +65,7 @@
     }
 
     /// Keeps a connection for the next attempt, unless it may not be good then.
-    pub(crate) fn pool(&mut self, io: &mut PoolIo, id: ConnectionId) {
+    pub(crate) fn pool(&mut self, io: &mut Io, id: ConnectionId) {
         let Some(conn) = io.connections.get(id) else {
             return;
         };
@@ -95,14 +82,14 @@
         row.idle.push(id);
         // A request that is sent just when the other side closes is lost, so it is closed here a little earlier.
         io.timers
-            .set(Timer::Connection(id), io.now + io.keep_alive / 20 * 19);
+            .set(Timer::Connection(id), io.now + self.keep_alive / 20 * 19);
         if io.connections.arm(id).is_err() {
             self.close_connection(io, id);
         }
     }
 
     /// Closes a connection that has no attempt.
-    pub(crate) fn close_connection(&mut self, io: &mut PoolIo, id: ConnectionId) {
+    pub(crate) fn close_connection(&mut self, io: &mut Io, id: ConnectionId) {
         if let Some(Role::Endpoint(endpoint)) = io.connections.get(id).map(|c| c.role) {
             self.row_mut(endpoint).idle.retain(|c| *c != id);
         }
@@ -112,7 +99,7 @@
     }
 
     /// Closes the idle connections to an endpoint.
-    pub(crate) fn close_idle(&mut self, io: &mut PoolIo, endpoint: EndpointId) {
+    pub(crate) fn close_idle(&mut self, io: &mut Io, endpoint: EndpointId) {
         for conn in std::mem::take(&mut self.row_mut(endpoint).idle) {
             io.timers.clear(Timer::Connection(conn));
             io.connections.close(conn);
@@ -120,7 +107,7 @@
     }
 
     /// Closes an idle connection, the oldest one of its endpoint, so that a client or an attempt finds a descriptor.
-    pub(crate) fn close_oldest_idle(&mut self, io: &mut PoolIo) -> Result<(), NoIdleConnection> {
+    pub(crate) fn close_oldest_idle(&mut self, io: &mut Io) -> Result<(), NoIdleConnection> {
         let idle = |id: EndpointId| self.row(id).idle.first().copied();
         let oldest = self.ids().filter_map(idle).next();
         self.close_connection(io, oldest.ok_or(NoIdleConnection)?);
@@ -128,7 +115,7 @@
     }
 
     /// Removes an endpoint and closes its connections: the next endpoint of that number must not find them.
-    pub(crate) fn remove_with_connections(&mut self, io: &mut PoolIo, endpoint: EndpointId) {
+    pub(crate) fn remove_with_connections(&mut self, io: &mut Io, endpoint: EndpointId) {
         let connections: Vec<ConnectionId> = io
             .connections
             .iter()
@@ -142,7 +129,7 @@
     }
 
     /// Something happened on a connection that has no attempt.
-    pub(crate) fn unassigned_ready(&mut self, io: &mut PoolIo, id: ConnectionId) {
+    pub(crate) fn unassigned_ready(&mut self, io: &mut Io, id: ConnectionId) {
         let read = io.connections.read(id);
         let Some(conn) = io.connections.get_mut(id) else {
             return;
--- a/crates/daemon/src/endpoint/registry.rs
+++ b/crates/daemon/src/endpoint/registry.rs
@@ -3,7 +3,7 @@
 use super::exchange::ResponseProgress;
 use crate::connection::ConnectionId;
 use crate::endpoint_list::ListedEndpoint;
-use bellsill_core::interface::EndpointId;
+use bellsill_core::interface::{EndpointId, Nanos};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -32,9 +32,19 @@
     by_destination: BTreeMap<u64, usize>,
     /// Connections without an attempt on which the rest of a response is still to come.
     pub(super) draining: BTreeMap<ConnectionId, ResponseProgress>,
+    /// How long endpoints keep an idle connection open.
+    pub(super) keep_alive: Nanos,
 }
 
 impl Endpoints {
+    /// No endpoints; those to come keep an idle connection open for this long.
+    pub fn new(keep_alive: Nanos) -> Endpoints {
+        Endpoints {
+            keep_alive,
+            ..Endpoints::default()
+        }
+    }
+
     pub(super) fn row(&self, id: EndpointId) -> &Endpoint {
         &self.rows[id.0 as usize]
     }
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -5,7 +5,6 @@
 use crate::clock;
 use crate::connection::{ConnectionId, PollEvent, Role};
 use crate::delivery::{Adoption, Delivery};
-use crate::discovery::WatchTimer;
 use crate::reload::{Configuration, Reload};
 use crate::scope::{SAVE_EVERY, ScopeFile};
 use crate::shutdown::{Shutdown, ShutdownPhase};
@@ -131,7 +130,7 @@
         match delivery.runtime.connections.get(id).map(|c| c.role) {
             Some(Role::Client) => client::timed_out(delivery, id, self.shutdown.client_policy()),
             Some(Role::Endpoint(_)) => delivery.runtime.endpoint_connection_timed_out(id),
-            Some(Role::Watch) => delivery.watch_timer_expired(WatchTimer::Connection(id)),
+            Some(Role::Watch) => delivery.watch_connection_timed_out(id),
             Some(Role::Notifications) => delivery.runtime.notification_timed_out(),
             Some(Role::Admin) => admin::close(&mut delivery.runtime, id),
             None => {}
@@ -145,8 +144,8 @@
             Timer::Attempt(slot) => delivery.runtime.abort_attempt(slot, Outcome::TimedOut),
             Timer::Connection(id) => self.connection_timed_out(id),
             Timer::ReadClient(id) => self.connection_ready(id),
-            Timer::WatchReconnect => delivery.watch_timer_expired(WatchTimer::Reconnect),
-            Timer::LookupRetry => delivery.watch_timer_expired(WatchTimer::LookupRetry),
+            Timer::WatchReconnect => delivery.reconnect_watch(),
+            Timer::LookupRetry => delivery.retry_lookups(),
             Timer::NotificationRetry => delivery.runtime.end_notification_backoff(),
             Timer::JournalRetry => delivery.runtime.retry_journal(),
             Timer::AcceptClients => self.accept_clients(),
--- a/crates/daemon/src/notification/mod.rs
+++ b/crates/daemon/src/notification/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-pub(crate) use sender::{NotificationEvent, NotificationIo};
+pub(crate) use sender::NotificationEvent;
 
 /// The pending notifications, and the connection on which they are sent.
 pub(crate) struct Notifications {
--- a/crates/daemon/src/notification/sender.rs
+++ b/crates/daemon/src/notification/sender.rs
@@ -1,10 +1,10 @@
 //! Sending notifications: one request at a time, again after a while if it failed.
 
 use super::Notifications;
-use crate::connection::{BufferBounds, ConnectionId, ConnectionTable, Role};
+use crate::connection::{BufferBounds, ConnectionId, Role};
 use crate::http::{self, Body, Malformed};
+use crate::io::Io;
 use crate::timer::Timer;
-use crate::timer_queue::TimerQueue;
 use bellsill_core::interface::{MessageId, Nanos};
 use std::net::SocketAddr;
 
@@ -17,13 +17,6 @@
 const MAX_BATCH: usize = 256;
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
-/// What sending works with.
-pub(crate) struct NotificationIo<'a> {
-    pub(crate) now: Nanos,
-    pub(crate) connections: &'a mut ConnectionTable,
-    pub(crate) timers: &'a mut TimerQueue<Timer>,
-}
-
 /// What became of the request in flight.
 #[must_use]
 #[derive(Debug, PartialEq, Eq)]
@@ -36,7 +29,7 @@
 
 impl Notifications {
     /// Sends what is pending, unless a request is in flight or one has just failed.
-    pub(crate) fn send(&mut self, io: &mut NotificationIo) {
+    pub(crate) fn send(&mut self, io: &mut Io) {
         if self.pending.is_empty() || !self.in_flight.is_empty() || self.backing_off {
             return;
         }
@@ -72,7 +65,7 @@
 
     /// The request failed, or an idle connection ended. What was in flight stays pending: the platform accepts a
     /// notification twice.
-    pub(crate) fn fail(&mut self, io: &mut NotificationIo) {
+    pub(crate) fn fail(&mut self, io: &mut Io) {
         if let Some(id) = self.connection.take() {
             io.timers.clear(Timer::Connection(id));
             io.connections.close(id);
@@ -87,7 +80,7 @@
     }
 
     /// Sends to another address from now on, also what is in flight.
-    pub(crate) fn relocate(&mut self, io: &mut NotificationIo, addr: SocketAddr) {
+    pub(crate) fn relocate(&mut self, io: &mut Io, addr: SocketAddr) {
         if addr != self.addr {
             self.addr = addr;
             self.fail(io);
@@ -102,7 +95,7 @@
     }
 
     /// Something happened on the connection.
-    pub(crate) fn ready(&mut self, io: &mut NotificationIo, id: ConnectionId) -> NotificationEvent {
+    pub(crate) fn ready(&mut self, io: &mut Io, id: ConnectionId) -> NotificationEvent {
         let mut event = NotificationEvent::Waiting;
         if self.read_answer(io, id, &mut event).is_err() {
             self.fail(io);
@@ -113,7 +106,7 @@
     /// The error says that the connection cannot be used for another request.
     fn read_answer(
         &mut self,
-        io: &mut NotificationIo,
+        io: &mut Io,
         id: ConnectionId,
         event: &mut NotificationEvent,
     ) -> Result<(), Malformed> {
@@ -153,7 +146,7 @@
         io.connections.flush(id).map_err(broken)
     }
 
-    fn acknowledged(&mut self, io: &mut NotificationIo, id: ConnectionId) -> NotificationEvent {
+    fn acknowledged(&mut self, io: &mut Io, id: ConnectionId) -> NotificationEvent {
         io.timers.clear(Timer::Connection(id));
         self.backoff = MIN_BACKOFF;
         let batch = std::mem::take(&mut self.in_flight);
--- a/crates/daemon/src/timer.rs
+++ b/crates/daemon/src/timer.rs
@@ -1,7 +1,6 @@
 //! The timers of the event loop.
 
 use crate::connection::ConnectionId;
-use crate::discovery::WatchTimer;
 use crate::message_slot::MessageSlot;
 use bellsill_core::interface::Nanos;
 
@@ -42,13 +41,3 @@
     /// The scope file is to be saved.
     SaveScope,
 }
-
-impl From<WatchTimer> for Timer {
-    fn from(timer: WatchTimer) -> Timer {
-        match timer {
-            WatchTimer::Reconnect => Timer::WatchReconnect,
-            WatchTimer::LookupRetry => Timer::LookupRetry,
-            WatchTimer::Connection(conn) => Timer::Connection(conn),
-        }
-    }
-}
--- a/crates/daemon/tests/common/control.rs
+++ b/crates/daemon/tests/common/control.rs
@@ -15,20 +15,20 @@
 /// The region's buckets come first among all.
 const HELD_ZONE: &str = "north";
 const LOG: &str = "c0ffee";
-/// An empty line comes this often; sooner than a real one says it.
+/// An empty line is sent this often, more often than by a real one.
 const EMPTY_LINE_EVERY: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
 struct State {
     version: u64,
     entries: Vec<EndpointEntry>,
-    /// Destinations told beside the buckets.
+    /// Destinations that are sent beside the buckets.
     cells: BTreeSet<u64>,
     /// Watches end when it changes.
     epoch: u64,
     /// The dispatcher's buckets are another's.
     taken_away: bool,
-    /// The next line says to be a whole list.
+    /// The next line claims to be a snapshot.
     whole_list_next: bool,
     /// Lookups are answered 503.
     lookups_fail: bool,
--- a/crates/daemon/tests/common/faults.rs
+++ b/crates/daemon/tests/common/faults.rs
@@ -12,7 +12,7 @@
 pub(crate) const EIO: u64 = 5;
 pub(crate) const EINTR: u64 = 4;
 
-/// The page of one dispatcher, kept over its restarts.
+/// The page of one dispatcher, which outlasts its restarts.
 pub(crate) struct Faults {
     path: PathBuf,
     page: File,
--- a/crates/daemon/tests/common/installation.rs
+++ b/crates/daemon/tests/common/installation.rs
@@ -1,4 +1,4 @@
-//! A whole installation at small scale: three control processes and three dispatchers, each a process of the program, and a
+//! A complete installation at small scale: three control processes and three dispatchers, each a process of the program, and a
 //! link to the control processes that can be cut for each dispatcher.
 
 use super::*;
@@ -165,7 +165,7 @@
         self.rig.figure(&format!("scope.{name}"))
     }
 
-    /// Hands in one message after another until one has come to the endpoint, whatever the ones before are answered.
+    /// Hands in one message after another until one has reached the endpoint, whatever the answers to the ones before.
     pub(crate) fn reaches(&self, destination: u64, endpoint: &Endpoint, body: &str) {
         let came = || endpoint.calls().iter().any(|call| call.body == body);
         wait_for(&format!("the message {body:?} for {destination}"), || {
--- a/crates/daemon/tests/common/ledger.rs
+++ b/crates/daemon/tests/common/ledger.rs
@@ -6,11 +6,11 @@
 /// What counts as in time beyond a message's own time, and beyond every other limit.
 const END_SLACK: Duration = Duration::from_millis(300);
 const LIMIT_SLACK: Duration = Duration::from_millis(150);
-/// For so long after a restarted dispatcher is ready no notice is overdue.
+/// Until this long after a restarted dispatcher is ready no notification is overdue.
 const READY_SLACK: Duration = Duration::from_millis(1_500);
 /// A restarted dispatcher is ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Calls that come so soon after a wait was told are let through.
+/// Requests this soon after a Retry-After are not counted against it.
 const WAIT_SLACK: Duration = Duration::from_millis(250);
 /// What the account itself may lag behind what it records: its threads share the machine with everything else.
 const RECORDING_SLACK: Duration = Duration::from_millis(250);
@@ -45,7 +45,7 @@
     heard: Heard,
     calls: Vec<Call>,
     notices: Vec<Instant>,
-    /// When its connection was closed unanswered though the whole request had been written to a live dispatcher.
+    /// When its connection was closed unanswered though the complete request had been sent to a live dispatcher.
     closed_at: Option<Instant>,
 }
 
@@ -62,7 +62,7 @@
     messages: BTreeMap<String, Message>,
     /// From the signal of a restart until the next process was ready; none while it is not.
     restarts: Vec<(Instant, Option<Instant>)>,
-    /// The waits told by each limiter: from the answer to its end.
+    /// The Retry-After periods of each limiter: from the response to their end.
     waits: BTreeMap<usize, Vec<(Instant, Instant)>>,
     /// The longest time for which the machine held up a thread that only sleeps: the account and the dispatcher were held up
     /// as well, beyond what the pages name.
@@ -109,7 +109,7 @@
 }
 
 impl Ledger {
-    /// A thread that only sleeps was held up for so long.
+    /// A thread that only sleeps was delayed by this much.
     pub(crate) fn stalled(&mut self, time: Duration) {
         self.stalled = self.stalled.max(time);
     }
@@ -198,7 +198,7 @@
         }
     }
 
-    /// A client that stopped in the middle of a request was told an error or closed, or waits no longer for that.
+    /// A client that stopped in the middle of a request got an error or was closed, or waits no longer for that.
     pub(crate) fn bad_client_ended(&mut self, began: Instant, owed: Duration) {
         let took = began.elapsed();
         if took > owed + LIMIT_SLACK
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -21,7 +21,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Waits for something to become true. It may take as long as it likes; only what never comes fails.
+/// Waits for a condition to become true. It fails only if that does not happen within a minute.
 pub(crate) fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let from = Instant::now();
     while !done() {
@@ -443,7 +443,7 @@
 
 pub(crate) fn connect(to: &str) -> std::io::Result<Client> {
     let stream = TcpStream::connect(to)?;
-    // What never comes fails, as in `wait_for`.
+    // It fails after a minute, as in `wait_for`.
     stream.set_read_timeout(Some(Duration::from_secs(60)))?;
     Ok(Client {
         from: BufReader::new(stream.try_clone()?),
@@ -489,7 +489,7 @@
 
 pub(crate) const OK: Does = Does::Says("200 OK");
 
-/// An endpoint whose queue of new connections is full, by the one given back: one more comes up when there is room.
+/// An endpoint whose queue of new connections is full with the one returned: another is established when there is room.
 pub(crate) fn crowded() -> (TcpListener, TcpStream) {
     let listener = crowded_but_for(1);
     let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/crates/daemon/tests/common/soak.rs
+++ b/crates/daemon/tests/common/soak.rs
@@ -1,5 +1,5 @@
 //! A world that a dispatcher is played against for some seconds: clients that keep their connections, endpoints that
-//! answer by chance, the platform, and troubles. A [`Ledger`] judges what came of it.
+//! answer by chance, the platform, and faults. A [`Ledger`] judges what came of it.
 
 use super::faults::{EIO, ENOSPC, Faults, words};
 use super::ledger::{Class, Effect, Heard, Ledger, Verdict};
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 16;
-/// For so long a client waits for an answer.
+/// How long a client waits for an answer.
 const ANSWER_WITHIN: Duration = Duration::from_millis(400);
 /// From the kill to the next start.
 const DOWN_FOR: Duration = Duration::from_millis(600);
@@ -26,14 +26,14 @@
 /// How often the machine is looked at, and what of a sleep's lateness is none of its stalls.
 const BEAT: Duration = Duration::from_millis(5);
 const NO_STALL: Duration = Duration::from_millis(50);
-/// The log is shown of so many messages whose rules were broken.
+/// The log is shown of this many messages whose rules were broken.
 const TRACED_MOST: usize = 20;
-/// For so long a dispatcher may be held up.
+/// How long a dispatcher may be delayed.
 const STANDSTILL: Duration = Duration::from_millis(150);
 /// What a hanging endpoint holds a call for at most.
 const HANG_FOR: Duration = Duration::from_secs(30);
 
-/// Within this time a client that stops in the middle of a request is told an error or closed.
+/// Within this time a client that stops in the middle of a request gets an error or is closed.
 const BAD_CLIENT_OWED: Duration = Duration::from_secs(3);
 const NOTICE_WINDOW: Duration = Duration::from_secs(8);
 
@@ -45,7 +45,7 @@
     pub(crate) lifetimes_ms: std::ops::Range<u64>,
     /// The window of the class whose repeats are dropped.
     pub(crate) window: Duration,
-    /// Of a hundred calls, how many are delivered, told to wait, answered with an error, and closed.
+    /// Of a hundred requests, how many are delivered, answered with a Retry-After, answered with an error, and closed.
     pub(crate) answers: [u32; 4],
     /// Between two messages of a client.
     pub(crate) pause: Duration,
@@ -53,14 +53,14 @@
 }
 
 impl Scenario {
-    /// A scenario under these troubles, as far as they are part of its setting.
-    pub(crate) fn troubled(seed: u64, troubles: &[Trouble]) -> Scenario {
+    /// A scenario under these faults, as far as they are part of its setting.
+    pub(crate) fn with_faults(seed: u64, faults: &[Fault]) -> Scenario {
         let mut scenario = Scenario::new(seed);
-        for trouble in troubles {
-            match trouble {
-                Trouble::ShortTimes => scenario.lifetimes_ms = 5..400,
-                Trouble::ShortWindow => scenario.window = Duration::from_secs(1),
-                Trouble::Crowd => scenario.idle_clients = 400,
+        for fault in faults {
+            match fault {
+                Fault::ShortTimes => scenario.lifetimes_ms = 5..400,
+                Fault::ShortWindow => scenario.window = Duration::from_secs(1),
+                Fault::Crowd => scenario.idle_clients = 400,
                 _ => {}
             }
         }
@@ -79,9 +79,9 @@
     }
 }
 
-/// The troubles that a run is played under.
+/// The faults that a run is played under.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     WallSteps,
     FailingWrites,
     HalfWriteAtKill,
@@ -97,27 +97,27 @@
     Crowd,
 }
 
-impl Trouble {
-    pub(crate) const ALL: [Trouble; 13] = [
-        Trouble::WallSteps,
-        Trouble::FailingWrites,
-        Trouble::HalfWriteAtKill,
-        Trouble::SocketErrors,
-        Trouble::DiscoverySilent,
-        Trouble::Hang,
-        Trouble::CutAnswers,
-        Trouble::CloseIdle,
-        Trouble::Standstill,
-        Trouble::StopHalfWay,
-        Trouble::ShortTimes,
-        Trouble::ShortWindow,
-        Trouble::Crowd,
+impl Fault {
+    pub(crate) const ALL: [Fault; 13] = [
+        Fault::WallSteps,
+        Fault::FailingWrites,
+        Fault::HalfWriteAtKill,
+        Fault::SocketErrors,
+        Fault::DiscoverySilent,
+        Fault::Hang,
+        Fault::CutAnswers,
+        Fault::CloseIdle,
+        Fault::Standstill,
+        Fault::StopHalfWay,
+        Fault::ShortTimes,
+        Fault::ShortWindow,
+        Fault::Crowd,
     ];
 }
 
 /// What the endpoints and the platform do beside answering.
 #[derive(Default)]
-pub(crate) struct Troubles {
+pub(crate) struct FaultSwitches {
     /// Endpoints take calls and never answer.
     pub(crate) hang: AtomicBool,
     /// Endpoints end connections that no call is on.
@@ -132,7 +132,7 @@
 
 struct Shared {
     ledger: Mutex<Ledger>,
-    troubles: Troubles,
+    faults: FaultSwitches,
     answers: [u32; 4],
     stop: AtomicBool,
     random: Mutex<Pcg64>,
@@ -155,7 +155,7 @@
     shared: Arc<Shared>,
     clients: Vec<JoinHandle<()>>,
     idle: Vec<TcpStream>,
-    disturbances: Vec<Trouble>,
+    disturbances: Vec<Fault>,
     pub(crate) random: Pcg64,
 }
 
@@ -205,8 +205,7 @@
     let mut from = BufReader::new(stream);
     let mut served = 0;
     loop {
-        if served > 0 && shared.troubles.close_idle.load(Ordering::SeqCst) && shared.draw(0..3) == 0
-        {
+        if served > 0 && shared.faults.close_idle.load(Ordering::SeqCst) && shared.draw(0..3) == 0 {
             return;
         }
         let Some((head, _body)) = request(&mut from) else {
@@ -219,7 +218,7 @@
             .call_began(&id, limiter, last_came(from.get_ref()));
         std::thread::sleep(Duration::from_millis(shared.draw(1..12)));
         let end = |effect| shared.ledger().call_ended(&id, call, effect);
-        if shared.troubles.hang.load(Ordering::SeqCst) {
+        if shared.faults.hang.load(Ordering::SeqCst) {
             wait_for_end(&mut from);
             return end(Effect::MayHaveRun);
         }
@@ -227,9 +226,9 @@
         let written = match shared.draw(0..100) as u32 {
             n if n < delivered => {
                 let cut =
-                    shared.troubles.cut_answers.load(Ordering::SeqCst) && shared.draw(0..4) == 0;
+                    shared.faults.cut_answers.load(Ordering::SeqCst) && shared.draw(0..4) == 0;
                 if cut {
-                    // Not the whole of the first line: nobody can tell that it was delivered.
+                    // Not the complete status line: whether it was delivered cannot be known.
                     to.write_all(b"HTTP/1.1 20").ok();
                     return end(Effect::MayHaveRun);
                 }
@@ -268,12 +267,12 @@
     let mut from = BufReader::new(stream);
     while let Some((head, body)) = request(&mut from) {
         if head[0].starts_with("GET ") {
-            if shared.troubles.discovery_silent.load(Ordering::SeqCst) {
+            if shared.faults.discovery_silent.load(Ordering::SeqCst) {
                 return wait_for_end(&mut from);
             }
             to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .ok();
-            while !shared.troubles.discovery_silent.load(Ordering::SeqCst)
+            while !shared.faults.discovery_silent.load(Ordering::SeqCst)
                 && to.write_all(b"1\r\n\n\r\n").is_ok()
                 && !shared.stop.load(Ordering::SeqCst)
             {
@@ -346,7 +345,7 @@
 impl Sender {
     fn run(mut self) {
         while !self.shared.stop.load(Ordering::SeqCst) {
-            if self.shared.troubles.stop_half_way.load(Ordering::SeqCst)
+            if self.shared.faults.stop_half_way.load(Ordering::SeqCst)
                 && self.random.random_range(0..20) == 0
             {
                 self.stop_half_way();
@@ -359,7 +358,7 @@
         }
     }
 
-    /// A connection of its own on which half a request is sent, and which stays open until it is told an error or closed.
+    /// A connection of its own on which half a request is sent, and which stays open until it gets an error or is closed.
     fn stop_half_way(&self) {
         let Ok(mut client) = connect(&self.listen) else {
             return;
@@ -438,7 +437,7 @@
     pub(crate) fn start(scenario: Scenario) -> World {
         let shared = Arc::new(Shared {
             ledger: Mutex::default(),
-            troubles: Troubles::default(),
+            faults: FaultSwitches::default(),
             answers: scenario.answers,
             stop: AtomicBool::new(false),
             random: Mutex::new(Pcg64::seed_from_u64(scenario.seed ^ 1)),
@@ -530,8 +529,8 @@
         of_ids.map(|line| format!("  log: {line}")).collect()
     }
 
-    pub(crate) fn troubles(&self) -> &Troubles {
-        &self.shared.troubles
+    pub(crate) fn faults(&self) -> &FaultSwitches {
+        &self.shared.faults
     }
 
     /// Plays on for a while. The dispatcher may not end by itself.
@@ -598,8 +597,8 @@
         self.come_back(|_| {});
     }
 
-    fn is_disturbed_by(&self, trouble: Trouble) -> bool {
-        self.disturbances.contains(&trouble)
+    fn is_disturbed_by(&self, fault: Fault) -> bool {
+        self.disturbances.contains(&fault)
     }
 
     /// Plays on for a while, with the disturbances that come and go.
@@ -622,24 +621,24 @@
             .child
             .as_mut()
             .is_some_and(|child| child.try_wait().unwrap().is_none());
-        for trouble in self.disturbances.clone() {
+        for fault in self.disturbances.clone() {
             let drawn: u64 = self.random.random_range(0..6);
-            match trouble {
-                Trouble::WallSteps => {
+            match fault {
+                Fault::WallSteps => {
                     let steps = [3_600, -3_600, 5, -5, 0, 0];
                     self.faults.step_wall_clock(steps[drawn as usize]);
                 }
-                Trouble::FailingWrites if drawn < 2 => {
+                Fault::FailingWrites if drawn < 2 => {
                     self.faults
                         .fail_writes(if drawn == 0 { ENOSPC } else { EIO }, drawn == 1);
                     let failing = self.draw_ms(50..500);
                     std::thread::sleep(failing);
                     self.faults.heal_folder();
                 }
-                Trouble::Standstill if drawn == 0 && runs => self.stand_still(STANDSTILL),
-                Trouble::Hang => self.troubles().hang.store(drawn < 2, Ordering::SeqCst),
-                Trouble::DiscoverySilent => {
-                    self.troubles()
+                Fault::Standstill if drawn == 0 && runs => self.stand_still(STANDSTILL),
+                Fault::Hang => self.faults().hang.store(drawn < 2, Ordering::SeqCst),
+                Fault::DiscoverySilent => {
+                    self.faults()
                         .discovery_silent
                         .store(drawn < 3, Ordering::SeqCst);
                 }
@@ -648,33 +647,33 @@
         }
     }
 
-    /// From now on, or as set up already, these troubles are there.
-    pub(crate) fn disturb_by(&mut self, troubles: &[Trouble]) {
-        self.disturbances = troubles.to_vec();
-        for trouble in troubles {
-            match trouble {
-                Trouble::SocketErrors => {
+    /// From now on, or as set up already, these faults are there.
+    pub(crate) fn disturb_by(&mut self, faults: &[Fault]) {
+        self.disturbances = faults.to_vec();
+        for fault in faults {
+            match fault {
+                Fault::SocketErrors => {
                     self.faults.ask(words::SOCKET_PERMILLE, 50);
                     self.faults.ask(words::SHORT_PERMILLE, 50);
                 }
-                Trouble::CutAnswers => self.troubles().cut_answers.store(true, Ordering::SeqCst),
-                Trouble::CloseIdle => self.troubles().close_idle.store(true, Ordering::SeqCst),
-                Trouble::StopHalfWay => self.troubles().stop_half_way.store(true, Ordering::SeqCst),
+                Fault::CutAnswers => self.faults().cut_answers.store(true, Ordering::SeqCst),
+                Fault::CloseIdle => self.faults().close_idle.store(true, Ordering::SeqCst),
+                Fault::StopHalfWay => self.faults().stop_half_way.store(true, Ordering::SeqCst),
                 _ => {}
             }
         }
     }
 
-    /// All troubles end, so that what is owed can be told.
+    /// All faults end, so that pending notifications can be sent.
     fn calm(&mut self) {
         self.disturbances.clear();
-        let troubles = self.troubles();
+        let faults = self.faults();
         for flag in [
-            &troubles.hang,
-            &troubles.close_idle,
-            &troubles.cut_answers,
-            &troubles.discovery_silent,
-            &troubles.stop_half_way,
+            &faults.hang,
+            &faults.close_idle,
+            &faults.cut_answers,
+            &faults.discovery_silent,
+            &faults.stop_half_way,
         ] {
             flag.store(false, Ordering::SeqCst);
         }
@@ -683,9 +682,9 @@
         self.faults.ask(words::SHORT_PERMILLE, 0);
     }
 
-    /// A restart by SIGKILL, in the middle of a write where that is one of the troubles.
+    /// A restart by SIGKILL, in the middle of a write where that is one of the faults.
     pub(crate) fn kill_while_disturbed(&mut self) {
-        if self.is_disturbed_by(Trouble::HalfWriteAtKill) {
+        if self.is_disturbed_by(Fault::HalfWriteAtKill) {
             let nth = self.random.random_range(1..40);
             self.shared.ledger().restart_began();
             self.faults.ask(words::KILL_AT_WRITE, nth);
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -1,11 +1,11 @@
 //! Seeded runs of a real dispatcher under two faults at once, with restarts of both kinds; a ledger outside judges them.
 //!
 //! `BELLSILL_SOAK_SEEDS=FIRST-LAST` plays other seeds than the few that CI plays, `BELLSILL_SOAK_SIDE_BY_SIDE=N` so many at
-//! once. A seed names its troubles and its draws; threads and sockets of the machine take their own time all the same.
+//! once. A seed names its faults and its draws; threads and sockets of the machine take their own time all the same.
 
 mod common;
 
-use common::soak::{Scenario, Trouble, World};
+use common::soak::{Fault, Scenario, World};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
@@ -29,19 +29,19 @@
     (0..count).map(|_| one()).collect()
 }
 
-fn two_faults(random: &mut Pcg64) -> [Trouble; 2] {
-    let count = Trouble::ALL.len();
+fn two_faults(random: &mut Pcg64) -> [Fault; 2] {
+    let count = Fault::ALL.len();
     let first = random.random_range(0..count);
     let second = (first + random.random_range(1..count)) % count;
-    [Trouble::ALL[first], Trouble::ALL[second]]
+    [Fault::ALL[first], Fault::ALL[second]]
 }
 
 /// Plays one seed. What was broken, in words.
 fn play(seed: u64) -> Vec<String> {
     let mut random = Pcg64::seed_from_u64(seed);
-    let troubles = two_faults(&mut random);
-    let mut world = World::start(Scenario::troubled(seed, &troubles));
-    world.disturb_by(&troubles);
+    let faults = two_faults(&mut random);
+    let mut world = World::start(Scenario::with_faults(seed, &faults));
+    world.disturb_by(&faults);
     world.disturb_for(Duration::from_millis(random.random_range(800..2_000)));
     world.kill_while_disturbed();
     world.disturb_for(Duration::from_millis(random.random_range(500..1_500)));
@@ -50,11 +50,11 @@
     world.kill_while_disturbed();
     world.disturb_for(Duration::from_millis(random.random_range(300..1_000)));
     let verdict = world.finish();
-    println!("seed {seed} {troubles:?}: {verdict}");
+    println!("seed {seed} {faults:?}: {verdict}");
     let broken: Vec<String> = verdict
         .broken
         .iter()
-        .map(|what| format!("seed {seed} {troubles:?}: {what}"))
+        .map(|what| format!("seed {seed} {faults:?}: {what}"))
         .collect();
     // At once: a run that is cut off later has said it.
     broken.iter().for_each(|what| println!("{what}"));
