--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -12,17 +12,6 @@
 //! | [`endpoint`], `notification`, [`discovery`] | what is said to endpoints, to the platform, and to discovery |
 //! | [`journal`], [`scope`] | stored data |
 //! | `connection`, `timer` | sockets, the poller, and what is to be done when |
-// Not finished yet: see docs/ROADMAP.md.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::cognitive_complexity,
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::too_many_lines,
-    clippy::type_complexity,
-    clippy::wildcard_imports
-)]
 #![deny(unsafe_code)]
 
 pub use bellsill_discovery_client::backoff;
