--- a/crates/daemon/src/client/closing.rs
+++ b/crates/daemon/src/client/closing.rs
@@ -1,6 +1,6 @@
 //! The end of a client's connection, and the time limits that lead to it.
 
-use super::ClientPolicy;
+use super::policy::ClientPolicy;
 use crate::connection::{Connection, ConnectionId};
 use crate::delivery::Runtime;
 use crate::timer::Timer;
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -1,7 +1,7 @@
 //! The commands of clients: PING, QUIT and MSG.PUT.
 
-use super::ClientPolicy;
 use super::closing::{IDLE_TIMEOUT, REQUEST_TIMEOUT, linger};
+use super::policy::ClientPolicy;
 use super::resp::{self, MAX_COMMAND_BYTES, PutCommand};
 use crate::connection::{Connection, ConnectionId};
 use crate::delivery::{Admission, Delivery, Rejection, Runtime};
--- a/crates/daemon/src/client/session.rs
+++ b/crates/daemon/src/client/session.rs
@@ -1,8 +1,8 @@
 //! A client's session: reading, time limits and the end of its connection.
 
-use super::ClientPolicy;
 use super::closing::{close, close_gracefully, close_if_done};
 use super::commands::{SessionEnded, answer_commands};
+use super::policy::ClientPolicy;
 use crate::connection::ConnectionId;
 use crate::delivery::{Delivery, Runtime};
 use std::io;
--- /dev/null
+++ b/crates/daemon/src/connection/id.rs
@@ -0,0 +1,16 @@
+//! The ids of connections.
+
+use crate::slot_table::SlotId;
+
+/// The number of a connection; a later connection never has the same one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ConnectionId(u64);
+
+impl SlotId for ConnectionId {
+    fn from_raw(raw: u64) -> Self {
+        ConnectionId(raw)
+    }
+    fn raw(self) -> u64 {
+        self.0
+    }
+}
--- a/crates/daemon/src/connection/listeners.rs
+++ b/crates/daemon/src/connection/listeners.rs
@@ -1,8 +1,9 @@
 //! The listeners for clients and for operators, and the pipe on which signals arrive.
 
+use super::id::ConnectionId;
+use super::role::Role;
 use super::socket::BufferBounds;
-use super::table::{ADMIN_LISTENER, CLIENT_LISTENER, Handshake, SIGNALS, add};
-use super::{ConnectionId, ConnectionTable, Role};
+use super::table::{ADMIN_LISTENER, CLIENT_LISTENER, ConnectionTable, Handshake, SIGNALS, add};
 use crate::ring_buffer::RingBuffer;
 use polling::Event;
 use std::io;
--- a/crates/daemon/src/connection/socket.rs
+++ b/crates/daemon/src/connection/socket.rs
@@ -1,6 +1,6 @@
 //! One connection: its socket, its buffers and what is known of the other side.
 
-use super::Role;
+use super::role::Role;
 use crate::ring_buffer::RingBuffer;
 use bellsill_core::interface::Nanos;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/daemon/src/connection/table.rs
+++ b/crates/daemon/src/connection/table.rs
@@ -1,10 +1,11 @@
 //! The table of connections: the one owner of every socket and of the poller.
 
+use super::id::ConnectionId;
 use super::limits::ConnectionLimits;
-use super::socket::{BufferBounds, Interest};
-use super::{Connection, ConnectionId, Role};
+use super::role::Role;
+use super::socket::{BufferBounds, Connection, Interest};
 use crate::ring_buffer::RingBuffer;
-use crate::slot_table::SlotTable;
+use crate::slot_table::{SlotId, SlotTable};
 use polling::{Event, Events, Poller};
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -101,7 +102,7 @@
                 ADMIN_LISTENER => PollEvent::AdminListener,
                 SIGNALS => PollEvent::Signals,
                 key => {
-                    let id = ConnectionId(key as u64);
+                    let id = ConnectionId::from_raw(key as u64);
                     match self.connections.get_mut(id) {
                         // The poller reports once, then waits to be armed again.
                         Some(conn) => conn.armed = None,
@@ -300,5 +301,5 @@
 }
 
 fn event(id: ConnectionId, interest: Interest) -> Event {
-    Event::new(id.0 as usize, interest.read, interest.write)
+    Event::new(id.raw() as usize, interest.read, interest.write)
 }
--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: whether a message is accepted, and if not, why.
 
-use super::Delivery;
+use super::coordinator::Delivery;
 use super::message::{DeliveryState, PendingMessage};
 use crate::io::Io;
 use crate::journal::{JournaledAttempt, JournaledMessage};
--- a/crates/daemon/src/delivery/configuration.rs
+++ b/crates/daemon/src/delivery/configuration.rs
@@ -1,6 +1,6 @@
 //! Changes of the configuration, from discovery or from the control processes, on their way to the endpoints.
 
-use super::Delivery;
+use super::coordinator::Delivery;
 use crate::connection::ConnectionId;
 use crate::endpoint::ListUpdate;
 use crate::endpoint_list::{self, EndpointList};
--- a/crates/daemon/src/delivery/endpoint_events.rs
+++ b/crates/daemon/src/delivery/endpoint_events.rs
@@ -1,7 +1,7 @@
 //! What happens on connections to endpoints.
 
-use super::Delivery;
 use super::attempts::AttemptProgress;
+use super::coordinator::Delivery;
 use crate::connection::ConnectionId;
 use crate::message_slot::MessageSlot;
 use crate::timer::Timer;
--- a/crates/daemon/src/delivery/recovery.rs
+++ b/crates/daemon/src/delivery/recovery.rs
@@ -1,6 +1,6 @@
 //! Recovery: messages of an earlier process are handed to the decisions with their history.
 
-use super::Delivery;
+use super::coordinator::Delivery;
 use super::message::DeliveryState;
 use crate::journal::Recovered;
 
--- a/crates/daemon/src/endpoint/list.rs
+++ b/crates/daemon/src/endpoint/list.rs
@@ -1,6 +1,6 @@
 //! What an endpoint list changes in the registry.
 
-use super::Endpoints;
+use super::registry::Endpoints;
 use crate::endpoint_list::{self, EndpointList, ListedEndpoint};
 use bellsill_core::interface::{DestinationId, EndpointEntry, EndpointId, KindId, Nanos, ZoneId};
 use bellsill_settings::Names;
--- a/crates/daemon/src/endpoint/pool.rs
+++ b/crates/daemon/src/endpoint/pool.rs
@@ -1,7 +1,7 @@
 //! Idle connections to endpoints, kept for the next attempt.
 
-use super::Endpoints;
 use super::exchange::{Arrived, ResponseProgress};
+use super::registry::Endpoints;
 use crate::connection::{ConnectionId, Role};
 use crate::io::Io;
 use crate::timer::Timer;
--- a/crates/daemon/src/notification/sender.rs
+++ b/crates/daemon/src/notification/sender.rs
@@ -1,6 +1,6 @@
 //! Sending notifications: one request at a time, again after a while if it failed.
 
-use super::Notifications;
+use super::queue::{MIN_BACKOFF, Notifications};
 use crate::connection::{BufferBounds, ConnectionId, Role};
 use crate::http::{self, Body, Malformed};
 use crate::io::Io;
@@ -10,8 +10,7 @@
 
 /// How long to wait for an answer.
 const ANSWER_TIMEOUT: Nanos = 400_000_000;
-/// How long nothing is sent after a failure: doubled with each one, up to the most.
-pub(super) const MIN_BACKOFF: Nanos = 50_000_000;
+/// The longest backoff; it doubles with each failure.
 const MAX_BACKOFF: Nanos = 200_000_000;
 /// The most notifications of one request, and the most bytes that it can have.
 const MAX_BATCH: usize = 256;
