--- a/crates/control-plane/src/clients.rs
+++ b/crates/control-plane/src/clients.rs
@@ -4,15 +4,15 @@
 use crate::context::Context;
 use crate::http_server::{self, MAX_HEAD_BYTES, Received, Request, Response, WATCH_HEAD};
 use crate::time::SECOND;
+use bellsill_directory::complete_line::MAX_COMPLETE_LINE_BYTES;
 use bellsill_directory::watchers::WatcherId;
-use bellsill_directory::whole_line::LONGEST_WHOLE_LINE;
 use bellsill_net::Nanos;
 use std::collections::HashMap;
 
 /// The bounds of a client's input, unless it sends a longer body, and of its output.
 pub(crate) const CLIENT_BOUNDS: BufferBounds = BufferBounds {
     input: MAX_HEAD_BYTES,
-    output: 2 * LONGEST_WHOLE_LINE,
+    output: 2 * MAX_COMPLETE_LINE_BYTES,
 };
 /// A watcher is sent nothing more as long as this many bytes wait in its output.
 const MAX_UNREAD_BYTES: usize = 64 * 1024;
--- a/crates/control-plane/src/config.rs
+++ b/crates/control-plane/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration file of a control process: reading and validation.
 
 use bellsill_directory::entry::is_member_name;
-use bellsill_directory::feed::FILL_PACE;
-use bellsill_directory::pace::PaceLimits;
+use bellsill_directory::feed::FILL_RATE;
+use bellsill_directory::rate_limiter::RateLimit;
 use bellsill_placement::{DEFAULT_BUCKETS_PER_REGION, Layout, LayoutError, RegionName, ZoneName};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
     /// How long a dispatcher may be absent before its buckets move.
     pub restart_grace: Duration,
     /// The rate limit for sending a watcher the content of its buckets.
-    pub fill_pace: PaceLimits,
+    pub fill_pace: RateLimit,
 }
 
 /// Why a configuration is rejected.
@@ -119,7 +119,7 @@
 }
 
 fn default_fill_bytes_per_second() -> u64 {
-    FILL_PACE.bytes_per_second
+    FILL_RATE.bytes_per_second
 }
 
 impl Config {
@@ -159,7 +159,7 @@
             "fill_bytes_per_second",
             "a whole number from 1",
         )?;
-        let fill_pace = PaceLimits {
+        let fill_pace = RateLimit {
             bytes_per_second: file.fill_bytes_per_second,
             burst_bytes: file.fill_bytes_per_second.saturating_mul(BURST_SECONDS),
         };
--- a/crates/control-plane/src/follower.rs
+++ b/crates/control-plane/src/follower.rs
@@ -8,7 +8,7 @@
 use crate::replication::{LineEffect, LineError, Replication, ReplicationError};
 use crate::storage::StorageError;
 use crate::time::SECOND;
-use bellsill_directory::whole_line::LONGEST_WHOLE_LINE;
+use bellsill_directory::complete_line::MAX_COMPLETE_LINE_BYTES;
 use bellsill_net::Nanos;
 use bellsill_net::http::{self, Body, Malformed};
 use bellsill_placement::Layout;
@@ -61,7 +61,7 @@
     Malformed(#[from] Malformed),
     #[error("the leader answers with status {0}")]
     Status(u16),
-    #[error("a line has more than {LONGEST_WHOLE_LINE} bytes")]
+    #[error("a line has more than {MAX_COMPLETE_LINE_BYTES} bytes")]
     LineTooLong,
     #[error("{0}")]
     Line(#[from] LineError),
@@ -240,7 +240,7 @@
         body.take(&mut connection.input, |bytes| {
             split_lines(bytes, partial, &mut lines)
         })?;
-        if partial.len() > LONGEST_WHOLE_LINE {
+        if partial.len() > MAX_COMPLETE_LINE_BYTES {
             return Err(WatchFailure::LineTooLong);
         }
         if !lines.is_empty() {
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -5,7 +5,7 @@
 use crate::replica::Replica;
 use crate::write_request::{WriteError, decode_endpoints, decode_heartbeats, decode_members};
 use bellsill_directory::line::Version;
-use bellsill_directory::record::{MOST_ENDPOINTS_IN_RECORD, Record};
+use bellsill_directory::record::{MAX_ENDPOINTS_IN_RECORD, Record};
 use bellsill_directory::state::ApplyError;
 use bellsill_net::Nanos;
 use bellsill_placement::{AssignmentChange, Member};
@@ -53,7 +53,7 @@
         body: &[u8],
     ) -> Result<Version, WriteError> {
         let endpoints = decode_endpoints(body, replica.directory())?;
-        for chunk in endpoints.chunks(MOST_ENDPOINTS_IN_RECORD) {
+        for chunk in endpoints.chunks(MAX_ENDPOINTS_IN_RECORD) {
             replica.append(Record::EndpointsChanged(chunk.to_vec()))?;
         }
         Ok(replica.version())
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -103,11 +103,11 @@
                 self.change_lines += 1;
                 self.change_bytes += bytes as u64;
             }
-            LineKind::Filling => {
+            LineKind::Fill => {
                 self.fill_lines += 1;
                 self.fill_bytes += bytes as u64;
             }
-            LineKind::Empty => self.keepalive_lines += 1,
+            LineKind::KeepAlive => self.keepalive_lines += 1,
         }
     }
 }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -15,7 +15,7 @@
 use crate::storage::StorageError;
 use crate::time::{MILLISECOND, SECOND};
 use bellsill_directory::request::{LookUpRequest, WatchRequest};
-use bellsill_directory::state::{ApplyError, Directory, Keeping, LogId};
+use bellsill_directory::state::{ApplyError, Directory, LogId, Retention};
 use bellsill_directory::watchers::WatcherId;
 use bellsill_net::Nanos;
 use std::io;
@@ -132,7 +132,7 @@
         let mut replica = Replica::open(&config)?;
         if replica.directory().is_none() && config.role == Role::Leader {
             let layout = config.layout.clone();
-            replica.replace(Directory::new(layout, new_log_id()?, Keeping::default()))?;
+            replica.replace(Directory::new(layout, new_log_id()?, Retention::default()))?;
         }
         replica.shorten_log_at_start()?;
         let role = match config.role {
@@ -342,7 +342,7 @@
         let Context {
             replica, metrics, ..
         } = &mut self.context;
-        if let Err(reason) = replica.watchers_mut().change_cells(request) {
+        if let Err(reason) = replica.watchers_mut().change_cached_destinations(request) {
             return server::watch_rejection(reason);
         }
         let Some(directory) = replica.directory() else {
--- a/crates/control-plane/src/replica.rs
+++ b/crates/control-plane/src/replica.rs
@@ -7,8 +7,8 @@
 use bellsill_directory::line::Version;
 use bellsill_directory::record::{LoggedRecord, Record};
 use bellsill_directory::request::WatchRequest;
-use bellsill_directory::state::{ApplyError, Directory, Keeping};
-use bellsill_directory::watchers::{Opened, WatchRefused, WatcherId, Watchers};
+use bellsill_directory::state::{ApplyError, Directory, Retention};
+use bellsill_directory::watchers::{OpenedWatch, WatchRejected, WatcherId, Watchers};
 use bellsill_net::Nanos;
 
 /// The replicated state of one control process.
@@ -36,7 +36,7 @@
             &config.state,
             &config.name,
             config.layout.clone(),
-            Keeping::default(),
+            Retention::default(),
         )?;
         Ok(Replica {
             directory,
@@ -133,7 +133,7 @@
         &mut self,
         request: WatchRequest,
         now: Nanos,
-    ) -> Option<Result<Opened, WatchRefused>> {
+    ) -> Option<Result<OpenedWatch, WatchRejected>> {
         let directory = self.directory.as_ref()?;
         Some(self.watchers.open(request, directory, now))
     }
--- a/crates/control-plane/src/replication.rs
+++ b/crates/control-plane/src/replication.rs
@@ -2,8 +2,8 @@
 
 use crate::replica::Replica;
 use crate::storage::StorageError;
-use bellsill_directory::state::{ApplyError, Keeping, LogId, Restore, RestorePoint};
-use bellsill_directory::whole_line::{InvalidChanges, TransferStep, WholeLine};
+use bellsill_directory::complete_line::{CompleteLine, InvalidChanges, TransferStep};
+use bellsill_directory::state::{ApplyError, LogId, Restore, RestorePoint, Retention};
 use bellsill_placement::Layout;
 use thiserror::Error;
 
@@ -77,7 +77,7 @@
         if line.trim_ascii().is_empty() {
             return Ok(LineEffect::Applied);
         }
-        let line: WholeLine = serde_json::from_slice(line).map_err(LineError::from)?;
+        let line: CompleteLine = serde_json::from_slice(line).map_err(LineError::from)?;
         match line.transfer {
             Some(TransferStep::Begin) => self.start_transfer(line)?,
             Some(TransferStep::Piece) => self.add_entries(line)?,
@@ -90,7 +90,7 @@
         Ok(LineEffect::Applied)
     }
 
-    fn start_transfer(&mut self, line: WholeLine) -> Result<(), LineError> {
+    fn start_transfer(&mut self, line: CompleteLine) -> Result<(), LineError> {
         let point = RestorePoint {
             log: LogId(line.log),
             version: line.version,
@@ -100,14 +100,14 @@
             "transfer of the complete configuration from the leader started, at version {}",
             point.version.0
         );
-        let mut restore = Restore::begin(self.layout.clone(), point, Keeping::default());
+        let mut restore = Restore::begin(self.layout.clone(), point, Retention::default());
         restore.members(line.members.into_iter().map(|line| line.member).collect())?;
         restore.assignment(&line.table.ok_or(LineError::NoAssignment)?)?;
         self.transfer = Some(Box::new(restore));
         Ok(())
     }
 
-    fn add_entries(&mut self, line: WholeLine) -> Result<(), LineError> {
+    fn add_entries(&mut self, line: CompleteLine) -> Result<(), LineError> {
         let restore = self.transfer.as_mut().ok_or(LineError::NoTransfer)?;
         for entry in line.servers {
             restore.endpoint(entry)?;
@@ -127,7 +127,11 @@
         Ok(())
     }
 
-    fn apply_changes(&mut self, line: WholeLine, replica: &mut Replica) -> Result<(), LineError> {
+    fn apply_changes(
+        &mut self,
+        line: CompleteLine,
+        replica: &mut Replica,
+    ) -> Result<(), LineError> {
         let log = line.log.clone();
         let version = line.version;
         let records = line.into_records()?;
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -8,7 +8,7 @@
 use bellsill_directory::line::{ScopedLine, Version};
 use bellsill_directory::request::{LookUpRequest, RequestedScope, TargetsRequest, WatchRequest};
 use bellsill_directory::state::Directory;
-use bellsill_directory::watchers::WatchRefused;
+use bellsill_directory::watchers::WatchRejected;
 use serde::Serialize;
 use std::net::SocketAddr;
 
@@ -122,10 +122,10 @@
         );
     }
     let start = match request.scope {
-        RequestedScope::Whole if same_history && directory.history().covers(request.since) => {
+        RequestedScope::Complete if same_history && directory.history().covers(request.since) => {
             WatchStart::Follower
         }
-        RequestedScope::Whole => WatchStart::FollowerTransfer,
+        RequestedScope::Complete => WatchStart::FollowerTransfer,
         RequestedScope::Member { .. }
             if request.since > Version(0)
                 && !directory.remembers(request.log.as_ref(), request.since) =>
@@ -142,7 +142,7 @@
         return Effect::Respond(no_configuration());
     };
     if directory.member(&request.dispatcher).is_none() {
-        return Effect::Respond(watch_rejection(WatchRefused::NotMember));
+        return Effect::Respond(watch_rejection(WatchRejected::NotMember));
     }
     Effect::LookUp(request)
 }
@@ -200,20 +200,20 @@
 }
 
 /// The answer to a watch or look-up that is rejected.
-pub(crate) fn watch_rejection(reason: WatchRefused) -> Response {
+pub(crate) fn watch_rejection(reason: WatchRejected) -> Response {
     match reason {
-        WatchRefused::NotMember => Response::error(
+        WatchRejected::NotMember => Response::error(
             404,
             "dispatcher: not a declared member; POST /v2/members declares",
         ),
-        WatchRefused::NoWatch => {
+        WatchRejected::NoWatch => {
             Response::error(409, "dispatcher: it has no watch at this process")
         }
-        WatchRefused::TooManyCells => Response::error(
+        WatchRejected::TooManyDestinations => Response::error(
             429,
             "cells: the watch has too many of them; name some in forget",
         ),
-        WatchRefused::Behind => {
+        WatchRejected::Behind => {
             Response::error(503, "this process is behind what the dispatcher knows")
         }
     }
--- a/crates/control-plane/src/storage.rs
+++ b/crates/control-plane/src/storage.rs
@@ -5,7 +5,7 @@
 };
 use bellsill_directory::record::{self, InvalidRecord, LoggedRecord};
 use bellsill_directory::snapshot::{SnapshotError, SnapshotReader, encoded_parts};
-use bellsill_directory::state::{ApplyError, Directory, Keeping};
+use bellsill_directory::state::{ApplyError, Directory, Retention};
 use bellsill_placement::Layout;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::path::{Path, PathBuf};
@@ -96,7 +96,7 @@
         path: &Path,
         process_name: &str,
         layout: Layout,
-        keeping: Keeping,
+        keeping: Retention,
     ) -> Result<OpenedStorage, StorageError> {
         let OpenedLog { log, recovered } = ConfigLog::open(path)?;
         log_report(path, &recovered.report);
@@ -224,7 +224,7 @@
     path: &Path,
     snapshot: Snapshot,
     layout: Layout,
-    keeping: Keeping,
+    keeping: Retention,
 ) -> Result<Directory, StorageError> {
     let index = snapshot.index;
     let rejected = |error| StorageError::Snapshot {
--- a/crates/control-plane/tests/list_convergence.rs
+++ b/crates/control-plane/tests/list_convergence.rs
@@ -2,13 +2,13 @@
 //! after any sequence of writes, reassignments, broken watches and look-ups. The cases are the same in each run.
 
 use bellsill_directory::entry::Endpoint;
-use bellsill_directory::feed::{FILL_PACE, LineKind};
+use bellsill_directory::feed::{FILL_RATE, LineKind};
 use bellsill_directory::line::{EndpointState, ScopedLine, Version};
 use bellsill_directory::record::{LoggedRecord, Record};
 use bellsill_directory::request::TargetsRequest;
-use bellsill_directory::state::{Directory, Keeping, LogId};
+use bellsill_directory::state::{Directory, LogId, Retention};
 use bellsill_directory::watchers::{WatcherId, Watchers};
-use bellsill_discovery_client::{Knowledge, ScopedList};
+use bellsill_discovery_client::{DestinationStatus, ScopedList};
 use bellsill_placement::{Layout, Member, RegionName, ZoneName};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -64,11 +64,11 @@
 }
 
 impl Server {
-    fn new(keeping: Keeping) -> Server {
+    fn new(keeping: Retention) -> Server {
         let directory = Directory::new(layout(), LogId("random".into()), keeping);
         Server {
             directory,
-            watchers: Watchers::new(FILL_PACE),
+            watchers: Watchers::new(FILL_RATE),
         }
     }
 
@@ -90,7 +90,7 @@
 }
 
 impl Case {
-    fn new(seed: u64, keeping: Keeping) -> Case {
+    fn new(seed: u64, keeping: Retention) -> Case {
         let mut case = Case {
             random: Pcg64Mcg::seed_from_u64(seed),
             leader: Server::new(keeping),
@@ -147,7 +147,7 @@
     fn ask(&mut self, is_leader: bool) {
         self.break_watch();
         let query = format!("follow=1&{}", self.list.query(DISPATCHER));
-        self.list.asked_anew();
+        self.list.watch_requested();
         let Ok(TargetsRequest::Watch(request)) = TargetsRequest::parse(&query) else {
             panic!("{query}")
         };
@@ -169,7 +169,7 @@
             let now = self.now;
             let server = self.server(is_leader);
             match server.watchers.next_line(id, &server.directory, now) {
-                Some(line) if line.kind == LineKind::Empty => return false,
+                Some(line) if line.kind == LineKind::KeepAlive => return false,
                 Some(line) => drop(
                     self.list
                         .apply_document(&line.bytes)
@@ -186,13 +186,14 @@
         let Some((is_leader, _)) = self.watch else {
             return;
         };
-        if self.list.knowledge(destination) != Knowledge::Unknown || self.list.log().is_empty() {
+        if self.list.status(destination) != DestinationStatus::Unknown || self.list.log().is_empty()
+        {
             return;
         }
         self.list
-            .want(destination, &|_| false)
+            .look_up(destination, &|_| false)
             .expect("room in the cache");
-        let forget = self.list.to_forget();
+        let forget = self.list.evicted();
         let target = ScopedList::lookup_target(DISPATCHER, &[destination], &forget);
         let query = target
             .split_once('?')
@@ -202,7 +203,11 @@
             panic!("{query}")
         };
         let server = self.server(is_leader);
-        if server.watchers.change_cells(&request).is_err() {
+        if server
+            .watchers
+            .change_cached_destinations(&request)
+            .is_err()
+        {
             self.list.cancel(destination);
             return;
         }
@@ -212,7 +217,7 @@
             servers: server.directory.look_up(&[destination]),
             ..ScopedLine::default()
         };
-        self.list.forgot(&forget);
+        self.list.evictions_sent(&forget);
         self.list
             .apply_lookup(&[destination], line)
             .expect("an answer that can be applied");
@@ -275,7 +280,7 @@
             let kept = entries
                 .bucket(*index)
                 .is_some_and(|bucket| held.contains(&bucket))
-                || self.list.knowledge(destination) == Knowledge::Cached;
+                || self.list.status(destination) == DestinationStatus::Cached;
             kept && entries.state(*index) != Some(EndpointState::Removed)
         });
         let wanted = wanted
@@ -298,7 +303,7 @@
     }
 }
 
-fn run(seed: u64, keeping: Keeping, look_up: bool) {
+fn run(seed: u64, keeping: Retention, look_up: bool) {
     let mut case = Case::new(seed, keeping);
     for _ in 0..STEPS {
         case.step(look_up);
@@ -316,7 +321,7 @@
 
 #[test]
 fn a_list_converges_to_the_directory() {
-    (0..CASES).for_each(|seed| run(seed, Keeping::default(), true));
+    (0..CASES).for_each(|seed| run(seed, Retention::default(), true));
 }
 
 #[test]
@@ -324,7 +329,7 @@
     (0..CASES).for_each(|seed| {
         run(
             seed,
-            Keeping {
+            Retention {
                 changes: 10,
                 removed: 2,
             },
--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -8,7 +8,7 @@
     ClassId, DeliverySemantics, DestinationId, KeyId, MessageHistory, Nanos, NewMessage,
     PossibleRun, ZoneId,
 };
-use bellsill_discovery_client::{CacheFull, Knowledge};
+use bellsill_discovery_client::{CacheFull, DestinationStatus};
 
 /// Lifetimes are given in whole milliseconds, so a message may exceed the lifetime of its class by one.
 const LIFETIME_SLACK: Nanos = 1_000_000;
@@ -76,7 +76,7 @@
         let Some(list) = self.discovery.scoped_list() else {
             return self.runtime.endpoints.has_destination(destination);
         };
-        list.knowledge(destination) != Knowledge::Cached
+        list.status(destination) != DestinationStatus::Cached
             || list.entries_of(destination).next().is_some()
     }
 
@@ -101,7 +101,7 @@
         let Some(list) = self.discovery.scoped_list() else {
             return Ok(());
         };
-        if list.knowledge(destination) != Knowledge::Unknown {
+        if list.status(destination) != DestinationStatus::Unknown {
             self.discovery.touch(destination);
             return Ok(());
         }
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -12,7 +12,7 @@
 use bellsill_settings::Names;
 use std::net::SocketAddr;
 
-pub use bellsill_discovery_client::watch::KEPT_FOR;
+pub use bellsill_discovery_client::watch::LATE_CALL_TIMEOUT;
 
 /// How much of an answer is buffered.
 const INPUT_BYTES: usize = 64 * 1024;
@@ -77,7 +77,7 @@
         destination: u64,
         in_use: &dyn Fn(u64) -> bool,
     ) -> Result<Applied, CacheFull> {
-        let lookup = self.watch.want(io.now, destination, in_use)?;
+        let lookup = self.watch.request_lookup(io.now, destination, in_use)?;
         self.carry_out(io, lookup.commands);
         Ok(lookup.applied)
     }
@@ -100,7 +100,7 @@
 
     /// A document of this version has been applied.
     pub(crate) fn applied(&mut self, version: u64) {
-        self.watch.told(version);
+        self.watch.set_version(version);
     }
 
     /// Opens the watch.
@@ -181,7 +181,7 @@
     }
 
     fn broken(&mut self, io: &mut Io, call: CallId) {
-        let commands = self.watch.broken(io.now, call);
+        let commands = self.watch.call_failed(io.now, call);
         self.carry_out(io, commands);
     }
 
--- a/crates/daemon/src/installation.rs
+++ b/crates/daemon/src/installation.rs
@@ -2,7 +2,7 @@
 //! it a dispatcher has a part of the configuration (`docs/configuration.md`); without it, everything that discovery sends.
 
 use bellsill_directory::entry::is_member_name;
-use bellsill_discovery_client::scoped_list::{CACHE_DESTINATIONS, MOST_CELLS};
+use bellsill_discovery_client::scoped_list::{CACHE_DESTINATIONS, MAX_DESTINATIONS};
 use bellsill_placement::{DEFAULT_BUCKETS_PER_REGION, Layout, LayoutError, RegionName, ZoneName};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -160,9 +160,11 @@
             "each address once",
         )?;
         expect(
-            (1..=MOST_CELLS).contains(&self.cache_destinations),
+            (1..=MAX_DESTINATIONS).contains(&self.cache_destinations),
             "cache_destinations",
-            &format!("a whole number from 1 to {MOST_CELLS}, as many as a control process tells"),
+            &format!(
+                "a whole number from 1 to {MAX_DESTINATIONS}, as many as a control process tells"
+            ),
         )?;
         expect(
             self.zones
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -156,42 +156,42 @@
 fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, InvalidField> {
     let reader = Reader { json, place: "" };
     let address = |field: &str| {
-        reader.need(field, "an address such as 127.0.0.1:6379", |v| {
+        reader.require(field, "an address such as 127.0.0.1:6379", |v| {
             v.as_str()?.parse().ok()
         })
     };
-    let seed = reader.need("seed", "16 hex digits", |v| {
+    let seed = reader.require("seed", "16 hex digits", |v| {
         u64::from_str_radix(v.as_str()?, 16).ok()
     })?;
-    let settings = reader.need("settings", "an object", |v| v.is_object().then_some(v))?;
-    let known = reader.need("known", "a list of endpoints", |v| {
+    let settings = reader.require("settings", "an object", |v| v.is_object().then_some(v))?;
+    let known = reader.require("known", "a list of endpoints", |v| {
         v.get("servers")?.is_array().then_some(v)
     })?;
-    let state = match (state, reader.word("state")) {
+    let state = match (state, reader.string("state")) {
         (Some(state), _) => state,
         (None, Ok(state)) => state.into(),
         (None, Err(_)) => {
-            return Err(reader.bad("state", "a folder that lasts, here or by RELAY_STATE"));
+            return Err(reader.invalid("state", "a folder that lasts, here or by RELAY_STATE"));
         }
     };
     let boot = bellsill_settings::read(settings, seed, "settings")?;
     if boot.settings.max_batch.iter().any(|most| *most > 1) {
-        return Err(reader.bad(
+        return Err(reader.invalid(
             "settings.family-info.per-call",
             "1 for each kind: a call to an endpoint carries one message",
         ));
     }
     Ok(Start {
-        name: reader.word("name")?.to_string(),
+        name: reader.string("name")?.to_string(),
         listen: address("listen")?,
         discovery: address("discovery")?,
         mgmt: match json.get("mgmt") {
             None | Some(Value::Null) => None,
             Some(_) => Some(address("mgmt")?),
         },
-        memory_bytes: (reader.num("limits.memory_mb")? * BYTES_PER_MEGABYTE) as u64,
-        sockets: reader.from(MIN_SOCKETS, "limits.sockets")? as usize,
-        disk_bytes: (reader.num("limits.disk_mb")? * BYTES_PER_MEGABYTE) as u64,
+        memory_bytes: (reader.number("limits.memory_mb")? * BYTES_PER_MEGABYTE) as u64,
+        sockets: reader.whole_number_from(MIN_SOCKETS, "limits.sockets")? as usize,
+        disk_bytes: (reader.number("limits.disk_mb")? * BYTES_PER_MEGABYTE) as u64,
         known: known.clone(),
         boot,
         state,
--- a/crates/daemon/tests/discovery_backoff.rs
+++ b/crates/daemon/tests/discovery_backoff.rs
@@ -1,8 +1,8 @@
 //! The pauses between calls to discovery, of one dispatcher and of a fleet.
 
 use bellsill_core::interface::Nanos;
-use bellsill_daemon::backoff::{Backoff, FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
-use bellsill_daemon::discovery::KEPT_FOR;
+use bellsill_daemon::backoff::{Backoff, CONNECT_TIMEOUT, FIRST_LINE_TIMEOUT, SILENCE_TIMEOUT};
+use bellsill_daemon::discovery::LATE_CALL_TIMEOUT;
 use std::collections::BTreeSet;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -14,23 +14,27 @@
     for dispatchers in [1, 3, 30, 100, 300, u32::MAX] {
         for seed in 0..200 {
             let mut backoff = Backoff::new(seed, dispatchers);
-            assert!((0..40).all(|_| backoff.rest(0) + UP_WITHIN + FIRST_LINE_WITHIN < 6 * SECOND));
+            assert!(
+                (0..40)
+                    .all(|_| backoff.rest(0) + CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT < 6 * SECOND)
+            );
             for spent in [
                 0,
-                FIRST_LINE_WITHIN,
-                UP_WITHIN + FIRST_LINE_WITHIN,
-                SILENT_FOR,
+                FIRST_LINE_TIMEOUT,
+                CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT,
+                SILENCE_TIMEOUT,
                 20 * SECOND,
             ] {
                 backoff.served();
-                let most = 6 * SECOND - (UP_WITHIN + FIRST_LINE_WITHIN + spent).min(6 * SECOND - 2);
+                let most =
+                    6 * SECOND - (CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT + spent).min(6 * SECOND - 2);
                 assert!((0..40).all(|_| backoff.rest(spent) < most));
             }
             // Until then messages are routed by a list that may be old.
             assert!(
-                backoff.first_rest(0) == 0
-                    && backoff.first_rest(SECOND / 4) <= SECOND / 8
-                    && backoff.first_rest(60 * SECOND) <= SECOND
+                backoff.first_delay(0) == 0
+                    && backoff.first_delay(SECOND / 4) <= SECOND / 8
+                    && backoff.first_delay(60 * SECOND) <= SECOND
             );
         }
     }
@@ -54,12 +58,12 @@
                 continue;
             }
             (free_at, calls) = (at.max(free_at) + 8 * SECOND / dispatchers as u64, calls + 1);
-            if free_at <= at + KEPT_FOR {
+            if free_at <= at + LATE_CALL_TIMEOUT {
                 answered_at[n] = Some(answered_at[n].map_or(free_at, |t| t.min(free_at)));
             }
-            if free_at > at + FIRST_LINE_WITHIN {
+            if free_at > at + FIRST_LINE_TIMEOUT {
                 due.insert((
-                    at + FIRST_LINE_WITHIN + backoffs[n].rest(FIRST_LINE_WITHIN),
+                    at + FIRST_LINE_TIMEOUT + backoffs[n].rest(FIRST_LINE_TIMEOUT),
                     n,
                 ));
             }
--- a/crates/directory/src/whole_line.rs
+++ b/crates/directory/src/complete_line.rs
@@ -10,7 +10,7 @@
 /// The longest line among control processes, in bytes. Only changes of the assignment come near it: those of endpoints
 /// keep to
 /// [`LONGEST_LINE`](crate::line::LONGEST_LINE).
-pub const LONGEST_WHOLE_LINE: usize = 4 * 1024 * 1024;
+pub const MAX_COMPLETE_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 /// The position of a line in the transfer of the complete configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 /// One line of a watch on the complete configuration. Without `transfer` it has changes; those of one version are on one
 /// line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct WholeLine {
+pub struct CompleteLine {
     /// All changes up to this version have been sent with this line.
     pub version: Version,
     /// Always false, as in a scoped watch.
@@ -102,7 +102,7 @@
 
 impl std::error::Error for InvalidChanges {}
 
-impl WholeLine {
+impl CompleteLine {
     /// Adds the changes of a record.
     pub fn add(&mut self, logged: LoggedRecord) {
         let version = logged.version;
--- a/crates/directory/src/complete_scope.rs
+++ b/crates/directory/src/complete_scope.rs
@@ -1,14 +1,14 @@
 //! The scope of a control process that follows: every record, or the complete configuration where records are missing.
 
+use crate::complete_line::{CompleteLine, MemberLine, TransferStep};
 use crate::entries::EntryIndex;
 use crate::line::{LONGEST_LINE, Version};
 use crate::line_budget::LineBudget;
-use crate::record::{MOST_ENDPOINTS_IN_RECORD, Record};
+use crate::record::{MAX_ENDPOINTS_IN_RECORD, Record};
 use crate::state::{Directory, LogId};
-use crate::whole_line::{MemberLine, TransferStep, WholeLine};
 
 /// The most endpoints on one line of changes, so that it keeps to [`LONGEST_LINE`].
-const MAX_ENDPOINTS_ON_LINE: usize = MOST_ENDPOINTS_IN_RECORD;
+const MAX_ENDPOINTS_ON_LINE: usize = MAX_ENDPOINTS_IN_RECORD;
 /// What a piece may take beside its entries.
 const BYTES_BESIDE_ENTRIES: usize = 512;
 
@@ -54,7 +54,7 @@
     }
 
     /// The next line of changes, or the one that begins a transfer.
-    pub(crate) fn next_changes(&mut self, directory: &Directory) -> Option<WholeLine> {
+    pub(crate) fn next_changes(&mut self, directory: &Directory) -> Option<CompleteLine> {
         let behind = !directory.history().covers(self.sent);
         if behind || matches!(self.transfer, Some(Transfer::Due)) {
             return Some(self.begin_transfer(directory));
@@ -72,7 +72,7 @@
     }
 
     /// The next records that fit on one line: endpoints together, others alone, since they may be long.
-    fn next_records(&self, directory: &Directory) -> WholeLine {
+    fn next_records(&self, directory: &Directory) -> CompleteLine {
         let mut line = self.empty_line();
         let mut endpoints = 0;
         for logged in directory.history().after(self.sent) {
@@ -94,7 +94,7 @@
     }
 
     /// The next piece of a transfer, or its end; to be called only when all changes have been sent.
-    pub(crate) fn next_piece(&mut self, directory: &Directory) -> Option<WholeLine> {
+    pub(crate) fn next_piece(&mut self, directory: &Directory) -> Option<CompleteLine> {
         let Some(Transfer::After { index, began_at }) = self.transfer else {
             return None;
         };
@@ -129,19 +129,19 @@
     }
 
     /// A line with just the current version; to be called only when all changes have been sent.
-    pub(crate) fn version_line(&mut self, directory: &Directory) -> WholeLine {
+    pub(crate) fn version_line(&mut self, directory: &Directory) -> CompleteLine {
         self.sent = directory.version();
         self.empty_line()
     }
 
-    fn empty_line(&self) -> WholeLine {
-        WholeLine {
+    fn empty_line(&self) -> CompleteLine {
+        CompleteLine {
             version: self.sent,
-            ..WholeLine::default()
+            ..CompleteLine::default()
         }
     }
 
-    fn begin_transfer(&mut self, directory: &Directory) -> WholeLine {
+    fn begin_transfer(&mut self, directory: &Directory) -> CompleteLine {
         let version = directory.version();
         self.begun = true;
         self.sent = version;
@@ -150,7 +150,7 @@
             began_at: version,
         });
         let members = directory.members().iter().cloned();
-        WholeLine {
+        CompleteLine {
             version,
             log: directory.log().0.clone(),
             transfer: Some(TransferStep::Begin),
@@ -159,7 +159,7 @@
             members: members
                 .map(|member| MemberLine { member, version })
                 .collect(),
-            ..WholeLine::default()
+            ..CompleteLine::default()
         }
     }
 }
--- a/crates/directory/src/feed.rs
+++ b/crates/directory/src/feed.rs
@@ -3,7 +3,7 @@
 use crate::complete_scope::CompleteScope;
 use crate::line::Version;
 use crate::member_scope::MemberScope;
-use crate::pace::{Nanos, PaceLimits, TokenBucket};
+use crate::rate_limiter::{Nanos, RateLimit, TokenBucket};
 use crate::request::{RequestedScope, WatchRequest};
 use crate::state::Directory;
 use serde::Serialize;
@@ -13,12 +13,12 @@
 /// A watcher without changes is sent the current version this often, so that its `since` does not become too old.
 pub const VERSION_LINE_EVERY: Nanos = 5_000_000_000;
 /// What fills take of a dispatcher's network, unless configured otherwise: its budget for configuration is 17 KB/s.
-pub const FILL_PACE: PaceLimits = PaceLimits {
+pub const FILL_RATE: RateLimit = RateLimit {
     bytes_per_second: 8 * 1024,
     burst_bytes: 16 * 1024,
 };
 /// What the transfer to another control process takes.
-pub const TRANSFER_PACE: PaceLimits = PaceLimits {
+pub const TRANSFER_PACE: RateLimit = RateLimit {
     bytes_per_second: 8 * 1024 * 1024,
     burst_bytes: 1024 * 1024,
 };
@@ -29,9 +29,9 @@
     /// It has changes, or just the current version.
     Change,
     /// It fills buckets, or is a piece of a transfer.
-    Filling,
+    Fill,
     /// It shows that the connection is alive.
-    Empty,
+    KeepAlive,
 }
 
 /// A line to write, its end included.
@@ -64,7 +64,7 @@
     pub(crate) fn start(
         request: WatchRequest,
         directory: &Directory,
-        fill_pace: PaceLimits,
+        fill_pace: RateLimit,
         now: Nanos,
     ) -> Feed {
         let scope = Scope::start(&request, directory);
@@ -126,7 +126,7 @@
         self.rate_limiter.take(bytes.len());
         self.last_version_line = now;
         Some(FeedLine {
-            kind: LineKind::Filling,
+            kind: LineKind::Fill,
             bytes,
         })
     }
@@ -144,7 +144,7 @@
             });
         }
         Some(FeedLine {
-            kind: LineKind::Empty,
+            kind: LineKind::KeepAlive,
             bytes: b"\n".to_vec(),
         })
     }
@@ -164,7 +164,7 @@
                 let scope = MemberScope::start(name, since, known, buckets, cells, directory);
                 Scope::Member(Box::new(scope))
             }
-            RequestedScope::Whole => Scope::Complete(CompleteScope::start(
+            RequestedScope::Complete => Scope::Complete(CompleteScope::start(
                 request.log.as_ref(),
                 request.since,
                 directory,
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -2,6 +2,7 @@
 //! and the lines in which a watch sends them. `docs/configuration.md` describes the requests and lines.
 
 mod bucket_fill;
+pub mod complete_line;
 mod complete_scope;
 pub mod entries;
 pub mod entry;
@@ -10,11 +11,10 @@
 pub mod line;
 mod line_budget;
 mod member_scope;
-pub mod pace;
 mod pending_changes;
+pub mod rate_limiter;
 pub mod record;
 pub mod request;
 pub mod snapshot;
 pub mod state;
 pub mod watchers;
-pub mod whole_line;
--- a/crates/directory/src/pace.rs
+++ b/crates/directory/src/rate_limiter.rs
@@ -7,7 +7,7 @@
 
 /// The limits of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PaceLimits {
+pub struct RateLimit {
     /// How fast the bucket refills.
     pub bytes_per_second: u64,
     /// What a full bucket holds.
@@ -17,14 +17,14 @@
 /// A token bucket that the last line may overdraw, so that a line is never too long for it.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
-    limits: PaceLimits,
+    limits: RateLimit,
     tokens: f64,
     refilled_at: Nanos,
 }
 
 impl TokenBucket {
     /// A full bucket.
-    pub(crate) fn new(limits: PaceLimits, now: Nanos) -> TokenBucket {
+    pub(crate) fn new(limits: RateLimit, now: Nanos) -> TokenBucket {
         TokenBucket {
             limits,
             tokens: limits.burst_bytes as f64,
--- a/crates/directory/src/record.rs
+++ b/crates/directory/src/record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The most endpoints that one record holds, so that a record of endpoints fits on one line of a watch.
-pub const MOST_ENDPOINTS_IN_RECORD: usize = 100;
+pub const MAX_ENDPOINTS_IN_RECORD: usize = 100;
 
 /// A change of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/directory/src/request.rs
+++ b/crates/directory/src/request.rs
@@ -39,7 +39,7 @@
         cells: BTreeSet<u64>,
     },
     /// The complete configuration, for a control process that follows.
-    Whole,
+    Complete,
 }
 
 /// A request for destinations that are in no bucket of the dispatcher; its watch sends their changes from then on.
@@ -95,7 +95,7 @@
             }));
         }
         let scope = if fields.complete {
-            RequestedScope::Whole
+            RequestedScope::Complete
         } else {
             RequestedScope::Member {
                 name: fields.dispatcher.ok_or(DISPATCHER_MISSING)?,
--- a/crates/directory/src/snapshot.rs
+++ b/crates/directory/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::line::EndpointEntry;
 use crate::record::{self, InvalidRecord};
-use crate::state::{ApplyError, Directory, Keeping, Restore, RestorePoint};
+use crate::state::{ApplyError, Directory, Restore, RestorePoint, Retention};
 use bellsill_placement::{AssignmentTable, Layout, Member};
 use serde::{Deserialize, Serialize};
 
@@ -127,7 +127,7 @@
 /// Reads a snapshot part by part.
 pub struct SnapshotReader {
     layout: Layout,
-    keeping: Keeping,
+    keeping: Retention,
     restore: Option<Restore>,
     has_members: bool,
     endpoints: usize,
@@ -136,7 +136,7 @@
 
 impl SnapshotReader {
     /// A reader of snapshots with this layout.
-    pub fn new(layout: Layout, keeping: Keeping) -> SnapshotReader {
+    pub fn new(layout: Layout, keeping: Retention) -> SnapshotReader {
         SnapshotReader {
             layout,
             keeping,
--- a/crates/directory/src/state.rs
+++ b/crates/directory/src/state.rs
@@ -7,7 +7,7 @@
 mod removals;
 mod restore;
 
-pub use bounds::{Keeping, MOST_MEMBERS, MOST_REMOVED};
+pub use bounds::{MOST_MEMBERS, MOST_REMOVED, Retention};
 pub use directory::{Applied, Directory};
 pub use error::{ApplyError, EndpointError, MemberError};
 pub use point::{LogId, RestorePoint};
--- a/crates/directory/src/state/bounds.rs
+++ b/crates/directory/src/state/bounds.rs
@@ -10,16 +10,16 @@
 
 /// Bounds on what a directory retains of the past.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Keeping {
+pub struct Retention {
     /// Changes that are retained for control processes that follow.
     pub changes: usize,
     /// Removed endpoints.
     pub removed: usize,
 }
 
-impl Default for Keeping {
+impl Default for Retention {
     fn default() -> Self {
-        Keeping {
+        Retention {
             changes: history::MOST_CHANGES,
             removed: MOST_REMOVED,
         }
--- a/crates/directory/src/state/directory.rs
+++ b/crates/directory/src/state/directory.rs
@@ -1,6 +1,6 @@
 //! The configuration at one version, and the records that change it.
 
-use super::bounds::{Keeping, MOST_MEMBERS};
+use super::bounds::{MOST_MEMBERS, Retention};
 use super::error::{ApplyError, EndpointError, MemberError};
 use super::point::{LogId, RestorePoint};
 use super::removals::Removals;
@@ -41,7 +41,7 @@
 
 impl Directory {
     /// An empty configuration, at the beginning of a log.
-    pub fn new(layout: Layout, log: LogId, keeping: Keeping) -> Directory {
+    pub fn new(layout: Layout, log: LogId, keeping: Retention) -> Directory {
         let start = RestorePoint {
             log,
             version: Version(0),
@@ -51,7 +51,7 @@
     }
 
     /// An empty configuration at a version of a log, to be filled with what there was at that version.
-    pub(super) fn at(layout: Layout, point: RestorePoint, keeping: Keeping) -> Directory {
+    pub(super) fn at(layout: Layout, point: RestorePoint, keeping: Retention) -> Directory {
         Directory {
             log: point.log,
             version: point.version,
--- a/crates/directory/src/state/restore.rs
+++ b/crates/directory/src/state/restore.rs
@@ -1,6 +1,6 @@
 //! Builds a directory from a snapshot, or from what the leader transfers.
 
-use super::bounds::Keeping;
+use super::bounds::Retention;
 use super::directory::Directory;
 use super::error::ApplyError;
 use super::point::RestorePoint;
@@ -16,7 +16,7 @@
 
 impl Restore {
     /// Begins with an empty directory at this point.
-    pub fn begin(layout: Layout, point: RestorePoint, keeping: Keeping) -> Restore {
+    pub fn begin(layout: Layout, point: RestorePoint, keeping: Retention) -> Restore {
         Restore {
             directory: Directory::at(layout, point, keeping),
         }
--- a/crates/directory/src/watchers.rs
+++ b/crates/directory/src/watchers.rs
@@ -3,7 +3,7 @@
 use crate::entries::EntryIndex;
 use crate::feed::{Feed, FeedLine, Scope};
 use crate::member_scope::{MAX_CACHED_DESTINATIONS, MemberScope};
-use crate::pace::{Nanos, PaceLimits};
+use crate::rate_limiter::{Nanos, RateLimit};
 use crate::request::{LookUpRequest, RequestedScope, WatchRequest};
 use crate::state::{Applied, Directory};
 use bellsill_placement::MemberName;
@@ -15,20 +15,20 @@
 
 /// Why a watch is not opened, or a lookup not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WatchRefused {
+pub enum WatchRejected {
     /// The dispatcher is not a declared member.
     NotMember,
     /// The dispatcher has no watch here.
     NoWatch,
     /// The watch would have too many destinations outside of its buckets.
-    TooManyCells,
+    TooManyDestinations,
     /// The watch knows more than this process has: an answer might be older than what the dispatcher had before.
     Behind,
 }
 
 /// A watch that was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opened {
+pub struct OpenedWatch {
     /// The new watch.
     pub id: WatcherId,
     /// The earlier watch of the same dispatcher, which is closed.
@@ -44,12 +44,12 @@
     /// Those that may have a line to be sent.
     ready: BTreeSet<WatcherId>,
     last_id: u64,
-    fill_rate: PaceLimits,
+    fill_rate: RateLimit,
 }
 
 impl Watchers {
     /// No watchers yet; the buckets of each will be filled at this rate.
-    pub fn new(fill_rate: PaceLimits) -> Watchers {
+    pub fn new(fill_rate: RateLimit) -> Watchers {
         Watchers {
             feeds: HashMap::new(),
             by_member: HashMap::new(),
@@ -97,11 +97,11 @@
         request: WatchRequest,
         directory: &Directory,
         now: Nanos,
-    ) -> Result<Opened, WatchRefused> {
+    ) -> Result<OpenedWatch, WatchRejected> {
         if let RequestedScope::Member { name, cells, .. } = &request.scope {
-            directory.member(name).ok_or(WatchRefused::NotMember)?;
+            directory.member(name).ok_or(WatchRejected::NotMember)?;
             if cells.len() > MAX_CACHED_DESTINATIONS {
-                return Err(WatchRefused::TooManyCells);
+                return Err(WatchRejected::TooManyDestinations);
             }
         }
         self.last_id += 1;
@@ -125,7 +125,7 @@
         if let Some(replaced) = replaced {
             self.close(replaced);
         }
-        Ok(Opened { id, replaced })
+        Ok(OpenedWatch { id, replaced })
     }
 
     /// Closes a watch.
@@ -147,15 +147,18 @@
     }
 
     /// Adds destinations to a dispatcher's watch, and removes others from it.
-    pub fn change_cells(&mut self, request: &LookUpRequest) -> Result<(), WatchRefused> {
+    pub fn change_cached_destinations(
+        &mut self,
+        request: &LookUpRequest,
+    ) -> Result<(), WatchRejected> {
         let id = *self
             .by_member
             .get(&request.dispatcher)
-            .ok_or(WatchRefused::NoWatch)?;
+            .ok_or(WatchRejected::NoWatch)?;
         if self.feeds.get(&id).is_some_and(Feed::is_waiting) {
-            return Err(WatchRefused::Behind);
+            return Err(WatchRejected::Behind);
         }
-        let scope = self.member_scope(id).ok_or(WatchRefused::NoWatch)?;
+        let scope = self.member_scope(id).ok_or(WatchRejected::NoWatch)?;
         let kept = scope
             .cached()
             .iter()
@@ -164,7 +167,7 @@
             !scope.cached().contains(destination) || request.forget.contains(destination)
         });
         if kept.count() + added.count() > MAX_CACHED_DESTINATIONS {
-            return Err(WatchRefused::TooManyCells);
+            return Err(WatchRejected::TooManyDestinations);
         }
         scope.change_cached(&request.cells, &request.forget);
         for destination in &request.forget {
--- a/crates/directory/tests/directory/feed.rs
+++ b/crates/directory/tests/directory/feed.rs
@@ -3,20 +3,20 @@
 use crate::installation::{
     BUCKETS_PER_REGION, Control, SECOND, endpoint, entries_sent, layout, member, watch,
 };
+use bellsill_directory::complete_line::{CompleteLine, TransferStep};
 use bellsill_directory::entry::Endpoint;
-use bellsill_directory::feed::{FILL_PACE, LineKind};
+use bellsill_directory::feed::{FILL_RATE, LineKind};
 use bellsill_directory::line::{EndpointState, Version};
 use bellsill_directory::record::Record;
 use bellsill_directory::request::{LookUpRequest, TargetsRequest};
-use bellsill_directory::state::{Keeping, LogId, Restore, RestorePoint};
-use bellsill_directory::watchers::{WatchRefused, Watchers};
-use bellsill_directory::whole_line::{TransferStep, WholeLine};
+use bellsill_directory::state::{LogId, Restore, RestorePoint, Retention};
+use bellsill_directory::watchers::{WatchRejected, Watchers};
 use std::collections::BTreeSet;
 
 const FIRST: &str = "follow=1&since=0&dispatcher=north-a";
 
 fn control() -> Control {
-    let mut control = Control::new(Keeping::default());
+    let mut control = Control::new(Retention::default());
     control.write_endpoints(0..40, EndpointState::Up);
     control
 }
@@ -84,14 +84,14 @@
 
 #[test]
 fn a_watch_that_broke_during_a_fill_resumes_with_the_remaining_buckets() {
-    let mut control = Control::new(Keeping::default());
+    let mut control = Control::new(Retention::default());
     control.write_endpoints(0..900, EndpointState::Up);
     let mut watcher = control.open(FIRST);
     while watcher.held.len() < 4 {
         let line = control
             .watchers
             .next_line(watcher.id, &control.directory, control.now);
-        match line.filter(|line| line.kind != LineKind::Empty) {
+        match line.filter(|line| line.kind != LineKind::KeepAlive) {
             Some(line) => drop(watcher.read_line(&line.bytes)),
             None => control.now += SECOND / 10,
         }
@@ -192,7 +192,7 @@
 
 #[test]
 fn after_changes_that_are_no_longer_retained_everything_is_sent() {
-    let mut control = Control::new(Keeping {
+    let mut control = Control::new(Retention {
         changes: 10,
         removed: 5,
     });
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_slow_watcher_whose_removals_are_forgotten_is_sent_everything() {
-    let mut control = Control::new(Keeping {
+    let mut control = Control::new(Retention {
         changes: 10,
         removed: 5,
     });
@@ -243,7 +243,7 @@
 
 #[test]
 fn fills_keep_to_their_rate_limit() {
-    let mut control = Control::new(Keeping::default());
+    let mut control = Control::new(Retention::default());
     control.write_endpoints(0..2000, EndpointState::Up);
     let watcher = control.open(FIRST);
     let (mut bytes, start) = (0, control.now);
@@ -253,7 +253,7 @@
                 .watchers
                 .next_line(watcher.id, &control.directory, control.now)
         {
-            bytes += if line.kind == LineKind::Filling {
+            bytes += if line.kind == LineKind::Fill {
                 line.bytes.len() as u64
             } else {
                 0
@@ -261,9 +261,9 @@
         }
         control.now += SECOND / 10;
     }
-    let most = FILL_PACE.burst_bytes + 10 * FILL_PACE.bytes_per_second + 16 * 1024;
+    let most = FILL_RATE.burst_bytes + 10 * FILL_RATE.bytes_per_second + 16 * 1024;
     assert!(bytes <= most, "{bytes} bytes");
-    assert!(bytes >= 10 * FILL_PACE.bytes_per_second, "{bytes} bytes");
+    assert!(bytes >= 10 * FILL_RATE.bytes_per_second, "{bytes} bytes");
 }
 
 #[test]
@@ -280,14 +280,14 @@
     assert_eq!(control.directory.look_up(&[17]).len(), 1);
     control
         .watchers
-        .change_cells(&look_up("dispatcher=south-a&cells=17"))
+        .change_cached_destinations(&look_up("dispatcher=south-a&cells=17"))
         .expect("a lookup");
     control.write_endpoint(17, EndpointState::Draining);
     control.write_endpoint(18, EndpointState::Draining);
     assert_eq!(entries_sent(&control.read(&mut watcher)), ["endpoint-17"]);
     control
         .watchers
-        .change_cells(&look_up("dispatcher=south-a&cells=18&forget=17"))
+        .change_cached_destinations(&look_up("dispatcher=south-a&cells=18&forget=17"))
         .expect("a lookup");
     control.write_endpoint(17, EndpointState::Up);
     control.write_endpoint(18, EndpointState::Up);
@@ -299,14 +299,14 @@
     assert_eq!(entries_sent(&control.read(&mut again)), ["endpoint-18"]);
     let nobody = look_up("dispatcher=north-b&cells=17");
     assert_eq!(
-        control.watchers.change_cells(&nobody),
-        Err(WatchRefused::NoWatch)
+        control.watchers.change_cached_destinations(&nobody),
+        Err(WatchRejected::NoWatch)
     );
     let many: Vec<String> = (0..5000).map(|cell: u32| cell.to_string()).collect();
     let many = look_up(&format!("dispatcher=south-a&cells={}", many.join(",")));
     assert_eq!(
-        control.watchers.change_cells(&many),
-        Err(WatchRefused::TooManyCells)
+        control.watchers.change_cached_destinations(&many),
+        Err(WatchRejected::TooManyDestinations)
     );
 }
 
@@ -317,7 +317,7 @@
         control
             .watchers
             .open(watch("follow=1&dispatcher=nobody"), &control.directory, 0);
-    assert_eq!(rejected, Err(WatchRefused::NotMember));
+    assert_eq!(rejected, Err(WatchRejected::NotMember));
 }
 
 #[test]
@@ -352,12 +352,12 @@
 
 #[test]
 fn a_follower_is_sent_every_record_or_a_transfer() {
-    let mut control = Control::new(Keeping {
+    let mut control = Control::new(Retention {
         changes: 100,
         removed: 5,
     });
     control.write_endpoints(0..40, EndpointState::Up);
-    let lines = |control: &mut Control, query: &str| -> Vec<WholeLine> {
+    let lines = |control: &mut Control, query: &str| -> Vec<CompleteLine> {
         let opened = control
             .watchers
             .open(watch(query), &control.directory, control.now)
@@ -400,7 +400,7 @@
 
 #[test]
 fn a_transfer_with_changes_between_its_pieces_restores_the_same_directory() {
-    let mut control = Control::new(Keeping::default());
+    let mut control = Control::new(Retention::default());
     control.write_endpoints(0..2000, EndpointState::Up);
     let opened = control
         .watchers
@@ -413,7 +413,7 @@
             .watchers
             .next_line(opened.id, &control.directory, control.now)
             .expect("a line");
-        let line: WholeLine = serde_json::from_slice(&line.bytes).expect("a line");
+        let line: CompleteLine = serde_json::from_slice(&line.bytes).expect("a line");
         match (line.transfer, &mut restore) {
             (Some(TransferStep::Begin), _) => restore = Some(begin(line)),
             (Some(TransferStep::Piece), Some(restore)) => {
@@ -455,13 +455,13 @@
 }
 
 /// What a follower restores from the first line of a transfer.
-fn begin(line: WholeLine) -> Restore {
+fn begin(line: CompleteLine) -> Restore {
     let point = RestorePoint {
         log: LogId(line.log),
         version: line.version,
         forgotten: line.forgotten.expect("a version"),
     };
-    let mut restore = Restore::begin(layout(), point, Keeping::default());
+    let mut restore = Restore::begin(layout(), point, Retention::default());
     restore
         .members(line.members.into_iter().map(|line| line.member).collect())
         .expect("members");
@@ -480,5 +480,5 @@
     control.watchers.take_ready();
     control.write_endpoint(7, EndpointState::Draining);
     assert_eq!(control.watchers.take_ready().len(), 2);
-    assert!(Watchers::new(FILL_PACE).is_empty());
+    assert!(Watchers::new(FILL_RATE).is_empty());
 }
--- a/crates/directory/tests/directory/installation.rs
+++ b/crates/directory/tests/directory/installation.rs
@@ -1,11 +1,11 @@
 //! A small installation: two regions of two zones each, and watchers that read every line.
 
 use bellsill_directory::entry::Endpoint;
-use bellsill_directory::feed::{FILL_PACE, LineKind};
+use bellsill_directory::feed::{FILL_RATE, LineKind};
 use bellsill_directory::line::{EndpointState, LONGEST_LINE, ScopedLine, Version};
 use bellsill_directory::record::{LoggedRecord, Record};
 use bellsill_directory::request::{TargetsRequest, WatchRequest};
-use bellsill_directory::state::{Directory, Keeping, LogId};
+use bellsill_directory::state::{Directory, LogId, Retention};
 use bellsill_directory::watchers::{WatcherId, Watchers};
 use bellsill_placement::{BucketId, Layout, Member, RegionName, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,12 +56,12 @@
 
 impl Control {
     /// Four members, two in each region, among which the buckets are assigned.
-    pub(crate) fn new(keeping: Keeping) -> Control {
+    pub(crate) fn new(keeping: Retention) -> Control {
         let log = LogId("feed".into());
         let directory = Directory::new(layout(), log, keeping);
         let mut control = Control {
             directory,
-            watchers: Watchers::new(FILL_PACE),
+            watchers: Watchers::new(FILL_RATE),
             now: 0,
         };
         control.write(Record::MembersChanged(vec![
@@ -120,7 +120,7 @@
                 .watchers
                 .next_line(watcher.id, &self.directory, self.now)
             {
-                Some(line) if line.kind == LineKind::Empty => return lines,
+                Some(line) if line.kind == LineKind::KeepAlive => return lines,
                 Some(line) => {
                     assert!(
                         line.bytes.len() <= LONGEST_LINE,
--- a/crates/directory/tests/directory/state.rs
+++ b/crates/directory/tests/directory/state.rs
@@ -6,10 +6,10 @@
 use bellsill_directory::record::{self, LoggedRecord, Record};
 use bellsill_directory::request::TargetsRequest;
 use bellsill_directory::snapshot::{SnapshotError, SnapshotReader, encoded_parts};
-use bellsill_directory::state::{ApplyError, Directory, EndpointError, Keeping, LogId};
+use bellsill_directory::state::{ApplyError, Directory, EndpointError, LogId, Retention};
 use bellsill_placement::{AssignmentChange, Epoch, Layout, RegionName, ZoneName};
 
-fn filled(keeping: Keeping) -> Control {
+fn filled(keeping: Retention) -> Control {
     let mut control = Control::new(keeping);
     control.write_endpoints(0..40, EndpointState::Up);
     control.write_endpoints(0..8, EndpointState::Removed);
@@ -17,7 +17,7 @@
 }
 
 fn restored(parts: impl Iterator<Item = Vec<u8>>) -> Result<Directory, SnapshotError> {
-    let mut reader = SnapshotReader::new(layout(), Keeping::default());
+    let mut reader = SnapshotReader::new(layout(), Retention::default());
     for part in parts {
         reader.part(&part)?;
     }
@@ -44,7 +44,7 @@
         ]),
         Record::MembersChanged(members),
         Record::AssignmentChanged(
-            Control::new(Keeping::default())
+            Control::new(Retention::default())
                 .directory
                 .assignment()
                 .plan(&[])
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_rejected_record_changes_nothing() {
-    let mut control = filled(Keeping::default());
+    let mut control = filled(Retention::default());
     let (version, before) = (control.directory.version(), all_entries(&control.directory));
     let next = Version(version.0 + 1);
     rejects_endpoints(&mut control, next);
@@ -184,7 +184,7 @@
 
 #[test]
 fn a_snapshot_restores_everything_and_takes_further_records() {
-    let mut control = filled(Keeping {
+    let mut control = filled(Retention {
         changes: 100,
         removed: 5,
     });
@@ -205,7 +205,7 @@
 
 #[test]
 fn damaged_snapshots_are_rejected() {
-    let control = filled(Keeping::default());
+    let control = filled(Retention::default());
     let parts: Vec<Vec<u8>> = encoded_parts(&control.directory).collect();
     let without = |place: usize| {
         let kept = parts
@@ -222,13 +222,13 @@
     assert!(matches!(restored(half), Err(SnapshotError::Part(_))));
     let zones = [(ZoneName::from("north-1"), RegionName::from("north"))];
     let other = Layout::new(zones, BUCKETS_PER_REGION).expect("a layout");
-    let mut reader = SnapshotReader::new(other, Keeping::default());
+    let mut reader = SnapshotReader::new(other, Retention::default());
     assert_eq!(reader.part(&parts[0]), Err(SnapshotError::OtherLayout));
 }
 
 #[test]
 fn a_removed_endpoint_is_forgotten_and_may_be_declared_again() {
-    let mut control = filled(Keeping {
+    let mut control = filled(Retention {
         changes: 100,
         removed: 5,
     });
--- a/crates/discovery-client/src/backoff.rs
+++ b/crates/discovery-client/src/backoff.rs
@@ -14,18 +14,18 @@
 const KNOWN_WITHIN: Nanos = 6_000_000_000;
 /// How long a connection to discovery may take to come up: enough for a first packet that is lost and sent again after
 /// 1 s.
-pub const UP_WITHIN: Nanos = 1_200_000_000;
+pub const CONNECT_TIMEOUT: Nanos = 1_200_000_000;
 /// How long the first line may take from then on, before another call is made beside it.
-pub const FIRST_LINE_WITHIN: Nanos = 1_500_000_000;
+pub const FIRST_LINE_TIMEOUT: Nanos = 1_500_000_000;
 /// How long a watch may be without a complete line: discovery sends one every 2 s, if only an empty one.
-pub const SILENT_FOR: Nanos = 2_600_000_000;
+pub const SILENCE_TIMEOUT: Nanos = 2_600_000_000;
 /// Dispatchers that start together ask spread over this time.
 const START_WITHIN: Nanos = 1_000_000_000;
 /// What a delay leaves for the program itself.
 const MARGIN: Nanos = 100_000_000;
 /// The longest delay, after a call that took no time, and the longest that a call may take to fail.
-pub const LONGEST: Nanos = KNOWN_WITHIN - UP_WITHIN - FIRST_LINE_WITHIN - MARGIN;
-const _: () = assert!(SILENT_FOR + 500_000_000 < LONGEST);
+pub const LONGEST: Nanos = KNOWN_WITHIN - CONNECT_TIMEOUT - FIRST_LINE_TIMEOUT - MARGIN;
+const _: () = assert!(SILENCE_TIMEOUT + 500_000_000 < LONGEST);
 
 /// Keeps a fleet of dispatchers that was cut off from asking in step. The price: a server that is back is noticed up to
 /// one delay late.
@@ -50,7 +50,7 @@
 
     /// How long to wait before the first call. The configuration counts as known from the start, so messages might go to
     /// endpoints that are draining: half of the grace of a drain is left for the answer.
-    pub fn first_rest(&mut self, drain_grace: Nanos) -> Nanos {
+    pub fn first_delay(&mut self, drain_grace: Nanos) -> Nanos {
         self.rng
             .random_range(0..=(drain_grace / 2).min(START_WITHIN))
     }
--- a/crates/discovery-client/src/counters.rs
+++ b/crates/discovery-client/src/counters.rs
@@ -12,7 +12,7 @@
     /// Of all calls that failed, those that timed out.
     pub timed_out: u64,
     /// Calls answered with another status than 200.
-    pub refused: u64,
+    pub rejected: u64,
     /// Calls that failed by a line over [`LONGEST_SCOPED_LINE`](crate::watch::LONGEST_SCOPED_LINE).
     pub overlong_lines: u64,
     /// Lookups made.
@@ -27,7 +27,7 @@
     /// Lines that were applied.
     pub lines: u64,
     /// Lines that could not be applied.
-    pub refused_lines: u64,
+    pub rejected_lines: u64,
     /// Entries that were new or newer than before.
     pub applied_entries: u64,
     /// Entries that were older than the known ones.
@@ -37,7 +37,7 @@
     /// Entries of destinations that are neither in a held bucket nor cached.
     pub entries_out_of_scope: u64,
     /// Entries that were dropped because their bucket was sent again without them.
-    pub swept_entries: u64,
+    pub dropped_entries: u64,
     /// Destinations that were evicted from the cache.
     pub evicted_destinations: u64,
     /// How often another log began.
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -37,7 +37,7 @@
 pub use command::{Command, LookupRequested, Received, Timer};
 pub use counters::{Counters, ListCounters};
 pub use error::{CacheFull, ScopedLineError};
-pub use scoped_list::{Knowledge, ScopedList};
+pub use scoped_list::{DestinationStatus, ScopedList};
 pub use scoped_source::ScopedOptions;
 pub use state_file::StateFileError;
 pub use watch::Watch;
--- a/crates/discovery-client/src/plain_source.rs
+++ b/crates/discovery-client/src/plain_source.rs
@@ -11,7 +11,7 @@
 /// How long a call of a plain watch whose first line is late stays open while others are made, from when it was made. A
 /// discovery server that serves few calls a second answers them in turn, and serves an abandoned call all the same: if
 /// each call were abandoned before its turn, nobody would get the list.
-pub const KEPT_FOR: Nanos = 9_000_000_000;
+pub const LATE_CALL_TIMEOUT: Nanos = 9_000_000_000;
 
 pub(crate) struct PlainSource {
     address: SocketAddr,
@@ -57,7 +57,7 @@
     }
 
     pub(crate) fn first_delay(&mut self, drain_grace: Nanos) -> Nanos {
-        self.backoff.first_rest(drain_grace)
+        self.backoff.first_delay(drain_grace)
     }
 
     /// How long to wait after a call that took `spent` to fail.
--- a/crates/discovery-client/src/scope.rs
+++ b/crates/discovery-client/src/scope.rs
@@ -136,7 +136,7 @@
         for name in self.endpoints.names_in(bucket) {
             let endpoint = self.endpoints.get_mut(&name);
             if endpoint.is_some_and(|cached| !cached.confirmed) {
-                self.counters.swept_entries += 1;
+                self.counters.dropped_entries += 1;
                 applied.dropped.extend(self.take_entry(&name));
             } else if let Some(destination) = self.endpoints.destination_of(&name)
                 && self.all_in_complete_buckets(destination)
--- a/crates/discovery-client/src/scoped_list.rs
+++ b/crates/discovery-client/src/scoped_list.rs
@@ -13,7 +13,7 @@
 use bellsill_placement::{BucketId, Epoch};
 use std::sync::Arc;
 
-pub use crate::destination_cache::MAX_DESTINATIONS as MOST_CELLS;
+pub use crate::destination_cache::MAX_DESTINATIONS;
 
 /// How many destinations outside of a dispatcher's buckets are cached, unless the installation says otherwise.
 pub const CACHE_DESTINATIONS: usize = 1_024;
@@ -22,7 +22,7 @@
 
 /// What a dispatcher knows of a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knowledge {
+pub enum DestinationStatus {
     /// Its endpoints are known with the bucket that they are in.
     Held,
     /// It is in the cache, with all of its endpoints.
@@ -135,7 +135,7 @@
     }
 
     /// How many destinations outside of the buckets are cached or being looked up.
-    pub fn cached(&self) -> usize {
+    pub fn cached_destinations(&self) -> usize {
         self.scope.cache().len()
     }
 
@@ -148,12 +148,12 @@
     }
 
     /// What is known of a destination.
-    pub fn knowledge(&self, destination: u64) -> Knowledge {
+    pub fn status(&self, destination: u64) -> DestinationStatus {
         match self.scope.cache().state(destination) {
-            Some(LookupState::Known) => Knowledge::Cached,
-            Some(LookupState::Pending) => Knowledge::Pending,
-            None if self.scope.endpoints().has_destination(destination) => Knowledge::Held,
-            None => Knowledge::Unknown,
+            Some(LookupState::Known) => DestinationStatus::Cached,
+            Some(LookupState::Pending) => DestinationStatus::Pending,
+            None if self.scope.endpoints().has_destination(destination) => DestinationStatus::Held,
+            None => DestinationStatus::Unknown,
         }
     }
 
@@ -173,7 +173,7 @@
         match serde_json::from_slice(document) {
             Ok(line) => self.apply(line),
             Err(error) => {
-                self.scope.counters_mut().refused_lines += 1;
+                self.scope.counters_mut().rejected_lines += 1;
                 Err(ScopedLineError::NotALine(error))
             }
         }
@@ -183,7 +183,7 @@
     pub fn apply(&mut self, line: ScopedLine) -> Result<Applied, ScopedLineError> {
         let other_log = !line.log.is_empty() && line.log != self.log;
         if let Err(error) = self.check_line(&line, other_log) {
-            self.scope.counters_mut().refused_lines += 1;
+            self.scope.counters_mut().rejected_lines += 1;
             return Err(error);
         }
         self.scope.counters_mut().lines += 1;
@@ -252,8 +252,8 @@
 
     /// Has a destination looked up that is neither held nor cached. Where the cache is full, the least recently used
     /// destination that is not in use is evicted; what is dropped with it is returned. Where all are in use the cache
-    /// grows, up to [`MOST_CELLS`].
-    pub fn want(
+    /// grows, up to [`MAX_DESTINATIONS`].
+    pub fn look_up(
         &mut self,
         destination: u64,
         in_use: &dyn Fn(u64) -> bool,
@@ -280,18 +280,18 @@
     }
 
     /// Evicted destinations that the control process still sends, as many as one request may name.
-    pub fn to_forget(&self) -> Vec<u64> {
+    pub fn evicted(&self) -> Vec<u64> {
         let evicted = self.scope.cache().evicted();
         evicted.take(MAX_EVICTED_IN_REQUEST).collect()
     }
 
     /// The control process does not send these destinations any more.
-    pub fn forgot(&mut self, destinations: &[u64]) {
+    pub fn evictions_sent(&mut self, destinations: &[u64]) {
         self.scope.released(destinations);
     }
 
     /// A new watch has been requested. Its scope is what the request says, so no evicted destination is sent any more.
-    pub fn asked_anew(&mut self) {
+    pub fn watch_requested(&mut self) {
         self.scope.released_all();
     }
 
@@ -308,11 +308,11 @@
         line: ScopedLine,
     ) -> Result<Applied, ScopedLineError> {
         if line.full {
-            self.scope.counters_mut().refused_lines += 1;
+            self.scope.counters_mut().rejected_lines += 1;
             return Err(ScopedLineError::FullList);
         }
         if line.log != self.log {
-            self.scope.counters_mut().refused_lines += 1;
+            self.scope.counters_mut().rejected_lines += 1;
             return Err(ScopedLineError::OtherLog(line.log));
         }
         let mut applied = Applied::default();
--- a/crates/discovery-client/src/scoped_source.rs
+++ b/crates/discovery-client/src/scoped_source.rs
@@ -16,7 +16,7 @@
 /// leaves space for the fields of a later version.
 pub const LONGEST_SCOPED_LINE: usize = 2 * LONGEST_LINE;
 /// A scoped watch without a complete line for this long is lost: three of the empty lines that are sent every 500 ms.
-pub const SCOPED_SILENT_FOR: Nanos = 1_500_000_000;
+pub const SCOPED_SILENCE_TIMEOUT: Nanos = 1_500_000_000;
 
 /// What a scoped watch begins with.
 #[derive(Clone, Debug)]
@@ -73,7 +73,7 @@
     pub(crate) fn request(&mut self) -> WatchRequest {
         let address = self.servers.current();
         let query = self.list.query(&self.dispatcher);
-        self.list.asked_anew();
+        self.list.watch_requested();
         WatchRequest {
             address,
             bytes: http::get_request(address, &format!("/api/targets?follow=1&{query}"))
@@ -128,7 +128,7 @@
         if destinations.is_empty() {
             return Vec::new();
         }
-        let evicted = self.list.to_forget();
+        let evicted = self.list.evicted();
         let target = ScopedList::lookup_target(&self.dispatcher, &destinations, &evicted);
         let call = ids.assign();
         self.lookups.begin(Lookup::new(call, destinations, evicted));
@@ -168,7 +168,7 @@
         };
         match self.list.apply_lookup(lookup.destinations(), line) {
             Ok(looked_up) => {
-                self.list.forgot(lookup.evicted());
+                self.list.evictions_sent(lookup.evicted());
                 finished_lookup(self.lookups.finish(), looked_up)
             }
             Err(error) => {
--- a/crates/discovery-client/src/source.rs
+++ b/crates/discovery-client/src/source.rs
@@ -1,9 +1,9 @@
 //! Where a watch gets its configuration from: one discovery server, or several control processes.
 
-use crate::backoff::{FIRST_LINE_WITHIN, SILENT_FOR};
+use crate::backoff::{FIRST_LINE_TIMEOUT, SILENCE_TIMEOUT};
 use crate::call::WatchRequest;
-use crate::plain_source::{KEPT_FOR, PlainSource};
-use crate::scoped_source::{SCOPED_SILENT_FOR, ScopedSource};
+use crate::plain_source::{LATE_CALL_TIMEOUT, PlainSource};
+use crate::scoped_source::{SCOPED_SILENCE_TIMEOUT, ScopedSource};
 use bellsill_net::Nanos;
 use std::net::SocketAddr;
 
@@ -85,16 +85,16 @@
     /// How long the first line may take once the connection is up.
     pub(crate) fn first_line_timeout(&self) -> Nanos {
         match self {
-            Source::Plain(_) => FIRST_LINE_WITHIN,
-            Source::Scoped(_) => SCOPED_SILENT_FOR,
+            Source::Plain(_) => FIRST_LINE_TIMEOUT,
+            Source::Scoped(_) => SCOPED_SILENCE_TIMEOUT,
         }
     }
 
     /// How long a watch that serves may be without another line.
     pub(crate) fn silence_timeout(&self) -> Nanos {
         match self {
-            Source::Plain(_) => SILENT_FOR,
-            Source::Scoped(_) => SCOPED_SILENT_FOR,
+            Source::Plain(_) => SILENCE_TIMEOUT,
+            Source::Scoped(_) => SCOPED_SILENCE_TIMEOUT,
         }
     }
 
@@ -102,7 +102,7 @@
     /// once.
     pub(crate) fn late_call_timeout(&self) -> Option<Nanos> {
         match self {
-            Source::Plain(_) => Some(KEPT_FOR),
+            Source::Plain(_) => Some(LATE_CALL_TIMEOUT),
             Source::Scoped(_) => None,
         }
     }
--- a/crates/discovery-client/src/watch.rs
+++ b/crates/discovery-client/src/watch.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::AnswerError;
 use crate::applied::Applied;
-use crate::backoff::{Backoff, UP_WITHIN};
+use crate::backoff::{Backoff, CONNECT_TIMEOUT};
 use crate::call::{Call, CallError, CallId, CallIds};
 use crate::call_table::CallTable;
 use crate::command::{Command, LookupRequested, Received, Timer};
@@ -16,9 +16,9 @@
 use bellsill_net::ring_buffer::RingBuffer;
 use std::net::SocketAddr;
 
-pub use crate::plain_source::{KEPT_FOR, LONGEST_PLAIN_LINE};
+pub use crate::plain_source::{LATE_CALL_TIMEOUT, LONGEST_PLAIN_LINE};
 use crate::scoped_source::ScopedOptions;
-pub use crate::scoped_source::{LONGEST_SCOPED_LINE, SCOPED_SILENT_FOR};
+pub use crate::scoped_source::{LONGEST_SCOPED_LINE, SCOPED_SILENCE_TIMEOUT};
 
 /// A watch on the configuration.
 pub struct Watch {
@@ -96,7 +96,7 @@
     }
 
     /// A call has failed: it could not be made, its connection broke, or what was received on it cannot be used.
-    pub fn broken(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
+    pub fn call_failed(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
         if self.is_lookup(call) {
             return self.lookup_failed(now);
         }
@@ -171,7 +171,7 @@
             Err(error) => {
                 self.note_error(error);
                 return Received {
-                    commands: self.broken(now, call),
+                    commands: self.call_failed(now, call),
                     ..Received::default()
                 };
             }
@@ -181,7 +181,7 @@
             commands.extend(self.call_serves(now, call));
         }
         if read.ended {
-            commands.extend(self.broken(now, call));
+            commands.extend(self.call_failed(now, call));
         }
         Received {
             documents: read.documents,
@@ -192,7 +192,7 @@
 
     /// Has a destination looked up that the list of a scoped watch does not have; `in_use` says which of the cached ones
     /// must not be evicted for it.
-    pub fn want(
+    pub fn request_lookup(
         &mut self,
         now: Nanos,
         destination: u64,
@@ -201,7 +201,7 @@
         let Some(source) = self.source.scoped_mut() else {
             return Ok(LookupRequested::default());
         };
-        let applied = source.list_mut().want(destination, in_use)?;
+        let applied = source.list_mut().look_up(destination, in_use)?;
         Ok(LookupRequested {
             applied,
             commands: self.look_up(now),
@@ -209,7 +209,7 @@
     }
 
     /// The document with this version has been applied by the caller; for a plain watch.
-    pub fn told(&mut self, version: u64) {
+    pub fn set_version(&mut self, version: u64) {
         if let Some(source) = self.source.plain_mut() {
             source.applied(version);
         }
@@ -236,7 +236,7 @@
                 address: request.address,
                 request: request.bytes,
             },
-            Command::SetTimer(Timer::Call(call), now + UP_WITHIN),
+            Command::SetTimer(Timer::Call(call), now + CONNECT_TIMEOUT),
         ]
     }
 
@@ -259,7 +259,7 @@
             return vec![closes, self.reconnect_later(now, alive_at)];
         }
         self.counters.timed_out += 1;
-        self.broken(now, call)
+        self.call_failed(now, call)
     }
 
     /// Lines have been received on a call: it is the one that serves, and the others are not needed.
@@ -277,7 +277,7 @@
         match error {
             CallError::Answer(AnswerError::Unreadable) => {}
             CallError::Answer(AnswerError::Status(status)) => {
-                self.counters.refused += 1;
+                self.counters.rejected += 1;
                 self.source.rejected(status);
             }
             CallError::OverlongLine => self.counters.overlong_lines += 1,
--- a/crates/discovery-client/tests/discovery/liveness.rs
+++ b/crates/discovery-client/tests/discovery/liveness.rs
@@ -85,7 +85,7 @@
         self.carry_out(received.commands);
         for document in received.documents {
             if self.watch.apply(&document).is_err() {
-                let commands = self.watch.broken(self.now, call);
+                let commands = self.watch.call_failed(self.now, call);
                 self.carry_out(commands);
             }
         }
@@ -100,9 +100,11 @@
         let commands = match (kind % 6, call) {
             (0 | 1, _) => return self.fire_next_timer(),
             (2, Some(call)) => self.watch.connected(self.now, call),
-            (3, Some(call)) => self.watch.broken(self.now, call),
+            (3, Some(call)) => self.watch.call_failed(self.now, call),
             (4, _) => {
-                let wanted = self.watch.want(self.now, u64::from(which), &nothing_in_use);
+                let wanted = self
+                    .watch
+                    .request_lookup(self.now, u64::from(which), &nothing_in_use);
                 wanted.map(|wanted| wanted.commands).unwrap_or_default()
             }
             _ => return self.receive(which, kind / 6),
--- a/crates/discovery-client/tests/discovery/lookups.rs
+++ b/crates/discovery-client/tests/discovery/lookups.rs
@@ -9,21 +9,21 @@
 #[test]
 fn lookups_go_to_the_serving_server_and_are_batched() {
     let (mut watch, _, at) = served();
-    let first = watch.want(SECOND, 47, &nothing_in_use).unwrap();
+    let first = watch.request_lookup(SECOND, 47, &nothing_in_use).unwrap();
     let (lookup, server, request) = connects(&first.commands).unwrap();
     assert_eq!(server, at);
     assert!(request.starts_with("GET /api/targets?dispatcher=d1&cells=47 HTTP/1.1\r\n"));
     // Destinations that are wanted meanwhile wait for the answer, and are then looked up in one request.
     assert!(
         watch
-            .want(SECOND, 48, &nothing_in_use)
+            .request_lookup(SECOND, 48, &nothing_in_use)
             .unwrap()
             .commands
             .is_empty()
     );
     assert!(
         watch
-            .want(SECOND, 49, &nothing_in_use)
+            .request_lookup(SECOND, 49, &nothing_in_use)
             .unwrap()
             .commands
             .is_empty()
@@ -41,7 +41,7 @@
     let (call, ..) = begin(&mut watch);
     assert!(
         watch
-            .want(0, 47, &nothing_in_use)
+            .request_lookup(0, 47, &nothing_in_use)
             .unwrap()
             .commands
             .is_empty()
@@ -63,14 +63,14 @@
     ];
     for answer in answers {
         let (mut watch, ..) = served();
-        let wanted = watch.want(SECOND, 47, &nothing_in_use).unwrap();
+        let wanted = watch.request_lookup(SECOND, 47, &nothing_in_use).unwrap();
         let (lookup, ..) = connects(&wanted.commands).unwrap();
         let received = receives(&mut watch, SECOND, lookup, answer);
         assert!(received.commands.contains(&Command::Close(lookup)));
         let retry_at = timer(&received.commands, Timer::LookUp).unwrap();
         assert!(
             watch
-                .want(SECOND, 48, &nothing_in_use)
+                .request_lookup(SECOND, 48, &nothing_in_use)
                 .unwrap()
                 .commands
                 .is_empty(),
@@ -88,9 +88,9 @@
 #[test]
 fn a_lookup_ends_with_its_watch_and_is_retried_at_the_next_server() {
     let (mut watch, call, at) = served();
-    let wanted = watch.want(SECOND, 47, &nothing_in_use).unwrap();
+    let wanted = watch.request_lookup(SECOND, 47, &nothing_in_use).unwrap();
     let (lookup, ..) = connects(&wanted.commands).unwrap();
-    let broken = watch.broken(SECOND, call);
+    let broken = watch.call_failed(SECOND, call);
     assert!(broken.contains(&Command::Close(lookup)));
     assert_eq!(
         receives(&mut watch, SECOND, lookup, &lookup_answer(ENTRY)),
@@ -114,7 +114,9 @@
 fn an_evicted_destination_is_named_in_the_next_lookup() {
     let (mut watch, ..) = served();
     for destination in 41..=45 {
-        let wanted = watch.want(SECOND, destination, &nothing_in_use).unwrap();
+        let wanted = watch
+            .request_lookup(SECOND, destination, &nothing_in_use)
+            .unwrap();
         let (lookup, _, request) = connects(&wanted.commands).unwrap();
         assert_eq!(
             request.contains("&cells=45&forget=41 "),
@@ -123,20 +125,22 @@
         );
         receives(&mut watch, SECOND, lookup, &lookup_answer(""));
     }
-    assert!(watch.list().unwrap().to_forget().is_empty());
+    assert!(watch.list().unwrap().evicted().is_empty());
 }
 
 #[test]
 fn a_new_watch_clears_the_evicted_destinations() {
     let (mut watch, call, _) = served();
     for destination in 41..=45 {
-        watch.want(SECOND, destination, &nothing_in_use).unwrap();
+        watch
+            .request_lookup(SECOND, destination, &nothing_in_use)
+            .unwrap();
     }
-    assert_eq!(watch.list().unwrap().to_forget(), [41]);
-    let retry_at = timer(&watch.broken(SECOND, call), Timer::Reconnect).unwrap();
+    assert_eq!(watch.list().unwrap().evicted(), [41]);
+    let retry_at = timer(&watch.call_failed(SECOND, call), Timer::Reconnect).unwrap();
     watch.timer_fired(retry_at, Timer::Reconnect);
     assert!(
-        watch.list().unwrap().to_forget().is_empty(),
+        watch.list().unwrap().evicted().is_empty(),
         "its request names what is cached"
     );
 }
--- a/crates/discovery-client/tests/discovery/plain_watch.rs
+++ b/crates/discovery-client/tests/discovery/plain_watch.rs
@@ -1,8 +1,8 @@
 //! The calls of a plain watch: events in, commands out.
 
 use crate::driver::{HEAD, SECOND, address, begin, chunk, connects, plain, receives, timer};
-use bellsill_discovery_client::backoff::{FIRST_LINE_WITHIN, SILENT_FOR, UP_WITHIN};
-use bellsill_discovery_client::watch::KEPT_FOR;
+use bellsill_discovery_client::backoff::{CONNECT_TIMEOUT, FIRST_LINE_TIMEOUT, SILENCE_TIMEOUT};
+use bellsill_discovery_client::watch::LATE_CALL_TIMEOUT;
 use bellsill_discovery_client::{Command, Received, Timer};
 
 #[test]
@@ -14,8 +14,8 @@
         request,
         "GET /api/targets?follow=1&since=0 HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n"
     );
-    watch.told(41);
-    let commands = watch.broken(SECOND, call);
+    watch.set_version(41);
+    let commands = watch.call_failed(SECOND, call);
     let retry_at = timer(&commands, Timer::Reconnect).unwrap();
     let (_, _, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
     assert!(request.starts_with("GET /api/targets?follow=1&since=41 HTTP/1.1\r\n"));
@@ -28,12 +28,12 @@
     let up = watch.connected(SECOND, first);
     assert_eq!(
         timer(&up, Timer::Call(first)),
-        Some(SECOND + FIRST_LINE_WITHIN)
+        Some(SECOND + FIRST_LINE_TIMEOUT)
     );
-    let late = watch.timer_fired(SECOND + FIRST_LINE_WITHIN, Timer::Call(first));
+    let late = watch.timer_fired(SECOND + FIRST_LINE_TIMEOUT, Timer::Call(first));
     assert_eq!(
         timer(&late, Timer::Call(first)),
-        Some(KEPT_FOR),
+        Some(LATE_CALL_TIMEOUT),
         "counted from when it was made"
     );
     assert!(!late.contains(&Command::Close(first)));
@@ -49,7 +49,7 @@
     assert!(received.commands.contains(&Command::Close(second)));
     assert_eq!(
         timer(&received.commands, Timer::Call(first)),
-        Some(retry_at + SILENT_FOR)
+        Some(retry_at + SILENCE_TIMEOUT)
     );
 }
 
@@ -57,19 +57,22 @@
 fn a_plain_call_that_does_not_connect_is_abandoned() {
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
-    let commands = watch.timer_fired(UP_WITHIN, Timer::Call(first));
+    let commands = watch.timer_fired(CONNECT_TIMEOUT, Timer::Call(first));
     assert!(
         commands.contains(&Command::Close(first)) && timer(&commands, Timer::Reconnect).is_some()
     );
     assert_eq!(watch.counters().timed_out, 1);
-    assert!(watch.broken(UP_WITHIN, first).is_empty(), "it is gone");
+    assert!(
+        watch.call_failed(CONNECT_TIMEOUT, first).is_empty(),
+        "it is gone"
+    );
 }
 
 #[test]
 fn a_relocated_plain_watch_reconnects_at_once_from_version_zero() {
     let mut watch = plain();
     let (first, ..) = begin(&mut watch);
-    watch.told(41);
+    watch.set_version(41);
     assert!(
         watch.relocate(SECOND, address(1)).is_empty(),
         "it has that address already"
--- a/crates/discovery-client/tests/discovery/scoped_list.rs
+++ b/crates/discovery-client/tests/discovery/scoped_list.rs
@@ -3,8 +3,8 @@
 use crate::driver::nothing_in_use;
 use crate::tens_layout::{TensLayout, empty_list};
 use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
-use bellsill_discovery_client::scoped_list::MOST_CELLS;
-use bellsill_discovery_client::{Knowledge, ScopedLineError, ScopedList, StateFileError};
+use bellsill_discovery_client::scoped_list::MAX_DESTINATIONS;
+use bellsill_discovery_client::{DestinationStatus, ScopedLineError, ScopedList, StateFileError};
 use bellsill_placement::BucketId;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -84,7 +84,7 @@
         list.query("d1"),
         "since=5&log=c0ffee&dispatcher=d1&buckets=1"
     );
-    list.want(47, &nothing_in_use).unwrap();
+    list.look_up(47, &nothing_in_use).unwrap();
     assert_eq!(
         list.query("d1"),
         "since=5&log=c0ffee&dispatcher=d1&buckets=1",
@@ -118,7 +118,7 @@
 #[test]
 fn a_removed_endpoint_is_not_restored_by_a_late_lookup_answer() {
     let mut list = started();
-    list.want(47, &nothing_in_use).unwrap();
+    list.look_up(47, &nothing_in_use).unwrap();
     list.apply(line(9, vec![removed("x", 47, 9)])).unwrap();
     let late = list
         .apply_lookup(&[47], answer(8, vec![entry("x", 47, 8), entry("y", 47, 2)]))
@@ -158,7 +158,7 @@
         (filled.dropped, names(&list)),
         (vec![entry("a", 11, 3)], vec!["b", "c"])
     );
-    assert_eq!(list.counters().swept_entries, 1);
+    assert_eq!(list.counters().dropped_entries, 1);
 }
 
 #[test]
@@ -197,7 +197,7 @@
 #[test]
 fn another_log_begins_empty_and_held_entries_serve_until_sent_again() {
     let mut list = started();
-    list.want(47, &nothing_in_use).unwrap();
+    list.look_up(47, &nothing_in_use).unwrap();
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4), entry("y", 47, 4)]))
         .unwrap();
     let first = ScopedLine {
@@ -263,7 +263,7 @@
         Err(ScopedLineError::NotALine(_))
     ));
     assert_eq!(
-        (names(&list), list.counters().refused_lines),
+        (names(&list), list.counters().rejected_lines),
         (vec!["a", "b"], 3)
     );
 }
@@ -272,7 +272,7 @@
 fn the_least_recently_used_destination_is_evicted_unless_in_use() {
     let mut list = started();
     for destination in [41, 42] {
-        list.want(destination, &nothing_in_use).unwrap();
+        list.look_up(destination, &nothing_in_use).unwrap();
         let name = format!("e{destination}");
         list.apply_lookup(
             &[destination],
@@ -281,43 +281,43 @@
         .unwrap();
     }
     list.touch(41);
-    let evicted = list.want(43, &nothing_in_use).unwrap();
+    let evicted = list.look_up(43, &nothing_in_use).unwrap();
     assert_eq!(evicted.dropped, [entry("e42", 42, 1)]);
-    assert_eq!((list.to_forget(), list.cached()), (vec![42], 2));
-    let evicted = list.want(44, &|destination| destination == 41).unwrap();
+    assert_eq!((list.evicted(), list.cached_destinations()), (vec![42], 2));
+    let evicted = list.look_up(44, &|destination| destination == 41).unwrap();
     assert!(evicted.dropped.is_empty(), "43 had no entries yet");
-    assert_eq!(list.knowledge(41), Knowledge::Cached);
-    let target = ScopedList::lookup_target("d1", &[44], &list.to_forget());
+    assert_eq!(list.status(41), DestinationStatus::Cached);
+    let target = ScopedList::lookup_target("d1", &[44], &list.evicted());
     assert_eq!(target, "/api/targets?dispatcher=d1&cells=44&forget=42,43");
-    list.forgot(&[42, 43]);
-    assert!(list.to_forget().is_empty());
+    list.evictions_sent(&[42, 43]);
+    assert!(list.evicted().is_empty());
     // A destination that is wanted again is not released by the same request.
-    list.want(42, &nothing_in_use).unwrap();
-    list.want(45, &nothing_in_use).unwrap();
-    list.want(42, &nothing_in_use).unwrap();
-    assert!(!list.to_forget().contains(&42));
-    list.want(46, &|destination| destination != 42).unwrap();
+    list.look_up(42, &nothing_in_use).unwrap();
+    list.look_up(45, &nothing_in_use).unwrap();
+    list.look_up(42, &nothing_in_use).unwrap();
+    assert!(!list.evicted().contains(&42));
+    list.look_up(46, &|destination| destination != 42).unwrap();
     // Entries of an evicted destination are skipped.
     list.apply(line(6, vec![entry("e42", 42, 6)])).unwrap();
     assert_eq!(list.counters().entries_out_of_scope, 1);
-    assert_eq!(list.knowledge(42), Knowledge::Unknown);
+    assert_eq!(list.status(42), DestinationStatus::Unknown);
 }
 
 #[test]
 fn the_lookup_state_of_a_destination() {
     let mut list = started();
-    assert_eq!(list.knowledge(11), Knowledge::Held);
+    assert_eq!(list.status(11), DestinationStatus::Held);
     assert_eq!(
-        list.knowledge(19),
-        Knowledge::Unknown,
+        list.status(19),
+        DestinationStatus::Unknown,
         "it may be of another region"
     );
-    assert_eq!(list.knowledge(47), Knowledge::Unknown);
-    list.want(47, &nothing_in_use).unwrap();
-    assert_eq!(list.knowledge(47), Knowledge::Pending);
+    assert_eq!(list.status(47), DestinationStatus::Unknown);
+    list.look_up(47, &nothing_in_use).unwrap();
+    assert_eq!(list.status(47), DestinationStatus::Pending);
     list.apply_lookup(&[47], answer(5, vec![])).unwrap();
-    assert_eq!(list.knowledge(47), Knowledge::Cached);
-    list.want(48, &nothing_in_use).unwrap();
+    assert_eq!(list.status(47), DestinationStatus::Cached);
+    list.look_up(48, &nothing_in_use).unwrap();
     list.apply_lookup(&[48], answer(5, vec![entry("p", 48, 3)]))
         .unwrap();
     list.apply(ScopedLine {
@@ -331,18 +331,18 @@
     })
     .unwrap();
     assert_eq!(
-        (list.knowledge(48), list.cached()),
-        (Knowledge::Held, 1),
+        (list.status(48), list.cached_destinations()),
+        (DestinationStatus::Held, 1),
         "the bucket has it now"
     );
-    assert_eq!(list.to_forget(), [48]);
+    assert_eq!(list.evicted(), [48]);
 }
 
 #[test]
 fn a_cancelled_lookup_is_not_made_and_known_destinations_stay() {
     let mut list = started();
     for destination in [47, 48] {
-        list.want(destination, &nothing_in_use).unwrap();
+        list.look_up(destination, &nothing_in_use).unwrap();
     }
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
         .unwrap();
@@ -350,20 +350,23 @@
         list.cancel(destination);
     }
     assert_eq!(
-        (list.knowledge(47), list.knowledge(48)),
-        (Knowledge::Cached, Knowledge::Unknown)
+        (list.status(47), list.status(48)),
+        (DestinationStatus::Cached, DestinationStatus::Unknown)
     );
-    assert_eq!((list.pending().count(), list.to_forget()), (0, vec![48]));
+    assert_eq!((list.pending().count(), list.evicted()), (0, vec![48]));
 }
 
 #[test]
 fn with_all_in_use_the_cache_grows_to_the_limit_of_a_control_process() {
     let mut list = started();
     let grown = (100..)
-        .take_while(|destination| list.want(*destination, &|_| true).is_ok())
+        .take_while(|destination| list.look_up(*destination, &|_| true).is_ok())
         .count();
-    assert_eq!((grown, list.cached()), (MOST_CELLS, MOST_CELLS));
-    assert!(list.want(9_999, &nothing_in_use).is_ok() && list.cached() == 2);
+    assert_eq!(
+        (grown, list.cached_destinations()),
+        (MAX_DESTINATIONS, MAX_DESTINATIONS)
+    );
+    assert!(list.look_up(9_999, &nothing_in_use).is_ok() && list.cached_destinations() == 2);
 }
 
 #[test]
@@ -393,7 +396,7 @@
 #[test]
 fn a_lookup_answer_of_another_log_is_rejected() {
     let mut list = started();
-    list.want(47, &nothing_in_use).unwrap();
+    list.look_up(47, &nothing_in_use).unwrap();
     let other = ScopedLine {
         log: "beef".into(),
         ..line(5, vec![entry("x", 47, 4)])
@@ -403,18 +406,18 @@
         Err(ScopedLineError::OtherLog(_))
     ));
     assert_eq!(
-        (list.knowledge(47), list.counters().refused_lines),
-        (Knowledge::Pending, 1)
+        (list.status(47), list.counters().rejected_lines),
+        (DestinationStatus::Pending, 1)
     );
 }
 
 #[test]
 fn a_saved_list_is_the_same_after_a_restart() {
     let mut list = started();
-    list.want(47, &nothing_in_use).unwrap();
+    list.look_up(47, &nothing_in_use).unwrap();
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
         .unwrap();
-    list.want(48, &nothing_in_use).unwrap();
+    list.look_up(48, &nothing_in_use).unwrap();
     let bytes = list.to_bytes("d1");
     let again = ScopedList::from_bytes(&bytes, "d1", Arc::new(TensLayout), 2).unwrap();
     assert_eq!(
--- a/crates/discovery-client/tests/discovery/scoped_watch.rs
+++ b/crates/discovery-client/tests/discovery/scoped_watch.rs
@@ -1,7 +1,7 @@
 //! The calls of a scoped watch: events in, commands out.
 
 use crate::driver::{HEAD, SECOND, begin, chunk, connects, plain, receives, scoped, timer};
-use bellsill_discovery_client::watch::{LONGEST_SCOPED_LINE, SCOPED_SILENT_FOR};
+use bellsill_discovery_client::watch::{LONGEST_SCOPED_LINE, SCOPED_SILENCE_TIMEOUT};
 use bellsill_discovery_client::{Command, Timer};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
         "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
     );
     assert!(received.commands.contains(&Command::Close(call)));
-    assert_eq!((watch.counters().refused, watch.counters().failed), (1, 1));
+    assert_eq!((watch.counters().rejected, watch.counters().failed), (1, 1));
 }
 
 #[test]
@@ -38,13 +38,13 @@
     );
     assert_eq!(
         timer(&received.commands, Timer::Call(call)),
-        Some(SECOND + SCOPED_SILENT_FOR)
+        Some(SECOND + SCOPED_SILENCE_TIMEOUT)
     );
     assert_eq!(received.documents, [text.as_bytes()]);
     watch.apply(&received.documents[0]).unwrap();
-    let commands = watch.timer_fired(SECOND + SCOPED_SILENT_FOR, Timer::Call(call));
+    let commands = watch.timer_fired(SECOND + SCOPED_SILENCE_TIMEOUT, Timer::Call(call));
     let retry_at = timer(&commands, Timer::Reconnect).unwrap();
-    assert!(retry_at <= SECOND + SCOPED_SILENT_FOR + SECOND / 2);
+    assert!(retry_at <= SECOND + SCOPED_SILENCE_TIMEOUT + SECOND / 2);
     let (_, next, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
     assert_ne!(next, at);
     assert!(request.contains("since=4&log=c0ffee&dispatcher=d1&buckets=1 HTTP"));
@@ -57,7 +57,7 @@
         let mut tried = vec![begin(&mut watch)];
         let mut now = 0;
         for _ in 1..18 {
-            let commands = watch.broken(now, tried.last().unwrap().0);
+            let commands = watch.call_failed(now, tried.last().unwrap().0);
             now = timer(&commands, Timer::Reconnect).unwrap();
             tried.push(connects(&watch.timer_fired(now, Timer::Reconnect)).unwrap());
         }
--- a/crates/settings/src/class_settings.rs
+++ b/crates/settings/src/class_settings.rs
@@ -30,29 +30,29 @@
     let semantics = read_semantics(fields)?;
     let settings = ClassSettings {
         priority_weight: fields.within(0.0, MAX_VALUE, "worth")?,
-        latency_objective: fields.from(1, "aim-ns")?,
+        latency_objective: fields.whole_number_from(1, "aim-ns")?,
         lifetime: fields.count("deadline-ns")?,
         late_value_share: fields.within(0.0, 1.0, "late-share")?,
         semantics,
         ordered: fields.flag("in-turn"),
     };
     Ok(NamedClass {
-        name: fields.word("name")?.to_string(),
+        name: fields.string("name")?.to_string(),
         settings,
     })
 }
 
 fn read_semantics(fields: &Reader) -> Result<DeliverySemantics, InvalidField> {
-    match fields.word("repeat")? {
+    match fields.string("repeat")? {
         "idempotent" => Ok(DeliverySemantics::Idempotent),
         "deduplicated" => Ok(DeliverySemantics::IdempotencyKey {
             window: fields.count("window-ns")?,
-            scope: match fields.word("dedup-scope")? {
+            scope: match fields.string("dedup-scope")? {
                 "all" => DeduplicationScope::Destination,
                 _ => DeduplicationScope::Zone,
             },
         }),
         "at_most_once" => Ok(DeliverySemantics::AtMostOnce),
-        _ => Err(fields.bad("repeat", "idempotent, deduplicated or at_most_once")),
+        _ => Err(fields.invalid("repeat", "idempotent, deduplicated or at_most_once")),
     }
 }
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -37,10 +37,10 @@
     pub(crate) fn read(fields: &Reader, classes: Vec<String>) -> Result<Self, InvalidField> {
         Ok(Names {
             classes,
-            kinds: fields.words("flavors")?,
-            zones: fields.words("dcs")?,
+            kinds: fields.strings("flavors")?,
+            zones: fields.strings("dcs")?,
             tenants: read_tenants(fields)?,
-            weights_are_rates: matches!(fields.word("weights"), Ok("rough" | "nominal")),
+            weights_are_rates: matches!(fields.string("weights"), Ok("rough" | "nominal")),
         })
     }
 
@@ -59,12 +59,12 @@
 }
 
 fn read_tenants(fields: &Reader) -> Result<Vec<String>, InvalidField> {
-    let Some(tenants) = fields.at("realms").and_then(Value::as_array) else {
+    let Some(tenants) = fields.get("realms").and_then(Value::as_array) else {
         return Ok(Vec::new());
     };
     let name = |tenant: &Value| Some(tenant.get("name")?.as_str()?.to_string());
     tenants
         .iter()
-        .map(|tenant| name(tenant).ok_or_else(|| fields.bad("realms", "a name for each")))
+        .map(|tenant| name(tenant).ok_or_else(|| fields.invalid("realms", "a name for each")))
         .collect()
 }
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -40,7 +40,7 @@
         settings: read_settings(fields, seed, classes)?,
         names,
         keep_alive: fields.count("limits.keepalive-ns")?,
-        drain_grace: match fields.at("guarantees.drain-grace-ns") {
+        drain_grace: match fields.get("guarantees.drain-grace-ns") {
             None => 0,
             Some(_) => fields.count("guarantees.drain-grace-ns")?,
         },
@@ -50,7 +50,7 @@
 
 /// The decisions use no price, but one that makes no sense is an error of the settings.
 fn check_prices(fields: &Reader) -> Result<(), InvalidField> {
-    let prices = fields.at("penalties").and_then(Value::as_object);
+    let prices = fields.get("penalties").and_then(Value::as_object);
     for name in prices.into_iter().flat_map(|prices| prices.keys()) {
         fields.within(0.0, MAX_VALUE, &format!("penalties.{name}"))?;
     }
@@ -67,32 +67,32 @@
         .iter()
         .map(|limit| limit.as_bool().unwrap_or(false))
         .collect();
-    let batch_sizes = match fields.at(BATCH_SIZES) {
+    let batch_sizes = match fields.get(BATCH_SIZES) {
         None => &[],
         Some(_) => fields.list(BATCH_SIZES)?,
     };
     Ok(Settings {
         seed,
-        dispatchers: fields.need(
+        dispatchers: fields.require(
             "balancers",
             "a whole number from 1 to 4294967295",
             |value| u32::try_from(value.as_u64()?).ok().filter(|n| *n > 0),
         )?,
         dispatcher_index: fields
-            .at("position")
+            .get("position")
             .and_then(Value::as_u64)
             .and_then(|n| u32::try_from(n).ok()),
         classes,
         per_endpoint_limits,
         max_batch: read_max_batch(fields, batch_sizes)?,
-        value_decay: match fields.word("family-info.decay")? {
+        value_decay: match fields.string("family-info.decay")? {
             "halves" => ValueDecay::Halving,
             _ => ValueDecay::Linear,
         },
-        max_in_flight: fields.from(1, "family-info.workers")? as usize,
-        queue_capacity: fields.from(1, "limits.max-open")? as usize,
+        max_in_flight: fields.whole_number_from(1, "family-info.workers")? as usize,
+        queue_capacity: fields.whole_number_from(1, "limits.max-open")? as usize,
         caller_admission: false,
-        max_attempts: fields.from(1, "limits.max-attempts")? as u32,
+        max_attempts: fields.whole_number_from(1, "limits.max-attempts")? as u32,
         connect_timeout: fields.count("limits.connect-timeout-ns")?,
         max_retry_after: read_max_retry_after(fields)?,
         cold_capacity_share: fields.within(MIN_SHARE, 1.0, "guarantees.cold-share")?,
@@ -100,11 +100,11 @@
         overload_multiple: fields.within(MIN_SHARE, MAX_VALUE, "guarantees.tip-multiple")?,
         overload_window: fields.count("guarantees.overload-for-ns")?,
         key_cooldown: fields
-            .at("guarantees.turn-gap-ns")
+            .get("guarantees.turn-gap-ns")
             .and_then(Value::as_u64)
             .unwrap_or(0),
         watch_request_limit: read_watch_request_limit(fields)?,
-        clock_resolution: fields.from(1, "tick-ns")?,
+        clock_resolution: fields.whole_number_from(1, "tick-ns")?,
     })
 }
 
@@ -115,7 +115,7 @@
             .as_u64()
             .filter(|n| (1..=MAX_VALUE as u64).contains(n));
         size.map(|n| n as usize)
-            .ok_or_else(|| fields.bad(BATCH_SIZES, "whole numbers from 1"))
+            .ok_or_else(|| fields.invalid(BATCH_SIZES, "whole numbers from 1"))
     };
     sizes.iter().map(size).collect()
 }
@@ -130,16 +130,18 @@
 
 /// Within what time a watch has to be requested, where the platform does not push endpoint lists.
 fn read_watch_request_limit(fields: &Reader) -> Result<Option<Nanos>, InvalidField> {
-    match fields.at("discovery").map(Value::as_str) {
+    match fields.get("discovery").map(Value::as_str) {
         None | Some(Some("pushed")) => Ok(None),
-        Some(Some("on_request")) => fields.from(1, "guarantees.ask-within-ns").map(Some),
-        _ => Err(fields.bad("discovery", "pushed or on_request")),
+        Some(Some("on_request")) => fields
+            .whole_number_from(1, "guarantees.ask-within-ns")
+            .map(Some),
+        _ => Err(fields.invalid("discovery", "pushed or on_request")),
     }
 }
 
 /// Settings of a platform without load reports may leave their description out.
 fn reports_limits(fields: &Reader) -> bool {
-    let columns = fields.at("report.columns").and_then(Value::as_array);
+    let columns = fields.get("report.columns").and_then(Value::as_array);
     columns.is_some_and(|all| all.iter().any(|name| name.as_str() == Some(LIMIT_COLUMN)))
-        && matches!(fields.word("report.how"), Ok("inline"))
+        && matches!(fields.string("report.how"), Ok("inline"))
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -31,7 +31,7 @@
 
 impl<'a> Reader<'a> {
     /// The error that a field is not as expected.
-    pub fn bad(&self, path: &str, expected: &str) -> InvalidField {
+    pub fn invalid(&self, path: &str, expected: &str) -> InvalidField {
         let dot = if self.place.is_empty() { "" } else { "." };
         InvalidField {
             field: format!("{}{dot}{path}", self.place),
@@ -40,71 +40,71 @@
     }
 
     /// The value of a field, if it is there.
-    pub fn at(&self, path: &str) -> Option<&'a Value> {
+    pub fn get(&self, path: &str) -> Option<&'a Value> {
         path.split('.')
             .try_fold(self.json, |value, part| value.get(part))
     }
 
     /// The value of a field that `read` accepts; `expected` names the form that it accepts.
-    pub fn need<T>(
+    pub fn require<T>(
         &self,
         path: &str,
         expected: &str,
         read: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, InvalidField> {
-        self.at(path)
+        self.get(path)
             .and_then(read)
-            .ok_or_else(|| self.bad(path, expected))
+            .ok_or_else(|| self.invalid(path, expected))
     }
 
     /// Any number.
-    pub fn num(&self, path: &str) -> Result<f64, InvalidField> {
-        self.need(path, "a number", Value::as_f64)
+    pub fn number(&self, path: &str) -> Result<f64, InvalidField> {
+        self.require(path, "a number", Value::as_f64)
     }
 
     /// A number in this range, its ends included.
     pub fn within(&self, least: f64, most: f64, path: &str) -> Result<f64, InvalidField> {
         let expected = format!("a number from {least} to {most}");
-        self.need(path, &expected, |value| {
+        self.require(path, &expected, |value| {
             value.as_f64().filter(|n| (least..=most).contains(n))
         })
     }
 
     /// A whole number that is not negative.
     pub fn count(&self, path: &str) -> Result<u64, InvalidField> {
-        self.need(path, "a whole number", Value::as_u64)
+        self.require(path, "a whole number", Value::as_u64)
     }
 
     /// A whole number of at least `least`.
-    pub fn from(&self, least: u64, path: &str) -> Result<u64, InvalidField> {
+    pub fn whole_number_from(&self, least: u64, path: &str) -> Result<u64, InvalidField> {
         let expected = format!("a whole number from {least}");
-        self.need(path, &expected, |value| {
+        self.require(path, &expected, |value| {
             value.as_u64().filter(|n| *n >= least)
         })
     }
 
     /// A string.
-    pub fn word(&self, path: &str) -> Result<&'a str, InvalidField> {
-        self.need(path, "a word", Value::as_str)
+    pub fn string(&self, path: &str) -> Result<&'a str, InvalidField> {
+        self.require(path, "a word", Value::as_str)
     }
 
     /// A boolean; false where there is none.
     pub fn flag(&self, path: &str) -> bool {
-        self.at(path).and_then(Value::as_bool).unwrap_or(false)
+        self.get(path).and_then(Value::as_bool).unwrap_or(false)
     }
 
     /// An array.
     pub fn list(&self, path: &str) -> Result<&'a [Value], InvalidField> {
-        self.need(path, "a list", |value| value.as_array().map(Vec::as_slice))
+        self.require(path, "a list", |value| value.as_array().map(Vec::as_slice))
     }
 
     /// An array of strings.
-    pub fn words(&self, path: &str) -> Result<Vec<String>, InvalidField> {
+    pub fn strings(&self, path: &str) -> Result<Vec<String>, InvalidField> {
         let word = |value: &Value| {
             value
                 .as_str()
                 .map(str::to_string)
-                .ok_or_else(|| self.bad(path, "words"))
+                .ok_or_else(|| self.invalid(path, "words"))
         };
         self.list(path)?.iter().map(word).collect()
     }
--- a/crates/testbed/src/hollow/dispatcher.rs
+++ b/crates/testbed/src/hollow/dispatcher.rs
@@ -136,7 +136,7 @@
     }
 
     pub fn broken(&mut self, now: Nanos, call: CallId) {
-        let commands = self.watch.broken(now, call);
+        let commands = self.watch.call_failed(now, call);
         self.take(commands);
     }
 
@@ -289,7 +289,7 @@
             .map(ScopedList::counters)
             .unwrap_or_default();
         FaultCounts {
-            refused_lines: list.refused_lines + self.watch.counters().overlong_lines,
+            refused_lines: list.rejected_lines + self.watch.counters().overlong_lines,
             entries_not_taken: list.stale_entries + list.duplicate_entries,
             ..self.faults
         }
