--- a/crates/testbed/src/audit.rs
+++ b/crates/testbed/src/audit.rs
@@ -1,8 +1,8 @@
-//! The auditor: the six rules, judged from outside on what really passed ([`Seen`]). It knows nothing of what a
-//! dispatcher meant; each break names mail, time, rule and evidence.
+//! The auditor: the six rules, judged from outside on what really passed ([`Observation`]). It knows nothing of what a
+//! dispatcher meant; each break names message, time, rule and evidence.
 //!
 //! Two things that happen in one order may be seen in the other, since they come over different sockets. Where that can be,
-//! the verdict waits for [`Slack::order`]; in virtual time the order is exact and the slack nought.
+//! the verdict waits for [`Slack::order`]; in virtual time the order is exact and the slack zero.
 
 use crate::record::*;
 use crate::world::Answer;
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
 const MS: Nanos = 1_000_000;
-/// After its time is up a mail is looked at no more after this span.
-const KEPT: Nanos = 30_000 * MS;
+/// After its time is up a message is looked at no more after this span.
+const RETENTION: Nanos = 30_000 * MS;
 /// Breaks are counted for ever and kept in words up to so many.
-const WORDS: usize = 200;
+const MAX_SAMPLES: usize = 200;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -26,7 +26,7 @@
     EndedTwice,
     /// 1: something went out after the end, or after the queue lifetime.
     AfterEnd,
-    /// 2: two connects of one mail at once.
+    /// 2: two connects of one message at once.
     TwoAtOnce,
     /// 2: a further connect that its class forbids.
     Repeated,
@@ -45,21 +45,22 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Break {
+pub struct Violation {
     pub at: Nanos,
     pub rule: Rule,
-    pub mail: Option<u64>,
+    #[serde(rename = "mail")]
+    pub message: Option<u64>,
     pub evidence: String,
 }
 
-impl std::fmt::Display for Break {
+impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let mail = self
-            .mail
+        let message = self
+            .message
             .map_or(String::new(), |m| format!(" mail {m:016x}:"));
         write!(
             f,
-            "at {:.3} s, {:?}:{mail} {}",
+            "at {:.3} s, {:?}:{message} {}",
             self.at as f64 / 1e9,
             self.rule,
             self.evidence
@@ -105,128 +106,155 @@
 
 /// What the auditor must know of the world; all else it sees.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct AuditSettings {
     pub classes: Vec<ClassSettings>,
     /// The zone of each endpoint, and what its waits bind: equal for endpoints that share them.
     pub endpoints: Vec<(usize, usize)>,
     pub drain_grace: Nanos,
     pub key_rest: Nanos,
-    pub max_connects: u32,
+    pub max_attempts: u32,
     pub slack: Slack,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
-    Relayed,
-    Deferred,
-    Bounced,
+enum Ending {
+    Delivered,
+    /// After it had been accepted; the platform was notified.
+    Rejected,
+    Failed,
 }
 
-struct Mail {
-    hand_in: HandIn,
-    taken: Option<Nanos>,
-    unheard: bool,
-    out: Option<CallNo>,
-    connects: u32,
+// Evidence keeps its words, so that the results of earlier versions can be compared with new ones.
+impl std::fmt::Display for Ending {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        f.write_str(match self {
+            Ending::Delivered => "Relayed",
+            Ending::Rejected => "Deferred",
+            Ending::Failed => "Bounced",
+        })
+    }
+}
+
+/// An answer in the words of the evidence.
+fn described(answer: Option<Answer>) -> String {
+    match answer {
+        None => "None".into(),
+        Some(Answer::Delivered) => "Some(Relayed)".into(),
+        Some(Answer::ServerError) => "Some(Errored)".into(),
+        Some(Answer::RateLimited(wait)) => format!("Some(Full({wait:?}))"),
+        Some(Answer::Malformed) => "Some(Spoilt)".into(),
+    }
+}
+
+struct MessageState {
+    submission: Submission,
+    accepted_at: Option<Nanos>,
+    abandoned: bool,
+    in_flight: Option<CallNumber>,
+    attempts: u32,
     /// The calls that may have run, and when and where the first was sent.
-    ran: Vec<(CallNo, Nanos, usize)>,
-    end: Option<(End, Nanos)>,
+    ran: Vec<(CallNumber, Nanos, usize)>,
+    end: Option<(Ending, Nanos)>,
     /// Since then it can go nowhere any more.
-    spent: Option<Nanos>,
+    exhausted_since: Option<Nanos>,
 }
 
 struct Call {
-    mail: MessageId,
+    message: MessageId,
     endpoint: EndpointId,
     dispatcher: usize,
 }
 
 /// Something that looks like a break, until the order in which it was seen is sure.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Doubt {
+enum Suspicion {
     /// The earlier call must turn out to have been closed by then.
-    StillOut {
+    StillInFlight {
         by: MessageId,
-        earlier: CallNo,
+        earlier: CallNumber,
         rule: Rule,
     },
-    /// The earlier mail must turn out to have ended by then.
+    /// The earlier message must turn out to have ended by then.
     NotEnded { by: MessageId, earlier: MessageId },
     /// The answer must turn out to have crossed the end of its connection.
-    AfterRelayed { by: MessageId, answered: CallNo },
+    AfterDelivery { by: MessageId, answered: CallNumber },
 }
 
 #[derive(Default)]
-struct KeyLine {
+struct KeyQueue {
     /// As they were taken, with when.
-    mails: VecDeque<(MessageId, Nanos)>,
-    out: BTreeSet<(CallNo, MessageId)>,
-    /// After a loose end: until then only that mail may go.
+    messages: VecDeque<(MessageId, Nanos)>,
+    out: BTreeSet<(CallNumber, MessageId)>,
+    /// After a loose end: until then only that message may go.
     rest: Option<(Nanos, MessageId)>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Host {
+struct DispatcherState {
     ready_since: Option<Nanos>,
     ended_at: Nanos,
 }
 
 #[derive(Default)]
 struct Effects {
-    /// Which mail took effect where and when, as something new.
+    /// Which message took effect where and when, as something new.
     of: Vec<(MessageId, EndpointId, Nanos)>,
 }
 
 /// What the auditor found in all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    pub mails: u64,
+    #[serde(rename = "mails")]
+    pub messages: u64,
     pub calls: u64,
     pub applied: u64,
     /// Effects of calls whose answer never reached the dispatcher: once applied, not twice sent.
-    pub applied_unheard: u64,
-    pub breaks: BTreeMap<Rule, u64>,
-    pub words: Vec<Break>,
+    #[serde(rename = "applied_unheard")]
+    pub applied_unanswered: u64,
+    #[serde(rename = "breaks")]
+    pub violations: BTreeMap<Rule, u64>,
+    #[serde(rename = "words")]
+    pub samples: Vec<Violation>,
 }
 
 impl Verdict {
-    pub fn kept(&self) -> bool {
-        self.breaks.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty()
     }
 }
 
 pub struct Auditor {
-    facts: Facts,
-    mails: HashMap<MessageId, Mail>,
-    calls: HashMap<CallNo, Call>,
+    settings: AuditSettings,
+    messages: HashMap<MessageId, MessageState>,
+    calls: HashMap<CallNumber, Call>,
     /// Calls that ended, for what is learnt of them later: how, and when.
-    closed: HashMap<CallNo, (Option<Answer>, Option<Nanos>)>,
+    closed: HashMap<CallNumber, (Option<Answer>, Option<Nanos>)>,
     effects: HashMap<u64, Effects>,
-    keys: HashMap<(usize, u64), KeyLine>,
+    keys: HashMap<(usize, u64), KeyQueue>,
     drains: HashMap<(usize, EndpointId), Nanos>,
     waits: HashMap<(usize, usize), Vec<(Nanos, Nanos)>>,
-    hosts: BTreeMap<usize, Host>,
-    /// When a mail is looked at, or forgotten.
-    looks: BinaryHeap<Reverse<(Nanos, MessageId)>>,
-    doubts: BinaryHeap<Reverse<(Nanos, Doubt)>>,
-    forget: VecDeque<(Nanos, CallNo)>,
+    dispatchers: BTreeMap<usize, DispatcherState>,
+    /// When a message is looked at, or forgotten.
+    deadline_checks: BinaryHeap<Reverse<(Nanos, MessageId)>>,
+    suspicions: BinaryHeap<Reverse<(Nanos, Suspicion)>>,
+    forget: VecDeque<(Nanos, CallNumber)>,
     verdict: Verdict,
 }
 
 impl Auditor {
-    pub fn new(facts: Facts) -> Auditor {
+    pub fn new(settings: AuditSettings) -> Auditor {
         Auditor {
-            facts,
-            mails: HashMap::new(),
+            settings,
+            messages: HashMap::new(),
             calls: HashMap::new(),
             closed: HashMap::new(),
             effects: HashMap::new(),
             keys: HashMap::new(),
             drains: HashMap::new(),
             waits: HashMap::new(),
-            hosts: BTreeMap::new(),
-            looks: BinaryHeap::new(),
-            doubts: BinaryHeap::new(),
+            dispatchers: BTreeMap::new(),
+            deadline_checks: BinaryHeap::new(),
+            suspicions: BinaryHeap::new(),
             forget: VecDeque::new(),
             verdict: Verdict::default(),
         }
@@ -234,107 +262,112 @@
 
     /// An endpoint that was not there at the start; they are numbered on.
     pub fn endpoint_appeared(&mut self, zone: usize, gate: usize) {
-        self.facts.endpoints.push((zone, gate));
+        self.settings.endpoints.push((zone, gate));
     }
 
-    fn broken(&mut self, at: Nanos, rule: Rule, mail: Option<MessageId>, evidence: String) {
-        *self.verdict.breaks.entry(rule).or_default() += 1;
-        if self.verdict.words.len() < WORDS {
-            self.verdict.words.push(Break {
+    fn violated(&mut self, at: Nanos, rule: Rule, message: Option<MessageId>, evidence: String) {
+        *self.verdict.violations.entry(rule).or_default() += 1;
+        if self.verdict.samples.len() < MAX_SAMPLES {
+            self.verdict.samples.push(Violation {
                 at,
                 rule,
-                mail: mail.map(|m| m.0),
+                message: message.map(|m| m.0),
                 evidence,
             });
         }
     }
 
-    fn doubt(&mut self, at: Nanos, doubt: Doubt) {
-        self.doubts
-            .push(Reverse((at + self.facts.slack.order, doubt)));
+    fn suspicion(&mut self, at: Nanos, suspicion: Suspicion) {
+        self.suspicions
+            .push(Reverse((at + self.settings.slack.order, suspicion)));
     }
 
     /// Something was seen. Times never go back.
-    pub fn see(&mut self, at: Nanos, seen: &Seen) {
-        self.pass(at);
-        match seen {
-            Seen::HandedIn(hand_in) => self.handed_in(*hand_in),
-            Seen::Taken { mail } => self.taken(at, *mail),
-            Seen::TurnedAway { mail, .. } => drop(self.mails.remove(mail)),
-            Seen::Unheard { mail } => {
-                if let Some(m) = self.mails.get_mut(mail) {
-                    m.unheard = true;
+    pub fn observe(&mut self, at: Nanos, observation: &Observation) {
+        self.advance(at);
+        match observation {
+            Observation::Submitted(submission) => self.submitted(*submission),
+            Observation::Accepted { message } => self.accepted(at, *message),
+            Observation::Rejected { message, .. } => drop(self.messages.remove(message)),
+            Observation::Abandoned { message } => {
+                if let Some(m) = self.messages.get_mut(message) {
+                    m.abandoned = true;
                 }
             }
-            Seen::Call {
+            Observation::Call {
                 call,
-                mail,
+                message,
                 endpoint,
                 dispatcher,
-                begun,
+                started_at,
                 ..
-            } => self.called(at, *call, *mail, *endpoint, *dispatcher, *begun),
-            Seen::Answered { call, answer } => self.answered(at, *call, *answer),
-            Seen::Broken { call, .. } => self.call_broken(at, *call),
-            Seen::Applied { call, fresh } => self.applied(at, *call, *fresh),
-            Seen::Notice { mail, deferred } => self.noticed(at, *mail, deferred.is_some()),
-            Seen::Listed {
+            } => self.called(at, *call, *message, *endpoint, *dispatcher, *started_at),
+            Observation::Answered { call, answer } => self.answered(at, *call, *answer),
+            Observation::ConnectionClosed { call, .. } => self.connection_closed(at, *call),
+            Observation::Applied { call, fresh } => self.applied(at, *call, *fresh),
+            Observation::Notified {
+                message,
+                retry_after: deferred,
+            } => self.notified(at, *message, deferred.is_some()),
+            Observation::EndpointListed {
                 dispatcher,
                 endpoint,
                 serving: true,
             } => {
                 self.drains.remove(&(*dispatcher, *endpoint));
             }
-            Seen::Listed {
+            Observation::EndpointListed {
                 dispatcher,
                 endpoint,
                 ..
             } => {
                 self.drains.entry((*dispatcher, *endpoint)).or_insert(at);
             }
-            Seen::Started { dispatcher } => drop(self.hosts.entry(*dispatcher).or_default()),
-            Seen::Ended { dispatcher } => {
-                *self.hosts.entry(*dispatcher).or_default() = Host {
+            Observation::Started { dispatcher } => {
+                self.dispatchers.entry(*dispatcher).or_default();
+            }
+            Observation::Stopped { dispatcher } => {
+                *self.dispatchers.entry(*dispatcher).or_default() = DispatcherState {
                     ready_since: None,
                     ended_at: at,
                 };
                 self.waits.retain(|(d, _), _| d != dispatcher);
             }
-            Seen::Ready { dispatcher } => {
-                self.hosts.entry(*dispatcher).or_default().ready_since = Some(at);
+            Observation::Ready { dispatcher } => {
+                self.dispatchers.entry(*dispatcher).or_default().ready_since = Some(at);
             }
-            Seen::Tipped {
+            Observation::Overloaded {
                 endpoint,
-                knowing,
-                all,
+                informed_calls,
+                all_calls,
             } => {
-                if knowing * 3 >= all * 2 {
+                if informed_calls * 3 >= all_calls * 2 {
                     let evidence = format!(
-                        "endpoint {} fell over on its return: {knowing} of the last {all} calls came from dispatchers \
+                        "endpoint {} fell over on its return: {informed_calls} of the last {all_calls} calls came from dispatchers \
                          that had seen its outage",
                         endpoint.0
                     );
-                    self.broken(at, Rule::Tipped, None, evidence);
+                    self.violated(at, Rule::Tipped, None, evidence);
                 }
             }
         }
     }
 
     /// All that is due by now is judged.
-    fn pass(&mut self, now: Nanos) {
-        while let Some(Reverse((at, _))) = self.doubts.peek()
+    fn advance(&mut self, now: Nanos) {
+        while let Some(Reverse((at, _))) = self.suspicions.peek()
             && *at < now
         {
-            let Some(Reverse((at, doubt))) = self.doubts.pop() else {
+            let Some(Reverse((at, suspicion))) = self.suspicions.pop() else {
                 break;
             };
-            self.resolve(at, doubt);
+            self.resolve(at, suspicion);
         }
-        while let Some(&Reverse((at, mail))) = self.looks.peek()
+        while let Some(&Reverse((at, message))) = self.deadline_checks.peek()
             && at < now
         {
-            self.looks.pop();
-            self.look(at, mail);
+            self.deadline_checks.pop();
+            self.check_deadline(at, message);
         }
         while self.forget.front().is_some_and(|f| f.0 < now) {
             let Some((_, call)) = self.forget.pop_front() else {
@@ -345,162 +378,177 @@
         }
     }
 
-    /// Mails that are owed their end.
-    pub fn open(&self) -> usize {
-        self.mails
+    /// Messages that are owed their end.
+    pub fn unresolved(&self) -> usize {
+        self.messages
             .values()
-            .filter(|m| m.taken.is_some() && m.end.is_none() && !m.unheard)
+            .filter(|m| m.accepted_at.is_some() && m.end.is_none() && !m.abandoned)
             .count()
     }
 
     /// The run is over: all has had its time.
     pub fn finish(mut self, now: Nanos) -> Verdict {
-        self.pass(now + self.facts.slack.order + 1);
-        let open: Vec<MessageId> = self.mails.keys().copied().collect();
-        let mut open: Vec<MessageId> = open.into_iter().filter(|m| self.owed(*m, now)).collect();
+        self.advance(now + self.settings.slack.order + 1);
+        let open: Vec<MessageId> = self.messages.keys().copied().collect();
+        let mut open: Vec<MessageId> = open
+            .into_iter()
+            .filter(|m| self.is_overdue(*m, now))
+            .collect();
         open.sort_unstable();
-        for mail in open {
-            self.broken(
+        for message in open {
+            self.violated(
                 now,
                 Rule::Lost,
-                Some(mail),
+                Some(message),
                 "no end by the end of the run".into(),
             );
         }
         self.verdict
     }
 
-    fn owed(&self, mail: MessageId, now: Nanos) -> bool {
-        self.mails.get(&mail).is_some_and(|m| {
-            m.taken.is_some()
+    fn is_overdue(&self, message: MessageId, now: Nanos) -> bool {
+        self.messages.get(&message).is_some_and(|m| {
+            m.accepted_at.is_some()
                 && m.end.is_none()
-                && !m.unheard
-                && m.hand_in.due + self.facts.slack.end < now
+                && !m.abandoned
+                && m.submission.deadline + self.settings.slack.end < now
         })
     }
 
-    fn handed_in(&mut self, hand_in: HandIn) {
-        self.verdict.mails += 1;
-        self.looks
-            .push(Reverse((hand_in.due + self.facts.slack.end, hand_in.mail)));
-        let mail = Mail {
-            hand_in,
-            taken: None,
-            unheard: false,
-            out: None,
-            connects: 0,
+    fn submitted(&mut self, submission: Submission) {
+        self.verdict.messages += 1;
+        self.deadline_checks.push(Reverse((
+            submission.deadline + self.settings.slack.end,
+            submission.message,
+        )));
+        let message = MessageState {
+            submission,
+            accepted_at: None,
+            abandoned: false,
+            in_flight: None,
+            attempts: 0,
             ran: vec![],
             end: None,
-            spent: None,
+            exhausted_since: None,
         };
-        self.mails.insert(hand_in.mail, mail);
+        self.messages.insert(submission.message, message);
     }
 
-    fn taken(&mut self, at: Nanos, id: MessageId) {
-        let Some(mail) = self.mails.get_mut(&id) else {
+    fn accepted(&mut self, at: Nanos, id: MessageId) {
+        let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        mail.taken = Some(at);
-        if let Some(key) = mail.hand_in.key {
-            let line = self.keys.entry((mail.hand_in.dispatcher, key)).or_default();
-            line.mails.push_back((id, at));
+        message.accepted_at = Some(at);
+        if let Some(key) = message.submission.key {
+            let line = self
+                .keys
+                .entry((message.submission.dispatcher, key))
+                .or_default();
+            line.messages.push_back((id, at));
         }
     }
 
-    fn look(&mut self, at: Nanos, id: MessageId) {
-        let Some(mail) = self.mails.get(&id) else {
+    fn check_deadline(&mut self, at: Nanos, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else {
             return;
         };
-        if at >= mail.hand_in.due + KEPT {
-            if self.owed(id, at) {
-                self.broken(
+        if at >= message.submission.deadline + RETENTION {
+            if self.is_overdue(id, at) {
+                self.violated(
                     at,
                     Rule::Lost,
                     Some(id),
                     "its dispatcher did not come back, and nobody ended it".into(),
                 );
             }
-            let Some(mail) = self.mails.get(&id) else {
+            let Some(message) = self.messages.get(&id) else {
                 return;
             };
             let (arrival, key) = (
-                mail.hand_in.arrival,
-                mail.hand_in.key.map(|k| (mail.hand_in.dispatcher, k)),
+                message.submission.arrival,
+                message
+                    .submission
+                    .key
+                    .map(|k| (message.submission.dispatcher, k)),
             );
-            self.mails.remove(&id);
+            self.messages.remove(&id);
             self.effects.remove(&arrival);
             if let Some(key) = key
                 && let Some(line) = self.keys.get_mut(&key)
             {
-                line.mails.retain(|m| m.0 != id);
-                if line.mails.is_empty() && line.out.is_empty() {
+                line.messages.retain(|m| m.0 != id);
+                if line.messages.is_empty() && line.out.is_empty() {
                     self.keys.remove(&key);
                 }
             }
             return;
         }
-        if self.owed(id, at + 1) {
-            let host = self
-                .hosts
-                .get(&mail.hand_in.dispatcher)
+        if self.is_overdue(id, at + 1) {
+            let state = self
+                .dispatchers
+                .get(&message.submission.dispatcher)
                 .copied()
                 .unwrap_or_default();
-            match host.ready_since {
+            match state.ready_since {
                 // Nothing is overdue while a dispatcher is away, and a little longer.
-                None => return self.looks.push(Reverse((at + 500 * MS, id))),
-                Some(since) if host.ended_at > 0 && at < since + self.facts.slack.ready => {
+                None => return self.deadline_checks.push(Reverse((at + 500 * MS, id))),
+                Some(since) if state.ended_at > 0 && at < since + self.settings.slack.ready => {
                     return self
-                        .looks
-                        .push(Reverse((since + self.facts.slack.ready, id)));
+                        .deadline_checks
+                        .push(Reverse((since + self.settings.slack.ready, id)));
                 }
                 Some(_) => {}
             }
-            let (due, connects, d) = (mail.hand_in.due, mail.connects, mail.hand_in.dispatcher);
+            let (due, attempts, d) = (
+                message.submission.deadline,
+                message.attempts,
+                message.submission.dispatcher,
+            );
             let evidence = format!(
-                "taken by dispatcher {d}, due at {:.3} s, {connects} calls, no end",
+                "taken by dispatcher {d}, due at {:.3} s, {attempts} calls, no end",
                 due as f64 / 1e9
             );
-            self.broken(at, Rule::Lost, Some(id), evidence);
+            self.violated(at, Rule::Lost, Some(id), evidence);
             // Said once.
-            if let Some(mail) = self.mails.get_mut(&id) {
-                mail.unheard = true;
+            if let Some(message) = self.messages.get_mut(&id) {
+                message.abandoned = true;
             }
         }
-        let due = self.mails.get(&id).map_or(0, |m| m.hand_in.due);
-        self.looks.push(Reverse((due + KEPT, id)));
+        let due = self.messages.get(&id).map_or(0, |m| m.submission.deadline);
+        self.deadline_checks.push(Reverse((due + RETENTION, id)));
     }
 
     fn called(
         &mut self,
         at: Nanos,
-        call: CallNo,
+        call: CallNumber,
         id: MessageId,
         endpoint: EndpointId,
         dispatcher: usize,
-        begun: Nanos,
+        started_at: Nanos,
     ) {
         self.verdict.calls += 1;
         self.calls.insert(
             call,
             Call {
-                mail: id,
+                message: id,
                 endpoint,
                 dispatcher,
             },
         );
-        let slack = self.facts.slack;
+        let slack = self.settings.slack;
         let e = endpoint.0;
         if let Some(since) = self.drains.get(&(dispatcher, endpoint)).copied()
-            && begun > since + self.facts.drain_grace + slack.time
+            && started_at > since + self.settings.drain_grace + slack.time
         {
-            let late = (begun - since) as f64 / 1e9;
+            let late = (started_at - since) as f64 / 1e9;
             let evidence = format!(
                 "sent to endpoint {e} {late:.3} s after dispatcher {dispatcher} was told it drains"
             );
-            self.broken(at, Rule::Drained, Some(id), evidence);
+            self.violated(at, Rule::Drained, Some(id), evidence);
         }
         let (zone, gate) = self
-            .facts
+            .settings
             .endpoints
             .get(e as usize)
             .copied()
@@ -509,18 +557,21 @@
             waits.retain(|w| w.1 > at);
             let wait = waits
                 .iter()
-                .find(|w| begun > w.0 + slack.told && begun + MS < w.1)
+                .find(|w| started_at > w.0 + slack.told && started_at + MS < w.1)
                 .copied();
             if let Some((told, until)) = wait {
-                let (into, left) = ((begun - told) as f64 / 1e9, (until - begun) as f64 / 1e9);
+                let (into, left) = (
+                    (started_at - told) as f64 / 1e9,
+                    (until - started_at) as f64 / 1e9,
+                );
                 let evidence = format!(
                     "sent to endpoint {e} {into:.3} s into a told wait, {left:.3} s before its end"
                 );
-                self.broken(at, Rule::ToldWait, Some(id), evidence);
+                self.violated(at, Rule::ToldWait, Some(id), evidence);
             }
         }
-        let Some(mail) = self.mails.get_mut(&id) else {
-            self.broken(
+        let Some(message) = self.messages.get_mut(&id) else {
+            self.violated(
                 at,
                 Rule::AfterEnd,
                 Some(id),
@@ -529,27 +580,27 @@
             return;
         };
         let (class, due) = (
-            self.facts.classes[mail.hand_in.class].clone(),
-            mail.hand_in.due,
+            self.settings.classes[message.submission.class].clone(),
+            message.submission.deadline,
         );
-        let (earlier, end, key, unheard) = (
-            mail.out.replace(call),
-            mail.end,
-            mail.hand_in.key,
-            mail.unheard,
+        let (earlier, end, key, abandoned) = (
+            message.in_flight.replace(call),
+            message.end,
+            message.submission.key,
+            message.abandoned,
         );
-        mail.connects += 1;
-        mail.spent = None;
-        let ran = mail.ran.first().copied();
-        let last_ran = mail.ran.last().copied();
-        mail.ran.push((call, begun, zone));
-        let home = mail.hand_in.dispatcher;
-        if unheard {
+        message.attempts += 1;
+        message.exhausted_since = None;
+        let ran = message.ran.first().copied();
+        let last_ran = message.ran.last().copied();
+        message.ran.push((call, started_at, zone));
+        let home = message.submission.dispatcher;
+        if abandoned {
             return;
         }
-        if begun > due + slack.time {
-            let late = (begun - due) as f64 / 1e9;
-            self.broken(
+        if started_at > due + slack.time {
+            let late = (started_at - due) as f64 / 1e9;
+            self.violated(
                 at,
                 Rule::AfterEnd,
                 Some(id),
@@ -557,27 +608,32 @@
             );
         }
         match end {
-            Some((End::Relayed, since)) if begun > since + slack.order => {
-                let restarted = self.hosts.get(&home).is_some_and(|h| h.ended_at > since);
+            Some((Ending::Delivered, since)) if started_at > since + slack.order => {
+                let restarted = self
+                    .dispatchers
+                    .get(&home)
+                    .is_some_and(|h| h.ended_at > since);
                 if let (false, Some((answered, _, _))) = (restarted, last_ran) {
-                    self.doubt(at, Doubt::AfterRelayed { by: id, answered });
+                    self.suspicion(at, Suspicion::AfterDelivery { by: id, answered });
                 }
             }
-            Some((how @ (End::Deferred | End::Bounced), since)) if begun > since + slack.time => {
-                let late = (begun - since) as f64 / 1e9;
-                self.broken(
+            Some((how @ (Ending::Rejected | Ending::Failed), since))
+                if started_at > since + slack.time =>
+            {
+                let late = (started_at - since) as f64 / 1e9;
+                self.violated(
                     at,
                     Rule::AfterEnd,
                     Some(id),
-                    format!("sent {late:.3} s after it had been {how:?}"),
+                    format!("sent {late:.3} s after it had been {how}"),
                 );
             }
             _ => {}
         }
         if let Some(earlier) = earlier {
-            self.doubt(
+            self.suspicion(
                 at,
-                Doubt::StillOut {
+                Suspicion::StillInFlight {
                     by: id,
                     earlier,
                     rule: Rule::TwoAtOnce,
@@ -591,11 +647,11 @@
                     Some("it is once-only and an earlier connect may have run".to_string())
                 }
                 DeliverySemantics::IdempotencyKey { window, .. }
-                    if begun >= first + window + slack.time =>
+                    if started_at >= first + window + slack.time =>
                 {
                     Some(format!(
                         "its first connect was sent {:.3} s before",
-                        (begun - first) as f64 / 1e9
+                        (started_at - first) as f64 / 1e9
                     ))
                 }
                 DeliverySemantics::IdempotencyKey {
@@ -610,32 +666,34 @@
                 let out = self
                     .closed
                     .get(&ran.map_or(call, |r| r.0))
-                    .map_or("is out".into(), |c| format!("{c:?}"));
+                    .map_or("is out".into(), |c| {
+                        format!("({}, {:?})", described(c.0), c.1)
+                    });
                 let evidence = format!("sent again, to endpoint {e}: {why}; that connect {out}");
-                self.broken(at, Rule::Repeated, Some(id), evidence);
+                self.violated(at, Rule::Repeated, Some(id), evidence);
             }
         }
         if let Some(key) = key {
-            self.in_order(at, call, id, (dispatcher, key), begun);
+            self.in_order(at, call, id, (dispatcher, key), started_at);
         }
     }
 
     fn in_order(
         &mut self,
         at: Nanos,
-        call: CallNo,
+        call: CallNumber,
         id: MessageId,
         key: (usize, u64),
-        begun: Nanos,
+        started_at: Nanos,
     ) {
-        let slack = self.facts.slack;
+        let slack = self.settings.slack;
         let Some(line) = self.keys.get_mut(&key) else {
             return;
         };
-        let (mut doubts, mut evidence) = (vec![], None);
+        let (mut suspicions, mut evidence) = (vec![], None);
         for (earlier, out) in line.out.iter().map(|(c, m)| (*m, *c)) {
             if earlier != id {
-                doubts.push(Doubt::StillOut {
+                suspicions.push(Suspicion::StillInFlight {
                     by: id,
                     earlier: out,
                     rule: Rule::Order,
@@ -643,11 +701,11 @@
             }
         }
         // Its call may be seen before the answer to its client.
-        let own = line.mails.iter().find(|m| m.0 == id).map_or(at, |m| m.1);
-        for (earlier, taken) in line.mails.iter().take_while(|m| m.0 != id) {
+        let own = line.messages.iter().find(|m| m.0 == id).map_or(at, |m| m.1);
+        for (earlier, taken) in line.messages.iter().take_while(|m| m.0 != id) {
             // Taken at nearly the same time on two connections, either may have been first.
             if taken + slack.order <= own {
-                doubts.push(Doubt::NotEnded {
+                suspicions.push(Suspicion::NotEnded {
                     by: id,
                     earlier: *earlier,
                 });
@@ -655,50 +713,52 @@
         }
         if let Some((until, by)) = line.rest
             && by != id
-            && begun + slack.order / 3 < until
+            && started_at + slack.order / 3 < until
         {
             evidence = Some(format!(
                 "sent {:.3} s before its key's rest was over",
-                (until - begun) as f64 / 1e9
+                (until - started_at) as f64 / 1e9
             ));
         }
         line.out.insert((call, id));
-        doubts.into_iter().for_each(|doubt| self.doubt(at, doubt));
+        suspicions
+            .into_iter()
+            .for_each(|suspicion| self.suspicion(at, suspicion));
         if let Some(evidence) = evidence {
-            self.broken(at, Rule::Order, Some(id), evidence);
+            self.violated(at, Rule::Order, Some(id), evidence);
         }
     }
 
-    fn resolve(&mut self, at: Nanos, doubt: Doubt) {
-        let unheard = |a: &Auditor, m: &MessageId| a.mails.get(m).is_none_or(|m| m.unheard);
-        match doubt {
-            Doubt::StillOut { by, earlier, rule } => {
-                if !self.closed.contains_key(&earlier) && !unheard(self, &by) {
+    fn resolve(&mut self, at: Nanos, suspicion: Suspicion) {
+        let abandoned = |a: &Auditor, m: &MessageId| a.messages.get(m).is_none_or(|m| m.abandoned);
+        match suspicion {
+            Suspicion::StillInFlight { by, earlier, rule } => {
+                if !self.closed.contains_key(&earlier) && !abandoned(self, &by) {
                     let call = self.calls.get(&earlier);
-                    let (mail, e) = call.map_or((0, 0), |c| (c.mail.0, c.endpoint.0));
+                    let (message, e) = call.map_or((0, 0), |c| (c.message.0, c.endpoint.0));
                     let evidence = format!(
-                        "sent while a connect of mail {mail:016x} to endpoint {e} was still out"
+                        "sent while a connect of mail {message:016x} to endpoint {e} was still out"
                     );
-                    self.broken(at, rule, Some(by), evidence);
+                    self.violated(at, rule, Some(by), evidence);
                 }
             }
-            Doubt::NotEnded { by, earlier } => {
+            Suspicion::NotEnded { by, earlier } => {
                 let open = self
-                    .mails
+                    .messages
                     .get(&earlier)
-                    .is_some_and(|m| m.end.is_none() && !m.unheard);
-                if open && !unheard(self, &by) {
+                    .is_some_and(|m| m.end.is_none() && !m.abandoned);
+                if open && !abandoned(self, &by) {
                     let evidence = format!(
                         "sent before mail {:016x} of its key, taken earlier, had ended",
                         earlier.0
                     );
-                    self.broken(at, Rule::Order, Some(by), evidence);
+                    self.violated(at, Rule::Order, Some(by), evidence);
                 }
             }
-            Doubt::AfterRelayed { by, answered } => {
+            Suspicion::AfterDelivery { by, answered } => {
                 let crossed = self.closed.get(&answered).is_some_and(|c| c.1.is_some());
-                if !crossed && !unheard(self, &by) {
-                    self.broken(
+                if !crossed && !abandoned(self, &by) {
+                    self.violated(
                         at,
                         Rule::AfterEnd,
                         Some(by),
@@ -709,16 +769,16 @@
         }
     }
 
-    /// A call has ended: its mail is no more out. Says whose it was.
-    fn call_over(&mut self, at: Nanos, call: CallNo) -> Option<(MessageId, usize)> {
+    /// A call has ended: its message is no more out. Says whose it was.
+    fn call_over(&mut self, at: Nanos, call: CallNumber) -> Option<(MessageId, usize)> {
         let known = self.calls.get(&call)?;
-        let (id, dispatcher) = (known.mail, known.dispatcher);
-        self.forget.push_back((at + KEPT, call));
-        let mail = self.mails.get_mut(&id)?;
-        if mail.out == Some(call) {
-            mail.out = None;
+        let (id, dispatcher) = (known.message, known.dispatcher);
+        self.forget.push_back((at + RETENTION, call));
+        let message = self.messages.get_mut(&id)?;
+        if message.in_flight == Some(call) {
+            message.in_flight = None;
         }
-        if let Some(key) = mail.hand_in.key
+        if let Some(key) = message.submission.key
             && let Some(line) = self.keys.get_mut(&(dispatcher, key))
         {
             line.out.remove(&(call, id));
@@ -726,14 +786,14 @@
         Some((id, dispatcher))
     }
 
-    fn answered(&mut self, at: Nanos, call: CallNo, answer: Answer) {
+    fn answered(&mut self, at: Nanos, call: CallNumber, answer: Answer) {
         self.closed.entry(call).or_default().0 = Some(answer);
         let Some((id, dispatcher)) = self.call_over(at, call) else {
             return;
         };
-        if let (Answer::Full(Some(wait)), Some(known)) = (answer, self.calls.get(&call)) {
+        if let (Answer::RateLimited(Some(wait)), Some(known)) = (answer, self.calls.get(&call)) {
             let gate = self
-                .facts
+                .settings
                 .endpoints
                 .get(known.endpoint.0 as usize)
                 .map_or(usize::MAX, |e| e.1);
@@ -742,21 +802,21 @@
                 .or_default()
                 .push((at, at + wait));
         }
-        let Some(mail) = self.mails.get_mut(&id) else {
+        let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
         match answer {
-            Answer::Full(_) => mail.ran.retain(|r| r.0 != call),
-            Answer::Relayed if mail.end.is_none() => {
-                mail.end = Some((End::Relayed, at));
-                self.leave_line(id);
+            Answer::RateLimited(_) => message.ran.retain(|r| r.0 != call),
+            Answer::Delivered if message.end.is_none() => {
+                message.end = Some((Ending::Delivered, at));
+                self.leave_key_queue(id);
             }
             _ => {}
         }
-        self.weigh(at, id);
+        self.note_exhausted(at, id);
     }
 
-    fn call_broken(&mut self, at: Nanos, call: CallNo) {
+    fn connection_closed(&mut self, at: Nanos, call: CallNumber) {
         let closed = self.closed.entry(call).or_default();
         if closed.1.replace(at).is_some() || closed.0.is_some() {
             return;
@@ -764,49 +824,49 @@
         let Some((id, dispatcher)) = self.call_over(at, call) else {
             return;
         };
-        let rest = self.facts.key_rest;
-        if let Some(key) = self.mails.get(&id).and_then(|m| m.hand_in.key)
+        let rest = self.settings.key_rest;
+        if let Some(key) = self.messages.get(&id).and_then(|m| m.submission.key)
             && let Some(line) = self.keys.get_mut(&(dispatcher, key))
         {
             line.rest = Some((at + rest, id));
         }
-        self.weigh(at, id);
+        self.note_exhausted(at, id);
     }
 
-    /// Notes since when a mail can go nowhere any more.
-    fn weigh(&mut self, at: Nanos, id: MessageId) {
-        let most = self.facts.max_connects;
-        let Some(mail) = self
-            .mails
+    /// Notes since when a message can go nowhere any more.
+    fn note_exhausted(&mut self, at: Nanos, id: MessageId) {
+        let most = self.settings.max_attempts;
+        let Some(message) = self
+            .messages
             .get_mut(&id)
-            .filter(|m| m.end.is_none() && m.out.is_none())
+            .filter(|m| m.end.is_none() && m.in_flight.is_none())
         else {
             return;
         };
-        let forbidden = match self.facts.classes[mail.hand_in.class].semantics {
-            DeliverySemantics::AtMostOnce => !mail.ran.is_empty(),
+        let forbidden = match self.settings.classes[message.submission.class].semantics {
+            DeliverySemantics::AtMostOnce => !message.ran.is_empty(),
             _ => false,
         };
-        if forbidden || mail.connects >= most {
-            mail.spent.get_or_insert(at);
+        if forbidden || message.attempts >= most {
+            message.exhausted_since.get_or_insert(at);
         }
     }
 
-    fn applied(&mut self, at: Nanos, call: CallNo, fresh: bool) {
+    fn applied(&mut self, at: Nanos, call: CallNumber, fresh: bool) {
         self.verdict.applied += 1;
         let Some(known) = self.calls.get(&call) else {
             return;
         };
-        let (id, endpoint) = (known.mail, known.endpoint);
+        let (id, endpoint) = (known.message, known.endpoint);
         if self.closed.contains_key(&call) {
-            self.verdict.applied_unheard += 1;
+            self.verdict.applied_unanswered += 1;
         }
-        let Some(mail) = self.mails.get(&id) else {
+        let Some(message) = self.messages.get(&id) else {
             return;
         };
         let (arrival, repeat) = (
-            mail.hand_in.arrival,
-            self.facts.classes[mail.hand_in.class].semantics,
+            message.submission.arrival,
+            self.settings.classes[message.submission.class].semantics,
         );
         if repeat == DeliverySemantics::Idempotent || !fresh {
             return;
@@ -818,12 +878,12 @@
             .push((id, endpoint, at));
         let effects = &self.effects[&arrival].of;
         // What went out under an id whose client heard nothing counts for nothing.
-        let heard = |m: &MessageId| self.mails.get(m).is_none_or(|m| !m.unheard);
+        let heard = |m: &MessageId| self.messages.get(m).is_none_or(|m| !m.abandoned);
         let count: Vec<&(MessageId, EndpointId, Nanos)> =
             effects.iter().filter(|e| heard(&e.0)).collect();
         if count.len() > 1 && heard(&id) {
             let place = |e: &EndpointId| {
-                self.facts
+                self.settings
                     .endpoints
                     .get(e.0 as usize)
                     .map_or(usize::MAX, |x| x.0)
@@ -840,7 +900,7 @@
                     )
                 })
                 .collect();
-            self.broken(
+            self.violated(
                 at,
                 Rule::EffectTwice,
                 Some(id),
@@ -849,62 +909,69 @@
         }
     }
 
-    fn noticed(&mut self, at: Nanos, id: MessageId, deferred: bool) {
+    fn notified(&mut self, at: Nanos, id: MessageId, deferred: bool) {
         let now = if deferred {
-            End::Deferred
+            Ending::Rejected
         } else {
-            End::Bounced
+            Ending::Failed
         };
-        let slack = self.facts.slack.given_up;
-        let Some(mail) = self.mails.get_mut(&id) else {
+        let slack = self.settings.slack.given_up;
+        let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        let unheard = mail.unheard;
-        match mail.end {
-            Some((End::Relayed, _)) => {}
-            Some((before, _)) if before != now && !unheard => {
-                self.broken(
+        let abandoned = message.abandoned;
+        match message.end {
+            Some((Ending::Delivered, _)) => {}
+            Some((before, _)) if before != now && !abandoned => {
+                self.violated(
                     at,
                     Rule::EndedTwice,
                     Some(id),
-                    format!("{before:?}, and then {now:?}"),
+                    format!("{before}, and then {now}"),
                 );
             }
             Some(_) => {}
             None => {
-                mail.end = Some((now, at));
-                let (spent, dispatcher, due) =
-                    (mail.spent, mail.hand_in.dispatcher, mail.hand_in.due);
-                self.leave_line(id);
-                let host = self.hosts.get(&dispatcher).copied().unwrap_or_default();
+                message.end = Some((now, at));
+                let (exhausted_since, dispatcher, due) = (
+                    message.exhausted_since,
+                    message.submission.dispatcher,
+                    message.submission.deadline,
+                );
+                self.leave_key_queue(id);
+                let state = self
+                    .dispatchers
+                    .get(&dispatcher)
+                    .copied()
+                    .unwrap_or_default();
                 // Time in which the dispatcher was away is not its holding back.
-                let from = spent.map(|s| {
-                    if host.ended_at >= s {
-                        host.ready_since.unwrap_or(at)
+                let from = exhausted_since.map(|s| {
+                    if state.ended_at >= s {
+                        state.ready_since.unwrap_or(at)
                     } else {
                         s
                     }
                 });
-                if let Some(from) = from.filter(|from| at > from + slack && !unheard) {
+                if let Some(from) = from.filter(|from| at > from + slack && !abandoned) {
                     let (held, left) =
                         ((at - from) as f64 / 1e9, due as f64 / 1e9 - at as f64 / 1e9);
                     let evidence = format!(
-                        "could go nowhere any more for {held:.3} s before it was {now:?}, {left:.3} s before its due"
+                        "could go nowhere any more for {held:.3} s before it was {now}, {left:.3} s before its due"
                     );
-                    self.broken(at, Rule::HeldBack, Some(id), evidence);
+                    self.violated(at, Rule::HeldBack, Some(id), evidence);
                 }
             }
         }
     }
 
-    fn leave_line(&mut self, id: MessageId) {
-        let Some(mail) = self.mails.get(&id) else {
+    fn leave_key_queue(&mut self, id: MessageId) {
+        let Some(message) = self.messages.get(&id) else {
             return;
         };
-        if let Some(key) = mail.hand_in.key
-            && let Some(line) = self.keys.get_mut(&(mail.hand_in.dispatcher, key))
+        if let Some(key) = message.submission.key
+            && let Some(line) = self.keys.get_mut(&(message.submission.dispatcher, key))
         {
-            line.mails.retain(|m| m.0 != id);
+            line.messages.retain(|m| m.0 != id);
         }
     }
 }
--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -147,7 +147,7 @@
 
 fn good(runs: &[RunLine]) -> bool {
     runs.iter()
-        .all(|r| r.valid() && r.verdict.kept() && r.faults.is_empty())
+        .all(|r| r.valid() && r.verdict.passed() && r.faults.is_empty())
 }
 
 /// Plays an experiment, says what came of it and writes the report.
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -30,12 +30,12 @@
     ("mails held", open, false),
     (
         "hand-in answered, p50 ms",
-        |r| r.results.hand_in.p50_us as f64 / 1e3,
+        |r| r.results.submission_latency.p50_us as f64 / 1e3,
         false,
     ),
     (
         "hand-in answered, p99 ms",
-        |r| r.results.hand_in.p99_us as f64 / 1e3,
+        |r| r.results.submission_latency.p99_us as f64 / 1e3,
         false,
     ),
     (
@@ -45,7 +45,7 @@
     ),
 ];
 
-/// The processor time of all dispatchers, in microseconds a mail: from where it counts to the end of the load.
+/// The processor time of all dispatchers, in microseconds a message: from where it counts to the end of the load.
 pub fn cpu_us(run: &RunLine) -> f64 {
     let within = |at: f64| at >= run.cost.cpu_from_s && at <= run.load_s;
     let mut cpu = 0.0;
@@ -64,11 +64,11 @@
         .iter()
         .enumerate()
         .filter(|(i, _)| within((*i as f64 + 0.5) * bucket));
-    let mails: u64 = points.map(|(_, p)| p.arrivals).sum();
-    cpu * 1e6 / (mails as f64).max(1.0)
+    let messages: u64 = points.map(|(_, p)| p.arrivals).sum();
+    cpu * 1e6 / (messages as f64).max(1.0)
 }
 
-/// Mails owed their end, on average over the same span.
+/// Messages owed their end, on average over the same span.
 pub fn open(run: &RunLine) -> f64 {
     let open: Vec<f64> = run
         .cost
@@ -101,7 +101,7 @@
                 .map(|p| (p.1 - p.0 - mean).powi(2))
                 .sum::<f64>()
                 / (n - 1.0);
-            // More than nought degrees of freedom.
+            // More than zero degrees of freedom.
             let t =
                 StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
             t * (variance / n).sqrt()
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment: world, load, troubles, seeds and what varies, read from one TOML file and checked whole.
+//! An experiment: world, load, faults, seeds and what varies, read from one TOML file and checked whole.
 
 use crate::spec::*;
 use serde::Deserialize;
@@ -7,15 +7,15 @@
 
 /// One thing that is wrong with an experiment's file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    /// Such as `troubles[1].zone`.
+pub struct InvalidField {
+    /// Such as `faults[1].zone`.
     pub field: String,
     /// Counted from 1; none where the field is missing.
     pub line: Option<usize>,
     pub expected: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for InvalidField {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self.line {
             Some(line) => write!(
@@ -34,7 +34,7 @@
     Unread(PathBuf, std::io::Error),
     /// No TOML, or not of the form: what the reader of TOML says, with line and column.
     Form(PathBuf, String),
-    Faults(PathBuf, Vec<Fault>),
+    InvalidFields(PathBuf, Vec<InvalidField>),
 }
 
 impl std::fmt::Display for BadExperiment {
@@ -42,7 +42,7 @@
         match self {
             BadExperiment::Unread(path, e) => write!(f, "{}: {e}", path.display()),
             BadExperiment::Form(path, e) => write!(f, "{}: {}", path.display(), e.trim_end()),
-            BadExperiment::Faults(path, faults) => {
+            BadExperiment::InvalidFields(path, faults) => {
                 let lines: Vec<String> = faults
                     .iter()
                     .map(|fault| format!("{}: {fault}", path.display()))
@@ -97,7 +97,7 @@
     }
 }
 
-/// Sets a field such as `load.rate` or `troubles[0].share`. False: its place does not exist.
+/// Sets a field such as `load.rate` or `faults[0].share`. False: its place does not exist.
 fn set(table: &mut Table, field: &str, value: &Value) -> bool {
     let (head, rest) = field
         .split_once('.')
@@ -126,7 +126,7 @@
     }
 }
 
-/// The line on which a field such as `troubles[1].zone` stands, or the nearest thing around it.
+/// The line on which a field such as `faults[1].zone` stands, or the nearest thing around it.
 fn line_of(text: &str, field: &str) -> Option<usize> {
     use toml::de::{DeTable, DeValue};
     let whole = DeTable::parse(text).ok()?;
@@ -201,12 +201,12 @@
         let expected = "the name of another experiment's file, beside this one, four deep at most";
         let fault = || {
             let line = line_of(&texts[0].1, "base");
-            let fault = Fault {
+            let fault = InvalidField {
                 field: "base".into(),
                 line,
                 expected: expected.into(),
             };
-            BadExperiment::Faults(path.into(), vec![fault])
+            BadExperiment::InvalidFields(path.into(), vec![fault])
         };
         let name = base.as_str().filter(|_| depth < DEPTH).ok_or_else(fault)?;
         let under = path.parent().unwrap_or(Path::new("")).join(name);
@@ -290,7 +290,7 @@
             .filter(|p| p.0 != path)
             .map(|p| format!(" (in {})", p.0.display()));
         let expected = format!("{expected}{}", in_other.unwrap_or_default());
-        faults.push(Fault {
+        faults.push(InvalidField {
             field: field.into(),
             line,
             expected,
@@ -345,7 +345,7 @@
         }
     }
     // What is wrong in each variant is said once.
-    let mut said: Vec<Fault> = Vec::new();
+    let mut said: Vec<InvalidField> = Vec::new();
     faults.into_iter().for_each(|fault| {
         if !said.contains(&fault) {
             said.push(fault)
@@ -359,6 +359,6 @@
             variants,
         })
     } else {
-        Err(BadExperiment::Faults(path.into(), said))
+        Err(BadExperiment::InvalidFields(path.into(), said))
     }
 }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,9 +1,9 @@
 //! Where all that is seen goes: to the auditor and to the measurements, in one order of time.
 
-use crate::audit::{Auditor, Facts, Slack, Verdict};
+use crate::audit::{AuditSettings, Auditor, Slack, Verdict};
 use crate::load::Arrival;
 use crate::measure::{Measure, Results};
-use crate::record::{CallNo, Seen};
+use crate::record::{CallNumber, Observation};
 use crate::world::plan::*;
 use bellsill_core::interface::Nanos;
 
@@ -15,14 +15,14 @@
 }
 
 /// What the auditor must know of the world of this plan.
-pub fn facts(plan: &Plan, slack: Slack) -> Facts {
+pub fn audit_settings(plan: &Plan, slack: Slack) -> AuditSettings {
     let r = &plan.spec.rules;
-    Facts {
-        classes: plan.boot_facts(0, 0).classes,
+    AuditSettings {
+        classes: plan.dispatcher_settings(0, 0).classes,
         endpoints: plan.endpoints.iter().map(|e| (e.zone, e.gate)).collect(),
         drain_grace: ms(r.drain_grace_ms),
         key_rest: ms(r.key_rest_ms),
-        max_connects: plan.spec.dispatchers.max_connects,
+        max_attempts: plan.spec.dispatchers.max_connects,
         slack,
     }
 }
@@ -30,24 +30,24 @@
 impl Ledger {
     pub fn new(plan: &Plan, slack: Slack) -> Ledger {
         Ledger {
-            audit: Auditor::new(facts(plan, slack)),
+            audit: Auditor::new(audit_settings(plan, slack)),
             measure: Measure::new(plan),
             calls: 0,
             at: 0,
         }
     }
 
-    pub fn call_no(&mut self) -> CallNo {
+    pub fn next_call_number(&mut self) -> CallNumber {
         self.calls += 1;
-        CallNo(self.calls)
+        CallNumber(self.calls)
     }
 
-    pub fn see(&mut self, at: Nanos, seen: Seen) {
+    pub fn observe(&mut self, at: Nanos, observation: Observation) {
         // Two tasks may have looked at the clock in another order than they come here.
         self.at = self.at.max(at);
-        tracing::trace!(at = self.at, ?seen);
-        self.audit.see(self.at, &seen);
-        self.measure.see(self.at, &seen);
+        tracing::trace!(at = self.at, ?observation);
+        self.audit.observe(self.at, &observation);
+        self.measure.observe(self.at, &observation);
     }
 
     pub fn arrived(&mut self, arrival: &Arrival) {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! The load: mails as they are drawn ahead from the seed, and what clients do with an answer. Open loop: nothing here
-//! waits for an answer before the next mail, and times count from the intended moment.
+//! The load: messages as they are drawn ahead from the seed, and what clients do with an answer. Open loop: nothing here
+//! waits for an answer before the next message, and times count from the intended moment.
 
 use crate::world::plan::*;
 use bellsill_core::interface::{MessageId, Nanos};
@@ -7,10 +7,10 @@
 use rand_distr::{Distribution, Exp1, weighted::WeightedIndex};
 use rand_pcg::Pcg64Mcg;
 
-/// A mail that a client means to hand in.
+/// A message that a client means to hand in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Counted from nought; also what its repeats are known by.
+    /// Counted from zero; also what its repeats are known by.
     pub no: u64,
     pub at: Nanos,
     pub class: usize,
@@ -22,12 +22,15 @@
 /// Ids name the arrival and how often it had been handed in before.
 const TRIES: u64 = 16;
 
-pub fn mail_id(arrival: u64, tries: u32) -> MessageId {
+pub fn message_id(arrival: u64, tries: u32) -> MessageId {
     MessageId((arrival + 1) * TRIES + u64::from(tries))
 }
-/// The arrival of a mail, and how often it had been handed in before.
-pub fn arrival_of(mail: MessageId) -> (u64, u32) {
-    ((mail.0 / TRIES).saturating_sub(1), (mail.0 % TRIES) as u32)
+/// The arrival of a message, and how often it had been handed in before.
+pub fn arrival_of(message: MessageId) -> (u64, u32) {
+    (
+        (message.0 / TRIES).saturating_sub(1),
+        (message.0 % TRIES) as u32,
+    )
 }
 
 /// All arrivals of a run in order of time.
@@ -42,26 +45,26 @@
     burst: (usize, usize),
     /// Drawn and not handed out yet: when, and its destination.
     ahead: Option<(Nanos, usize)>,
-    /// What clumps bring, the next one last.
-    clumps: Vec<(Nanos, usize)>,
+    /// What bursts bring, the next one last.
+    bursts: Vec<(Nanos, usize)>,
     next: u64,
 }
 
 impl Arrivals {
     pub fn new(plan: &Plan) -> Arrivals {
         let shares = plan.spec.classes.iter().map(|c| c.share);
-        // The shares were checked: none is negative, not all are nought.
+        // The shares were checked: none is negative, not all are zero.
         let index = |w: Vec<f64>| WeightedIndex::new(w).expect("shares that are not all nought");
-        let clump = |c: &crate::spec::Clump| {
-            let (at, space, to) = (c.at_s, c.over_s / c.mails.max(1) as f64, c.destination);
-            (0..c.mails)
+        let burst = |c: &crate::spec::Burst| {
+            let (at, space, to) = (c.at_s, c.over_s / c.messages.max(1) as f64, c.destination);
+            (0..c.messages)
                 .map(move |i| (START + secs(at + space * i as f64), to))
                 .collect::<Vec<_>>()
         };
-        let mut clumps: Vec<(Nanos, usize)> =
-            plan.spec.load.clumps.iter().flat_map(clump).collect();
-        clumps.retain(|c| c.0 < plan.load_until);
-        clumps.sort_by_key(|c| std::cmp::Reverse(*c));
+        let mut bursts: Vec<(Nanos, usize)> =
+            plan.spec.load.bursts.iter().flat_map(burst).collect();
+        bursts.retain(|c| c.0 < plan.load_until);
+        bursts.sort_by_key(|c| std::cmp::Reverse(*c));
         Arrivals {
             rng: Pcg64Mcg::seed_from_u64(plan.seed ^ 0x6c6f_6164),
             classes: index(shares.collect()),
@@ -76,7 +79,7 @@
             at: START as f64,
             burst: (0, 0),
             ahead: None,
-            clumps,
+            bursts,
             next: 0,
             plan: plan.clone(),
         }
@@ -167,28 +170,28 @@
 
     fn next(&mut self) -> Option<Arrival> {
         self.ahead = self.ahead.take().or_else(|| self.draw());
-        let first = match (self.ahead, self.clumps.last().copied()) {
-            (Some(ahead), Some(clump)) if clump.0 < ahead.0 => self.clumps.pop(),
-            (None, Some(_)) => self.clumps.pop(),
+        let first = match (self.ahead, self.bursts.last().copied()) {
+            (Some(ahead), Some(burst)) if burst.0 < ahead.0 => self.bursts.pop(),
+            (None, Some(_)) => self.bursts.pop(),
             _ => self.ahead.take(),
         };
         first.map(|(at, destination)| self.arrival(at, destination))
     }
 }
 
-/// Why a client may hand a mail in again.
+/// Why a client may hand a message in again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Back {
+pub enum RetryReason {
     /// Turned away or deferred; the time to come back if one was told.
-    Refused(Option<Nanos>),
+    Rejected(Option<Nanos>),
     /// No connection, or no answer in time: another dispatcher is tried.
     NoAnswer,
 }
 
-impl Back {
-    /// After a deferral; nought tells no time.
-    pub fn deferred(come_back: Nanos) -> Back {
-        Back::Refused(Some(come_back).filter(|wait| *wait > 0))
+impl RetryReason {
+    /// After a deferral; zero tells no time.
+    pub fn rejected_after(come_back: Nanos) -> RetryReason {
+        RetryReason::Rejected(Some(come_back).filter(|wait| *wait > 0))
     }
 }
 
@@ -197,20 +200,20 @@
     arrival.at + ms(plan.spec.classes[arrival.class].lifetime_ms)
 }
 
-/// When a client hands a mail in again and at which dispatcher, if it still may.
+/// When a client hands a message in again and at which dispatcher, if it still may.
 pub fn again(
     plan: &Plan,
     arrival: &Arrival,
     tries: u32,
-    back: Back,
+    back: RetryReason,
     now: Nanos,
 ) -> Option<(Nanos, usize)> {
     let load = &plan.spec.load;
     let drawn = draw(plan.seed, arrival.no, u64::from(tries), 11);
     let pause = ms(between(load.retry_ms, drawn));
     let (wait, dispatcher) = match back {
-        Back::Refused(told) => (told.unwrap_or(pause).max(MS), arrival.dispatcher),
-        Back::NoAnswer => (
+        RetryReason::Rejected(told) => (told.unwrap_or(pause).max(MS), arrival.dispatcher),
+        RetryReason::NoAnswer => (
             pause,
             (arrival.dispatcher + tries as usize + 1) % plan.spec.dispatchers.count,
         ),
@@ -219,7 +222,7 @@
         .then_some((now + wait, dispatcher))
 }
 
-/// What a mail that is relayed so long after its intended hand-in is worth; 1 is in time.
+/// What a message that is relayed so long after its intended hand-in is worth; 1 is in time.
 pub fn worth(class: &crate::spec::Class, delay: Nanos) -> f64 {
     let (late, target) = (delay as f64 / 1e6 - class.target_ms, class.target_ms);
     match () {
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,5 +1,5 @@
 //! What a run comes to: delivered importance over time, latencies with their whole distribution, and counts. Fed with the
-//! same [`Seen`] as the auditor. Times count from the moment at which a mail was meant to be handed in first.
+//! same [`Observation`] as the auditor. Times count from the moment at which a message was meant to be handed in first.
 
 use crate::load::{Arrival, arrival_of, worth};
 use crate::record::*;
@@ -91,7 +91,7 @@
 /// One point of the curves; counts of what happened in the span, importance by the moment of the intended hand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Mails that were meant to be handed in for the first time.
+    /// Messages that were meant to be handed in for the first time.
     pub arrivals: u64,
     pub asked: f64,
     pub delivered: f64,
@@ -117,14 +117,15 @@
     pub worst_class: f64,
     pub classes: Vec<ClassResult>,
     /// From the intended hand-in to the dispatcher's answer to it.
-    pub hand_in: Spread,
+    #[serde(rename = "hand_in")]
+    pub submission_latency: Spread,
     pub points: Vec<Point>,
     pub calls: u64,
     pub refused: u64,
     pub opened: u64,
     pub turned_away: u64,
     pub no_answer: u64,
-    /// The largest number of calls of any endpoint, over the mean of its destination's endpoints; nought with no calls.
+    /// The largest number of calls of any endpoint, over the mean of its destination's endpoints; zero with no calls.
     #[serde(default)]
     pub largest_over_mean: f64,
 }
@@ -138,13 +139,13 @@
 pub struct Measure {
     classes: Vec<Class>,
     arrivals: Vec<State>,
-    calls: HashMap<CallNo, MessageId>,
+    calls: HashMap<CallNumber, MessageId>,
     unheard: HashSet<MessageId>,
     /// Calls by endpoint, and the destination of each endpoint.
     calls_by_endpoint: Vec<u64>,
     destinations: Vec<usize>,
     latency: Vec<Histogram<u64>>,
-    hand_in: Histogram<u64>,
+    submission_latency: Histogram<u64>,
     results: Results,
 }
 
@@ -158,7 +159,7 @@
         };
         Measure {
             latency: classes.iter().map(|_| histogram()).collect(),
-            hand_in: histogram(),
+            submission_latency: histogram(),
             arrivals: vec![],
             calls: HashMap::new(),
             unheard: HashSet::new(),
@@ -203,35 +204,35 @@
         self.point(at).opened += 1;
     }
 
-    fn meant_at(&self, mail: MessageId) -> Option<(Nanos, usize)> {
+    fn meant_at(&self, message: MessageId) -> Option<(Nanos, usize)> {
         self.arrivals
-            .get(arrival_of(mail).0 as usize)
+            .get(arrival_of(message).0 as usize)
             .map(|a| (a.at, a.class as usize))
     }
 
     /// An answer to a hand-in has come, so long after it was meant to be made.
-    pub fn hand_in_answered(&mut self, span: Nanos) {
-        record(&mut self.hand_in, span);
+    pub fn submission_answered(&mut self, span: Nanos) {
+        record(&mut self.submission_latency, span);
     }
 
-    pub fn see(&mut self, at: Nanos, seen: &Seen) {
-        match seen {
-            Seen::HandedIn(_) => self.results.handed_in += 1,
-            Seen::TurnedAway { .. } => {
+    pub fn observe(&mut self, at: Nanos, observation: &Observation) {
+        match observation {
+            Observation::Submitted(_) => self.results.handed_in += 1,
+            Observation::Rejected { .. } => {
                 self.results.turned_away += 1;
                 self.point(at).turned_away += 1;
             }
-            Seen::Unheard { mail } => {
+            Observation::Abandoned { message } => {
                 self.results.no_answer += 1;
-                self.unheard.insert(*mail);
+                self.unheard.insert(*message);
             }
-            Seen::Call {
+            Observation::Call {
                 call,
-                mail,
+                message,
                 endpoint,
                 ..
             } => {
-                self.calls.insert(*call, *mail);
+                self.calls.insert(*call, *message);
                 // Endpoints that come later in a run are not compared: they had less time.
                 if let Some(calls) = self.calls_by_endpoint.get_mut(endpoint.0 as usize) {
                     *calls += 1;
@@ -239,22 +240,27 @@
                 self.results.calls += 1;
                 self.point(at).calls += 1;
             }
-            Seen::Answered { call, answer } => {
-                let mail = self.calls.remove(call);
+            Observation::Answered { call, answer } => {
+                let message = self.calls.remove(call);
                 match answer {
-                    Answer::Full(_) => {
+                    Answer::RateLimited(_) => {
                         self.results.refused += 1;
                         self.point(at).refused += 1;
                     }
-                    Answer::Errored | Answer::Spoilt => self.point(at).errors += 1,
-                    Answer::Relayed => mail.into_iter().for_each(|mail| self.relayed(at, mail)),
+                    Answer::ServerError | Answer::Malformed => self.point(at).errors += 1,
+                    Answer::Delivered => message
+                        .into_iter()
+                        .for_each(|message| self.relayed(at, message)),
                 }
             }
-            Seen::Broken { call, .. } if self.calls.remove(call).is_some() => {
+            Observation::ConnectionClosed { call, .. } if self.calls.remove(call).is_some() => {
                 self.point(at).unanswered += 1
             }
-            Seen::Notice { mail, deferred } => {
-                let Some((_, class)) = self.meant_at(*mail) else {
+            Observation::Notified {
+                message,
+                retry_after: deferred,
+            } => {
+                let Some((_, class)) = self.meant_at(*message) else {
                     return;
                 };
                 match deferred {
@@ -272,11 +278,11 @@
         }
     }
 
-    fn relayed(&mut self, at: Nanos, mail: MessageId) {
-        let Some(state) = self.arrivals.get_mut(arrival_of(mail).0 as usize) else {
+    fn relayed(&mut self, at: Nanos, message: MessageId) {
+        let Some(state) = self.arrivals.get_mut(arrival_of(message).0 as usize) else {
             return;
         };
-        if self.unheard.contains(&mail) || std::mem::replace(&mut state.relayed, true) {
+        if self.unheard.contains(&message) || std::mem::replace(&mut state.relayed, true) {
             return;
         }
         let (meant, class) = (state.at, state.class as usize);
@@ -313,7 +319,7 @@
         for (row, h) in r.classes.iter_mut().zip(&self.latency) {
             row.latency = Spread::of(h);
         }
-        r.hand_in = Spread::of(&self.hand_in);
+        r.submission_latency = Spread::of(&self.submission_latency);
         (r.asked, r.delivered) = r
             .points
             .iter()
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,109 +1,147 @@
-//! What really passed between clients, dispatchers, endpoints and the platform, as it was seen from outside: the auditor
-//! and the measurements know nothing else.
+//! What passed between clients, dispatchers, endpoints and the platform, as observed from outside: the auditor and the
+//! measurements know nothing else.
 
-use crate::load::{Arrival, mail_id};
+use crate::load::{Arrival, message_id};
 use crate::world::Answer;
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 
 /// Counts the calls of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CallNo(pub u64);
+pub struct CallNumber(pub u64);
 
+/// One event of a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
-    /// A client hands a mail in; what it was first drawn for is `arrival`, the same when it is handed in again.
-    HandedIn(HandIn),
-    /// The dispatcher owes the mail its end.
-    Taken {
-        mail: MessageId,
+pub enum Observation {
+    /// A client submits a message.
+    Submitted(Submission),
+    /// The dispatcher has accepted the message and has to bring it to an end.
+    Accepted {
+        /// The message.
+        message: MessageId,
     },
-    /// Refused, with the time to come back if one was told.
-    TurnedAway {
-        mail: MessageId,
-        come_back: Option<Nanos>,
+    /// The dispatcher rejected the submission.
+    Rejected {
+        /// The message.
+        message: MessageId,
+        /// When the client may submit it again, if the dispatcher said so.
+        retry_after: Option<Nanos>,
     },
-    /// The client has stopped waiting for the answer: what becomes of the mail counts for nothing.
-    Unheard {
-        mail: MessageId,
+    /// The client has stopped waiting for the answer: what becomes of the message counts for nothing.
+    Abandoned {
+        /// The message.
+        message: MessageId,
     },
-    /// The last byte of a call has come to an endpoint; its first one was sent at `begun`.
+    /// The last byte of a call has come to an endpoint.
     Call {
-        call: CallNo,
-        mail: MessageId,
+        /// The call.
+        call: CallNumber,
+        /// The message that it carries.
+        message: MessageId,
+        /// Where it came in.
         endpoint: EndpointId,
+        /// Who sent it.
         dispatcher: usize,
-        begun: Nanos,
+        /// When its first byte was sent.
+        started_at: Nanos,
+        /// False: the connection broke and the call never ran.
         fresh: bool,
     },
     /// What the endpoint wrote.
     Answered {
-        call: CallNo,
+        /// The call.
+        call: CallNumber,
+        /// Its answer.
         answer: Answer,
     },
-    /// The dispatcher has closed the call's connection, or its endpoint has.
-    Broken {
-        call: CallNo,
+    /// The connection of a call was closed.
+    ConnectionClosed {
+        /// The call.
+        call: CallNumber,
+        /// Whether the endpoint closed it rather than the dispatcher.
         by_endpoint: bool,
     },
+    /// A call took effect.
     Applied {
-        call: CallNo,
+        /// The call.
+        call: CallNumber,
+        /// False: the endpoint dropped it as a repeat.
         fresh: bool,
     },
-    /// The platform is told an end: deferred with the time to come back, or bounced.
-    Notice {
-        mail: MessageId,
-        deferred: Option<Nanos>,
+    /// The platform is notified that an accepted message was rejected (with the time to come back) or has failed.
+    Notified {
+        /// The message.
+        message: MessageId,
+        /// Some: rejected. None: failed.
+        retry_after: Option<Nanos>,
     },
-    /// The list is told to a dispatcher.
-    Listed {
+    /// A dispatcher learns of a change of the endpoint list.
+    EndpointListed {
+        /// The dispatcher.
         dispatcher: usize,
+        /// The endpoint that changed.
         endpoint: EndpointId,
+        /// False: it is draining or removed.
         serving: bool,
     },
-    /// A dispatcher's process has begun, or ended; from `Ended` on its connections are closed.
+    /// A dispatcher's process has started.
     Started {
+        /// The dispatcher.
         dispatcher: usize,
     },
-    Ended {
+    /// A dispatcher's process has stopped: from here on its connections are closed.
+    Stopped {
+        /// The dispatcher.
         dispatcher: usize,
     },
-    /// A dispatcher takes mails from now on.
+    /// A dispatcher accepts messages from now on.
     Ready {
+        /// The dispatcher.
         dispatcher: usize,
     },
-    Tipped {
+    /// A cold endpoint collapsed under its calls.
+    Overloaded {
+        /// The endpoint.
         endpoint: EndpointId,
-        knowing: usize,
-        all: usize,
+        /// Its last calls that came from dispatchers which had seen its outage.
+        informed_calls: usize,
+        /// All of its last calls.
+        all_calls: usize,
     },
 }
 
+/// A message as a client submits it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HandIn {
-    pub mail: MessageId,
+pub struct Submission {
+    /// Its id in this submission.
+    pub message: MessageId,
+    /// What it was first drawn for; the same when it is submitted again.
     pub arrival: u64,
+    /// Its queue class.
     pub class: usize,
+    /// The destination it is for.
     pub destination: usize,
+    /// Messages of one key go in order.
     pub key: Option<u64>,
+    /// To which dispatcher it goes.
     pub dispatcher: usize,
     /// When its queue lifetime is up.
-    pub due: Nanos,
-    /// It never took effect as far as its client was told: what it was under other ids counts.
-    pub again: bool,
+    pub deadline: Nanos,
+    /// An earlier submission was not delivered, as far as the client knows: what became of it under other ids counts.
+    pub resubmitted: bool,
 }
 
-impl HandIn {
-    /// An arrival as it is handed in, after so many tries before.
-    pub fn of(arrival: &Arrival, tries: u32, dispatcher: usize, due: Nanos) -> HandIn {
-        HandIn {
-            mail: mail_id(arrival.no, tries),
+impl Submission {
+    /// An arrival as it is submitted after this many earlier attempts.
+    pub fn new(arrival: &Arrival, attempts: u32, dispatcher: usize, deadline: Nanos) -> Submission {
+        Submission {
+            message: message_id(arrival.no, attempts),
             arrival: arrival.no,
             class: arrival.class,
             destination: arrival.destination,
             key: arrival.key,
             dispatcher,
-            due,
-            again: tries > 0,
+            deadline,
+            resubmitted: attempts > 0,
         }
     }
 }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -211,7 +211,7 @@
         }
     );
     let marks: Vec<String> = first
-        .troubles
+        .injected_faults
         .iter()
         .map(|m| {
             format!(
@@ -249,7 +249,7 @@
     }
     text += &sweeps(&valid)?;
     let spans: Vec<Span> = first
-        .troubles
+        .injected_faults
         .iter()
         .map(|m| Span {
             name: format!("{:?}", m.what),
@@ -264,20 +264,20 @@
 }
 
 fn verdicts(runs: &[RunLine]) -> String {
-    let broken: Vec<&RunLine> = runs.iter().filter(|r| !r.verdict.kept()).collect();
+    let broken: Vec<&RunLine> = runs.iter().filter(|r| !r.verdict.passed()).collect();
     if broken.is_empty() {
-        let (mails, calls) = runs.iter().fold((0, 0), |s, r| {
-            (s.0 + r.verdict.mails, s.1 + r.verdict.calls)
+        let (messages, calls) = runs.iter().fold((0, 0), |s, r| {
+            (s.0 + r.verdict.messages, s.1 + r.verdict.calls)
         });
         return format!(
-            "<p class=\"good\">The six rules were kept, over {mails} mails handed in and {calls} calls.</p>"
+            "<p class=\"good\">The six rules were kept, over {messages} mails handed in and {calls} calls.</p>"
         );
     }
     let mut text = String::new();
     for run in broken {
         let counts: Vec<String> = run
             .verdict
-            .breaks
+            .violations
             .iter()
             .map(|(rule, n)| format!("{rule:?} {n} times"))
             .collect();
@@ -287,7 +287,7 @@
             run.seed,
             escape(&counts.join(", "))
         );
-        for words in run.verdict.words.iter().take(20) {
+        for words in run.verdict.samples.iter().take(20) {
             text += &format!("<li>{}</li>", escape(&words.to_string()));
         }
         text += "</ul></div>";
@@ -527,8 +527,8 @@
             });
         }
     }
-    if first.results.hand_in.max_us > 1 {
-        let points = latency(&first.results.hand_in);
+    if first.results.submission_latency.max_us > 1 {
+        let points = latency(&first.results.submission_latency);
         lines.push(Line {
             name: "answer to the hand-in".into(),
             colour: 7,
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -3,7 +3,7 @@
 use crate::audit::Verdict;
 use crate::experiment::{Experiment, Variant};
 use crate::measure::Results;
-use crate::spec::{Drive, TroubleKind};
+use crate::spec::{Drive, FaultKind};
 use crate::world::ReturnLoad;
 use crate::world::plan::*;
 use crate::{sockets, virtual_time};
@@ -14,10 +14,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// A trouble as a report marks it.
+/// A fault as a report marks it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Mark {
-    pub what: TroubleKind,
+pub struct FaultMark {
+    pub what: FaultKind,
     pub whom: String,
     pub from_s: f64,
     pub to_s: f64,
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
     pub wall_s: f64,
-    /// Of the laboratory's own process.
+    /// Of the testbed's own process.
     pub peak_mb: f64,
     /// How late the generator was, in milliseconds: at its 99th percentile and at worst.
     pub late_p99_ms: f64,
     pub late_max_ms: f64,
     pub usage: Vec<Usage>,
-    /// Mails owed their end, at seconds of the run; sockets only.
+    /// Messages owed their end, at seconds of the run; sockets only.
     pub open: Vec<(f64, usize)>,
     /// From which second on processor time counts.
     pub cpu_from_s: f64,
@@ -68,7 +68,8 @@
     pub endpoints: usize,
     pub load_s: f64,
     pub rate: f64,
-    pub troubles: Vec<Mark>,
+    #[serde(rename = "troubles")]
+    pub injected_faults: Vec<FaultMark>,
     pub results: Results,
     pub verdict: Verdict,
     pub returns: Vec<ReturnLoad>,
@@ -95,8 +96,8 @@
     pub quiet: bool,
 }
 
-fn marks(variant: &Variant) -> Vec<Mark> {
-    let mark = |t: &crate::spec::Trouble| Mark {
+fn marks(variant: &Variant) -> Vec<FaultMark> {
+    let mark = |t: &crate::spec::Fault| FaultMark {
         what: t.what,
         whom: match (&t.zone, t.destination, t.endpoint, t.dispatcher, t.share) {
             (Some(zone), ..) => zone.clone(),
@@ -109,7 +110,7 @@
         from_s: t.from_s,
         to_s: t.to_s,
     };
-    variant.spec.troubles.iter().map(mark).collect()
+    variant.spec.faults.iter().map(mark).collect()
 }
 
 /// The most memory that this process ever held, in megabytes.
@@ -146,7 +147,7 @@
         endpoints: plan.endpoints.len(),
         load_s: variant.spec.run.seconds,
         rate: variant.spec.load.rate,
-        troubles: marks(variant),
+        injected_faults: marks(variant),
         results: Results::default(),
         verdict: Verdict::default(),
         returns: vec![],
@@ -177,7 +178,7 @@
     Ok(line)
 }
 
-/// The checksum of a program's file, read in pieces; nought where there is none.
+/// The checksum of a program's file, read in pieces; zero where there is none.
 fn checksum(path: std::io::Result<PathBuf>) -> u32 {
     let mut hash = crc32fast::Hasher::new();
     let mut piece = vec![0; 1 << 16];
@@ -189,7 +190,7 @@
     hash.finalize()
 }
 
-/// Names all that the runs of a variant are made of but their seeds. Another build, of the dispatcher or of the laboratory
+/// Names all that the runs of a variant are made of but their seeds. Another build, of the dispatcher or of the testbed
 /// (`own` is its checksum), makes another run.
 fn print(variant: &Variant, how: &How, own: u32) -> String {
     let drive = how.drive.unwrap_or(variant.spec.run.drive);
@@ -209,7 +210,7 @@
         let line = line.with_context(|| path.display().to_string())?;
         match serde_json::from_str(&line) {
             Ok(run) => runs.push(run),
-            // A line that was being written when the laboratory was killed.
+            // A line that was being written when the testbed was killed.
             Err(e) if e.is_eof() => {
                 tracing::warn!("{}: line {} is cut off and skipped", path.display(), i + 1)
             }
@@ -315,16 +316,16 @@
             c.deferred
         );
     }
-    if run.verdict.kept() {
+    if run.verdict.passed() {
         text += &format!(
             "\n  rules kept, {} effects in {} calls",
             run.verdict.applied, run.verdict.calls
         );
     }
-    for (rule, count) in &run.verdict.breaks {
+    for (rule, count) in &run.verdict.violations {
         text += &format!("\n  RULE BROKEN {rule:?}: {count} times");
     }
-    for words in run.verdict.words.iter().take(5) {
+    for words in run.verdict.samples.iter().take(5) {
         text += &format!("\n    {words}");
     }
     for fault in run.faults.iter().take(5) {
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -1,9 +1,9 @@
 //! Stand-ins for clients: RESP2, open loop. A hand-in starts when it was meant to; it waits for nobody else's answer.
 
 use super::{Handed, Shared};
-use crate::load::{Arrival, Back, again, due, mail_id};
+use crate::load::{Arrival, RetryReason, again, due, message_id};
 use crate::record::*;
-use crate::spec::RepeatWord;
+use crate::spec::Repeat;
 use crate::world::plan::*;
 use bellsill_core::interface::Nanos;
 use std::rc::Rc;
@@ -16,9 +16,9 @@
 #[derive(Default)]
 pub(super) struct Pool(Vec<TcpStream>);
 
-/// The tag and the body that a mail goes out with, and must come with.
+/// The tag and the body that a message goes out with, and must come with.
 pub(super) fn content(plan: &Plan, arrival: &Arrival) -> (String, Vec<u8>) {
-    let tagged = plan.spec.classes[arrival.class].repeat == RepeatWord::Tagged;
+    let tagged = plan.spec.classes[arrival.class].repeat == Repeat::Tagged;
     let tag = if tagged {
         format!("{:016x}", arrival.no + 1)
     } else {
@@ -40,11 +40,11 @@
             s.pending += 1;
         }
         let dispatcher = arrival.dispatcher;
-        tokio::task::spawn_local(hand_in(shared.clone(), Rc::new(arrival), 0, dispatcher));
+        tokio::task::spawn_local(submission(shared.clone(), Rc::new(arrival), 0, dispatcher));
     }
 }
 
-/// Hands a mail in again at a later moment.
+/// Hands a message in again at a later moment.
 pub(super) fn later(
     shared: &Rc<Shared>,
     arrival: Rc<Arrival>,
@@ -56,7 +56,7 @@
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
         tokio::time::sleep_until(shared.instant(at)).await;
-        hand_in(shared, arrival, tries, dispatcher).await;
+        submission(shared, arrival, tries, dispatcher).await;
     });
 }
 
@@ -69,7 +69,7 @@
     Nothing,
 }
 
-async fn hand_in(shared: Rc<Shared>, arrival: Rc<Arrival>, tries: u32, dispatcher: usize) {
+async fn submission(shared: Rc<Shared>, arrival: Rc<Arrival>, tries: u32, dispatcher: usize) {
     let back = put(&shared, &arrival, tries, dispatcher).await;
     let next = shared.with(|s| {
         s.pending -= 1;
@@ -81,20 +81,20 @@
     }
 }
 
-/// Hands a mail in once. What the client goes by if it is to come back.
+/// Hands a message in once. What the client goes by if it is to come back.
 async fn put(
     shared: &Rc<Shared>,
     arrival: &Rc<Arrival>,
     tries: u32,
     dispatcher: usize,
-) -> Option<Back> {
+) -> Option<RetryReason> {
     let meant = if tries == 0 { arrival.at } else { shared.now() };
-    let mail = mail_id(arrival.no, tries);
+    let message = message_id(arrival.no, tries);
     let mut stream = match pooled(shared, dispatcher) {
         Some(stream) => (stream, true),
         None => match connect(shared, dispatcher).await {
             Some(stream) => (stream, false),
-            None => return Some(Back::NoAnswer),
+            None => return Some(RetryReason::NoAnswer),
         },
     };
     let (command, wait) = {
@@ -105,15 +105,15 @@
             return None;
         }
         let (tag, body) = content(&s.world.plan, arrival);
-        let hand_in = HandIn::of(arrival, tries, dispatcher, now + left * MS);
-        s.mails.insert(
-            mail,
+        let submission = Submission::new(arrival, tries, dispatcher, now + left * MS);
+        s.messages.insert(
+            message,
             Handed {
                 dispatcher,
                 arrival: Rc::clone(arrival),
             },
         );
-        s.see(Seen::HandedIn(hand_in));
+        s.observe(Observation::Submitted(submission));
         let class = &s.world.plan.spec.classes[arrival.class].name;
         let mut fields = format!("c={class},d={left},dest={}", arrival.destination);
         if !tag.is_empty() {
@@ -125,7 +125,7 @@
         let words: [&[u8]; 5] = [
             b"MSG.PUT",
             &format!("{:016x}", arrival.key.unwrap_or(0)).into_bytes(),
-            &format!("{:016x}", mail.0).into_bytes(),
+            &format!("{:016x}", message.0).into_bytes(),
             fields.as_bytes(),
             &body,
         ];
@@ -158,28 +158,31 @@
     shared.with(|s| {
         if answered {
             let span = s.now().saturating_sub(meant);
-            s.ledger.measure.hand_in_answered(span);
+            s.ledger.measure.submission_answered(span);
         }
         match heard {
             Heard::Ok => {
-                s.see(Seen::Taken { mail });
+                s.observe(Observation::Accepted { message });
                 None
             }
             Heard::Busy(come_back) => {
-                s.see(Seen::TurnedAway { mail, come_back });
-                Some(Back::Refused(come_back))
+                s.observe(Observation::Rejected {
+                    message,
+                    retry_after: come_back,
+                });
+                Some(RetryReason::Rejected(come_back))
             }
             Heard::Failed(why) => {
-                s.see(Seen::TurnedAway {
-                    mail,
-                    come_back: None,
+                s.observe(Observation::Rejected {
+                    message,
+                    retry_after: None,
                 });
-                s.fault(format!("mail {:016x} was answered {why}", mail.0));
-                Some(Back::Refused(None))
+                s.fault(format!("mail {:016x} was answered {why}", message.0));
+                Some(RetryReason::Rejected(None))
             }
             Heard::Ended | Heard::Nothing => {
-                s.see(Seen::Unheard { mail });
-                Some(Back::NoAnswer)
+                s.observe(Observation::Abandoned { message });
+                Some(RetryReason::NoAnswer)
             }
         }
     })
--- a/crates/testbed/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -20,7 +20,7 @@
 
 /// An endpoint that can be connected to, or seems to be there and says nothing.
 pub(super) struct Listening {
-    reach: Reach,
+    reach: Reachability,
     accepts: Option<JoinHandle<()>>,
     socket: Rc<TcpListener>,
     /// Connections that fill the queue of one that is silent, so that no other comes up.
@@ -68,8 +68,8 @@
         None => bound(at).map(Rc::new),
     };
     let new = match reach {
-        Reach::Refusing => None,
-        Reach::Open => {
+        Reachability::Refusing => None,
+        Reachability::Open => {
             let socket = listener()?;
             SockRef::from(&*socket).listen(BACKLOG)?;
             let accepts =
@@ -81,10 +81,10 @@
                 _fill: vec![],
             })
         }
-        Reach::Silent => {
+        Reachability::Silent => {
             let socket = listener()?;
             drop(old);
-            // One connection fills a queue of nought; the kernel then leaves all others unanswered.
+            // One connection fills a queue of zero; the kernel then leaves all others unanswered.
             SockRef::from(&*socket).listen(0)?;
             let mut fill = vec![];
             for _ in 0..2 {
@@ -127,7 +127,7 @@
 
 /// A call as it was read.
 struct Request {
-    mail: Option<MessageId>,
+    message: Option<MessageId>,
     tag: Vec<u8>,
     body: Vec<u8>,
     /// How much of the input it was.
@@ -159,7 +159,7 @@
     }
     let id = value("x-trace-id").and_then(|v| std::str::from_utf8(v).ok());
     Ok(Some(Request {
-        mail: id
+        message: id
             .and_then(|id| u64::from_str_radix(id, 16).ok())
             .map(MessageId),
         tag: value("idempotency-key").unwrap_or_default().to_vec(),
@@ -170,18 +170,20 @@
 
 fn answer(answer: Answer) -> String {
     match answer {
-        Answer::Relayed => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".into(),
-        Answer::Errored => "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into(),
-        Answer::Full(Some(wait)) => {
+        Answer::Delivered => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".into(),
+        Answer::ServerError => {
+            "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into()
+        }
+        Answer::RateLimited(Some(wait)) => {
             let seconds = wait as f64 / 1e9;
             format!(
                 "HTTP/1.1 429 Too Many Requests\r\nRetry-After: {seconds:.6}\r\nContent-Length: 0\r\n\r\n"
             )
         }
-        Answer::Full(None) => {
+        Answer::RateLimited(None) => {
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into()
         }
-        Answer::Spoilt => "HTP/one 2x0 \u{1}\r\n\r\n\r\n".into(),
+        Answer::Malformed => "HTP/one 2x0 \u{1}\r\n\r\n\r\n".into(),
     }
 }
 
@@ -195,19 +197,19 @@
     let opened = shared.with(|s| {
         let now = s.now();
         let opened = s.world.open(usize::MAX, endpoint);
-        if matches!(opened, Opening::Up(_)) {
+        if matches!(opened, ConnectResult::Connected(_)) {
             s.ledger.measure.opened(now);
         }
         opened
     });
     let conn = match opened {
-        Opening::Up(conn) => conn,
-        Opening::Refused | Opening::Never => return reset(stream),
+        ConnectResult::Connected(conn) => conn,
+        ConnectResult::Refused | ConnectResult::NoResponse => return reset(stream),
     };
     let (to, mut from) = mpsc::unbounded_channel();
     shared.state.borrow_mut().conns.insert(conn, to);
     let mut input: Vec<u8> = Vec::with_capacity(1_024);
-    let (mut begun, mut call): (Option<Nanos>, Option<CallNo>) = (None, None);
+    let (mut begun, mut call): (Option<Nanos>, Option<CallNumber>) = (None, None);
     let by_endpoint = loop {
         tokio::select! {
             biased;
@@ -255,7 +257,7 @@
         s.conns.remove(&conn);
         s.world.close(conn);
         if let Some(call) = call {
-            s.see(Seen::Broken { call, by_endpoint });
+            s.observe(Observation::ConnectionClosed { call, by_endpoint });
         }
     });
     if by_endpoint {
@@ -270,10 +272,13 @@
     conn: ConnId,
     request: &Request,
     begun: Nanos,
-) -> Result<CallNo, Option<CallNo>> {
+) -> Result<CallNumber, Option<CallNumber>> {
     shared.with(|s| {
-        let known: Option<Handed> = request.mail.and_then(|mail| s.mails.get(&mail)).cloned();
-        let (Some(mail), Some(known)) = (request.mail, known) else {
+        let known: Option<Handed> = request
+            .message
+            .and_then(|message| s.messages.get(&message))
+            .cloned();
+        let (Some(message), Some(known)) = (request.message, known) else {
             s.fault(format!(
                 "endpoint {}: a call with a mail that nobody handed in",
                 endpoint.0
@@ -284,29 +289,29 @@
         if request.tag != tag.as_bytes() || request.body != body {
             s.fault(format!(
                 "endpoint {}: mail {:016x} came with another tag or body",
-                endpoint.0, mail.0
+                endpoint.0, message.0
             ));
         }
         if s.world.endpoint(endpoint).destination != known.arrival.destination {
             s.fault(format!(
                 "endpoint {}: mail {:016x} is for another destination",
-                endpoint.0, mail.0
+                endpoint.0, message.0
             ));
         }
-        let (no, dispatcher) = (s.ledger.call_no(), known.dispatcher);
-        let new = NewCall {
-            mail,
+        let (no, dispatcher) = (s.ledger.next_call_number(), known.dispatcher);
+        let new = CallRequest {
+            message,
             class: known.arrival.class,
             dispatcher,
-            tag: known.arrival.no,
+            idempotency_key: known.arrival.no,
         };
         let id = s.world.call(conn, new);
-        s.see(Seen::Call {
+        s.observe(Observation::Call {
             call: no,
-            mail,
+            message,
             endpoint,
             dispatcher,
-            begun,
+            started_at: begun,
             fresh: id.is_some(),
         });
         match id {
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -101,7 +101,7 @@
     Break,
 }
 
-/// What is known of a mail that was handed in.
+/// What is known of a message that was handed in.
 #[derive(Clone)]
 struct Handed {
     dispatcher: usize,
@@ -115,15 +115,15 @@
     t0: Instant,
     conns: HashMap<ConnId, mpsc::UnboundedSender<Say>>,
     /// Which connection a call is on, and its number in the records.
-    calls: HashMap<CallId, CallNo>,
-    mails: HashMap<MessageId, Handed>,
+    calls: HashMap<CallId, CallNumber>,
+    messages: HashMap<MessageId, Handed>,
     /// Up to which version each dispatcher's agent has been told, and has told it.
     told: Vec<usize>,
     said: Vec<usize>,
     listeners: Vec<Option<endpoints::Listening>>,
     /// Effects that a task of their own carries out.
     errands: mpsc::UnboundedSender<Effect>,
-    /// Mails that may be handed in again.
+    /// Messages that may be handed in again.
     pending: usize,
     late: Histogram<u64>,
     open: Vec<(f64, usize)>,
@@ -150,9 +150,9 @@
             self.faults.push(what);
         }
     }
-    fn see(&mut self, seen: Seen) {
+    fn observe(&mut self, observation: Observation) {
         let now = self.now();
-        self.ledger.see(now, seen);
+        self.ledger.observe(now, observation);
     }
     /// Lets the world come up to now, and carries out what it does.
     fn advance(&mut self) {
@@ -165,31 +165,31 @@
             match effect {
                 Effect::Answer { call, conn, answer } => {
                     if let Some(call) = self.calls.remove(&call) {
-                        self.see(Seen::Answered { call, answer });
+                        self.observe(Observation::Answered { call, answer });
                     }
                     if let Some(to) = self.conns.get(&conn) {
                         // A task that has ended has closed its connection.
                         let _ = to.send(Say::Answer(answer));
                     }
                 }
-                Effect::Break { conn } => {
+                Effect::ConnectionBroken { conn } => {
                     if let Some(to) = self.conns.remove(&conn) {
                         let _ = to.send(Say::Break);
                     }
                 }
                 Effect::Applied { call, fresh, .. } => {
                     if let Some(call) = self.calls.get(&call).copied() {
-                        self.see(Seen::Applied { call, fresh });
+                        self.observe(Observation::Applied { call, fresh });
                     }
                 }
-                Effect::Tipped {
+                Effect::Overloaded {
                     endpoint,
-                    knowing,
-                    all,
-                } => self.see(Seen::Tipped {
+                    informed_calls,
+                    all_calls,
+                } => self.observe(Observation::Overloaded {
                     endpoint,
-                    knowing,
-                    all,
+                    informed_calls,
+                    all_calls,
                 }),
                 errand => drop(self.errands.send(errand)),
             }
@@ -218,7 +218,7 @@
 /// Lets the world's own moments come.
 async fn clock(shared: Rc<Shared>) {
     loop {
-        let next = shared.state.borrow().world.next_due();
+        let next = shared.state.borrow().world.next_timer();
         let next = next.map(|at| shared.instant(at));
         match next {
             Some(at) => {
@@ -237,7 +237,7 @@
 async fn errands(shared: Rc<Shared>, mut from: mpsc::UnboundedReceiver<Effect>) {
     while let Some(errand) = from.recv().await {
         match errand {
-            Effect::Reach { endpoint, .. } => {
+            Effect::ReachabilityChanged { endpoint, .. } => {
                 // As it is by now, not as it was when this was sent.
                 if let Err(e) = endpoints::reach(&shared, endpoint) {
                     shared.with(|s| {
@@ -245,7 +245,7 @@
                     });
                 }
             }
-            Effect::Appeared { endpoint } => {
+            Effect::EndpointAdded { endpoint } => {
                 shared.with(|s| {
                     let plan = s.world.endpoint(endpoint).clone();
                     s.ledger.audit.endpoint_appeared(plan.zone, plan.gate);
@@ -257,12 +257,17 @@
                     });
                 }
             }
-            Effect::Tell { dispatcher, upto } => {
+            Effect::ListPublished {
+                dispatcher,
+                version,
+            } => {
                 let told = &mut shared.state.borrow_mut().told[dispatcher];
-                *told = (*told).max(upto);
+                *told = (*told).max(version);
                 shared.news[dispatcher].notify_waiters();
             }
-            Effect::Dispatcher { dispatcher, news } => processes::news(&shared, dispatcher, news),
+            Effect::DispatcherSignalled { dispatcher, signal } => {
+                processes::signal(&shared, dispatcher, signal)
+            }
             _ => {}
         }
     }
@@ -328,7 +333,7 @@
         t0: Instant::now(),
         conns: HashMap::new(),
         calls: HashMap::new(),
-        mails: HashMap::new(),
+        messages: HashMap::new(),
         told: vec![first; count],
         said: vec![first; count],
         listeners: (0..world.endpoints()).map(|_| None).collect(),
@@ -388,7 +393,7 @@
         tick((now - START) as f64 / (over_at - START) as f64);
         let idle = || {
             let s = shared.state.borrow();
-            s.pending == 0 && s.ledger.audit.open() == 0
+            s.pending == 0 && s.ledger.audit.unresolved() == 0
         };
         if now > over_at || now > load_until + S && idle() {
             break;
@@ -471,13 +476,13 @@
     let (d, r, facts) = (
         &plan.spec.dispatchers,
         &plan.spec.rules,
-        plan.boot_facts(dispatcher, start),
+        plan.dispatcher_settings(dispatcher, start),
     );
     let class = |c: &crate::spec::Class| {
         let repeat = match c.repeat {
-            crate::spec::RepeatWord::Redeliverable => "idempotent",
-            crate::spec::RepeatWord::Tagged => "deduplicated",
-            crate::spec::RepeatWord::OnceOnly => "at_most_once",
+            crate::spec::Repeat::Redeliverable => "idempotent",
+            crate::spec::Repeat::Tagged => "deduplicated",
+            crate::spec::Repeat::OnceOnly => "at_most_once",
         };
         json!({
             "name": c.name, "repeat": repeat, "worth": c.importance, "aim-ns": ms(c.target_ms),
@@ -516,4 +521,4 @@
 }
 
 /// The list at a version, by endpoint.
-type Listing = BTreeMap<EndpointId, Listed>;
+type Listing = BTreeMap<EndpointId, ListState>;
--- a/crates/testbed/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -1,9 +1,9 @@
 //! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the place for notices.
 
 use super::{Listing, Shared, State};
-use crate::load::{Back, again, arrival_of};
+use crate::load::{RetryReason, again, arrival_of};
 use crate::record::*;
-use crate::world::Listed;
+use crate::world::ListState;
 use anyhow::Result;
 use bellsill_core::interface::MessageId;
 use serde_json::{Value, json};
@@ -16,12 +16,16 @@
 const EMPTY_LINE: Duration = Duration::from_secs(2);
 const REQUEST_MOST: usize = 4 << 20;
 
-fn entry(state: &State, endpoint: bellsill_core::interface::EndpointId, listed: Listed) -> Value {
+fn entry(
+    state: &State,
+    endpoint: bellsill_core::interface::EndpointId,
+    listed: ListState,
+) -> Value {
     let (plan, spec) = (state.world.endpoint(endpoint), &state.world.plan.spec);
     let word = match listed {
-        Listed::Up => "up",
-        Listed::Draining => "draining",
-        Listed::Removed => "removed",
+        ListState::Up => "up",
+        ListState::Draining => "draining",
+        ListState::Removed => "removed",
     };
     json!({
         "id": format!("e-{:06}", endpoint.0), "addr": state.net.endpoint(endpoint).to_string(),
@@ -61,8 +65,8 @@
     state.said[dispatcher] = upto.max(from);
     let changes: Vec<_> = state.world.changes(from.min(upto), upto).to_vec();
     for change in changes {
-        let serving = change.listed == Listed::Up;
-        state.see(Seen::Listed {
+        let serving = change.listed == ListState::Up;
+        state.observe(Observation::EndpointListed {
             dispatcher,
             endpoint: change.endpoint,
             serving,
@@ -195,11 +199,18 @@
         let Some(id) = id else { return false };
         read.push((MessageId(id), deferred));
     }
-    for (mail, deferred) in read {
+    for (message, deferred) in read {
         let back = shared.with(|s| {
-            s.see(Seen::Notice { mail, deferred });
-            let known = s.mails.get(&mail).cloned()?;
-            let (back, tries, now) = (Back::deferred(deferred?), arrival_of(mail).1, s.now());
+            s.observe(Observation::Notified {
+                message,
+                retry_after: deferred,
+            });
+            let known = s.messages.get(&message).cloned()?;
+            let (back, tries, now) = (
+                RetryReason::rejected_after(deferred?),
+                arrival_of(message).1,
+                s.now(),
+            );
             let next = again(&s.world.plan, &known.arrival, tries, back, now)?;
             Some((known.arrival, tries + 1, next))
         });
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -1,7 +1,7 @@
 //! The dispatchers' processes: started, told to end, killed and started again with the folder that lasts; and what they use.
 
 use super::{Shared, clients, config, platform};
-use crate::record::Seen;
+use crate::record::Observation;
 use crate::run::Usage;
 use crate::world::plan::*;
 use anyhow::{Context, Result};
@@ -16,7 +16,7 @@
 const READY_WITHIN: Duration = Duration::from_secs(30);
 /// SIGKILL comes so long after SIGTERM.
 const TERM_TO_KILL: Duration = Duration::from_millis(3_700);
-const SAMPLE: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(super) struct Host {
     program: PathBuf,
@@ -66,7 +66,10 @@
             let folder = shared.hosts.borrow()[d].folder.display().to_string();
             format!("dispatcher {d} did not get ready; its log is in {folder}")
         })?;
-        shared.state.borrow_mut().see(Seen::Ready { dispatcher: d });
+        shared
+            .state
+            .borrow_mut()
+            .observe(Observation::Ready { dispatcher: d });
     }
     Ok(())
 }
@@ -79,7 +82,7 @@
     let json = config(&state, d, host.starts);
     let upto = state.told[d];
     platform::said(&mut state, d, upto);
-    state.see(Seen::Started { dispatcher: d });
+    state.observe(Observation::Started { dispatcher: d });
     let file = host.folder.join("config.json");
     std::fs::write(&file, json.to_string()).with_context(|| file.display().to_string())?;
     let log = std::fs::OpenOptions::new()
@@ -111,13 +114,13 @@
 }
 
 /// What the script says of a dispatcher is done.
-pub(super) fn news(shared: &Rc<Shared>, d: usize, news: DispatcherNews) {
+pub(super) fn signal(shared: &Rc<Shared>, d: usize, news: DispatcherSignal) {
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
         match news {
-            DispatcherNews::Kill => end(&shared, d, false).await,
-            DispatcherNews::Term => end(&shared, d, true).await,
-            DispatcherNews::Start => start(&shared, d).await,
+            DispatcherSignal::Kill => end(&shared, d, false).await,
+            DispatcherSignal::Terminate => end(&shared, d, true).await,
+            DispatcherSignal::Start => start(&shared, d).await,
         }
     });
 }
@@ -150,7 +153,7 @@
     let host = &mut hosts[d];
     (host.ends, host.sampled) = (false, None);
     shared.clients.borrow_mut()[d] = clients::Pool::default();
-    shared.with(|s| s.see(Seen::Ended { dispatcher: d }));
+    shared.with(|s| s.observe(Observation::Stopped { dispatcher: d }));
 }
 
 async fn start(shared: &Rc<Shared>, d: usize) {
@@ -167,7 +170,7 @@
     }
     let at = shared.state.borrow().net.listen(d);
     clients::ready(at).await;
-    shared.with(|s| s.see(Seen::Ready { dispatcher: d }));
+    shared.with(|s| s.observe(Observation::Ready { dispatcher: d }));
 }
 
 /// Processor seconds, resident megabytes and descriptors of a process.
@@ -191,10 +194,10 @@
         {
             let mut s = shared.state.borrow_mut();
             let at = (s.now() - START) as f64 / 1e9;
-            let open = s.ledger.audit.open();
+            let open = s.ledger.audit.unresolved();
             s.open.push((at, open));
         }
-        tokio::time::sleep(SAMPLE).await;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
--- a/crates/testbed/src/spec.rs
+++ b/crates/testbed/src/spec.rs
@@ -32,7 +32,8 @@
     rules: Rules,
     #[serde(default)]
     #[allow(dead_code)]
-    troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    faults: Vec<Fault>,
 }
 
 fn one_seed() -> Vec<u64> {
@@ -53,7 +54,8 @@
     #[serde(default)]
     pub rules: Rules,
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
@@ -69,7 +71,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Run {
     pub drive: Drive,
-    /// For how long mails are handed in; the run goes on until each has had its queue lifetime.
+    /// For how long messages are handed in; the run goes on until each has had its queue lifetime.
     pub seconds: f64,
     /// The processor time of dispatchers is reckoned from this second on, to the end of the load.
     #[serde(default)]
@@ -184,7 +186,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum RepeatWord {
+pub enum Repeat {
     Redeliverable,
     Tagged,
     OnceOnly,
@@ -194,7 +196,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     pub name: String,
-    /// Of the mails.
+    /// Of the messages.
     pub share: f64,
     #[serde(default = "one")]
     pub importance: f64,
@@ -203,14 +205,14 @@
     /// Of the importance, just before the queue lifetime is up.
     #[serde(default = "late_share")]
     pub late_share: f64,
-    pub repeat: RepeatWord,
+    pub repeat: Repeat,
     /// Tagged: for how long endpoints drop a repeat.
     #[serde(default = "window_ms")]
     pub window_ms: f64,
     /// Tagged: do only endpoints of one zone know of one another?
     #[serde(default)]
     pub same_zone: bool,
-    /// Mails of one key go in order; keys in use at a time.
+    /// Messages of one key go in order; keys in use at a time.
     #[serde(default)]
     pub ordered_keys: usize,
     /// At a destination of pace 1: evenly between these.
@@ -230,20 +232,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Mails a second, all dispatchers together.
+    /// Messages a second, all dispatchers together.
     pub rate: f64,
     /// From `at_s` on the rate is `times` as much, reached evenly over `over_s`.
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// Of the mails, those that come in bursts for one destination, and how many come at once.
+    /// Of the messages, those that come in bursts for one destination, and how many come at once.
     #[serde(default)]
     pub burst_share: f64,
     #[serde(default = "burst_size")]
     pub burst_size: usize,
-    /// Mails for one destination that come on top of all that.
+    /// Messages for one destination that come on top of all that.
     #[serde(default)]
-    pub clumps: Vec<Clump>,
-    /// How often a client hands a mail in again that was turned away or deferred.
+    #[serde(rename = "clumps")]
+    pub bursts: Vec<Burst>,
+    /// How often a client hands a message in again that was turned away or deferred.
     #[serde(default = "retries")]
     pub retries: u32,
     /// The wait before that where none is told: between these.
@@ -286,10 +289,11 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Clump {
+pub struct Burst {
     pub at_s: f64,
     pub destination: usize,
-    pub mails: usize,
+    #[serde(rename = "mails")]
+    pub messages: usize,
     /// They come evenly in this span.
     #[serde(default)]
     pub over_s: f64,
@@ -301,7 +305,7 @@
     pub count: usize,
     /// As a multiple of what the load keeps busy; two at least.
     pub slots_times: f64,
-    /// The holding room, in seconds of the load; sixteen mails at least.
+    /// The holding room, in seconds of the load; sixteen messages at least.
     pub hold_s: f64,
     /// Given outright, these go before the two above.
     pub slots: Option<usize>,
@@ -360,7 +364,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// New connections are refused, old ones break.
     Down,
     /// Connections break as soon as a call has come.
@@ -395,31 +399,31 @@
     Killed,
     /// Dispatchers are told to end, killed 3.7 s later at the latest, and started again at the end.
     Restarted,
-    /// Dispatchers together are handed this `part` of all mails.
+    /// Dispatchers together are handed this `part` of all messages.
     Hot,
 }
 
-impl TroubleKind {
+impl FaultKind {
     pub fn of_dispatchers(self) -> bool {
         matches!(
             self,
-            TroubleKind::Killed | TroubleKind::Restarted | TroubleKind::Hot
+            FaultKind::Killed | FaultKind::Restarted | FaultKind::Hot
         )
     }
     pub fn of_the_list(self) -> bool {
-        matches!(self, TroubleKind::ListLate | TroubleKind::ListFrozen)
+        matches!(self, FaultKind::ListLate | FaultKind::ListFrozen)
     }
     /// After these an endpoint is cold.
-    pub fn chills(self) -> bool {
-        use TroubleKind::*;
+    pub fn cold_after(self) -> bool {
+        use FaultKind::*;
         matches!(self, Down | Silent | Hung | Shut)
     }
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    pub what: TroubleKind,
+pub struct Fault {
+    pub what: FaultKind,
     pub from_s: f64,
     pub to_s: f64,
     /// Whom it strikes: one of these four. Of dispatchers, `share` counts them and `dispatcher` names one, from 0.
@@ -627,7 +631,7 @@
             "seconds, 0 or more",
         );
     }
-    for (i, c) in load.clumps.iter().enumerate() {
+    for (i, c) in load.bursts.iter().enumerate() {
         let f = |name: &str| format!("load.clumps[{i}].{name}");
         need(
             c.at_s >= 0.0 && c.at_s.is_finite(),
@@ -644,7 +648,7 @@
             f("destination"),
             "a destination, counted from 0",
         );
-        need(c.mails <= 1_000_000, f("mails"), "0 to 1000000");
+        need(c.messages <= 1_000_000, f("mails"), "0 to 1000000");
     }
     let d = &spec.dispatchers;
     let most = if run.drive == Drive::Sockets {
@@ -716,7 +720,7 @@
             "milliseconds, 0 or more",
         );
     }
-    for (i, t) in spec.troubles.iter().enumerate() {
+    for (i, t) in spec.faults.iter().enumerate() {
         let f = |name: &str| format!("troubles[{i}].{name}");
         need(
             t.from_s >= 0.0 && t.from_s.is_finite(),
@@ -779,7 +783,7 @@
                 "one of zone, destination, endpoint or share beside it",
             );
         }
-        use TroubleKind::*;
+        use FaultKind::*;
         let part = matches!(
             t.what,
             Failing | AnswersLost | AnswersSpoilt | LimitLowered | Hot
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -1,5 +1,5 @@
 //! The world in virtual time: it drives the decisions directly, with no sockets and no sleeping. Each dispatcher is a
-//! [`Host`], which stands for what the daemon is around the decisions: the mails held, idle connections, time-outs, the
+//! [`Host`], which stands for what the daemon is around the decisions: the messages held, idle connections, time-outs, the
 //! journal that outlasts a kill. Equal plans give equal runs, byte for byte.
 
 use crate::audit::{Slack, Verdict};
@@ -18,7 +18,7 @@
 const KEPT_SOCKETS: usize = 64;
 /// A dispatcher that was told to end goes on sending for so long.
 const LEAVES_AFTER: Nanos = 2_900 * MS;
-/// From a start until mails are taken.
+/// From a start until messages are taken.
 const START_TAKES: Nanos = 50 * MS;
 
 /// What the decisions answered in one call.
@@ -39,18 +39,18 @@
 }
 
 impl Actions for Answers {
-    fn send_attempt(&mut self, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
+    fn send_attempt(&mut self, message: MessageId, endpoint: EndpointId, time_out: Nanos) {
         self.commands
-            .push(Command::Connect(mail, endpoint, time_out));
+            .push(Command::Connect(message, endpoint, time_out));
     }
-    fn reject(&mut self, mail: MessageId, come_back: Nanos) {
-        self.commands.push(Command::Defer(mail, come_back));
+    fn reject(&mut self, message: MessageId, come_back: Nanos) {
+        self.commands.push(Command::Defer(message, come_back));
     }
-    fn fail(&mut self, mail: MessageId) {
-        self.commands.push(Command::Bounce(mail));
+    fn fail(&mut self, message: MessageId) {
+        self.commands.push(Command::Bounce(message));
     }
-    fn cancel_attempt(&mut self, mail: MessageId, no: AttemptNumber) {
-        self.commands.push(Command::CallOff(mail, no));
+    fn cancel_attempt(&mut self, message: MessageId, no: AttemptNumber) {
+        self.commands.push(Command::CallOff(message, no));
     }
     fn close_idle_connections(&mut self, endpoint: EndpointId) {
         self.commands.push(Command::HangUp(endpoint));
@@ -72,7 +72,7 @@
     endpoint: EndpointId,
     at: Nanos,
     conn: Option<ConnId>,
-    call: Option<CallNo>,
+    call: Option<CallNumber>,
 }
 
 struct Held {
@@ -90,7 +90,7 @@
     d: Option<Dispatcher>,
     takes_from: Nanos,
     leaving: bool,
-    mails: BTreeMap<MessageId, Held>,
+    messages: BTreeMap<MessageId, Held>,
     held: usize,
     taken: u64,
     /// Idle connections by endpoint, the last used last.
@@ -116,7 +116,7 @@
     },
     TimeOut {
         host: usize,
-        mail: MessageId,
+        message: MessageId,
         no: u32,
         unconnected: bool,
     },
@@ -144,7 +144,7 @@
     now: Nanos,
     /// Who waits for what on a connection.
     on: HashMap<ConnId, (usize, MessageId)>,
-    call_nos: HashMap<CallId, CallNo>,
+    call_nos: HashMap<CallId, CallNumber>,
     /// Arrivals that may be handed in again.
     open: BTreeMap<u64, Arrival>,
     ended: VecDeque<(usize, AttemptEnd)>,
@@ -176,7 +176,7 @@
     let mut said = START;
     loop {
         let own = lab.due.peek().map(|Reverse((at, _, _))| *at);
-        let next = [own, lab.world.next_due(), arrivals.peek().map(|a| a.at)]
+        let next = [own, lab.world.next_timer(), arrivals.peek().map(|a| a.at)]
             .into_iter()
             .flatten()
             .min();
@@ -199,7 +199,7 @@
         {
             lab.ledger.arrived(&arrival);
             let dispatcher = arrival.dispatcher;
-            lab.hand_in(arrival, 0, dispatcher);
+            lab.submission(arrival, 0, dispatcher);
         }
         lab.settle();
     }
@@ -218,8 +218,8 @@
         self.due.push(Reverse((at, self.seq, event)));
     }
 
-    fn see(&mut self, seen: Seen) {
-        self.ledger.see(self.now, seen);
+    fn observe(&mut self, observation: Observation) {
+        self.ledger.observe(self.now, observation);
     }
 
     /// Carries out what the world did and tells the decisions of outcomes, until nothing is left to tell.
@@ -249,16 +249,16 @@
         call(d, self.now, &mut answers);
         for command in answers.commands {
             match command {
-                Command::Connect(mail, endpoint, time_out) => {
-                    self.connect(host, mail, endpoint, time_out)
+                Command::Connect(message, endpoint, time_out) => {
+                    self.connect(host, message, endpoint, time_out)
                 }
-                Command::Defer(mail, come_back) => self.give_up(host, mail, Some(come_back)),
-                Command::Bounce(mail) => self.give_up(host, mail, None),
-                Command::CallOff(mail, no) => {
-                    let out = self.hosts[host].mails.get(&mail).and_then(|m| m.out);
+                Command::Defer(message, come_back) => self.give_up(host, message, Some(come_back)),
+                Command::Bounce(message) => self.give_up(host, message, None),
+                Command::CallOff(message, no) => {
+                    let out = self.hosts[host].messages.get(&message).and_then(|m| m.out);
                     if out.is_some_and(|out| out.no == no) {
-                        self.close_call(host, mail);
-                        self.end_call(host, mail, AttemptOutcome::Cancelled);
+                        self.close_call(host, message);
+                        self.end_call(host, message, AttemptOutcome::Cancelled);
                     }
                 }
                 Command::HangUp(endpoint) => self.hang_up(host, endpoint),
@@ -273,8 +273,8 @@
 
     // Clients.
 
-    fn hand_in(&mut self, arrival: Arrival, tries: u32, dispatcher: usize) {
-        let (now, mail) = (self.now, mail_id(arrival.no, tries));
+    fn submission(&mut self, arrival: Arrival, tries: u32, dispatcher: usize) {
+        let (now, message) = (self.now, message_id(arrival.no, tries));
         let due = due(&self.world.plan, &arrival);
         self.open
             .entry(arrival.no)
@@ -283,20 +283,22 @@
         let host = &mut self.hosts[dispatcher];
         let listens = host.d.is_some() && !host.leaving && now >= host.takes_from;
         if !listens {
-            return self.back(arrival, tries, Back::NoAnswer);
+            return self.back(arrival, tries, RetryReason::NoAnswer);
         }
         let full = host.held >= room;
-        self.see(Seen::HandedIn(HandIn::of(&arrival, tries, dispatcher, due)));
+        self.observe(Observation::Submitted(Submission::new(
+            &arrival, tries, dispatcher, due,
+        )));
         // No time passes on the way.
-        self.ledger.measure.hand_in_answered(0);
+        self.ledger.measure.submission_answered(0);
         if full {
-            self.see(Seen::TurnedAway {
-                mail,
-                come_back: None,
+            self.observe(Observation::Rejected {
+                message,
+                retry_after: None,
             });
-            return self.back(arrival, tries, Back::Refused(None));
+            return self.back(arrival, tries, RetryReason::Rejected(None));
         }
-        self.see(Seen::Taken { mail });
+        self.observe(Observation::Accepted { message });
         let host = &mut self.hosts[dispatcher];
         host.taken += 1;
         host.held += 1;
@@ -309,13 +311,13 @@
             out: None,
             ended: false,
         };
-        let new = new_mail(mail, &held);
-        host.mails.insert(mail, held);
+        let new = new_mail(message, &held);
+        host.messages.insert(message, held);
         self.ask(dispatcher, |d, now, out| d.accept(now, [new], out));
     }
 
-    /// The client may hand the mail in again.
-    fn back(&mut self, arrival: Arrival, tries: u32, back: Back) {
+    /// The client may hand the message in again.
+    fn back(&mut self, arrival: Arrival, tries: u32, back: RetryReason) {
         match again(&self.world.plan, &arrival, tries, back, self.now) {
             Some((at, dispatcher)) => self.later(
                 at,
@@ -337,7 +339,7 @@
                 dispatcher,
             } => {
                 if let Some(arrival) = self.open.get(&arrival).cloned() {
-                    self.hand_in(arrival, tries, dispatcher);
+                    self.submission(arrival, tries, dispatcher);
                 }
             }
             Event::Wake { host, count } if self.hosts[host].wake == count => {
@@ -346,22 +348,22 @@
             Event::Wake { .. } => {}
             Event::TimeOut {
                 host,
-                mail,
+                message,
                 no,
                 unconnected,
             } => {
-                let out = self.hosts[host].mails.get(&mail).and_then(|m| m.out);
+                let out = self.hosts[host].messages.get(&message).and_then(|m| m.out);
                 if let Some(out) = out.filter(|out| out.no.0 == no) {
                     if unconnected {
-                        self.world.never_came_up(host, out.endpoint);
+                        self.world.connect_timed_out(host, out.endpoint);
                     }
-                    self.close_call(host, mail);
+                    self.close_call(host, message);
                     let outcome = if unconnected {
                         AttemptOutcome::ConnectFailed
                     } else {
                         AttemptOutcome::TimedOut
                     };
-                    self.end_call(host, mail, outcome);
+                    self.end_call(host, message, outcome);
                 }
             }
             Event::Leaves { host, starts } => {
@@ -374,10 +376,10 @@
 
     // Calls.
 
-    fn connect(&mut self, host: usize, mail: MessageId, endpoint: EndpointId, time_out: Nanos) {
+    fn connect(&mut self, host: usize, message: MessageId, endpoint: EndpointId, time_out: Nanos) {
         let now = self.now;
         let connect_timeout = ms(self.world.plan.spec.dispatchers.connect_timeout_ms);
-        let Some(held) = self.hosts[host].mails.get_mut(&mail) else {
+        let Some(held) = self.hosts[host].messages.get_mut(&message) else {
             return;
         };
         let no = AttemptNumber(held.connects);
@@ -392,20 +394,20 @@
         let conn = match self.idle(host, endpoint) {
             Some(conn) => conn,
             None => match self.world.open(host, endpoint) {
-                Opening::Up(conn) => {
+                ConnectResult::Connected(conn) => {
                     self.ledger.measure.opened(now);
                     conn
                 }
-                Opening::Refused => {
-                    return self.end_call(host, mail, AttemptOutcome::ConnectFailed);
+                ConnectResult::Refused => {
+                    return self.end_call(host, message, AttemptOutcome::ConnectFailed);
                 }
-                Opening::Never => {
+                ConnectResult::NoResponse => {
                     let at = now + time_out.min(connect_timeout);
                     return self.later(
                         at,
                         Event::TimeOut {
                             host,
-                            mail,
+                            message,
                             no: no.0,
                             unconnected: true,
                         },
@@ -417,45 +419,45 @@
             now + time_out,
             Event::TimeOut {
                 host,
-                mail,
+                message,
                 no: no.0,
                 unconnected: false,
             },
         );
-        let Some(held) = self.hosts[host].mails.get_mut(&mail) else {
+        let Some(held) = self.hosts[host].messages.get_mut(&message) else {
             return;
         };
-        let new = NewCall {
-            mail,
+        let new = CallRequest {
+            message,
             class: held.arrival.class,
             dispatcher: host,
-            tag: held.arrival.no,
+            idempotency_key: held.arrival.no,
         };
-        let call = self.ledger.call_no();
+        let call = self.ledger.next_call_number();
         if let Some(out) = &mut held.out {
             (out.conn, out.call) = (Some(conn), Some(call));
         }
         let id = self.world.call(conn, new);
-        let seen = Seen::Call {
+        let observation = Observation::Call {
             call,
-            mail,
+            message,
             endpoint,
             dispatcher: host,
-            begun: now,
+            started_at: now,
             fresh: id.is_some(),
         };
-        self.see(seen);
+        self.observe(observation);
         match id {
             Some(id) => {
-                self.on.insert(conn, (host, mail));
+                self.on.insert(conn, (host, message));
                 self.call_nos.insert(id, call);
             }
             None => {
-                self.see(Seen::Broken {
+                self.observe(Observation::ConnectionClosed {
                     call,
                     by_endpoint: true,
                 });
-                self.end_call(host, mail, AttemptOutcome::ConnectionReset);
+                self.end_call(host, message, AttemptOutcome::ConnectionReset);
             }
         }
     }
@@ -482,7 +484,7 @@
         }
         while let Some((_, conn)) = h.idle.get_mut(&endpoint).and_then(Vec::pop) {
             h.idle_count -= 1;
-            if self.world.stands(conn) {
+            if self.world.is_open(conn) {
                 return Some(conn);
             }
         }
@@ -503,9 +505,9 @@
         }
     }
 
-    /// Closes the connection of a mail's connect.
-    fn close_call(&mut self, host: usize, mail: MessageId) {
-        let Some(out) = self.hosts[host].mails.get(&mail).and_then(|m| m.out) else {
+    /// Closes the connection of a message's connect.
+    fn close_call(&mut self, host: usize, message: MessageId) {
+        let Some(out) = self.hosts[host].messages.get(&message).and_then(|m| m.out) else {
             return;
         };
         if let Some(conn) = out.conn {
@@ -513,17 +515,17 @@
             self.world.close(conn);
         }
         if let Some(call) = out.call {
-            self.see(Seen::Broken {
+            self.observe(Observation::ConnectionClosed {
                 call,
                 by_endpoint: false,
             });
         }
     }
 
-    fn end_call(&mut self, host: usize, mail: MessageId, outcome: AttemptOutcome) {
+    fn end_call(&mut self, host: usize, message: MessageId, outcome: AttemptOutcome) {
         let now = self.now;
         let h = &mut self.hosts[host];
-        let Some(held) = h.mails.get_mut(&mail) else {
+        let Some(held) = h.messages.get_mut(&message) else {
             return;
         };
         let Some(out) = held.out.take() else { return };
@@ -540,13 +542,13 @@
                 h.held -= 1;
             }
             let arrival = held.arrival.no;
-            h.mails.remove(&mail);
+            h.messages.remove(&message);
             if outcome == AttemptOutcome::Delivered {
                 self.open.remove(&arrival);
             }
         }
         let end = AttemptEnd {
-            message: mail,
+            message: message,
             number: out.no,
             outcome,
             message_ended: over,
@@ -556,9 +558,9 @@
         self.ended.push_back((host, end));
     }
 
-    fn give_up(&mut self, host: usize, mail: MessageId, deferred: Option<Nanos>) {
+    fn give_up(&mut self, host: usize, message: MessageId, deferred: Option<Nanos>) {
         let h = &mut self.hosts[host];
-        let Some(held) = h.mails.get_mut(&mail) else {
+        let Some(held) = h.messages.get_mut(&message) else {
             return;
         };
         if std::mem::replace(&mut held.ended, true) {
@@ -567,12 +569,15 @@
         h.held -= 1;
         let arrival = held.arrival.clone();
         if held.out.is_none() {
-            h.mails.remove(&mail);
+            h.messages.remove(&message);
         }
-        self.see(Seen::Notice { mail, deferred });
-        let tries = arrival_of(mail).1;
+        self.observe(Observation::Notified {
+            message,
+            retry_after: deferred,
+        });
+        let tries = arrival_of(message).1;
         match deferred {
-            Some(wait) => self.back(arrival, tries, Back::deferred(wait)),
+            Some(wait) => self.back(arrival, tries, RetryReason::rejected_after(wait)),
             None => drop(self.open.remove(&arrival.no)),
         }
     }
@@ -582,58 +587,61 @@
     fn effect(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { call, conn, answer } => {
-                let Some((host, mail)) = self.on.remove(&conn) else {
+                let Some((host, message)) = self.on.remove(&conn) else {
                     return;
                 };
                 if let Some(call) = self.call_nos.remove(&call) {
-                    self.see(Seen::Answered { call, answer });
+                    self.observe(Observation::Answered { call, answer });
                 }
-                let out = self.hosts[host].mails.get(&mail).and_then(|m| m.out);
+                let out = self.hosts[host].messages.get(&message).and_then(|m| m.out);
                 let outcome = match answer {
-                    Answer::Relayed => AttemptOutcome::Delivered,
-                    Answer::Errored => AttemptOutcome::ServerError,
-                    Answer::Full(wait) => AttemptOutcome::RateLimited {
+                    Answer::Delivered => AttemptOutcome::Delivered,
+                    Answer::ServerError => AttemptOutcome::ServerError,
+                    Answer::RateLimited(wait) => AttemptOutcome::RateLimited {
                         retry_after: wait.filter(|&wait| wait > 0),
                     },
-                    Answer::Spoilt => AttemptOutcome::MalformedResponse,
+                    Answer::Malformed => AttemptOutcome::MalformedResponse,
                 };
                 match (answer, out) {
-                    (Answer::Spoilt, _) | (_, None) => self.world.close(conn),
+                    (Answer::Malformed, _) | (_, None) => self.world.close(conn),
                     (_, Some(out)) => self.pool(host, out.endpoint, conn),
                 }
-                self.end_call(host, mail, outcome);
+                self.end_call(host, message, outcome);
             }
-            Effect::Break { conn } => {
-                let Some((host, mail)) = self.on.remove(&conn) else {
+            Effect::ConnectionBroken { conn } => {
+                let Some((host, message)) = self.on.remove(&conn) else {
                     return;
                 };
                 let call = self.hosts[host]
-                    .mails
-                    .get(&mail)
+                    .messages
+                    .get(&message)
                     .and_then(|m| m.out)
                     .and_then(|o| o.call);
                 if let Some(call) = call {
-                    self.see(Seen::Broken {
+                    self.observe(Observation::ConnectionClosed {
                         call,
                         by_endpoint: true,
                     });
                 }
-                self.end_call(host, mail, AttemptOutcome::ConnectionReset);
+                self.end_call(host, message, AttemptOutcome::ConnectionReset);
             }
             Effect::Applied { call, fresh, .. } => {
                 if let Some(call) = self.call_nos.get(&call).copied() {
-                    self.see(Seen::Applied { call, fresh });
+                    self.observe(Observation::Applied { call, fresh });
                 }
             }
-            Effect::Reach { .. } => {}
-            Effect::Appeared { endpoint } => {
+            Effect::ReachabilityChanged { .. } => {}
+            Effect::EndpointAdded { endpoint } => {
                 let plan = self.world.endpoint(endpoint);
                 self.ledger.audit.endpoint_appeared(plan.zone, plan.gate);
             }
-            Effect::Tell { dispatcher, upto } => self.told(dispatcher, upto),
-            Effect::Dispatcher { dispatcher, news } => match news {
-                DispatcherNews::Kill => self.kill(dispatcher),
-                DispatcherNews::Term => {
+            Effect::ListPublished {
+                dispatcher,
+                version,
+            } => self.list_published(dispatcher, version),
+            Effect::DispatcherSignalled { dispatcher, signal } => match signal {
+                DispatcherSignal::Kill => self.kill(dispatcher),
+                DispatcherSignal::Terminate => {
                     self.hosts[dispatcher].leaving = true;
                     let starts = self.hosts[dispatcher].starts;
                     self.later(
@@ -644,31 +652,34 @@
                         },
                     );
                 }
-                DispatcherNews::Start => self.start(dispatcher),
+                DispatcherSignal::Start => self.start(dispatcher),
             },
-            Effect::Tipped {
+            Effect::Overloaded {
                 endpoint,
-                knowing,
-                all,
-            } => self.see(Seen::Tipped {
+                informed_calls,
+                all_calls,
+            } => self.observe(Observation::Overloaded {
                 endpoint,
-                knowing,
-                all,
+                informed_calls,
+                all_calls,
             }),
         }
     }
 
-    fn told(&mut self, host: usize, upto: usize) {
-        if self.hosts[host].d.is_none() || upto <= self.hosts[host].version {
+    fn list_published(&mut self, host: usize, version: usize) {
+        if self.hosts[host].d.is_none() || version <= self.hosts[host].version {
             return;
         }
-        let changes = self.world.changes(self.hosts[host].version, upto).to_vec();
-        self.hosts[host].version = upto;
+        let changes = self
+            .world
+            .changes(self.hosts[host].version, version)
+            .to_vec();
+        self.hosts[host].version = version;
         let mut entries = vec![];
         for change in changes {
-            let (endpoint, serving) = (change.endpoint, change.listed == Listed::Up);
+            let (endpoint, serving) = (change.endpoint, change.listed == ListState::Up);
             entries.push(self.entry(endpoint, serving));
-            self.see(Seen::Listed {
+            self.observe(Observation::EndpointListed {
                 dispatcher: host,
                 endpoint,
                 serving,
@@ -710,14 +721,14 @@
         (h.idle_count, h.leaving) = (0, false);
         idle.into_iter().for_each(|conn| self.world.close(conn));
         let out: Vec<MessageId> = self.hosts[host]
-            .mails
+            .messages
             .iter()
             .filter(|m| m.1.out.is_some())
             .map(|m| *m.0)
             .collect();
-        for mail in out {
-            self.close_call(host, mail);
-            let Some(held) = self.hosts[host].mails.get_mut(&mail) else {
+        for message in out {
+            self.close_call(host, message);
+            let Some(held) = self.hosts[host].messages.get_mut(&message) else {
                 continue;
             };
             if let Some(out) = held.out.take().filter(|out| out.call.is_some()) {
@@ -728,9 +739,9 @@
                 });
             }
         }
-        self.hosts[host].mails.retain(|_, held| !held.ended);
+        self.hosts[host].messages.retain(|_, held| !held.ended);
         self.ended.retain(|(of, _)| *of != host);
-        self.see(Seen::Ended { dispatcher: host });
+        self.observe(Observation::Stopped { dispatcher: host });
     }
 
     /// Starts a dispatcher with the list as it was told last and what its journal holds.
@@ -743,19 +754,19 @@
         h.wake += 1;
         h.leaving = false;
         h.takes_from = self.now + START_TAKES;
-        let facts = self.world.plan.boot_facts(host, h.starts);
+        let facts = self.world.plan.dispatcher_settings(host, h.starts);
         h.d = Some(Dispatcher::new(self.now, facts));
         let list = self.world.listing(self.hosts[host].version);
         let entries: Vec<EndpointEntry> = list
             .iter()
-            .map(|(e, listed)| self.entry(*e, *listed == Listed::Up))
+            .map(|(e, listed)| self.entry(*e, *listed == ListState::Up))
             .collect();
-        self.see(Seen::Started { dispatcher: host });
+        self.observe(Observation::Started { dispatcher: host });
         self.ask(host, |d, now, out| {
             d.update_endpoints(now, EndpointUpdate::Snapshot, &entries, out)
         });
         let mut kept: Vec<(u64, NewMessage)> = self.hosts[host]
-            .mails
+            .messages
             .iter()
             .map(|(id, held)| (held.taken, new_mail(*id, held)))
             .collect();
@@ -763,7 +774,7 @@
         for (_, new) in kept {
             self.ask(host, |d, now, out| d.accept(now, [new], out));
         }
-        self.see(Seen::Ready { dispatcher: host });
+        self.observe(Observation::Ready { dispatcher: host });
     }
 }
 
--- a/crates/testbed/src/world/gate.rs
+++ b/crates/testbed/src/world/gate.rs
@@ -14,7 +14,7 @@
     /// Span: which one, and the calls counted in it.
     span: Nanos,
     count: u64,
-    /// The parts to which troubles have lowered it.
+    /// The parts to which faults have lowered it.
     pub lowered: Vec<(usize, f64)>,
 }
 
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The model of the world: endpoints, their troubles over time, and what is listed of them. No sockets, no clock, no
+//! The model of the world: endpoints, their faults over time, and what is listed of them. No sockets, no clock, no
 //! threads: it is told what comes and when, and says what it answers. Both drives use it.
 //!
 //! Call [`World::advance`] up to a moment before telling it what comes then, and take each [`World::effect`] after a call.
@@ -24,13 +24,13 @@
 /// Under so many calls allowed, the slack of a cold endpoint's budget is larger.
 const SMALL_ALLOWANCE: f64 = 30.0;
 /// Reaped: for how long a connection may be idle.
-const REAPED_AFTER: Nanos = 300 * MS;
+const REAPED_IDLE_LIMIT: Nanos = 300 * MS;
 /// How often the load on what has returned is written down.
-const SAMPLE: Nanos = 500 * MS;
+const SAMPLE_INTERVAL: Nanos = 500 * MS;
 /// A caller that breaks a call off sooner has not seen it fail: it had other reasons.
-const SEEN_AFTER: Nanos = 2 * S;
+const MIN_WAIT_TO_NOTICE_FAULT: Nanos = 2 * S;
 /// Effects are remembered for so long over the longest queue lifetime.
-const EFFECTS_KEPT: Nanos = 30 * S;
+const EFFECT_RETENTION: Nanos = 30 * S;
 
 /// What goes out of the world.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,44 +41,47 @@
         answer: Answer,
     },
     /// The endpoint breaks a connection, with the calls on it.
-    Break { conn: ConnId },
+    ConnectionBroken { conn: ConnId },
     /// A call took effect; `fresh` is false where the endpoint dropped it as a repeat.
     Applied {
         call: CallId,
-        mail: MessageId,
+        message: MessageId,
         endpoint: EndpointId,
         fresh: bool,
     },
     /// Whether new connections come up there has changed.
-    Reach { endpoint: EndpointId, reach: Reach },
+    ReachabilityChanged {
+        endpoint: EndpointId,
+        reach: Reachability,
+    },
     /// A new endpoint has come.
-    Appeared { endpoint: EndpointId },
+    EndpointAdded { endpoint: EndpointId },
     /// A dispatcher is told the list up to this version.
-    Tell { dispatcher: usize, upto: usize },
-    Dispatcher {
+    ListPublished { dispatcher: usize, version: usize },
+    DispatcherSignalled {
         dispatcher: usize,
-        news: DispatcherNews,
+        signal: DispatcherSignal,
     },
     /// A cold endpoint fell over: how many of the calls came from dispatchers that had seen its outage.
-    Tipped {
+    Overloaded {
         endpoint: EndpointId,
-        knowing: usize,
-        all: usize,
+        informed_calls: usize,
+        all_calls: usize,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    Relayed,
-    Errored,
+    Delivered,
+    ServerError,
     /// With the wait that is told; none: no wait.
-    Full(Option<Nanos>),
+    RateLimited(Option<Nanos>),
     /// Cannot be read; the call took effect.
-    Spoilt,
+    Malformed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     Open,
     Refusing,
     /// New connections never come up.
@@ -87,33 +90,33 @@
 
 /// What comes of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Opening {
-    Up(ConnId),
+pub enum ConnectResult {
+    Connected(ConnId),
     Refused,
-    Never,
+    NoResponse,
 }
 
 /// A call as it comes in.
 #[derive(Clone, Debug)]
-pub struct NewCall {
-    pub mail: MessageId,
+pub struct CallRequest {
+    pub message: MessageId,
     pub class: usize,
     pub dispatcher: usize,
     /// What its repeats are known by.
-    pub tag: u64,
+    pub idempotency_key: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListState {
     Up,
     Draining,
     Removed,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
+pub struct ListChange {
     pub endpoint: EndpointId,
-    pub listed: Listed,
+    pub listed: ListState,
 }
 
 /// The load on all that has returned cold, in one sample.
@@ -131,17 +134,17 @@
     Queued,
     Working,
     /// Nothing will be said of it.
-    Swallowed,
+    Unanswered,
 }
 
 struct Call {
-    new: NewCall,
+    new: CallRequest,
     conn: ConnId,
     endpoint: usize,
     state: CallState,
     handshake: Nanos,
     count: u64,
-    came: Nanos,
+    arrivals: Nanos,
 }
 
 struct Conn {
@@ -162,12 +165,12 @@
     slow: f64,
     failing: f64,
     lost: f64,
-    spoilt: f64,
+    malformed: f64,
     reaped: bool,
 }
 
 impl Condition {
-    const SOUND: Condition = Condition {
+    const HEALTHY: Condition = Condition {
         down: false,
         reset: false,
         silent: false,
@@ -176,65 +179,65 @@
         slow: 1.0,
         failing: 0.0,
         lost: 0.0,
-        spoilt: 0.0,
+        malformed: 0.0,
         reaped: false,
     };
 }
 
 struct Endpoint {
-    /// Troubles that strike it now.
-    troubles: Vec<usize>,
+    /// Faults that strike it now.
+    faults: Vec<usize>,
     condition: Condition,
-    tipped: bool,
-    gone: bool,
+    collapsed: bool,
+    removed: bool,
     working: u32,
     queue: VecDeque<CallId>,
     /// Their work is done, but it stands still.
-    frozen: Vec<CallId>,
+    stalled: Vec<CallId>,
     conns: BTreeSet<ConnId>,
     cold_since: Option<Nanos>,
     /// Dispatchers that saw a call or connection fail here in the outage.
-    saw: BTreeSet<usize>,
+    outage_seen_by: BTreeSet<usize>,
     /// Calls since it is back, while it is cold: when, and from one that saw the outage.
-    came: VecDeque<(Nanos, bool)>,
-    came_in_sample: u64,
+    arrivals: VecDeque<(Nanos, bool)>,
+    arrivals_in_sample: u64,
 }
 
 impl Endpoint {
     fn new(cold_since: Option<Nanos>) -> Endpoint {
         Endpoint {
-            troubles: vec![],
-            condition: Condition::SOUND,
-            tipped: false,
-            gone: false,
+            faults: vec![],
+            condition: Condition::HEALTHY,
+            collapsed: false,
+            removed: false,
             working: 0,
             queue: VecDeque::new(),
-            frozen: vec![],
+            stalled: vec![],
             conns: BTreeSet::new(),
             cold_since,
-            saw: BTreeSet::new(),
-            came: VecDeque::new(),
-            came_in_sample: 0,
+            outage_seen_by: BTreeSet::new(),
+            arrivals: VecDeque::new(),
+            arrivals_in_sample: 0,
         }
     }
-    fn reach(&self) -> Reach {
+    fn reach(&self) -> Reachability {
         match () {
-            () if self.gone || self.tipped || self.condition.down => Reach::Refusing,
-            () if self.condition.silent => Reach::Silent,
-            () => Reach::Open,
+            () if self.removed || self.collapsed || self.condition.down => Reachability::Refusing,
+            () if self.condition.silent => Reachability::Silent,
+            () => Reachability::Open,
         }
     }
     fn in_outage(&self) -> bool {
         let c = &self.condition;
-        self.tipped || c.down || c.silent || c.hung || c.shut_until.is_some()
+        self.collapsed || c.down || c.silent || c.hung || c.shut_until.is_some()
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Timer {
     Script(usize),
     Finish(CallId),
-    Tell(usize, usize),
+    PublishList(usize, usize),
     Sample,
 }
 
@@ -245,20 +248,20 @@
     gates: Vec<Gate>,
     conns: SlotMap<ConnId, Conn>,
     calls: SlotMap<CallId, Call>,
-    due: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
+    timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
     seq: u64,
     effects: VecDeque<Effect>,
     /// When a tag first took effect, by its tag and the zone that remembers it.
     applied: BTreeMap<(u64, usize), Nanos>,
-    forget: VecDeque<(Nanos, (u64, usize))>,
-    changes: Vec<Change>,
+    expiring_effects: VecDeque<(Nanos, (u64, usize))>,
+    changes: Vec<ListChange>,
     /// Up to where all dispatchers were told at the start.
     listed_at_start: usize,
-    frozen: bool,
+    list_frozen: bool,
     lag: i64,
     cold: Vec<usize>,
     pub returns: Vec<ReturnLoad>,
-    drawn: u64,
+    calls_seen: u64,
 }
 
 /// How many calls a cold endpoint bears in the window, of which it could handle `allowed` in the mean: as the standing test
@@ -270,10 +273,10 @@
 
 impl World {
     pub fn new(plan: Plan) -> World {
-        let changes: Vec<Change> = (0..plan.endpoints.len())
-            .map(|e| Change {
+        let changes: Vec<ListChange> = (0..plan.endpoints.len())
+            .map(|e| ListChange {
                 endpoint: EndpointId(e as u32),
-                listed: Listed::Up,
+                listed: ListState::Up,
             })
             .collect();
         let mut world = World {
@@ -284,35 +287,35 @@
             gates: vec![Gate::default(); plan.gates.len()],
             conns: SlotMap::with_key(),
             calls: SlotMap::with_key(),
-            due: BinaryHeap::new(),
+            timers: BinaryHeap::new(),
             seq: 0,
             effects: VecDeque::new(),
             applied: BTreeMap::new(),
-            forget: VecDeque::new(),
+            expiring_effects: VecDeque::new(),
             listed_at_start: changes.len(),
             changes,
-            frozen: false,
+            list_frozen: false,
             lag: 0,
             cold: vec![],
             returns: vec![],
-            drawn: 0,
+            calls_seen: 0,
             plan,
         };
         for i in 0..world.plan.script.len() {
-            world.later(world.plan.script[i].0, Due::Script(i));
+            world.schedule(world.plan.script[i].0, Timer::Script(i));
         }
-        world.later(START + SAMPLE, Due::Sample);
+        world.schedule(START + SAMPLE_INTERVAL, Timer::Sample);
         world
     }
 
-    fn later(&mut self, at: Nanos, what: Due) {
+    fn schedule(&mut self, at: Nanos, what: Timer) {
         self.seq += 1;
-        self.due.push(Reverse((at, self.seq, what)));
+        self.timers.push(Reverse((at, self.seq, what)));
     }
 
     /// When something happens here next without being told.
-    pub fn next_due(&self) -> Option<Nanos> {
-        self.due.peek().map(|Reverse((at, _, _))| *at)
+    pub fn next_timer(&self) -> Option<Nanos> {
+        self.timers.peek().map(|Reverse((at, _, _))| *at)
     }
 
     pub fn effect(&mut self) -> Option<Effect> {
@@ -322,24 +325,31 @@
     /// Lets all happen that is due by now.
     pub fn advance(&mut self, now: Nanos) {
         while let Some(&Reverse((at, _, what))) =
-            self.due.peek().filter(|Reverse((at, _, _))| *at <= now)
+            self.timers.peek().filter(|Reverse((at, _, _))| *at <= now)
         {
-            self.due.pop();
+            self.timers.pop();
             self.now = self.now.max(at);
             match what {
-                Due::Script(i) => self.moment(i),
-                Due::Finish(call) => self.finish(call),
-                Due::Tell(dispatcher, upto) if !self.frozen => {
-                    self.effects.push_back(Effect::Tell { dispatcher, upto })
+                Timer::Script(i) => self.apply_change(i),
+                Timer::Finish(call) => self.finish(call),
+                Timer::PublishList(dispatcher, version) if !self.list_frozen => {
+                    self.effects.push_back(Effect::ListPublished {
+                        dispatcher,
+                        version,
+                    })
                 }
                 // Told when the list moves again.
-                Due::Tell(..) => {}
-                Due::Sample => self.sample(),
+                Timer::PublishList(..) => {}
+                Timer::Sample => self.sample(),
             }
         }
         self.now = self.now.max(now);
-        while self.forget.front().is_some_and(|(at, _)| *at <= self.now) {
-            if let Some((_, key)) = self.forget.pop_front() {
+        while self
+            .expiring_effects
+            .front()
+            .is_some_and(|(at, _)| *at <= self.now)
+        {
+            if let Some((_, key)) = self.expiring_effects.pop_front() {
                 self.applied.remove(&key);
             }
         }
@@ -355,15 +365,15 @@
         self.changes.len()
     }
     /// The changes after a version up to another, one line an endpoint a change.
-    pub fn changes(&self, after: usize, upto: usize) -> &[Change] {
+    pub fn changes(&self, after: usize, upto: usize) -> &[ListChange] {
         &self.changes[after.min(upto)..upto]
     }
     /// The list as it was at a version.
-    pub fn listing(&self, upto: usize) -> BTreeMap<EndpointId, Listed> {
+    pub fn listing(&self, upto: usize) -> BTreeMap<EndpointId, ListState> {
         let mut list = BTreeMap::new();
         for change in &self.changes[..upto] {
             match change.listed {
-                Listed::Removed => list.remove(&change.endpoint),
+                ListState::Removed => list.remove(&change.endpoint),
                 listed => list.insert(change.endpoint, listed),
             };
         }
@@ -376,44 +386,44 @@
         self.plan.endpoints.len()
     }
 
-    fn list(&mut self, endpoint: usize, listed: Listed) {
-        self.changes.push(Change {
+    fn record_change(&mut self, endpoint: usize, listed: ListState) {
+        self.changes.push(ListChange {
             endpoint: EndpointId(endpoint as u32),
             listed,
         });
     }
 
     /// Tells all dispatchers what has been listed, each after its own lag.
-    fn tell(&mut self) {
+    fn publish_list(&mut self) {
         let (upto, seed) = (self.changes.len(), self.plan.seed);
         for d in 0..self.plan.spec.dispatchers.count {
             let drawn = draw(seed, upto as u64, d as u64, 7);
             let lag = ms(between(self.plan.spec.world.list_lag_ms, drawn)) as i64 + self.lag;
-            self.later(self.now + lag.max(0) as Nanos, Due::Tell(d, upto));
+            self.schedule(self.now + lag.max(0) as Nanos, Timer::PublishList(d, upto));
         }
     }
 
     // Connections and calls.
 
-    pub fn reach(&self, endpoint: EndpointId) -> Reach {
+    pub fn reach(&self, endpoint: EndpointId) -> Reachability {
         self.endpoints
             .get(endpoint.0 as usize)
-            .map_or(Reach::Refusing, Endpoint::reach)
+            .map_or(Reachability::Refusing, Endpoint::reach)
     }
 
-    pub fn open(&mut self, dispatcher: usize, endpoint: EndpointId) -> Opening {
+    pub fn open(&mut self, dispatcher: usize, endpoint: EndpointId) -> ConnectResult {
         let e = endpoint.0 as usize;
         match self.reach(endpoint) {
-            Reach::Refusing => {
-                self.saw(e, dispatcher);
-                Opening::Refused
+            Reachability::Refusing => {
+                self.note_outage_seen(e, dispatcher);
+                ConnectResult::Refused
             }
-            Reach::Silent => Opening::Never,
-            Reach::Open => {
+            Reachability::Silent => ConnectResult::NoResponse,
+            Reachability::Open => {
                 if self.endpoints[e].conns.len()
                     >= self.plan.spec.kinds[self.plan.endpoints[e].kind].connections
                 {
-                    return Opening::Refused;
+                    return ConnectResult::Refused;
                 }
                 let conn = self.conns.insert(Conn {
                     endpoint: e,
@@ -423,14 +433,14 @@
                     fresh: true,
                 });
                 self.endpoints[e].conns.insert(conn);
-                Opening::Up(conn)
+                ConnectResult::Connected(conn)
             }
         }
     }
 
     /// A dispatcher has waited in vain for a connection to come up.
-    pub fn never_came_up(&mut self, dispatcher: usize, endpoint: EndpointId) {
-        self.saw(endpoint.0 as usize, dispatcher);
+    pub fn connect_timed_out(&mut self, dispatcher: usize, endpoint: EndpointId) {
+        self.note_outage_seen(endpoint.0 as usize, dispatcher);
     }
 
     /// A dispatcher has closed its side. A call that waits is dropped; one that is worked on runs on, unheard.
@@ -441,21 +451,21 @@
         let e = gone.endpoint;
         self.endpoints[e].conns.remove(&conn);
         let Some(id) = gone.call else { return };
-        if self.now >= gone.used + SEEN_AFTER {
-            self.saw(e, gone.dispatcher);
+        if self.now >= gone.used + MIN_WAIT_TO_NOTICE_FAULT {
+            self.note_outage_seen(e, gone.dispatcher);
         }
         match self.calls.get(id).map(|c| c.state) {
             Some(CallState::Queued) => {
                 self.endpoints[e].queue.retain(|q| *q != id);
                 self.calls.remove(id);
             }
-            Some(CallState::Swallowed) => drop(self.calls.remove(id)),
+            Some(CallState::Unanswered) => drop(self.calls.remove(id)),
             _ => {}
         }
     }
 
     /// The last byte of a call has come. None: the connection breaks, and the call never ran.
-    pub fn call(&mut self, conn: ConnId, new: NewCall) -> Option<CallId> {
+    pub fn call(&mut self, conn: ConnId, new: CallRequest) -> Option<CallId> {
         let now = self.now;
         let at = self.conns.get_mut(conn)?;
         let (e, idle) = (at.endpoint, now - at.used);
@@ -465,29 +475,29 @@
         at.dispatcher = new.dispatcher;
         let condition = self.endpoints[e].condition;
         let keep_alive = ms(self.plan.spec.dispatchers.keep_alive_ms);
-        if !fresh && (idle >= keep_alive || condition.reaped && idle >= REAPED_AFTER) {
-            self.break_conn(conn);
+        if !fresh && (idle >= keep_alive || condition.reaped && idle >= REAPED_IDLE_LIMIT) {
+            self.break_connection(conn);
             return None;
         }
-        self.arrived(e, new.dispatcher);
-        if self.endpoints[e].reach() == Reach::Refusing || condition.reset {
-            self.saw(e, new.dispatcher);
-            self.break_conn(conn);
+        self.count_against_budget(e, new.dispatcher);
+        if self.endpoints[e].reach() == Reachability::Refusing || condition.reset {
+            self.note_outage_seen(e, new.dispatcher);
+            self.break_connection(conn);
             return None;
         }
-        self.drawn += 1;
+        self.calls_seen += 1;
         let kind = &self.plan.spec.kinds[self.plan.endpoints[e].kind];
         let handshake = if fresh { ms(kind.handshake_ms) } else { 0 };
         let call = Call {
             conn,
             endpoint: e,
-            state: CallState::Swallowed,
+            state: CallState::Unanswered,
             handshake,
-            count: self.drawn,
-            came: now,
+            count: self.calls_seen,
+            arrivals: now,
             new,
         };
-        let (mail, dispatcher, count) = (call.new.mail, call.new.dispatcher, call.count);
+        let (message, dispatcher, count) = (call.new.message, call.new.dispatcher, call.count);
         let id = self.calls.insert(call);
         if let Some(at) = self.conns.get_mut(conn) {
             at.call = Some(id);
@@ -495,18 +505,18 @@
         if condition.silent {
             return Some(id);
         }
-        let told = |seed| draw(seed, mail.0, count, 1) < kind.told_share;
+        let told = |seed| draw(seed, message.0, count, 1) < kind.told_share;
         if let Some(until) = condition.shut_until {
             let wait = told(self.plan.seed).then(|| until.saturating_sub(now).max(MS));
-            self.saw(e, dispatcher);
-            self.answer(id, Answer::Full(wait));
+            self.note_outage_seen(e, dispatcher);
+            self.answer(id, Answer::RateLimited(wait));
             return Some(id);
         }
         let gate = self.plan.endpoints[e].gate;
-        let drawn = draw(self.plan.seed, mail.0, count, 2);
+        let drawn = draw(self.plan.seed, message.0, count, 2);
         if let Some(wait) = self.gates[gate].call(now, &self.plan.gates[gate], kind, drawn) {
             let wait = told(self.plan.seed).then_some(wait.max(MS));
-            self.answer(id, Answer::Full(wait));
+            self.answer(id, Answer::RateLimited(wait));
             return Some(id);
         }
         let workers = self.workers(e);
@@ -516,20 +526,20 @@
             self.calls[id].state = CallState::Queued;
             self.endpoints[e].queue.push_back(id);
         } else {
-            self.answer(id, Answer::Full(None));
+            self.answer(id, Answer::RateLimited(None));
         }
         Some(id)
     }
 
     /// Whether a connection has not been closed by either side.
-    pub fn stands(&self, conn: ConnId) -> bool {
+    pub fn is_open(&self, conn: ConnId) -> bool {
         self.conns.contains_key(conn)
     }
 
     // How much an endpoint can do.
 
     /// The part of its capacity that is back.
-    fn warmth(&self, e: usize) -> f64 {
+    fn warm_fraction(&self, e: usize) -> f64 {
         let (r, endpoint) = (&self.plan.spec.rules, &self.endpoints[e]);
         match endpoint.cold_since {
             None => 1.0,
@@ -540,7 +550,7 @@
         }
     }
     fn workers(&self, e: usize) -> u32 {
-        ((f64::from(self.plan.endpoints[e].workers) * self.warmth(e)).ceil() as u32).max(1)
+        ((f64::from(self.plan.endpoints[e].workers) * self.warm_fraction(e)).ceil() as u32).max(1)
     }
     /// Calls a second that an endpoint can do now.
     pub fn capacity(&self, endpoint: EndpointId) -> f64 {
@@ -548,18 +558,18 @@
         if self.endpoints[e].in_outage() {
             0.0
         } else {
-            self.plan.endpoints[e].capacity * self.warmth(e)
+            self.plan.endpoints[e].capacity * self.warm_fraction(e)
         }
     }
 
-    fn saw(&mut self, e: usize, dispatcher: usize) {
+    fn note_outage_seen(&mut self, e: usize, dispatcher: usize) {
         if self.endpoints[e].in_outage() {
-            self.endpoints[e].saw.insert(dispatcher);
+            self.endpoints[e].outage_seen_by.insert(dispatcher);
         }
     }
 
     /// Counts a call against what a cold endpoint bears.
-    fn arrived(&mut self, e: usize, dispatcher: usize) {
+    fn count_against_budget(&mut self, e: usize, dispatcher: usize) {
         let Some(since) = self.endpoints[e].cold_since else {
             return;
         };
@@ -569,37 +579,37 @@
         let r = &self.plan.spec.rules;
         if self.now >= since + ms(r.ramp_ms) {
             let endpoint = &mut self.endpoints[e];
-            (endpoint.cold_since, endpoint.came_in_sample) = (None, 0);
-            endpoint.came.clear();
-            endpoint.saw.clear();
+            (endpoint.cold_since, endpoint.arrivals_in_sample) = (None, 0);
+            endpoint.arrivals.clear();
+            endpoint.outage_seen_by.clear();
             self.cold.retain(|c| *c != e);
             return;
         }
         let window = ms(r.tip_window_ms);
-        let warm_capacity = self.plan.endpoints[e].capacity * self.warmth(e);
+        let warm_capacity = self.plan.endpoints[e].capacity * self.warm_fraction(e);
         let bears = slow_start_budget(r.tip_multiple * warm_capacity * window as f64 / 1e9);
         let endpoint = &mut self.endpoints[e];
-        let knowing = endpoint.saw.contains(&dispatcher);
-        endpoint.came_in_sample += 1;
-        endpoint.came.push_back((self.now, knowing));
+        let knowing = endpoint.outage_seen_by.contains(&dispatcher);
+        endpoint.arrivals_in_sample += 1;
+        endpoint.arrivals.push_back((self.now, knowing));
         while endpoint
-            .came
+            .arrivals
             .front()
             .is_some_and(|c| c.0 + window <= self.now)
         {
-            endpoint.came.pop_front();
+            endpoint.arrivals.pop_front();
         }
-        let all = endpoint.came.len();
-        if all as f64 > bears {
-            let knowing = endpoint.came.iter().filter(|c| c.1).count();
-            endpoint.tipped = true;
-            self.effects.push_back(Effect::Tipped {
+        let all_calls = endpoint.arrivals.len();
+        if all_calls as f64 > bears {
+            let informed_calls = endpoint.arrivals.iter().filter(|c| c.1).count();
+            endpoint.collapsed = true;
+            self.effects.push_back(Effect::Overloaded {
                 endpoint: EndpointId(e as u32),
-                knowing,
-                all,
+                informed_calls,
+                all_calls,
             });
             self.collapse(e);
-            self.reach_news(e);
+            self.report_reachability(e);
         }
     }
 
@@ -612,8 +622,8 @@
                 ..Default::default()
             };
             for e in self.cold.clone() {
-                load.calls += std::mem::take(&mut self.endpoints[e].came_in_sample) as f64;
-                load.capacity += self.capacity(EndpointId(e as u32)) * SAMPLE as f64 / 1e9;
+                load.calls += std::mem::take(&mut self.endpoints[e].arrivals_in_sample) as f64;
+                load.capacity += self.capacity(EndpointId(e as u32)) * SAMPLE_INTERVAL as f64 / 1e9;
             }
             self.returns.push(load);
             let ramp = ms(self.plan.spec.rules.ramp_ms);
@@ -625,7 +635,7 @@
             });
         }
         if at < self.plan.over_at {
-            self.later(at + SAMPLE, Due::Sample);
+            self.schedule(at + SAMPLE_INTERVAL, Timer::Sample);
         }
     }
 
@@ -636,50 +646,51 @@
             return;
         };
         call.state = CallState::Working;
-        let (e, mail, count, class, handshake) = (
+        let (e, message, count, class, handshake) = (
             call.endpoint,
-            call.new.mail,
+            call.new.message,
             call.count,
             call.new.class,
             call.handshake,
         );
         let plan = &self.plan.endpoints[e];
         let service = &self.plan.spec.classes[class].service_ms;
-        let drawn = draw(self.plan.seed, mail.0, count, 3);
+        let drawn = draw(self.plan.seed, message.0, count, 3);
         // Too few workers for the part that is back: each takes its time.
-        let stretch = f64::from(self.workers(e)) / (f64::from(plan.workers) * self.warmth(e));
+        let stretch =
+            f64::from(self.workers(e)) / (f64::from(plan.workers) * self.warm_fraction(e));
         let slow = self.endpoints[e].condition.slow;
         let takes =
             between(*service, drawn) * self.plan.paces[plan.destination] * slow * stretch.max(1.0);
         self.endpoints[e].working += 1;
-        self.later(self.now + handshake + ms(takes).max(1), Due::Finish(id));
+        self.schedule(self.now + handshake + ms(takes).max(1), Timer::Finish(id));
     }
 
     fn finish(&mut self, id: CallId) {
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let (e, mail, count) = (call.endpoint, call.new.mail, call.count);
+        let (e, message, count) = (call.endpoint, call.new.message, call.count);
         if self.endpoints[e].condition.hung {
-            return self.endpoints[e].frozen.push(id);
+            return self.endpoints[e].stalled.push(id);
         }
         self.endpoints[e].working -= 1;
         let condition = self.endpoints[e].condition;
         let seed = self.plan.seed;
-        let drawn = |salt| draw(seed, mail.0, count, salt);
+        let drawn = |salt| draw(seed, message.0, count, salt);
         if drawn(4) < condition.failing {
             if drawn(5) < 0.5 {
                 self.apply(id);
             }
-            self.answer(id, Answer::Errored);
+            self.answer(id, Answer::ServerError);
         } else {
             self.apply(id);
             if condition.silent || drawn(6) < condition.lost {
-                self.swallow(id);
-            } else if drawn(6) < condition.lost + condition.spoilt {
-                self.answer(id, Answer::Spoilt);
+                self.leave_unanswered(id);
+            } else if drawn(6) < condition.lost + condition.malformed {
+                self.answer(id, Answer::Malformed);
             } else {
-                self.answer(id, Answer::Relayed);
+                self.answer(id, Answer::Delivered);
             }
         }
         self.next_of(e);
@@ -699,33 +710,33 @@
         let Some(call) = self.calls.get(id) else {
             return;
         };
-        let (e, class, mail) = (
+        let (e, class, message) = (
             call.endpoint,
             &self.plan.spec.classes[call.new.class],
-            call.new.mail,
+            call.new.message,
         );
         // A repeat is known for one by when it came, however long the work takes.
-        let came = call.came;
+        let arrivals = call.arrivals;
         let mut fresh = true;
-        if class.repeat == RepeatWord::Tagged {
+        if class.repeat == Repeat::Tagged {
             let zone = if class.same_zone {
                 self.plan.endpoints[e].zone
             } else {
                 usize::MAX
             };
-            let (key, window) = ((call.new.tag, zone), ms(class.window_ms));
+            let (key, window) = ((call.new.idempotency_key, zone), ms(class.window_ms));
             match self.applied.get(&key) {
-                Some(first) if came < first + window => fresh = false,
+                Some(first) if arrivals < first + window => fresh = false,
                 _ => {
-                    self.applied.insert(key, came);
-                    self.forget
-                        .push_back((self.now + window + EFFECTS_KEPT, key));
+                    self.applied.insert(key, arrivals);
+                    self.expiring_effects
+                        .push_back((self.now + window + EFFECT_RETENTION, key));
                 }
             }
         }
         self.effects.push_back(Effect::Applied {
             call: id,
-            mail,
+            message,
             endpoint: EndpointId(e as u32),
             fresh,
         });
@@ -747,18 +758,18 @@
     }
 
     /// Nothing will be said of the call; its caller still waits, or has gone.
-    fn swallow(&mut self, id: CallId) {
+    fn leave_unanswered(&mut self, id: CallId) {
         let Some(conn) = self.calls.get(id).map(|c| c.conn) else {
             return;
         };
         if self.conns.get(conn).is_some_and(|c| c.call == Some(id)) {
-            self.calls[id].state = CallState::Swallowed;
+            self.calls[id].state = CallState::Unanswered;
         } else {
             self.calls.remove(id);
         }
     }
 
-    fn break_conn(&mut self, conn: ConnId) {
+    fn break_connection(&mut self, conn: ConnId) {
         let Some(gone) = self.conns.remove(conn) else {
             return;
         };
@@ -771,7 +782,7 @@
             self.endpoints[gone.endpoint].queue.retain(|q| *q != call);
             self.calls.remove(call);
         }
-        self.effects.push_back(Effect::Break { conn });
+        self.effects.push_back(Effect::ConnectionBroken { conn });
     }
 
     /// All that an endpoint has in hand is lost, and its connections break.
@@ -781,40 +792,44 @@
                 && c.call.is_some()
             {
                 let dispatcher = c.dispatcher;
-                self.saw(e, dispatcher);
+                self.note_outage_seen(e, dispatcher);
             }
             self.conns.remove(conn);
-            self.effects.push_back(Effect::Break { conn });
+            self.effects.push_back(Effect::ConnectionBroken { conn });
         }
         self.endpoints[e].queue.clear();
-        self.endpoints[e].frozen.clear();
+        self.endpoints[e].stalled.clear();
         self.endpoints[e].working = 0;
         self.calls.retain(|_, call| call.endpoint != e);
     }
 
     // The script.
 
-    fn moment(&mut self, i: usize) {
+    fn apply_change(&mut self, i: usize) {
         match self.plan.script[i].1.clone() {
-            Moment::ListLag(lag) => self.lag += lag,
-            Moment::ListFrozen(frozen) => {
-                self.frozen = frozen;
+            ScriptedChange::ListLag(lag) => self.lag += lag,
+            ScriptedChange::ListFrozen(frozen) => {
+                self.list_frozen = frozen;
                 if !frozen {
-                    self.tell();
+                    self.publish_list();
                 }
             }
-            Moment::Dispatcher(dispatcher, news) => self
+            ScriptedChange::Signal(dispatcher, signal) => self
                 .effects
-                .push_back(Effect::Dispatcher { dispatcher, news }),
-            Moment::Strike { trouble, endpoints } => self.strike(trouble, &endpoints, true),
-            Moment::Lift { trouble, endpoints } => self.strike(trouble, &endpoints, false),
+                .push_back(Effect::DispatcherSignalled { dispatcher, signal }),
+            ScriptedChange::BeginFault { fault, endpoints } => {
+                self.apply_fault(fault, &endpoints, true)
+            }
+            ScriptedChange::EndFault { fault, endpoints } => {
+                self.apply_fault(fault, &endpoints, false)
+            }
         }
     }
 
-    fn strike(&mut self, t: usize, endpoints: &[usize], strikes: bool) {
-        let trouble = self.plan.spec.troubles[t].clone();
-        match trouble.what {
-            TroubleKind::LimitLowered => {
+    fn apply_fault(&mut self, t: usize, endpoints: &[usize], begins: bool) {
+        let fault = self.plan.spec.faults[t].clone();
+        match fault.what {
+            FaultKind::LimitLowered => {
                 let mut gates: Vec<usize> = endpoints
                     .iter()
                     .map(|&e| self.plan.endpoints[e].gate)
@@ -822,104 +837,106 @@
                 gates.dedup();
                 for g in gates {
                     self.gates[g].lowered.retain(|l| l.0 != t);
-                    if strikes {
-                        self.gates[g].lowered.push((t, trouble.part.unwrap_or(1.0)));
+                    if begins {
+                        self.gates[g].lowered.push((t, fault.part.unwrap_or(1.0)));
                     }
                 }
             }
-            TroubleKind::Drained => {
+            FaultKind::Drained => {
                 for &e in endpoints {
-                    if strikes {
-                        self.list(e, Listed::Draining);
+                    if begins {
+                        self.record_change(e, ListState::Draining);
                     } else {
-                        self.leave(e);
+                        self.remove(e);
                     }
                 }
-                self.tell();
+                self.publish_list();
             }
-            TroubleKind::Replaced => {
+            FaultKind::Replaced => {
                 for &e in endpoints {
-                    if strikes {
-                        self.leave(e);
+                    if begins {
+                        self.remove(e);
                     } else {
                         let plan = self.plan.endpoints[e].clone();
                         self.plan.endpoints.push(plan);
                         self.endpoints.push(Endpoint::new(Some(self.now)));
                         let new = self.endpoints.len() - 1;
                         self.cold.push(new);
-                        self.effects.push_back(Effect::Appeared {
+                        self.effects.push_back(Effect::EndpointAdded {
                             endpoint: EndpointId(new as u32),
                         });
-                        self.list(new, Listed::Up);
+                        self.record_change(new, ListState::Up);
                     }
                 }
-                self.tell();
+                self.publish_list();
             }
             _ => {
                 for &e in endpoints {
-                    let had = self.endpoints[e].condition;
-                    self.endpoints[e].troubles.retain(|x| *x != t);
-                    if strikes {
-                        self.endpoints[e].troubles.push(t);
+                    let before = self.endpoints[e].condition;
+                    self.endpoints[e].faults.retain(|x| *x != t);
+                    if begins {
+                        self.endpoints[e].faults.push(t);
                     }
                     self.endpoints[e].condition = self.condition(e);
-                    self.changed(e, had, trouble.cold.unwrap_or(trouble.what.chills()));
+                    self.condition_changed(
+                        e,
+                        before,
+                        fault.cold.unwrap_or(fault.what.cold_after()),
+                    );
                 }
             }
         }
     }
 
-    fn leave(&mut self, e: usize) {
-        self.endpoints[e].gone = true;
+    fn remove(&mut self, e: usize) {
+        self.endpoints[e].removed = true;
         self.collapse(e);
         self.cold.retain(|c| *c != e);
-        self.list(e, Listed::Removed);
-        self.reach_news(e);
+        self.record_change(e, ListState::Removed);
+        self.report_reachability(e);
     }
 
-    /// What all troubles that strike an endpoint make of it together.
+    /// What all faults that strike an endpoint make of it together.
     fn condition(&self, e: usize) -> Condition {
-        let mut c = Condition::SOUND;
-        for &t in &self.endpoints[e].troubles {
-            let trouble = &self.plan.spec.troubles[t];
-            let part = trouble.part.unwrap_or(0.0);
+        let mut c = Condition::HEALTHY;
+        for &t in &self.endpoints[e].faults {
+            let fault = &self.plan.spec.faults[t];
+            let part = fault.part.unwrap_or(0.0);
             let or = |a: f64| 1.0 - (1.0 - a) * (1.0 - part);
-            match trouble.what {
-                TroubleKind::Down => c.down = true,
-                TroubleKind::Reset => c.reset = true,
-                TroubleKind::Silent => c.silent = true,
-                TroubleKind::Hung => c.hung = true,
-                TroubleKind::Shut => {
-                    c.shut_until = c.shut_until.max(Some(START + secs(trouble.to_s)))
-                }
-                TroubleKind::Slow => c.slow *= trouble.times.unwrap_or(1.0),
-                TroubleKind::Failing => c.failing = or(c.failing),
-                TroubleKind::AnswersLost => c.lost = or(c.lost),
-                TroubleKind::AnswersSpoilt => c.spoilt = or(c.spoilt),
-                TroubleKind::Reaped => c.reaped = true,
+            match fault.what {
+                FaultKind::Down => c.down = true,
+                FaultKind::Reset => c.reset = true,
+                FaultKind::Silent => c.silent = true,
+                FaultKind::Hung => c.hung = true,
+                FaultKind::Shut => c.shut_until = c.shut_until.max(Some(START + secs(fault.to_s))),
+                FaultKind::Slow => c.slow *= fault.times.unwrap_or(1.0),
+                FaultKind::Failing => c.failing = or(c.failing),
+                FaultKind::AnswersLost => c.lost = or(c.lost),
+                FaultKind::AnswersSpoilt => c.malformed = or(c.malformed),
+                FaultKind::Reaped => c.reaped = true,
                 _ => {}
             }
         }
         c
     }
 
-    fn changed(&mut self, e: usize, had: Condition, chills: bool) {
+    fn condition_changed(&mut self, e: usize, before: Condition, cold_after: bool) {
         let is = self.endpoints[e].condition;
-        let was_out = had.down || had.silent || had.hung || had.shut_until.is_some();
-        if is.down && !had.down || had.silent && !is.silent {
+        let was_out = before.down || before.silent || before.hung || before.shut_until.is_some();
+        if is.down && !before.down || before.silent && !is.silent {
             self.collapse(e);
         }
-        if was_out && !self.endpoints[e].in_outage() && chills {
+        if was_out && !self.endpoints[e].in_outage() && cold_after {
             let endpoint = &mut self.endpoints[e];
             endpoint.cold_since = Some(self.now);
-            endpoint.came.clear();
-            endpoint.came_in_sample = 0;
+            endpoint.arrivals.clear();
+            endpoint.arrivals_in_sample = 0;
             if !self.cold.contains(&e) {
                 self.cold.push(e);
             }
         }
-        if had.hung && !is.hung {
-            let frozen = std::mem::take(&mut self.endpoints[e].frozen);
+        if before.hung && !is.hung {
+            let frozen = std::mem::take(&mut self.endpoints[e].stalled);
             frozen.into_iter().for_each(|call| self.finish(call));
             self.next_of(e);
             // What is over its queue is turned away.
@@ -927,15 +944,15 @@
                 let Some(call) = self.endpoints[e].queue.pop_back() else {
                     break;
                 };
-                self.answer(call, Answer::Full(None));
+                self.answer(call, Answer::RateLimited(None));
             }
         }
-        self.reach_news(e);
+        self.report_reachability(e);
     }
 
-    fn reach_news(&mut self, e: usize) {
+    fn report_reachability(&mut self, e: usize) {
         let endpoint = EndpointId(e as u32);
-        self.effects.push_back(Effect::Reach {
+        self.effects.push_back(Effect::ReachabilityChanged {
             endpoint,
             reach: self.endpoints[e].reach(),
         });
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -10,7 +10,7 @@
 
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
-/// The laboratory's clock at the start of a run. Not nought, so that "long ago" can be said.
+/// The testbed's clock at the start of a run. Not zero, so that "long ago" can be said.
 pub const START: Nanos = 1_000 * S;
 
 pub fn ms(x: f64) -> Nanos {
@@ -20,7 +20,7 @@
     (x * S as f64) as Nanos
 }
 
-/// A number from 0 to 1 that hangs on these alone: what is drawn for one mail is the same whatever else happens, so that
+/// A number from 0 to 1 that hangs on these alone: what is drawn for one message is the same whatever else happens, so that
 /// runs of two builds can be paired.
 pub fn draw(seed: u64, what: u64, whom: u64, salt: u64) -> f64 {
     let mixed =
@@ -49,33 +49,33 @@
 pub struct GatePlan {
     /// Calls a second, if there is a limit.
     pub limit: Option<f64>,
-    /// What it takes where a trouble limits what has none.
+    /// What it takes where a fault limits what has none.
     pub capacity: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum DispatcherNews {
+pub enum DispatcherSignal {
     Kill,
     /// Told to end.
-    Term,
+    Terminate,
     Start,
 }
 
 /// What happens at a moment of the script.
 #[derive(Clone, Debug)]
-pub enum Moment {
-    /// A trouble (a row of the experiment's) strikes these endpoints.
-    Strike {
-        trouble: usize,
+pub enum ScriptedChange {
+    /// A fault (a row of the experiment's) strikes these endpoints.
+    BeginFault {
+        fault: usize,
         endpoints: Vec<usize>,
     },
-    Lift {
-        trouble: usize,
+    EndFault {
+        fault: usize,
         endpoints: Vec<usize>,
     },
     ListFrozen(bool),
     ListLag(i64),
-    Dispatcher(usize, DispatcherNews),
+    Signal(usize, DispatcherSignal),
 }
 
 #[derive(Clone, Debug)]
@@ -88,12 +88,12 @@
     pub parts: Vec<f64>,
     pub paces: Vec<f64>,
     /// In order of time, from [`START`].
-    pub script: Vec<(Nanos, Moment)>,
-    /// Spans in which these dispatchers together get a part of all mails.
+    pub script: Vec<(Nanos, ScriptedChange)>,
+    /// Spans in which these dispatchers together get a part of all messages.
     pub hot: Vec<(Nanos, Nanos, f64, Vec<usize>)>,
-    /// No mail is handed in from then on.
+    /// No message is handed in from then on.
     pub load_until: Nanos,
-    /// All mails have had their time by then.
+    /// All messages have had their time by then.
     pub over_at: Nanos,
 }
 
@@ -106,7 +106,7 @@
 }
 
 /// As many of each kind as the shares say, dealt over the ranks so that each kind has busy and quiet ones.
-fn kinds_of(shares: &[f64], count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
+fn deal_kinds(shares: &[f64], count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
     let total: f64 = shares.iter().sum();
     let mut kinds: Vec<usize> = (0..count)
         .map(|i| {
@@ -133,7 +133,7 @@
         let total: f64 = raw.iter().sum();
         let parts: Vec<f64> = raw.iter().map(|x| x / total).collect();
         let shares: Vec<f64> = spec.kinds.iter().map(|k| k.share).collect();
-        let kind_of = kinds_of(&shares, world.destinations, &mut rng);
+        let kind_of = deal_kinds(&shares, world.destinations, &mut rng);
         let paces: Vec<f64> = kind_of
             .iter()
             .map(|&k| between(spec.kinds[k].pace, rng.random()))
@@ -174,17 +174,20 @@
             }
         }
         let (mut script, mut hot) = (Vec::new(), Vec::new());
-        for (i, t) in spec.troubles.iter().enumerate() {
+        for (i, t) in spec.faults.iter().enumerate() {
             let (from, to) = (START + secs(t.from_s), START + secs(t.to_s));
             match t.what {
-                TroubleKind::ListLate => {
+                FaultKind::ListLate => {
                     let lag = secs(t.lag_s.unwrap_or(0.0)) as i64;
-                    script.extend([(from, Moment::ListLag(lag)), (to, Moment::ListLag(-lag))]);
+                    script.extend([
+                        (from, ScriptedChange::ListLag(lag)),
+                        (to, ScriptedChange::ListLag(-lag)),
+                    ]);
                 }
-                TroubleKind::ListFrozen => {
+                FaultKind::ListFrozen => {
                     script.extend([
-                        (from, Moment::ListFrozen(true)),
-                        (to, Moment::ListFrozen(false)),
+                        (from, ScriptedChange::ListFrozen(true)),
+                        (to, ScriptedChange::ListFrozen(false)),
                     ]);
                 }
                 what if what.of_dispatchers() => {
@@ -192,17 +195,17 @@
                         Some(n) => vec![n],
                         None => pick(&mut rng, spec.dispatchers.count, t.share.unwrap_or(0.0)),
                     };
-                    if what == TroubleKind::Hot {
+                    if what == FaultKind::Hot {
                         hot.push((from, to, t.part.unwrap_or(0.0), whom));
                         continue;
                     }
-                    let news = match what {
-                        TroubleKind::Killed => DispatcherNews::Kill,
-                        _ => DispatcherNews::Term,
+                    let signal = match what {
+                        FaultKind::Killed => DispatcherSignal::Kill,
+                        _ => DispatcherSignal::Terminate,
                     };
                     for n in whom {
-                        script.push((from, Moment::Dispatcher(n, news)));
-                        script.push((to, Moment::Dispatcher(n, DispatcherNews::Start)));
+                        script.push((from, ScriptedChange::Signal(n, signal)));
+                        script.push((to, ScriptedChange::Signal(n, DispatcherSignal::Start)));
                     }
                 }
                 _ => {
@@ -213,7 +216,7 @@
                     let of = |e: &EndpointPlan| {
                         zone == Some(e.zone) || t.destination == Some(e.destination)
                     };
-                    let struck: Vec<usize> = match (t.endpoint, t.share) {
+                    let affected: Vec<usize> = match (t.endpoint, t.share) {
                         (Some(e), _) => vec![e],
                         (_, Some(share)) => pick(&mut rng, endpoints.len(), share),
                         _ => (0..endpoints.len())
@@ -222,16 +225,16 @@
                     };
                     script.push((
                         from,
-                        Moment::Strike {
-                            trouble: i,
-                            endpoints: struck.clone(),
+                        ScriptedChange::BeginFault {
+                            fault: i,
+                            endpoints: affected.clone(),
                         },
                     ));
                     script.push((
                         to,
-                        Moment::Lift {
-                            trouble: i,
-                            endpoints: struck,
+                        ScriptedChange::EndFault {
+                            fault: i,
+                            endpoints: affected,
                         },
                     ));
                 }
@@ -278,7 +281,7 @@
     }
 
     /// What the decisions of one dispatcher are told at its start.
-    pub fn boot_facts(&self, dispatcher: usize, start: u32) -> Settings {
+    pub fn dispatcher_settings(&self, dispatcher: usize, start: u32) -> Settings {
         let (d, r) = (&self.spec.dispatchers, &self.spec.rules);
         let class = |c: &Class| ClassSettings {
             priority_weight: c.importance,
@@ -286,15 +289,15 @@
             lifetime: ms(c.lifetime_ms),
             late_value_share: c.late_share,
             semantics: match c.repeat {
-                RepeatWord::Redeliverable => DeliverySemantics::Idempotent,
-                RepeatWord::Tagged => DeliverySemantics::IdempotencyKey {
+                Repeat::Redeliverable => DeliverySemantics::Idempotent,
+                Repeat::Tagged => DeliverySemantics::IdempotencyKey {
                     window: ms(c.window_ms),
                     scope: match c.same_zone {
                         true => DeduplicationScope::Zone,
                         false => DeduplicationScope::Destination,
                     },
                 },
-                RepeatWord::OnceOnly => DeliverySemantics::AtMostOnce,
+                Repeat::OnceOnly => DeliverySemantics::AtMostOnce,
             },
             ordered: c.ordered_keys > 0,
         };
--- a/crates/testbed/tests/broken.rs
+++ b/crates/testbed/tests/broken.rs
@@ -69,31 +69,31 @@
     lab.lines().remove(0)
 }
 
-fn convicted(defect: &str, troubles: &str, rule: Rule) {
-    let line = played(defect, &format!("{WORLD}{troubles}"));
+fn convicted(defect: &str, faults: &str, rule: Rule) {
+    let line = played(defect, &format!("{WORLD}{faults}"));
     assert!(
-        line.verdict.breaks.contains_key(&rule),
+        line.verdict.violations.contains_key(&rule),
         "{defect}: {:?}, {:?}",
         line.verdict,
         line.faults
     );
     let words = line
         .verdict
-        .words
+        .samples
         .iter()
         .find(|w| w.rule == rule)
         .expect("in words");
     assert!(
-        !words.evidence.is_empty() && (words.mail.is_some() || rule == Rule::Tipped),
+        !words.evidence.is_empty() && (words.message.is_some() || rule == Rule::Tipped),
         "{words}"
     );
 }
 
 #[test]
 fn a_peer_without_a_defect_is_acquitted() {
-    for troubles in [FAILING, DRAINED, SHUT] {
-        let line = played("none", &format!("{WORLD}{troubles}"));
-        assert!(line.verdict.kept(), "{troubles}: {:?}", line.verdict);
+    for faults in [FAILING, DRAINED, SHUT] {
+        let line = played("none", &format!("{WORLD}{faults}"));
+        assert!(line.verdict.passed(), "{faults}: {:?}", line.verdict);
         assert!(
             line.faults.is_empty() && line.verdict.applied > 50,
             "{:?}, {:?}",
@@ -147,7 +147,7 @@
         &format!("{WORLD}cold_share = 0.05\ntip_window_ms = 1000\n{shut}"),
     );
     assert!(
-        line.verdict.breaks.contains_key(&Rule::Tipped),
+        line.verdict.violations.contains_key(&Rule::Tipped),
         "{:?}",
         line.verdict
     );
@@ -178,7 +178,7 @@
         .unwrap();
     let line = lab.lines().remove(0);
     assert!(
-        line.verdict.kept() && line.faults.is_empty(),
+        line.verdict.passed() && line.faults.is_empty(),
         "{:?}, {:?}",
         line.verdict,
         line.faults
--- a/crates/testbed/tests/cold_returns.rs
+++ b/crates/testbed/tests/cold_returns.rs
@@ -13,10 +13,10 @@
 fn play(dispatchers: usize, endpoints_each: usize, seeds: &[u64]) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     let calm = std::fs::read_to_string(folder.join("calm.toml")).unwrap();
-    // Troubles stand before the longer form's table.
+    // Faults stand before the longer form's table.
     let (world, _) = calm.split_once("[long]").unwrap();
-    let trouble = "[[troubles]]\nwhat = \"down\"\nzone = \"hall-b\"\nfrom_s = 4\nto_s = 9\n";
-    let read = experiment::parse(&format!("{world}\n{trouble}"), "cold-returns").unwrap();
+    let fault = "[[troubles]]\nwhat = \"down\"\nzone = \"hall-b\"\nfrom_s = 4\nto_s = 9\n";
+    let read = experiment::parse(&format!("{world}\n{fault}"), "cold-returns").unwrap();
     let mut spec = read.variants.into_iter().next().unwrap().spec;
     spec.run.seconds = 24.0;
     spec.world.destinations = 10;
@@ -30,9 +30,9 @@
             played.results.share
         );
         assert!(
-            played.verdict.kept(),
+            played.verdict.passed(),
             "{dispatchers} dispatchers, seed {seed}: {:?}",
-            played.verdict.words
+            played.verdict.samples
         );
     }
 }
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A folder of its own for each test, and the laboratory's program run in it.
+//! A folder of its own for each test, and the testbed's program run in it.
 #![allow(dead_code)]
 
 use bellsill_testbed::run::{RunLine, lines};
--- a/crates/testbed/tests/growth.rs
+++ b/crates/testbed/tests/growth.rs
@@ -29,7 +29,7 @@
 
 fn play(spec: &Spec, seed: u64) -> Results {
     let played = virtual_time::run(Plan::new(spec, seed), &mut |_| {});
-    assert!(played.verdict.kept(), "{:?}", played.verdict.words);
+    assert!(played.verdict.passed(), "{:?}", played.verdict.samples);
     played.results
 }
 
--- a/crates/testbed/tests/program.rs
+++ b/crates/testbed/tests/program.rs
@@ -30,9 +30,9 @@
         "{typed}"
     );
     let (world, long) = CALM.split_once("[long]").unwrap();
-    let trouble = "[[troubles]]\nwhat = 'silent'\nzone = 'hall-x'\nfrom_s = 4\nto_s = 3\n";
+    let fault = "[[troubles]]\nwhat = 'silent'\nzone = 'hall-x'\nfrom_s = 4\nto_s = 3\n";
     let both = faults(&format!(
-        "{}{trouble}[long]{long}",
+        "{}{fault}[long]{long}",
         world.replace("rate = 120", "rate = -1")
     ));
     let lines: Vec<&str> = both.lines().collect();
@@ -175,7 +175,7 @@
             .count()
     };
     let from = Instant::now();
-    // All three, and the first journal entries of mails: the run is under way.
+    // All three, and the first journal entries of messages: the run is under way.
     let under_way = || {
         let work = lab.folder.join("out/work");
         let Ok(folders) = std::fs::read_dir(work) else {
