--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -21,7 +21,7 @@
 
 /// Redeliverable, tagged within a zone for 4 s, once-only, once-only in order; two zones with two endpoints each.
 fn auditor() -> Auditor {
-    Auditor::new(Facts {
+    Auditor::new(AuditSettings {
         classes: vec![
             class(DeliverySemantics::Idempotent, false),
             class(
@@ -37,86 +37,86 @@
         endpoints: vec![(0, 0), (0, 1), (1, 2), (1, 3)],
         drain_grace: 2 * S,
         key_rest: 100 * MS,
-        max_connects: 4,
+        max_attempts: 4,
         slack: Slack::VIRTUAL,
     })
 }
 
-fn taken(a: &mut Auditor, at: Nanos, mail: u64, class: usize) {
-    let mail = MessageId(mail);
+fn taken(a: &mut Auditor, at: Nanos, message: u64, class: usize) {
+    let message = MessageId(message);
     let key = (class == 3).then_some(9);
     let (destination, dispatcher) = (0, 0);
-    let due = at + 10 * S;
-    let arrival = mail.0;
-    let hand_in = HandIn {
-        mail,
+    let deadline = at + 10 * S;
+    let arrival = message.0;
+    let submission = Submission {
+        message,
         arrival,
         class,
         destination,
         key,
         dispatcher,
-        due,
-        again: false,
+        deadline,
+        resubmitted: false,
     };
-    a.see(at, &Seen::HandedIn(hand_in));
-    a.see(at, &Seen::Taken { mail });
+    a.observe(at, &Observation::Submitted(submission));
+    a.observe(at, &Observation::Accepted { message });
 }
 
-fn call(a: &mut Auditor, at: Nanos, no: u64, mail: u64, endpoint: u32) {
-    let (mail, endpoint) = (MessageId(mail), EndpointId(endpoint));
-    let seen = Seen::Call {
-        call: CallNo(no),
-        mail,
+fn call(a: &mut Auditor, at: Nanos, no: u64, message: u64, endpoint: u32) {
+    let (message, endpoint) = (MessageId(message), EndpointId(endpoint));
+    let observation = Observation::Call {
+        call: CallNumber(no),
+        message,
         endpoint,
         dispatcher: 0,
-        begun: at,
+        started_at: at,
         fresh: true,
     };
-    a.see(at, &seen);
+    a.observe(at, &observation);
 }
 
 fn applied(a: &mut Auditor, at: Nanos, no: u64) {
-    a.see(
+    a.observe(
         at,
-        &Seen::Applied {
-            call: CallNo(no),
+        &Observation::Applied {
+            call: CallNumber(no),
             fresh: true,
         },
     );
 }
 
 fn answered(a: &mut Auditor, at: Nanos, no: u64, answer: Answer) {
-    a.see(
+    a.observe(
         at,
-        &Seen::Answered {
-            call: CallNo(no),
+        &Observation::Answered {
+            call: CallNumber(no),
             answer,
         },
     );
 }
 
 fn broken(a: &mut Auditor, at: Nanos, no: u64) {
-    a.see(
+    a.observe(
         at,
-        &Seen::Broken {
-            call: CallNo(no),
+        &Observation::ConnectionClosed {
+            call: CallNumber(no),
             by_endpoint: false,
         },
     );
 }
 
-fn notice(a: &mut Auditor, at: Nanos, mail: u64, deferred: Option<Nanos>) {
-    a.see(
+fn notice(a: &mut Auditor, at: Nanos, message: u64, deferred: Option<Nanos>) {
+    a.observe(
         at,
-        &Seen::Notice {
-            mail: MessageId(mail),
-            deferred,
+        &Observation::Notified {
+            message: MessageId(message),
+            retry_after: deferred,
         },
     );
 }
 
 fn rules(a: Auditor) -> Vec<Rule> {
-    a.finish(60 * S).breaks.into_keys().collect()
+    a.finish(60 * S).violations.into_keys().collect()
 }
 
 #[test]
@@ -128,9 +128,9 @@
     applied(&mut a, 4 * S, 1);
     notice(&mut a, 3 * S + MS, 1, None);
     let verdict = a.finish(60 * S);
-    assert!(verdict.kept(), "{verdict:?}");
+    assert!(verdict.passed(), "{verdict:?}");
     assert_eq!(
-        (verdict.calls, verdict.applied, verdict.applied_unheard),
+        (verdict.calls, verdict.applied, verdict.applied_unanswered),
         (1, 1, 1)
     );
 }
@@ -139,16 +139,16 @@
 fn killed_before_the_first_byte_a_once_only_mail_may_be_bounced_but_not_sent() {
     for (sent, kept) in [(false, true), (true, false)] {
         let mut a = auditor();
-        a.see(S, &Seen::Ready { dispatcher: 0 });
+        a.observe(S, &Observation::Ready { dispatcher: 0 });
         taken(&mut a, S, 1, 2);
         call(&mut a, S, 1, 1, 0);
         broken(&mut a, 2 * S, 1);
-        a.see(2 * S, &Seen::Ended { dispatcher: 0 });
-        a.see(3 * S, &Seen::Started { dispatcher: 0 });
-        a.see(3 * S, &Seen::Ready { dispatcher: 0 });
+        a.observe(2 * S, &Observation::Stopped { dispatcher: 0 });
+        a.observe(3 * S, &Observation::Started { dispatcher: 0 });
+        a.observe(3 * S, &Observation::Ready { dispatcher: 0 });
         if sent {
             call(&mut a, 3 * S + MS, 2, 1, 2);
-            answered(&mut a, 3 * S + 2 * MS, 2, Answer::Relayed);
+            answered(&mut a, 3 * S + 2 * MS, 2, Answer::Delivered);
         } else {
             notice(&mut a, 3 * S + MS, 1, None);
         }
@@ -167,14 +167,14 @@
     broken(&mut a, 2 * S, 1);
     call(&mut a, 3 * S, 2, 1, 3);
     applied(&mut a, 4 * S, 2);
-    answered(&mut a, 4 * S, 2, Answer::Relayed);
+    answered(&mut a, 4 * S, 2, Answer::Delivered);
     let verdict = a.finish(60 * S);
     let words = verdict
-        .words
+        .samples
         .iter()
         .find(|w| w.rule == Rule::EffectTwice)
         .expect("found");
-    assert_eq!((words.at, words.mail), (4 * S, Some(1)));
+    assert_eq!((words.at, words.message), (4 * S, Some(1)));
     assert!(
         words.evidence.contains("zone 0") && words.evidence.contains("zone 1"),
         "{words}"
@@ -193,14 +193,14 @@
         call(&mut a, S, 1, 1, 0);
         broken(&mut a, 2 * S, 1);
         call(&mut a, at, 2, 1, endpoint);
-        answered(&mut a, at + S, 2, Answer::Relayed);
+        answered(&mut a, at + S, 2, Answer::Delivered);
         assert_eq!(rules(a).is_empty(), kept, "at {at} to {endpoint}");
     }
 }
 
 #[test]
 fn a_told_wait_binds_its_gate_until_it_ends_or_the_process_does() {
-    let told = Answer::Full(Some(3 * S));
+    let told = Answer::RateLimited(Some(3 * S));
     for (at, endpoint, restart, kept) in [
         (3 * S, 0, false, false),
         (3 * S, 1, false, true),
@@ -213,11 +213,11 @@
         call(&mut a, S, 1, 1, 0);
         answered(&mut a, S + MS, 1, told);
         if restart {
-            a.see(2 * S, &Seen::Ended { dispatcher: 0 });
-            a.see(2 * S, &Seen::Ready { dispatcher: 0 });
+            a.observe(2 * S, &Observation::Stopped { dispatcher: 0 });
+            a.observe(2 * S, &Observation::Ready { dispatcher: 0 });
         }
         call(&mut a, at, 2, 2, endpoint);
-        answered(&mut a, at + S, 2, Answer::Relayed);
+        answered(&mut a, at + S, 2, Answer::Delivered);
         notice(&mut a, 5 * S, 1, Some(0));
         let rules = rules(a);
         assert_eq!(rules.is_empty(), kept, "at {at} to {endpoint}: {rules:?}");
@@ -227,9 +227,9 @@
 #[test]
 fn order_holds_per_key_with_its_rest() {
     for (ends, next, kept) in [
-        (Answer::Relayed, 2 * S + MS, true),
-        (Answer::Errored, 2 * S + 50 * MS, false),
-        (Answer::Full(None), 2 * S + 50 * MS, false),
+        (Answer::Delivered, 2 * S + MS, true),
+        (Answer::ServerError, 2 * S + 50 * MS, false),
+        (Answer::RateLimited(None), 2 * S + 50 * MS, false),
     ] {
         let mut a = auditor();
         taken(&mut a, S, 1, 3);
@@ -238,7 +238,7 @@
         answered(&mut a, 2 * S, 1, ends);
         // Not over: it is another's turn only once this has ended.
         call(&mut a, next, 2, 2, 1);
-        answered(&mut a, next + S, 2, Answer::Relayed);
+        answered(&mut a, next + S, 2, Answer::Delivered);
         notice(&mut a, next + 2 * S, 1, None);
         assert_eq!(!rules(a).contains(&Rule::Order), kept, "{ends:?}");
     }
@@ -249,15 +249,15 @@
     broken(&mut a, 2 * S, 1);
     notice(&mut a, 2 * S, 1, None);
     call(&mut a, 2 * S + 60 * MS, 2, 2, 1);
-    answered(&mut a, 3 * S, 2, Answer::Relayed);
+    answered(&mut a, 3 * S, 2, Answer::Delivered);
     assert_eq!(rules(a), [Rule::Order], "within the key's rest");
 }
 
 #[test]
 fn ends_are_one_and_in_time() {
     let mut a = auditor();
-    for mail in 1..=4 {
-        taken(&mut a, S, mail, 0);
+    for message in 1..=4 {
+        taken(&mut a, S, message, 0);
     }
     notice(&mut a, 2 * S, 1, None);
     // The same notice again is no second end.
@@ -265,44 +265,54 @@
     notice(&mut a, 3 * S, 2, Some(S));
     notice(&mut a, 4 * S, 2, None);
     call(&mut a, 5 * S, 1, 3, 0);
-    answered(&mut a, 6 * S, 1, Answer::Relayed);
-    // A dispatcher may give up a mail whose 200 it never read.
+    answered(&mut a, 6 * S, 1, Answer::Delivered);
+    // A dispatcher may give up a message whose 200 it never read.
     notice(&mut a, 6 * S, 3, None);
     let verdict = a.finish(60 * S);
     let of = |rule| {
         verdict
-            .words
+            .samples
             .iter()
             .filter(|w| w.rule == rule)
-            .map(|w| w.mail)
+            .map(|w| w.message)
             .collect::<Vec<_>>()
     };
     assert_eq!(of(Rule::EndedTwice), [Some(2)]);
     assert_eq!(of(Rule::Lost), [Some(4)]);
-    assert_eq!(verdict.words.len(), 2, "{verdict:?}");
+    assert_eq!(verdict.samples.len(), 2, "{verdict:?}");
 }
 
 #[test]
 fn what_a_client_never_heard_of_counts_for_nothing() {
     let mut a = auditor();
     taken(&mut a, S, 1, 2);
-    a.see(S, &Seen::Unheard { mail: MessageId(1) });
+    a.observe(
+        S,
+        &Observation::Abandoned {
+            message: MessageId(1),
+        },
+    );
     call(&mut a, S, 1, 1, 0);
     applied(&mut a, 2 * S, 1);
-    let again = HandIn {
-        mail: MessageId(2),
+    let again = Submission {
+        message: MessageId(2),
         arrival: 1,
         class: 2,
         destination: 0,
         key: None,
         dispatcher: 1,
-        due: 9 * S,
-        again: true,
+        deadline: 9 * S,
+        resubmitted: true,
     };
-    a.see(2 * S, &Seen::HandedIn(again));
-    a.see(2 * S, &Seen::Taken { mail: MessageId(2) });
+    a.observe(2 * S, &Observation::Submitted(again));
+    a.observe(
+        2 * S,
+        &Observation::Accepted {
+            message: MessageId(2),
+        },
+    );
     call(&mut a, 3 * S, 2, 2, 1);
     applied(&mut a, 4 * S, 2);
-    answered(&mut a, 4 * S, 2, Answer::Relayed);
+    answered(&mut a, 4 * S, 2, Answer::Delivered);
     assert!(rules(a).is_empty());
 }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -30,15 +30,15 @@
         .spec
 }
 
-/// The calm world with other troubles.
-fn with(troubles: &str) -> Spec {
+/// The calm world with other faults.
+fn with(faults: &str) -> Spec {
     let calm = std::fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/calm.toml"),
     )
     .unwrap();
-    // Troubles stand before the longer form's table.
+    // Faults stand before the longer form's table.
     let (world, _) = calm.split_once("[long]").unwrap();
-    experiment::parse(&format!("{world}\n{troubles}"), "test")
+    experiment::parse(&format!("{world}\n{faults}"), "test")
         .unwrap()
         .variants
         .remove(0)
@@ -81,10 +81,10 @@
         for seed in [1, 2, 11] {
             let played = virtual_time::run(Plan::new(&spec, seed), &mut |_| {});
             assert!(
-                played.verdict.kept(),
+                played.verdict.passed(),
                 "{}, seed {seed}: {:?}",
                 path.display(),
-                played.verdict.words
+                played.verdict.samples
             );
             assert!(
                 played.results.share > 0.5,
@@ -136,9 +136,9 @@
         }
         let played = virtual_time::run(Plan::new(&with(&text), seed), &mut |_| {});
         assert!(
-            played.verdict.kept(),
+            played.verdict.passed(),
             "seed {seed}:\n{text}\n{:?}",
-            played.verdict.words
+            played.verdict.samples
         );
     }
 }
@@ -148,7 +148,7 @@
     let mut spec = spec("full-hold.toml");
     spec.load.burst_share = 0.3;
     let arrivals: Vec<_> = Arrivals::new(&Plan::new(&spec, 3)).collect();
-    spec.troubles.clear();
+    spec.faults.clear();
     let calm: Vec<_> = Arrivals::new(&Plan::new(&spec, 3)).collect();
     assert_eq!(arrivals, calm);
     assert!(
@@ -185,20 +185,20 @@
 struct Tried(World, u64);
 
 impl Tried {
-    fn new(troubles: &str) -> Tried {
-        Tried(World::new(Plan::new(&with(troubles), 1)), 0)
+    fn new(faults: &str) -> Tried {
+        Tried(World::new(Plan::new(&with(faults), 1)), 0)
     }
     fn call(&mut self, at_ms: u64, endpoint: u32) -> Option<(ConnId, Option<CallId>)> {
         self.0.advance(START + at_ms * MS);
-        let Opening::Up(conn) = self.0.open(0, EndpointId(endpoint)) else {
+        let ConnectResult::Connected(conn) = self.0.open(0, EndpointId(endpoint)) else {
             return None;
         };
         self.1 += 1;
-        let new = NewCall {
-            mail: MessageId(self.1),
+        let new = CallRequest {
+            message: MessageId(self.1),
             class: 0,
             dispatcher: 0,
-            tag: self.1,
+            idempotency_key: self.1,
         };
         Some((conn, self.0.call(conn, new)))
     }
@@ -223,7 +223,7 @@
 
 #[test]
 fn an_endpoint_does_its_work_and_is_down_silent_hung_or_shut_as_the_script_says() {
-    let trouble =
+    let fault =
         |what: &str| format!("[[troubles]]\nwhat = '{what}'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
     let mut sound = Tried::new("");
     sound.call(0, 0).unwrap();
@@ -233,46 +233,49 @@
         [
             Effect::Applied { .. },
             Effect::Answer {
-                answer: Answer::Relayed,
+                answer: Answer::Delivered,
                 ..
             }
         ]
     ));
 
-    let mut down = Tried::new(&trouble("down"));
+    let mut down = Tried::new(&fault("down"));
     down.call(990, 0).unwrap();
     assert!(
         down.until(1_010)
             .iter()
-            .any(|e| matches!(e, Effect::Break { .. })),
+            .any(|e| matches!(e, Effect::ConnectionBroken { .. })),
         "what is in hand is lost"
     );
     assert!(down.call(2_000, 0).is_none());
     assert!(down.call(3_001, 0).is_some());
 
-    let mut silent = Tried::new(&trouble("silent"));
+    let mut silent = Tried::new(&fault("silent"));
     let (conn, _) = silent.call(999, 0).unwrap();
     let effects = silent.until(2_900);
     assert!(
         answers(&effects).is_empty() && effects.iter().any(|e| matches!(e, Effect::Applied { .. }))
     );
-    assert!(matches!(silent.0.open(0, EndpointId(0)), Opening::Never));
-    let broken = |e: &Effect| *e == Effect::Break { conn };
+    assert!(matches!(
+        silent.0.open(0, EndpointId(0)),
+        ConnectResult::NoResponse
+    ));
+    let broken = |e: &Effect| *e == Effect::ConnectionBroken { conn };
     assert!(
         silent.until(3_001).iter().any(broken),
         "reset once it is back"
     );
 
-    let mut hung = Tried::new(&trouble("hung"));
+    let mut hung = Tried::new(&fault("hung"));
     hung.call(1_500, 0).unwrap();
     assert!(
         hung.until(2_900)
             .iter()
             .all(|e| !matches!(e, Effect::Answer { .. } | Effect::Applied { .. }))
     );
-    assert_eq!(answers(&hung.until(4_000)), [Answer::Relayed]);
+    assert_eq!(answers(&hung.until(4_000)), [Answer::Delivered]);
 
-    let mut shut = Tried::new(&(trouble("shut")));
+    let mut shut = Tried::new(&(fault("shut")));
     for n in 0..20 {
         shut.call(2_000 + n, 0).unwrap();
     }
@@ -281,7 +284,7 @@
     let waits: Vec<Nanos> = told
         .iter()
         .filter_map(|a| {
-            if let Answer::Full(wait) = a {
+            if let Answer::RateLimited(wait) = a {
                 *wait
             } else {
                 None
@@ -317,12 +320,20 @@
         tipped = tipped.or(w
             .until(3_010 + n)
             .into_iter()
-            .find(|e| matches!(e, Effect::Tipped { .. })));
+            .find(|e| matches!(e, Effect::Overloaded { .. })));
     }
-    let Some(Effect::Tipped { knowing, all, .. }) = tipped else {
+    let Some(Effect::Overloaded {
+        informed_calls,
+        all_calls,
+        ..
+    }) = tipped
+    else {
         panic!("it stands")
     };
-    assert_eq!(knowing, all, "its only caller had seen the outage");
+    assert_eq!(
+        informed_calls, all_calls,
+        "its only caller had seen the outage"
+    );
     assert!(w.call(13_000, 0).is_none(), "it stays down");
 }
 
@@ -336,7 +347,7 @@
     }
     let refused = answers(&w.until(2_020))
         .into_iter()
-        .filter(|a| matches!(a, Answer::Full(_)))
+        .filter(|a| matches!(a, Answer::RateLimited(_)))
         .count();
     assert!(refused >= 8, "{refused} of 10");
 
@@ -345,11 +356,11 @@
     w.until(700);
     let again = w.0.call(
         conn,
-        NewCall {
-            mail: MessageId(99),
+        CallRequest {
+            message: MessageId(99),
             class: 0,
             dispatcher: 0,
-            tag: 99,
+            idempotency_key: 99,
         },
     );
     assert_eq!(again, None, "dropped at rest, without a word before");
@@ -358,12 +369,12 @@
     let told = |effects: Vec<Effect>| {
         effects
             .iter()
-            .filter(|e| matches!(e, Effect::Tell { .. }))
+            .filter(|e| matches!(e, Effect::ListPublished { .. }))
             .count()
     };
     assert_eq!(told(w.until(4_500)), 6, "three dispatchers, two changes");
     let list = w.0.listing(w.0.versions());
-    assert!(!list.contains_key(&EndpointId(0)) && list[&EndpointId(36)] == Listed::Up);
+    assert!(!list.contains_key(&EndpointId(0)) && list[&EndpointId(36)] == ListState::Up);
     assert_eq!(
         w.0.endpoint(EndpointId(36)).destination,
         w.0.endpoint(EndpointId(0)).destination
