--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,6 +1,6 @@
 //! Where all that is seen goes: to the auditor and to the measurements, in one order of time.
 
-use crate::audit::{AuditSettings, Auditor, Slack, Verdict};
+use crate::audit::{AuditSettings, AuditedEndpoint, Auditor, Slack, Verdict};
 use crate::load::Arrival;
 use crate::measure::{Measure, Results};
 use crate::record::{CallNumber, Observation};
@@ -19,9 +19,16 @@
     let r = &plan.spec.rules;
     AuditSettings {
         classes: plan.dispatcher_settings(0, 0).classes,
-        endpoints: plan.endpoints.iter().map(|e| (e.zone, e.gate)).collect(),
+        endpoints: plan
+            .endpoints
+            .iter()
+            .map(|e| AuditedEndpoint {
+                zone: e.zone,
+                gate: e.gate,
+            })
+            .collect(),
         drain_grace: ms(r.drain_grace_ms),
-        key_rest: ms(r.key_rest_ms),
+        key_cooldown: ms(r.key_rest_ms),
         max_attempts: plan.spec.dispatchers.max_connects,
         slack,
     }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -7,7 +7,7 @@
 mod platform;
 mod processes;
 
-use crate::audit::{Slack, Verdict};
+use crate::audit::{AuditedEndpoint, Slack, Verdict};
 use crate::ledger::Ledger;
 use crate::load::{Arrival, Arrivals};
 use crate::measure::Results;
@@ -248,7 +248,11 @@
             Effect::EndpointAdded { endpoint } => {
                 shared.with(|s| {
                     let plan = s.world.endpoint(endpoint).clone();
-                    s.ledger.audit.endpoint_appeared(plan.zone, plan.gate);
+                    let endpoint = AuditedEndpoint {
+                        zone: plan.zone,
+                        gate: plan.gate,
+                    };
+                    s.ledger.audit.endpoint_appeared(endpoint);
                     s.listeners.resize_with(s.world.endpoints(), || None);
                 });
                 if let Err(e) = endpoints::reach(&shared, endpoint) {
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -2,7 +2,7 @@
 //! [`Host`], which stands for what the daemon is around the decisions: the messages held, idle connections, time-outs, the
 //! journal that outlasts a kill. Equal plans give equal runs, byte for byte.
 
-use crate::audit::{Slack, Verdict};
+use crate::audit::{AuditedEndpoint, Slack, Verdict};
 use crate::ledger::Ledger;
 use crate::load::*;
 use crate::measure::Results;
@@ -633,7 +633,11 @@
             Effect::ReachabilityChanged { .. } => {}
             Effect::EndpointAdded { endpoint } => {
                 let plan = self.world.endpoint(endpoint);
-                self.ledger.audit.endpoint_appeared(plan.zone, plan.gate);
+                let endpoint = AuditedEndpoint {
+                    zone: plan.zone,
+                    gate: plan.gate,
+                };
+                self.ledger.audit.endpoint_appeared(endpoint);
             }
             Effect::ListPublished {
                 dispatcher,
--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -34,9 +34,11 @@
             class(DeliverySemantics::AtMostOnce, false),
             class(DeliverySemantics::AtMostOnce, true),
         ],
-        endpoints: vec![(0, 0), (0, 1), (1, 2), (1, 3)],
+        endpoints: [(0, 0), (0, 1), (1, 2), (1, 3)]
+            .map(|(zone, gate)| AuditedEndpoint { zone, gate })
+            .to_vec(),
         drain_grace: 2 * S,
-        key_rest: 100 * MS,
+        key_cooldown: 100 * MS,
         max_attempts: 4,
         slack: Slack::VIRTUAL,
     })
