--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -1,10 +1,10 @@
 //! The program `bellsill-testbed`. Status 0: done and valid, rules kept; 1: a rule was broken, or a run is not valid; 2: what was
 //! asked for cannot be done, nothing was started.
 
-use crate::experiment::{self, BadExperiment, Experiment, Vary};
+use crate::experiment::{self, BadExperiment, Experiment};
 use crate::hollow::options::HollowOptions;
 use crate::run::{self, How, RunLine};
-use crate::spec::Drive;
+use crate::spec::{Drive, Vary};
 use anyhow::{Context, Result};
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,7 +1,6 @@
 //! An experiment: world, load, faults, seeds and what varies, read from one TOML file and checked whole.
 
-use crate::spec::*;
-use serde::Deserialize;
+use crate::spec::{File, Spec, Vary, check};
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 
@@ -55,19 +54,6 @@
 
 impl std::error::Error for BadExperiment {}
 
-/// What varies between the runs of an experiment: each value makes a variant, run with every seed.
-#[derive(Clone, Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Vary {
-    /// A field of the file such as `load.rate`.
-    pub field: Option<String>,
-    #[serde(default)]
-    pub values: Vec<Value>,
-    /// Builds of the program by a name of their own; sockets only.
-    #[serde(default)]
-    pub programs: std::collections::BTreeMap<String, PathBuf>,
-}
-
 /// One way of running an experiment.
 #[derive(Clone, Debug)]
 pub struct Variant {
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -4,7 +4,8 @@
 use crate::load::Arrival;
 use crate::measure::{Measure, Results};
 use crate::record::{CallNumber, Observation};
-use crate::world::plan::*;
+use crate::world::plan::Plan;
+use crate::world::time::ms;
 use bellsill_core::interface::Nanos;
 
 pub struct Ledger {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,7 +1,9 @@
 //! The load: messages as they are drawn ahead from the seed, and what clients do with an answer. Open loop: nothing here
 //! waits for an answer before the next message, and times count from the intended moment.
 
-use crate::world::plan::*;
+use crate::world::draw::{between, draw};
+use crate::world::plan::Plan;
+use crate::world::time::{MS, START, ms, secs};
 use bellsill_core::interface::{MessageId, Nanos};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, weighted::WeightedIndex};
@@ -116,13 +118,13 @@
         let hot = plan
             .hot
             .iter()
-            .find(|(from, to, _, _)| (*from..*to).contains(&at));
+            .find(|span| (span.from..span.to).contains(&at));
         let drawn: f64 = rng.random();
         let any = rng.random_range(0..count);
         let dispatcher = match (key, hot) {
             // A key stays with its dispatcher.
             (Some(key), _) => key as usize % count,
-            (None, Some((_, _, part, whom))) if drawn < *part => whom[any % whom.len()],
+            (None, Some(hot)) if drawn < hot.part => hot.dispatchers[any % hot.dispatchers.len()],
             _ => any,
         };
         Arrival {
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -2,10 +2,11 @@
 //! same [`Observation`] as the auditor. Times count from the moment at which a message was meant to be handed in first.
 
 use crate::load::{Arrival, arrival_of, worth};
-use crate::record::*;
+use crate::record::{CallNumber, Observation};
 use crate::spec::Class;
 use crate::world::Answer;
-use crate::world::plan::*;
+use crate::world::plan::Plan;
+use crate::world::time::{MS, S, START, ms};
 use bellsill_core::interface::{MessageId, Nanos};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -5,7 +5,7 @@
 use crate::compare;
 use crate::measure::{BUCKET, Point, Spread};
 use crate::run::{RunLine, Usage};
-use crate::world::plan::START;
+use crate::world::time::START;
 use anyhow::Result;
 use plot::{Chart, Line, Span};
 
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -5,7 +5,7 @@
 use crate::measure::Results;
 use crate::spec::{Drive, FaultKind};
 use crate::world::ReturnLoad;
-use crate::world::plan::*;
+use crate::world::plan::Plan;
 use crate::{sockets, virtual_time};
 use anyhow::{Context, Result};
 use indicatif::{ProgressBar, ProgressStyle};
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -2,9 +2,10 @@
 
 use super::{Handed, Shared};
 use crate::load::{Arrival, RetryReason, again, due, message_id};
-use crate::record::*;
+use crate::record::{Observation, Submission};
 use crate::spec::Repeat;
-use crate::world::plan::*;
+use crate::world::plan::Plan;
+use crate::world::time::{MS, ms};
 use bellsill_core::interface::Nanos;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/testbed/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for endpoints: HTTP/1.1 servers, one listener each, all behind the one world.
 
 use super::{Handed, Say, Shared};
-use crate::record::*;
-use crate::world::*;
+use crate::record::{CallNumber, Observation};
+use crate::world::{Answer, CallRequest, ConnId, ConnectResult, Reachability};
 use anyhow::Result;
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
--- a/crates/testbed/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -2,7 +2,7 @@
 
 use super::{Listing, Shared, State};
 use crate::load::{RetryReason, again, arrival_of};
-use crate::record::*;
+use crate::record::Observation;
 use crate::world::ListState;
 use anyhow::Result;
 use bellsill_core::interface::MessageId;
@@ -193,7 +193,7 @@
             .and_then(|id| u64::from_str_radix(id, 16).ok());
         let deferred = match json["result"].as_str() {
             Some("dead") => None,
-            Some("bounced") => Some(json["wait_ms"].as_f64().map_or(0, crate::world::plan::ms)),
+            Some("bounced") => Some(json["wait_ms"].as_f64().map_or(0, crate::world::time::ms)),
             _ => return false,
         };
         let Some(id) = id else { return false };
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -3,7 +3,8 @@
 use super::{Shared, clients, config, platform};
 use crate::record::Observation;
 use crate::run::Usage;
-use crate::world::plan::*;
+use crate::world::plan::DispatcherSignal;
+use crate::world::time::START;
 use anyhow::{Context, Result};
 use rustix::process::{Pid, Signal, kill_process};
 use std::path::{Path, PathBuf};
--- /dev/null
+++ b/crates/testbed/src/spec/format.rs
@@ -0,0 +1,357 @@
+//! The form of an experiment's file, with its units and ranges. Times end in `_ms`, `_us` or `_s`; shares lie in 0 to 1.
+
+use super::defaults;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+
+/// The whole file, as it is written; the run itself is read again from it once for each variant.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct File {
+    pub title: String,
+    #[serde(default = "defaults::one_seed")]
+    pub seeds: Vec<u64>,
+    pub vary: Option<Vary>,
+    /// What the longer form changes, in the same places.
+    #[allow(dead_code)]
+    pub long: Option<toml::Table>,
+    #[allow(dead_code)]
+    run: Run,
+    #[allow(dead_code)]
+    world: WorldSpec,
+    #[allow(dead_code)]
+    kinds: Vec<Kind>,
+    #[allow(dead_code)]
+    classes: Vec<Class>,
+    #[allow(dead_code)]
+    load: Load,
+    #[serde(default)]
+    #[allow(dead_code)]
+    dispatchers: Dispatchers,
+    #[serde(default)]
+    #[allow(dead_code)]
+    rules: Rules,
+    #[serde(default)]
+    #[allow(dead_code)]
+    #[serde(rename = "troubles")]
+    faults: Vec<Fault>,
+}
+
+/// What varies between the runs of an experiment: each value makes a variant, run with every seed.
+#[derive(Clone, Debug, Default, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Vary {
+    /// A field of the file such as `load.rate`.
+    pub field: Option<String>,
+    #[serde(default)]
+    pub values: Vec<toml::Value>,
+    /// Builds of the program by a name of their own; sockets only.
+    #[serde(default)]
+    pub programs: BTreeMap<String, PathBuf>,
+}
+
+/// One run, all but its seed.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Spec {
+    pub run: Run,
+    pub world: WorldSpec,
+    pub kinds: Vec<Kind>,
+    pub classes: Vec<Class>,
+    pub load: Load,
+    #[serde(default)]
+    pub dispatchers: Dispatchers,
+    #[serde(default)]
+    pub rules: Rules,
+    #[serde(default)]
+    #[serde(rename = "troubles")]
+    pub faults: Vec<Fault>,
+}
+
+#[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
+#[serde(rename_all = "lowercase")]
+pub enum Drive {
+    /// The decisions alone, with no sockets and no sleeping.
+    Virtual,
+    /// Real `bellsill serve` processes on loopback.
+    Sockets,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Run {
+    pub drive: Drive,
+    /// For how long messages are handed in; the run goes on until each has had its queue lifetime.
+    pub seconds: f64,
+    /// The processor time of dispatchers is reckoned from this second on, to the end of the load.
+    #[serde(default)]
+    pub cpu_from_s: f64,
+    /// A generator later than this at its 99th percentile, or late by ten times as much once, makes a run not valid.
+    #[serde(default = "defaults::late_ms")]
+    pub late_ms: f64,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct WorldSpec {
+    pub zones: Vec<String>,
+    pub destinations: usize,
+    /// Endpoints of each destination, dealt over the zones in turn.
+    pub endpoints_each: usize,
+    /// The part of a destination of rank r is as r to the power of minus this.
+    #[serde(default)]
+    pub popularity: f64,
+    /// After each change of the list, when a dispatcher is told: between these.
+    #[serde(default = "defaults::list_lag_ms")]
+    pub list_lag_ms: [f64; 2],
+}
+
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
+#[serde(rename_all = "lowercase")]
+pub enum LimitForm {
+    None,
+    /// Calls a second, with a tenth of a second's worth (one at least) at once.
+    Rate,
+    /// A count in each span, spans laid end to end.
+    Span,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Kind {
+    pub name: String,
+    /// Of the destinations.
+    pub share: f64,
+    /// Are its endpoints separate routes, each with a limit of its own?
+    #[serde(default)]
+    pub apart: bool,
+    /// What an endpoint can do, as a multiple of its part of the load with popularity reckoned in.
+    #[serde(default = "defaults::headroom")]
+    pub headroom: f64,
+    /// Calls that wait in an endpoint for each that it works on.
+    #[serde(default = "defaults::queue")]
+    pub queue: f64,
+    #[serde(default = "defaults::no_limit")]
+    pub limit: LimitForm,
+    /// The limit as a multiple of the destination's part of the load.
+    #[serde(default = "defaults::headroom")]
+    pub limit_headroom: f64,
+    #[serde(default = "defaults::span_ms")]
+    pub span_ms: f64,
+    /// Do refused calls use the limit up?
+    #[serde(default)]
+    pub refusals_count: bool,
+    /// The part of refusals that tell a wait.
+    #[serde(default = "defaults::half")]
+    pub told_share: f64,
+    /// Where a rate tells a wait: between these.
+    #[serde(default = "defaults::told_ms")]
+    pub told_ms: [f64; 2],
+    /// Connections that an endpoint holds.
+    #[serde(default = "defaults::connections")]
+    pub connections: usize,
+    /// What the first call on a connection takes longer.
+    #[serde(default = "defaults::handshake_ms")]
+    pub handshake_ms: f64,
+    /// Service times are multiplied by a figure drawn for each destination between these.
+    #[serde(default = "defaults::pace")]
+    pub pace: [f64; 2],
+}
+
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
+#[serde(rename_all = "kebab-case")]
+pub enum Repeat {
+    Redeliverable,
+    Tagged,
+    OnceOnly,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Class {
+    pub name: String,
+    /// Of the messages.
+    pub share: f64,
+    #[serde(default = "defaults::one")]
+    pub importance: f64,
+    pub target_ms: f64,
+    pub lifetime_ms: f64,
+    /// Of the importance, just before the queue lifetime is up.
+    #[serde(default = "defaults::late_share")]
+    pub late_share: f64,
+    pub repeat: Repeat,
+    /// Tagged: for how long endpoints drop a repeat.
+    #[serde(default = "defaults::window_ms")]
+    pub window_ms: f64,
+    /// Tagged: do only endpoints of one zone know of one another?
+    #[serde(default)]
+    pub same_zone: bool,
+    /// Messages of one key go in order; keys in use at a time.
+    #[serde(default)]
+    pub ordered_keys: usize,
+    /// At a destination of pace 1: evenly between these.
+    pub service_ms: [f64; 2],
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Load {
+    /// Messages a second, all dispatchers together.
+    pub rate: f64,
+    /// From `at_s` on the rate is `times` as much, reached evenly over `over_s`.
+    #[serde(default)]
+    pub steps: Vec<Step>,
+    /// Of the messages, those that come in bursts for one destination, and how many come at once.
+    #[serde(default)]
+    pub burst_share: f64,
+    #[serde(default = "defaults::burst_size")]
+    pub burst_size: usize,
+    /// Messages for one destination that come on top of all that.
+    #[serde(default)]
+    #[serde(rename = "clumps")]
+    pub bursts: Vec<Burst>,
+    /// How often a client hands a message in again that was turned away or deferred.
+    #[serde(default = "defaults::retries")]
+    pub retries: u32,
+    /// The wait before that where none is told: between these.
+    #[serde(default = "defaults::retry_ms")]
+    pub retry_ms: [f64; 2],
+    /// For how long a client waits for the answer to a hand-in.
+    #[serde(default = "defaults::answer_ms")]
+    pub answer_ms: f64,
+    #[serde(default = "defaults::body_bytes")]
+    pub body_bytes: usize,
+    /// Clients write head and body apart and leave the kernel to wait for more (no TCP_NODELAY); sockets only.
+    #[serde(default)]
+    pub nagle: bool,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Step {
+    pub at_s: f64,
+    pub times: f64,
+    #[serde(default)]
+    pub over_s: f64,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Burst {
+    pub at_s: f64,
+    pub destination: usize,
+    #[serde(rename = "mails")]
+    pub messages: usize,
+    /// They come evenly in this span.
+    #[serde(default)]
+    pub over_s: f64,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Dispatchers {
+    pub count: usize,
+    /// As a multiple of what the load keeps busy; two at least.
+    pub slots_times: f64,
+    /// The holding room, in seconds of the load; sixteen messages at least.
+    pub hold_s: f64,
+    /// Given outright, these go before the two above.
+    pub slots: Option<usize>,
+    pub hold: Option<usize>,
+    pub max_connects: u32,
+    pub connect_timeout_ms: f64,
+    pub keep_alive_ms: f64,
+    pub max_come_back_ms: f64,
+    pub memory_mb: u64,
+    pub sockets: u64,
+    pub disk_mb: u64,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Rules {
+    pub drain_grace_ms: f64,
+    pub cold_share: f64,
+    pub ramp_ms: f64,
+    pub tip_multiple: f64,
+    pub tip_window_ms: f64,
+    pub key_rest_ms: f64,
+}
+
+#[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash)]
+#[serde(rename_all = "kebab-case")]
+pub enum FaultKind {
+    /// New connections are refused, old ones break.
+    Down,
+    /// Connections break as soon as a call has come.
+    Reset,
+    /// No answer, no reset; new connections never come up.
+    Silent,
+    /// Calls are taken in and stand still.
+    Hung,
+    /// Refuses all calls; tells when it opens where its kind tells.
+    Shut,
+    /// Takes `times` as long.
+    Slow,
+    /// `part` of the calls are answered with an error; half of these took effect.
+    Failing,
+    /// `part` of the answers never come, though the call took effect.
+    AnswersLost,
+    /// `part` of the answers cannot be read, though the call took effect.
+    AnswersSpoilt,
+    /// Connections idle for over 300 ms are dropped without a word.
+    Reaped,
+    /// The limit (where the kind has none: its capacity) is this `part` of what it was.
+    LimitLowered,
+    /// Listed as draining, and gone at the end.
+    Drained,
+    /// Gone from the start; others under new names come in their place, cold.
+    Replaced,
+    /// The list comes later by `lag_s`.
+    ListLate,
+    /// Nothing of the list comes.
+    ListFrozen,
+    /// Dispatchers are killed, and started again at the end.
+    Killed,
+    /// Dispatchers are told to end, killed 3.7 s later at the latest, and started again at the end.
+    Restarted,
+    /// Dispatchers together are handed this `part` of all messages.
+    Hot,
+}
+
+impl FaultKind {
+    pub fn of_dispatchers(self) -> bool {
+        matches!(
+            self,
+            FaultKind::Killed | FaultKind::Restarted | FaultKind::Hot
+        )
+    }
+    pub fn of_the_list(self) -> bool {
+        matches!(self, FaultKind::ListLate | FaultKind::ListFrozen)
+    }
+    /// After these an endpoint is cold.
+    pub fn cold_after(self) -> bool {
+        use FaultKind::*;
+        matches!(self, Down | Silent | Hung | Shut)
+    }
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Fault {
+    pub what: FaultKind,
+    pub from_s: f64,
+    pub to_s: f64,
+    /// Whom it strikes: one of these four. Of dispatchers, `share` counts them and `dispatcher` names one, from 0.
+    pub zone: Option<String>,
+    pub destination: Option<usize>,
+    pub endpoint: Option<usize>,
+    pub share: Option<f64>,
+    pub dispatcher: Option<usize>,
+    pub part: Option<f64>,
+    pub times: Option<f64>,
+    pub lag_s: Option<f64>,
+    /// Whether what it struck comes back cold; else as its kind does.
+    pub cold: Option<bool>,
+}
--- a/crates/testbed/src/virtual_time.rs
+++ b/crates/testbed/src/virtual_time.rs
@@ -6,9 +6,12 @@
 use crate::ledger::Ledger;
 use crate::load::*;
 use crate::measure::Results;
-use crate::record::*;
-use crate::world::plan::*;
-use crate::world::*;
+use crate::record::{CallNumber, Observation, Submission};
+use crate::world::plan::{DispatcherSignal, Plan};
+use crate::world::time::{MS, S, START, ms};
+use crate::world::{
+    Answer, CallId, CallRequest, ConnId, ConnectResult, Effect, ListState, ReturnLoad, World,
+};
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::{Outcome as AttemptOutcome, *};
 use std::cmp::Reverse;
--- /dev/null
+++ b/crates/testbed/src/world/cold_return.rs
@@ -0,0 +1,121 @@
+//! Endpoints that have returned cold: their share of capacity, their overload, and the load on them.
+
+use super::effects::{Effect, ReturnLoad};
+use super::state::{SAMPLE_INTERVAL, Timer, World};
+use super::time::ms;
+use bellsill_core::interface::EndpointId;
+
+/// Under so many calls allowed, the slack of a cold endpoint's budget is larger.
+const SMALL_ALLOWANCE: f64 = 30.0;
+
+/// How many calls a cold endpoint bears in the window, of which it could handle `allowed` in the mean: as the standing test
+/// counts, with a slack for chance.
+pub fn slow_start_budget(allowed: f64) -> f64 {
+    let slack = if allowed < SMALL_ALLOWANCE { 3.0 } else { 2.0 };
+    allowed + slack * allowed.sqrt() + slack
+}
+
+impl World {
+    /// The part of its capacity that is back.
+    pub(super) fn warm_fraction(&self, e: usize) -> f64 {
+        let (r, endpoint) = (&self.plan.spec.rules, &self.endpoints[e]);
+        match endpoint.cold_since {
+            None => 1.0,
+            Some(since) => {
+                let back = (self.now - since) as f64 / ms(r.ramp_ms).max(1) as f64;
+                (r.cold_share + (1.0 - r.cold_share) * back).min(1.0)
+            }
+        }
+    }
+
+    pub(super) fn workers(&self, e: usize) -> u32 {
+        ((f64::from(self.plan.endpoints[e].workers) * self.warm_fraction(e)).ceil() as u32).max(1)
+    }
+
+    /// Calls a second that an endpoint can do now.
+    pub fn capacity(&self, endpoint: EndpointId) -> f64 {
+        let e = endpoint.0 as usize;
+        if self.endpoints[e].in_outage() {
+            0.0
+        } else {
+            self.plan.endpoints[e].capacity * self.warm_fraction(e)
+        }
+    }
+
+    pub(super) fn note_outage_seen(&mut self, e: usize, dispatcher: usize) {
+        if self.endpoints[e].in_outage() {
+            self.endpoints[e].outage_seen_by.insert(dispatcher);
+        }
+    }
+
+    /// Counts a call against what a cold endpoint bears.
+    pub(super) fn count_against_budget(&mut self, e: usize, dispatcher: usize) {
+        let Some(since) = self.endpoints[e].cold_since else {
+            return;
+        };
+        if self.endpoints[e].in_outage() {
+            return;
+        }
+        let r = &self.plan.spec.rules;
+        if self.now >= since + ms(r.ramp_ms) {
+            let endpoint = &mut self.endpoints[e];
+            (endpoint.cold_since, endpoint.arrivals_in_sample) = (None, 0);
+            endpoint.arrivals.clear();
+            endpoint.outage_seen_by.clear();
+            self.cold.retain(|c| *c != e);
+            return;
+        }
+        let window = ms(r.tip_window_ms);
+        let warm_capacity = self.plan.endpoints[e].capacity * self.warm_fraction(e);
+        let bears = slow_start_budget(r.tip_multiple * warm_capacity * window as f64 / 1e9);
+        let endpoint = &mut self.endpoints[e];
+        let knowing = endpoint.outage_seen_by.contains(&dispatcher);
+        endpoint.arrivals_in_sample += 1;
+        endpoint.arrivals.push_back((self.now, knowing));
+        while endpoint
+            .arrivals
+            .front()
+            .is_some_and(|c| c.0 + window <= self.now)
+        {
+            endpoint.arrivals.pop_front();
+        }
+        let all_calls = endpoint.arrivals.len();
+        if all_calls as f64 > bears {
+            let informed_calls = endpoint.arrivals.iter().filter(|c| c.1).count();
+            endpoint.collapsed = true;
+            self.effects.push_back(Effect::Overloaded {
+                endpoint: EndpointId(e as u32),
+                informed_calls,
+                all_calls,
+            });
+            self.collapse(e);
+            self.report_reachability(e);
+        }
+    }
+
+    pub(super) fn sample(&mut self) {
+        let at = self.now;
+        if !self.cold.is_empty() {
+            let mut load = ReturnLoad {
+                at,
+                endpoints: self.cold.len(),
+                ..Default::default()
+            };
+            for e in self.cold.clone() {
+                load.calls += std::mem::take(&mut self.endpoints[e].arrivals_in_sample) as f64;
+                load.capacity += self.capacity(EndpointId(e as u32)) * SAMPLE_INTERVAL as f64 / 1e9;
+            }
+            self.returns.push(load);
+            let ramp = ms(self.plan.spec.rules.ramp_ms);
+            let endpoints = &self.endpoints;
+            self.cold.retain(|&e| {
+                endpoints[e]
+                    .cold_since
+                    .is_some_and(|since| at < since + ramp)
+            });
+        }
+        if at < self.plan.over_at {
+            self.schedule(at + SAMPLE_INTERVAL, Timer::Sample);
+        }
+    }
+}
--- a/crates/testbed/src/world/gate.rs
+++ b/crates/testbed/src/world/gate.rs
@@ -1,6 +1,8 @@
 //! The limit on what one route, or all routes of a destination together, take on.
 
-use super::plan::{GatePlan, MS, between, ms};
+use super::draw::between;
+use super::plan::GatePlan;
+use super::time::{MS, ms};
 use crate::spec::{Kind, LimitForm};
 use bellsill_core::interface::Nanos;
 
--- /dev/null
+++ b/crates/testbed/src/world/listing.rs
@@ -0,0 +1,53 @@
+//! The endpoint list: its versions, and when each dispatcher receives them.
+
+use super::draw::{between, draw};
+use super::effects::{ListChange, ListState};
+use super::state::{Timer, World};
+use super::time::ms;
+use bellsill_core::interface::{EndpointId, Nanos};
+use std::collections::BTreeMap;
+
+impl World {
+    /// The version that a dispatcher knows which starts first.
+    pub fn first_version(&self) -> usize {
+        self.listed_at_start
+    }
+
+    pub fn versions(&self) -> usize {
+        self.changes.len()
+    }
+
+    /// The changes after a version up to another, one line an endpoint a change.
+    pub fn changes(&self, after: usize, upto: usize) -> &[ListChange] {
+        &self.changes[after.min(upto)..upto]
+    }
+
+    /// The list as it was at a version.
+    pub fn listing(&self, upto: usize) -> BTreeMap<EndpointId, ListState> {
+        let mut list = BTreeMap::new();
+        for change in &self.changes[..upto] {
+            match change.listed {
+                ListState::Removed => list.remove(&change.endpoint),
+                listed => list.insert(change.endpoint, listed),
+            };
+        }
+        list
+    }
+
+    pub(super) fn record_change(&mut self, endpoint: usize, listed: ListState) {
+        self.changes.push(ListChange {
+            endpoint: EndpointId(endpoint as u32),
+            listed,
+        });
+    }
+
+    /// Tells all dispatchers what has been listed, each after its own lag.
+    pub(super) fn publish_list(&mut self) {
+        let (upto, seed) = (self.changes.len(), self.plan.seed);
+        for d in 0..self.plan.spec.dispatchers.count {
+            let drawn = draw(seed, upto as u64, d as u64, 7);
+            let lag = ms(between(self.plan.spec.world.list_lag_ms, drawn)) as i64 + self.lag;
+            self.schedule(self.now + lag.max(0) as Nanos, Timer::PublishList(d, upto));
+        }
+    }
+}
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,6 +1,8 @@
 //! What a world is made of, drawn from an experiment and a seed: equal seeds give equal plans.
 
-use crate::spec::*;
+use super::draw::between;
+use super::time::{MS, S, START, ms, secs};
+use crate::spec::{Class, Fault, FaultKind, LimitForm, Repeat, Spec};
 use bellsill_core::interface::{
     ClassSettings, DeduplicationScope, DeliverySemantics, Nanos, Settings, ValueDecay,
 };
@@ -8,30 +10,6 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub const MS: Nanos = 1_000_000;
-pub const S: Nanos = 1_000 * MS;
-/// The testbed's clock at the start of a run. Not zero, so that "long ago" can be said.
-pub const START: Nanos = 1_000 * S;
-
-pub fn ms(x: f64) -> Nanos {
-    (x * MS as f64) as Nanos
-}
-pub fn secs(x: f64) -> Nanos {
-    (x * S as f64) as Nanos
-}
-
-/// A number from 0 to 1 that hangs on these alone: what is drawn for one message is the same whatever else happens, so that
-/// runs of two builds can be paired.
-pub fn draw(seed: u64, what: u64, whom: u64, salt: u64) -> f64 {
-    let mixed =
-        seed ^ what.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ whom.rotate_left(32) ^ (salt << 56);
-    Pcg64Mcg::seed_from_u64(mixed).random()
-}
-
-pub fn between(pair: [f64; 2], x: f64) -> f64 {
-    pair[0] + (pair[1] - pair[0]) * x
-}
-
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
     pub destination: usize,
@@ -78,6 +56,20 @@
     Signal(usize, DispatcherSignal),
 }
 
+/// A span in which these dispatchers together get a part of all messages.
+#[derive(Clone, Debug)]
+pub struct HotSpan {
+    /// Its start.
+    pub from: Nanos,
+    /// Its end.
+    pub to: Nanos,
+    /// Their part of all messages.
+    pub part: f64,
+    /// The dispatchers.
+    pub dispatchers: Vec<usize>,
+}
+
+/// All that a run is made of.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
@@ -89,8 +81,8 @@
     pub paces: Vec<f64>,
     /// In order of time, from [`START`].
     pub script: Vec<(Nanos, ScriptedChange)>,
-    /// Spans in which these dispatchers together get a part of all messages.
-    pub hot: Vec<(Nanos, Nanos, f64, Vec<usize>)>,
+    /// When some dispatchers get more than their part of the messages.
+    pub hot: Vec<HotSpan>,
     /// No message is handed in from then on.
     pub load_until: Nanos,
     /// All messages have had their time by then.
@@ -123,6 +115,147 @@
     kinds
 }
 
+/// Endpoints in order of their destinations, each as strong as its part of the load asks for, and the limits on them.
+fn endpoints_and_gates(
+    spec: &Spec,
+    parts: &[f64],
+    kind_of: &[usize],
+    paces: &[f64],
+) -> (Vec<EndpointPlan>, Vec<GatePlan>) {
+    let world = &spec.world;
+    let class_total: f64 = spec.classes.iter().map(|c| c.share).sum();
+    let mean_ms: f64 = spec
+        .classes
+        .iter()
+        .map(|c| c.share * between(c.service_ms, 0.5))
+        .sum::<f64>()
+        / class_total;
+    let (mut endpoints, mut gates) = (Vec::new(), Vec::new());
+    for d in 0..world.destinations {
+        let kind = &spec.kinds[kind_of[d]];
+        let (load, routes) = (spec.load.rate * parts[d], world.endpoints_each as f64);
+        let service = mean_ms * paces[d] / 1e3;
+        let workers = (kind.headroom * load / routes * service).ceil().max(1.0);
+        let capacity = workers / service;
+        for n in 0..world.endpoints_each {
+            if n == 0 || kind.apart {
+                let shared = if kind.apart { 1.0 } else { routes };
+                let limit = kind.limit_headroom * load / routes * shared;
+                let limit = (kind.limit != LimitForm::None).then_some(limit.max(1.0));
+                gates.push(GatePlan {
+                    limit,
+                    capacity: capacity * shared,
+                });
+            }
+            endpoints.push(EndpointPlan {
+                destination: d,
+                zone: (d + n) % world.zones.len(),
+                kind: kind_of[d],
+                workers: workers as u32,
+                capacity,
+                queue: (workers * kind.queue).ceil() as usize,
+                gate: gates.len() - 1,
+            });
+        }
+    }
+    (endpoints, gates)
+}
+
+/// What happens during the run, fault by fault, and the spans in which some dispatchers are hot.
+fn script(
+    spec: &Spec,
+    endpoints: &[EndpointPlan],
+    rng: &mut Pcg64Mcg,
+) -> (Vec<(Nanos, ScriptedChange)>, Vec<HotSpan>) {
+    let (mut script, mut hot) = (Vec::new(), Vec::new());
+    for (i, fault) in spec.faults.iter().enumerate() {
+        let (from, to) = (START + secs(fault.from_s), START + secs(fault.to_s));
+        let (begin, end) = match fault.what {
+            FaultKind::ListLate => {
+                let lag = secs(fault.lag_s.unwrap_or(0.0)) as i64;
+                (ScriptedChange::ListLag(lag), ScriptedChange::ListLag(-lag))
+            }
+            FaultKind::ListFrozen => (
+                ScriptedChange::ListFrozen(true),
+                ScriptedChange::ListFrozen(false),
+            ),
+            what if what.of_dispatchers() => {
+                let dispatchers = match fault.dispatcher {
+                    Some(n) => vec![n],
+                    None => pick(rng, spec.dispatchers.count, fault.share.unwrap_or(0.0)),
+                };
+                if what == FaultKind::Hot {
+                    hot.push(HotSpan {
+                        from,
+                        to,
+                        part: fault.part.unwrap_or(0.0),
+                        dispatchers,
+                    });
+                    continue;
+                }
+                script.extend(signals(what, from, to, dispatchers));
+                continue;
+            }
+            _ => {
+                let affected = affected_endpoints(spec, fault, endpoints, rng);
+                (
+                    ScriptedChange::BeginFault {
+                        fault: i,
+                        endpoints: affected.clone(),
+                    },
+                    ScriptedChange::EndFault {
+                        fault: i,
+                        endpoints: affected,
+                    },
+                )
+            }
+        };
+        script.extend([(from, begin), (to, end)]);
+    }
+    (script, hot)
+}
+
+/// Each dispatcher is ended at the beginning of the fault and started again at its end.
+fn signals(
+    what: FaultKind,
+    from: Nanos,
+    to: Nanos,
+    dispatchers: Vec<usize>,
+) -> impl Iterator<Item = (Nanos, ScriptedChange)> {
+    let signal = match what {
+        FaultKind::Killed => DispatcherSignal::Kill,
+        _ => DispatcherSignal::Terminate,
+    };
+    dispatchers.into_iter().flat_map(move |n| {
+        [
+            (from, ScriptedChange::Signal(n, signal)),
+            (to, ScriptedChange::Signal(n, DispatcherSignal::Start)),
+        ]
+    })
+}
+
+fn affected_endpoints(
+    spec: &Spec,
+    fault: &Fault,
+    endpoints: &[EndpointPlan],
+    rng: &mut Pcg64Mcg,
+) -> Vec<usize> {
+    let zones = &spec.world.zones;
+    let zone = fault
+        .zone
+        .as_ref()
+        .and_then(|z| zones.iter().position(|w| w == z));
+    let is_affected =
+        |e: &EndpointPlan| zone == Some(e.zone) || fault.destination == Some(e.destination);
+    match (fault.endpoint, fault.share) {
+        (Some(e), _) => vec![e],
+        (_, Some(share)) => pick(rng, endpoints.len(), share),
+        _ => (0..endpoints.len())
+            .filter(|&e| is_affected(&endpoints[e]))
+            .collect(),
+    }
+}
+
 impl Plan {
     pub fn new(spec: &Spec, seed: u64) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -138,108 +271,8 @@
             .iter()
             .map(|&k| between(spec.kinds[k].pace, rng.random()))
             .collect();
-        let class_total: f64 = spec.classes.iter().map(|c| c.share).sum();
-        let mean_ms: f64 = spec
-            .classes
-            .iter()
-            .map(|c| c.share * between(c.service_ms, 0.5))
-            .sum::<f64>()
-            / class_total;
-        let (mut endpoints, mut gates) = (Vec::new(), Vec::new());
-        for d in 0..world.destinations {
-            let kind = &spec.kinds[kind_of[d]];
-            let (load, routes) = (spec.load.rate * parts[d], world.endpoints_each as f64);
-            let service = mean_ms * paces[d] / 1e3;
-            let workers = (kind.headroom * load / routes * service).ceil().max(1.0);
-            let capacity = workers / service;
-            for n in 0..world.endpoints_each {
-                if n == 0 || kind.apart {
-                    let shared = if kind.apart { 1.0 } else { routes };
-                    let limit = kind.limit_headroom * load / routes * shared;
-                    let limit = (kind.limit != LimitForm::None).then_some(limit.max(1.0));
-                    gates.push(GatePlan {
-                        limit,
-                        capacity: capacity * shared,
-                    });
-                }
-                endpoints.push(EndpointPlan {
-                    destination: d,
-                    zone: (d + n) % world.zones.len(),
-                    kind: kind_of[d],
-                    workers: workers as u32,
-                    capacity,
-                    queue: (workers * kind.queue).ceil() as usize,
-                    gate: gates.len() - 1,
-                });
-            }
-        }
-        let (mut script, mut hot) = (Vec::new(), Vec::new());
-        for (i, t) in spec.faults.iter().enumerate() {
-            let (from, to) = (START + secs(t.from_s), START + secs(t.to_s));
-            match t.what {
-                FaultKind::ListLate => {
-                    let lag = secs(t.lag_s.unwrap_or(0.0)) as i64;
-                    script.extend([
-                        (from, ScriptedChange::ListLag(lag)),
-                        (to, ScriptedChange::ListLag(-lag)),
-                    ]);
-                }
-                FaultKind::ListFrozen => {
-                    script.extend([
-                        (from, ScriptedChange::ListFrozen(true)),
-                        (to, ScriptedChange::ListFrozen(false)),
-                    ]);
-                }
-                what if what.of_dispatchers() => {
-                    let whom = match t.dispatcher {
-                        Some(n) => vec![n],
-                        None => pick(&mut rng, spec.dispatchers.count, t.share.unwrap_or(0.0)),
-                    };
-                    if what == FaultKind::Hot {
-                        hot.push((from, to, t.part.unwrap_or(0.0), whom));
-                        continue;
-                    }
-                    let signal = match what {
-                        FaultKind::Killed => DispatcherSignal::Kill,
-                        _ => DispatcherSignal::Terminate,
-                    };
-                    for n in whom {
-                        script.push((from, ScriptedChange::Signal(n, signal)));
-                        script.push((to, ScriptedChange::Signal(n, DispatcherSignal::Start)));
-                    }
-                }
-                _ => {
-                    let zone = t
-                        .zone
-                        .as_ref()
-                        .and_then(|z| world.zones.iter().position(|w| w == z));
-                    let of = |e: &EndpointPlan| {
-                        zone == Some(e.zone) || t.destination == Some(e.destination)
-                    };
-                    let affected: Vec<usize> = match (t.endpoint, t.share) {
-                        (Some(e), _) => vec![e],
-                        (_, Some(share)) => pick(&mut rng, endpoints.len(), share),
-                        _ => (0..endpoints.len())
-                            .filter(|&e| of(&endpoints[e]))
-                            .collect(),
-                    };
-                    script.push((
-                        from,
-                        ScriptedChange::BeginFault {
-                            fault: i,
-                            endpoints: affected.clone(),
-                        },
-                    ));
-                    script.push((
-                        to,
-                        ScriptedChange::EndFault {
-                            fault: i,
-                            endpoints: affected,
-                        },
-                    ));
-                }
-            }
-        }
+        let (endpoints, gates) = endpoints_and_gates(spec, &parts, &kind_of, &paces);
+        let (mut script, hot) = script(spec, &endpoints, &mut rng);
         script.sort_by_key(|(at, _)| *at);
         let load_until = START + secs(spec.run.seconds);
         let longest = spec
--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -1,8 +1,8 @@
 //! The auditor on records that are written down here one by one, for what must be told apart exactly.
 
 use bellsill_core::interface::*;
-use bellsill_testbed::audit::*;
-use bellsill_testbed::record::*;
+use bellsill_testbed::audit::{AuditSettings, AuditedEndpoint, Auditor, Rule, Slack};
+use bellsill_testbed::record::{CallNumber, Observation, Submission};
 use bellsill_testbed::world::Answer;
 
 const MS: Nanos = 1_000_000;
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -5,8 +5,12 @@
 use bellsill_testbed::load::{Arrivals, worth};
 use bellsill_testbed::spec::Spec;
 use bellsill_testbed::virtual_time;
-use bellsill_testbed::world::plan::*;
-use bellsill_testbed::world::*;
+use bellsill_testbed::world::draw::draw;
+use bellsill_testbed::world::plan::Plan;
+use bellsill_testbed::world::time::{MS, S, START, secs};
+use bellsill_testbed::world::{
+    Answer, CallId, CallRequest, ConnId, ConnectResult, Effect, ListState, World,
+};
 use std::path::{Path, PathBuf};
 
 fn experiments() -> Vec<PathBuf> {
