--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment: world, load, faults, seeds and what varies, read from one TOML file and checked whole.
+//! An experiment: world, load, faults, seeds and what varies, read from a TOML file (and those it builds on) and checked.
 
 use crate::spec::{File, Spec, Vary, check};
 use std::path::{Path, PathBuf};
@@ -11,6 +11,7 @@
     pub field: String,
     /// Counted from 1; none where the field is missing.
     pub line: Option<usize>,
+    /// What is allowed there.
     pub expected: String,
 }
 
@@ -30,9 +31,11 @@
 /// Why an experiment cannot be run; nothing has been started.
 #[derive(Debug)]
 pub enum BadExperiment {
+    /// The file could not be read.
     Unread(PathBuf, std::io::Error),
     /// No TOML, or not of the form: what the reader of TOML says, with line and column.
     Form(PathBuf, String),
+    /// The form is right, but not what some fields hold.
     InvalidFields(PathBuf, Vec<InvalidField>),
 }
 
@@ -57,17 +60,24 @@
 /// One way of running an experiment.
 #[derive(Clone, Debug)]
 pub struct Variant {
+    /// What sets it apart.
     pub name: String,
+    /// The run, all but its seed.
     pub spec: Spec,
     /// The build of the dispatcher, where the variant names one.
     pub program: Option<PathBuf>,
 }
 
+/// An experiment that can be run.
 #[derive(Clone, Debug)]
 pub struct Experiment {
+    /// The file's name, without its ending.
     pub name: String,
+    /// For reports.
     pub title: String,
+    /// Every variant is run with each of these.
     pub seeds: Vec<u64>,
+    /// The ways of running it.
     pub variants: Vec<Variant>,
 }
 
@@ -223,7 +233,7 @@
     build(texts, table, &name, path, long, vary)
 }
 
-/// Reads an experiment that stands in no file.
+/// Reads an experiment from a text.
 pub fn parse(text: &str, name: &str) -> Result<Experiment, BadExperiment> {
     let path = PathBuf::from(name);
     let (texts, table) = Texts::layer(&path, text.to_string(), 0)?;
@@ -246,6 +256,12 @@
     }
 }
 
+/// The file as a whole, without what varies: what is wrong there is wrong in every variant.
+fn whole_file(texts: &Texts, path: &Path, table: &Table) -> Result<File, BadExperiment> {
+    let read: Result<File, toml::de::Error> = table.clone().try_into();
+    read.map_err(|e| misread(texts, path, &e))
+}
+
 fn build(
     texts: Texts,
     mut table: Table,
@@ -254,97 +270,98 @@
     long: bool,
     vary: Option<Vary>,
 ) -> Result<Experiment, BadExperiment> {
-    // The whole file first: what it says is wrong whatever varies.
-    let whole = |table: &Table| -> Result<File, BadExperiment> {
-        table
-            .clone()
-            .try_into()
-            .map_err(|e: toml::de::Error| misread(&texts, path, &e))
-    };
-    let mut file = whole(&table)?;
+    let mut file = whole_file(&texts, path, &table)?;
     if let (true, Some(Value::Table(over))) = (long, table.get("long").cloned()) {
         overlay(&mut table, over);
-        file = whole(&table)?;
+        file = whole_file(&texts, path, &table)?;
     }
-    file.vary = vary.or(file.vary);
     AROUND.iter().for_each(|key| drop(table.remove(*key)));
-    let mut faults = Vec::new();
-    let mut fault = |field: &str, expected: &str| {
-        let place = texts.place(field);
+    let mut builder = Builder {
+        texts,
+        path,
+        invalid: vec![],
+        variants: vec![],
+    };
+    if file.seeds.is_empty() {
+        builder.report("seeds", "at least one whole number");
+    }
+    match vary.or(file.vary) {
+        None => builder.add("as written".into(), table, None),
+        Some(vary) => builder.add_all(&vary, &table),
+    }
+    if builder.invalid.is_empty() {
+        Ok(Experiment {
+            name: name.into(),
+            title: file.title,
+            seeds: file.seeds,
+            variants: builder.variants,
+        })
+    } else {
+        Err(BadExperiment::InvalidFields(path.into(), builder.invalid))
+    }
+}
+
+/// Collects the variants of an experiment, and all that is wrong in them.
+struct Builder<'a> {
+    texts: Texts,
+    path: &'a Path,
+    invalid: Vec<InvalidField>,
+    variants: Vec<Variant>,
+}
+
+impl Builder<'_> {
+    /// What is wrong in several variants is reported once.
+    fn report(&mut self, field: &str, expected: &str) {
+        let place = self.texts.place(field);
         let line = place.as_ref().map(|p| p.1);
         let in_other = place
-            .filter(|p| p.0 != path)
+            .filter(|p| p.0 != self.path)
             .map(|p| format!(" (in {})", p.0.display()));
-        let expected = format!("{expected}{}", in_other.unwrap_or_default());
-        faults.push(InvalidField {
+        let invalid = InvalidField {
             field: field.into(),
             line,
-            expected,
-        })
-    };
-    if file.seeds.is_empty() {
-        fault("seeds", "at least one whole number");
+            expected: format!("{expected}{}", in_other.unwrap_or_default()),
+        };
+        if !self.invalid.contains(&invalid) {
+            self.invalid.push(invalid);
+        }
     }
-    let mut variants = Vec::new();
-    let mut add =
-        |name: String, table: Table, program, fault: &mut dyn FnMut(&str, &str)| match table
-            .try_into::<Spec>()
-        {
+
+    fn add(&mut self, name: String, table: Table, program: Option<PathBuf>) {
+        match table.try_into::<Spec>() {
             Ok(spec) => {
-                check(&spec, fault);
-                variants.push(Variant {
+                check(&spec, &mut |field, expected| self.report(field, expected));
+                self.variants.push(Variant {
                     name,
                     spec,
                     program,
                 });
             }
-            Err(e) => fault(
+            Err(e) => self.report(
                 "vary.values",
                 &format!("values that its field can take ({})", e.message()),
             ),
-        };
-    match &file.vary {
-        None => add("as written".into(), table, None, &mut fault),
-        Some(vary) => {
-            if vary.field.is_some() == vary.values.is_empty() {
-                fault("vary", "a field together with its values, or programs");
-            }
-            if vary.field.is_none() && vary.programs.is_empty() {
-                fault("vary", "a field with values, or programs");
-            }
-            for value in &vary.values {
-                let (mut table, field) = (table.clone(), vary.field.as_deref().unwrap_or(""));
-                if set(&mut table, field, value) {
-                    add(format!("{field} = {value}"), table, None, &mut fault);
-                } else {
-                    fault("vary.field", "a field of this file such as load.rate");
-                }
-            }
-            for (name, program) in &vary.programs {
-                add(
-                    name.clone(),
-                    table.clone(),
-                    Some(program.clone()),
-                    &mut fault,
-                );
-            }
         }
     }
-    // What is wrong in each variant is said once.
-    let mut said: Vec<InvalidField> = Vec::new();
-    faults.into_iter().for_each(|fault| {
-        if !said.contains(&fault) {
-            said.push(fault)
+
+    fn add_all(&mut self, vary: &Vary, table: &Table) {
+        if vary.field.is_some() == vary.values.is_empty() {
+            self.report("vary", "a field together with its values, or programs");
+        }
+        if vary.field.is_none() && vary.programs.is_empty() {
+            self.report("vary", "a field with values, or programs");
+        }
+        let field = vary.field.as_deref().unwrap_or("");
+        for value in &vary.values {
+            let mut varied = table.clone();
+            if set(&mut varied, field, value) {
+                self.add(format!("{field} = {value}"), varied, None);
+            } else {
+                self.report("vary.field", "a field of this file such as load.rate");
+            }
+        }
+        for (name, program) in &vary.programs {
+            self.add(name.clone(), table.clone(), Some(program.clone()));
         }
-    });
-    if said.is_empty() {
-        Ok(Experiment {
-            name: name.into(),
-            title: file.title,
-            seeds: file.seeds,
-            variants,
-        })
-    } else {
-        Err(BadExperiment::InvalidFields(path.into(), said))
     }
 }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Where all that is seen goes: to the auditor and to the measurements, in one order of time.
+//! Passes every observation to the auditor and to the measurements, in one order of time.
 
 use crate::audit::{AuditSettings, AuditedEndpoint, Auditor, Slack, Verdict};
 use crate::load::Arrival;
@@ -8,8 +8,11 @@
 use crate::world::time::ms;
 use bellsill_core::interface::Nanos;
 
+/// The auditor and the measurements of a run.
 pub struct Ledger {
+    /// Judges the rules.
     pub audit: Auditor,
+    /// Measures latencies and counts.
     pub measure: Measure,
     calls: u64,
     at: Nanos,
@@ -36,6 +39,7 @@
 }
 
 impl Ledger {
+    /// The ledger of a run that has not begun.
     pub fn new(plan: &Plan, slack: Slack) -> Ledger {
         Ledger {
             audit: Auditor::new(audit_settings(plan, slack)),
@@ -45,11 +49,13 @@
         }
     }
 
+    /// A number for a call that was not observed before.
     pub fn next_call_number(&mut self) -> CallNumber {
         self.calls += 1;
         CallNumber(self.calls)
     }
 
+    /// Takes in an observation.
     pub fn observe(&mut self, at: Nanos, observation: Observation) {
         // Two tasks may have looked at the clock in another order than they come here.
         self.at = self.at.max(at);
@@ -58,10 +64,12 @@
         self.measure.observe(self.at, &observation);
     }
 
+    /// Notes an arrival that a client means to submit.
     pub fn arrived(&mut self, arrival: &Arrival) {
         self.measure.arrived(arrival);
     }
 
+    /// The verdict and the results once the run is over.
     pub fn finish(self, now: Nanos) -> (Verdict, Results) {
         (self.audit.finish(now.max(self.at)), self.measure.finish())
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -9,29 +9,35 @@
 use rand_distr::{Distribution, Exp1, weighted::WeightedIndex};
 use rand_pcg::Pcg64Mcg;
 
-/// A message that a client means to hand in.
+/// A message that a client means to submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Counted from zero; also what its repeats are known by.
+    /// Counted from zero; also the idempotency key of its repeats.
     pub no: u64,
+    /// When it is meant to be submitted first.
     pub at: Nanos,
+    /// Its queue class.
     pub class: usize,
+    /// The destination it is for.
     pub destination: usize,
+    /// Messages of one key go in order.
     pub key: Option<u64>,
+    /// To which dispatcher it is submitted first.
     pub dispatcher: usize,
 }
 
-/// Ids name the arrival and how often it had been handed in before.
-const TRIES: u64 = 16;
+/// Ids name the arrival and how often it had been submitted before.
+const MAX_SUBMISSIONS: u64 = 16;
 
-pub fn message_id(arrival: u64, tries: u32) -> MessageId {
-    MessageId((arrival + 1) * TRIES + u64::from(tries))
+/// The id of an arrival that has been submitted this often before.
+pub fn message_id(arrival: u64, attempts: u32) -> MessageId {
+    MessageId((arrival + 1) * MAX_SUBMISSIONS + u64::from(attempts))
 }
-/// The arrival of a message, and how often it had been handed in before.
+/// The arrival of a message, and how often it had been submitted before.
 pub fn arrival_of(message: MessageId) -> (u64, u32) {
     (
-        (message.0 / TRIES).saturating_sub(1),
-        (message.0 % TRIES) as u32,
+        (message.0 / MAX_SUBMISSIONS).saturating_sub(1),
+        (message.0 % MAX_SUBMISSIONS) as u32,
     )
 }
 
@@ -45,7 +51,7 @@
     peak: f64,
     at: f64,
     burst: (usize, usize),
-    /// Drawn and not handed out yet: when, and its destination.
+    /// Drawn and not returned yet: when, and its destination.
     ahead: Option<(Nanos, usize)>,
     /// What bursts bring, the next one last.
     bursts: Vec<(Nanos, usize)>,
@@ -53,6 +59,7 @@
 }
 
 impl Arrivals {
+    /// The arrivals of a plan.
     pub fn new(plan: &Plan) -> Arrivals {
         let shares = plan.spec.classes.iter().map(|c| c.share);
         // The shares were checked: none is negative, not all are zero.
@@ -181,51 +188,51 @@
     }
 }
 
-/// Why a client may hand a message in again.
+/// Why a client may submit a message again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryReason {
-    /// Turned away or deferred; the time to come back if one was told.
+    /// Rejected, at its submission or later; with the Retry-After wait if there was one.
     Rejected(Option<Nanos>),
     /// No connection, or no answer in time: another dispatcher is tried.
     NoAnswer,
 }
 
 impl RetryReason {
-    /// After a deferral; zero tells no time.
-    pub fn rejected_after(come_back: Nanos) -> RetryReason {
-        RetryReason::Rejected(Some(come_back).filter(|wait| *wait > 0))
+    /// After a notification that it was rejected; a wait of zero is none.
+    pub fn rejected_after(wait: Nanos) -> RetryReason {
+        RetryReason::Rejected(Some(wait).filter(|wait| *wait > 0))
     }
 }
 
 /// When the queue lifetime of an arrival is up.
-pub fn due(plan: &Plan, arrival: &Arrival) -> Nanos {
+pub fn deadline(plan: &Plan, arrival: &Arrival) -> Nanos {
     arrival.at + ms(plan.spec.classes[arrival.class].lifetime_ms)
 }
 
-/// When a client hands a message in again and at which dispatcher, if it still may.
-pub fn again(
+/// When a client submits a message again and to which dispatcher, if it still may.
+pub fn next_submission(
     plan: &Plan,
     arrival: &Arrival,
-    tries: u32,
-    back: RetryReason,
+    attempts: u32,
+    reason: RetryReason,
     now: Nanos,
 ) -> Option<(Nanos, usize)> {
     let load = &plan.spec.load;
-    let drawn = draw(plan.seed, arrival.no, u64::from(tries), 11);
+    let drawn = draw(plan.seed, arrival.no, u64::from(attempts), 11);
     let pause = ms(between(load.retry_ms, drawn));
-    let (wait, dispatcher) = match back {
-        RetryReason::Rejected(told) => (told.unwrap_or(pause).max(MS), arrival.dispatcher),
+    let (wait, dispatcher) = match reason {
+        RetryReason::Rejected(wait) => (wait.unwrap_or(pause).max(MS), arrival.dispatcher),
         RetryReason::NoAnswer => (
             pause,
-            (arrival.dispatcher + tries as usize + 1) % plan.spec.dispatchers.count,
+            (arrival.dispatcher + attempts as usize + 1) % plan.spec.dispatchers.count,
         ),
     };
-    (tries < load.retries && now + wait + 50 * MS < due(plan, arrival))
+    (attempts < load.retries && now + wait + 50 * MS < deadline(plan, arrival))
         .then_some((now + wait, dispatcher))
 }
 
-/// What a message that is relayed so long after its intended hand-in is worth; 1 is in time.
-pub fn worth(class: &crate::spec::Class, delay: Nanos) -> f64 {
+/// The value of a message that is delivered this long after its intended submission; 1 is in time.
+pub fn delivered_value(class: &crate::spec::Class, delay: Nanos) -> f64 {
     let (late, target) = (delay as f64 / 1e6 - class.target_ms, class.target_ms);
     match () {
         () if delay as f64 / 1e6 >= class.lifetime_ms => 0.0,
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,7 +1,7 @@
 //! What a run comes to: delivered importance over time, latencies with their whole distribution, and counts. Fed with the
 //! same [`Observation`] as the auditor. Times count from the moment at which a message was meant to be handed in first.
 
-use crate::load::{Arrival, arrival_of, worth};
+use crate::load::{Arrival, arrival_of, delivered_value};
 use crate::record::{CallNumber, Observation};
 use crate::spec::Class;
 use crate::world::Answer;
@@ -289,7 +289,7 @@
         let (meant, class) = (state.at, state.class as usize);
         let delay = at.saturating_sub(meant);
         let row = &self.classes[class];
-        let worth = row.importance * worth(row, delay);
+        let worth = row.importance * delivered_value(row, delay);
         let late = delay > ms(row.target_ms);
         record(&mut self.latency[class], delay);
         self.results.classes[class].delivered += worth;
--- a/crates/testbed/src/recording_actions.rs
+++ b/crates/testbed/src/recording_actions.rs
@@ -1,6 +1,6 @@
-//! An outlet for decisions without sockets: it notes what the laboratory follows and drops the rest.
+//! Actions for decisions without sockets: it records what the testbed follows and drops the rest.
 
-use bellsill_core::interface::*;
+use bellsill_core::interface::{Actions, AttemptNumber, EndpointId, MessageId, Nanos};
 
 /// What the decisions answered.
 #[derive(Default)]
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for clients: RESP2, open loop. A hand-in starts when it was meant to; it waits for nobody else's answer.
 
 use super::{Handed, Shared};
-use crate::load::{Arrival, RetryReason, again, due, message_id};
+use crate::load::{Arrival, RetryReason, deadline, message_id, next_submission};
 use crate::record::{Observation, Submission};
 use crate::spec::Repeat;
 use crate::world::plan::Plan;
@@ -75,7 +75,7 @@
     let next = shared.with(|s| {
         s.pending -= 1;
         let now = s.now();
-        back.and_then(|back| again(&s.world.plan, &arrival, tries, back, now))
+        back.and_then(|back| next_submission(&s.world.plan, &arrival, tries, back, now))
     });
     if let Some((at, to)) = next.filter(|_| !*shared.over.borrow()) {
         later(&shared, arrival, tries + 1, at, to);
@@ -101,7 +101,7 @@
     let (command, wait) = {
         let mut s = shared.state.borrow_mut();
         let now = s.now();
-        let left = due(&s.world.plan, arrival).saturating_sub(now) / MS;
+        let left = deadline(&s.world.plan, arrival).saturating_sub(now) / MS;
         if left == 0 {
             return None;
         }
--- a/crates/testbed/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the place for notices.
 
 use super::{Listing, Shared, State};
-use crate::load::{RetryReason, again, arrival_of};
+use crate::load::{RetryReason, arrival_of, next_submission};
 use crate::record::Observation;
 use crate::world::ListState;
 use anyhow::Result;
@@ -211,7 +211,7 @@
                 arrival_of(message).1,
                 s.now(),
             );
-            let next = again(&s.world.plan, &known.arrival, tries, back, now)?;
+            let next = next_submission(&s.world.plan, &known.arrival, tries, back, now)?;
             Some((known.arrival, tries + 1, next))
         });
         if let Some((arrival, tries, (at, to))) = back {
--- /dev/null
+++ b/crates/testbed/src/virtual_time/effects.rs
@@ -0,0 +1,104 @@
+//! Carries out what the world does.
+
+use super::simulation::{Event, Simulation};
+use crate::audit::AuditedEndpoint;
+use crate::record::Observation;
+use crate::world::plan::DispatcherSignal;
+use crate::world::time::MS;
+use crate::world::{Answer, CallId, ConnId, Effect};
+use bellsill_core::interface::{Nanos, Outcome};
+
+/// A dispatcher that is shutting down keeps sending for this long.
+const SHUTDOWN: Nanos = 2_900 * MS;
+
+fn outcome_of(answer: Answer) -> Outcome {
+    match answer {
+        Answer::Delivered => Outcome::Delivered,
+        Answer::ServerError => Outcome::ServerError,
+        Answer::RateLimited(wait) => Outcome::RateLimited {
+            retry_after: wait.filter(|&wait| wait > 0),
+        },
+        Answer::Malformed => Outcome::MalformedResponse,
+    }
+}
+
+impl Simulation {
+    pub(super) fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Answer { call, conn, answer } => self.answered(call, conn, answer),
+            Effect::ConnectionBroken { conn } => self.connection_broken(conn),
+            Effect::Applied { call, fresh, .. } => {
+                if let Some(call) = self.call_numbers.get(&call).copied() {
+                    self.observe(Observation::Applied { call, fresh });
+                }
+            }
+            // A connection that is opened meets the endpoint as it is by then.
+            Effect::ReachabilityChanged { .. } => {}
+            Effect::EndpointAdded { endpoint } => {
+                let plan = self.world.endpoint(endpoint);
+                let endpoint = AuditedEndpoint {
+                    zone: plan.zone,
+                    gate: plan.gate,
+                };
+                self.ledger.audit.endpoint_appeared(endpoint);
+            }
+            Effect::ListPublished {
+                dispatcher,
+                version,
+            } => self.list_published(dispatcher, version),
+            Effect::DispatcherSignalled { dispatcher, signal } => self.signal(dispatcher, signal),
+            Effect::Overloaded {
+                endpoint,
+                informed_calls,
+                all_calls,
+            } => self.observe(Observation::Overloaded {
+                endpoint,
+                informed_calls,
+                all_calls,
+            }),
+        }
+    }
+
+    fn answered(&mut self, call: CallId, conn: ConnId, answer: Answer) {
+        let Some((dispatcher, message)) = self.busy.remove(&conn) else {
+            return;
+        };
+        if let Some(call) = self.call_numbers.remove(&call) {
+            self.observe(Observation::Answered { call, answer });
+        }
+        let attempt = self.dispatchers[dispatcher].in_flight(message);
+        match (answer, attempt) {
+            (Answer::Malformed, _) | (_, None) => self.world.close(conn),
+            (_, Some(attempt)) => self.keep_idle(dispatcher, attempt.endpoint, conn),
+        }
+        self.end_attempt(dispatcher, message, outcome_of(answer));
+    }
+
+    fn connection_broken(&mut self, conn: ConnId) {
+        let Some((dispatcher, message)) = self.busy.remove(&conn) else {
+            return;
+        };
+        let attempt = self.dispatchers[dispatcher].in_flight(message);
+        if let Some(call) = attempt.and_then(|attempt| attempt.call) {
+            self.observe(Observation::ConnectionClosed {
+                call,
+                by_endpoint: true,
+            });
+        }
+        self.end_attempt(dispatcher, message, Outcome::ConnectionReset);
+    }
+
+    fn signal(&mut self, dispatcher: usize, signal: DispatcherSignal) {
+        match signal {
+            DispatcherSignal::Kill => self.kill(dispatcher),
+            DispatcherSignal::Terminate => {
+                let state = &mut self.dispatchers[dispatcher];
+                state.shutting_down = true;
+                let starts = state.starts;
+                let over = Event::ShutdownOver { dispatcher, starts };
+                self.schedule(self.now + SHUTDOWN, over);
+            }
+            DispatcherSignal::Start => self.start(dispatcher),
+        }
+    }
+}
--- a/crates/testbed/src/world/connections.rs
+++ b/crates/testbed/src/world/connections.rs
@@ -13,12 +13,14 @@
 const MIN_WAIT_TO_NOTICE_FAULT: Nanos = 2 * S;
 
 impl World {
+    /// What new connections to an endpoint meet now.
     pub fn reach(&self, endpoint: EndpointId) -> Reachability {
         self.endpoints
             .get(endpoint.0 as usize)
             .map_or(Reachability::Refusing, Endpoint::reach)
     }
 
+    /// A dispatcher opens a connection.
     pub fn open(&mut self, dispatcher: usize, endpoint: EndpointId) -> ConnectResult {
         let e = endpoint.0 as usize;
         match self.reach(endpoint) {
@@ -51,7 +53,7 @@
         self.note_outage_seen(endpoint.0 as usize, dispatcher);
     }
 
-    /// A dispatcher has closed its side. A call that waits is dropped; one that is worked on runs on, unheard.
+    /// A dispatcher has closed its side. A call that waits is dropped; one that is being worked on is finished, and its answer lost.
     pub fn close(&mut self, conn: ConnId) {
         let Some(gone) = self.conns.remove(conn) else {
             return;
@@ -102,31 +104,30 @@
             state: CallState::Unanswered,
             handshake,
             count: self.calls_seen,
-            arrivals: now,
+            arrived_at: now,
             new,
         };
-        let (message, dispatcher, count) = (call.new.message, call.new.dispatcher, call.count);
         let id = self.calls.insert(call);
         if let Some(at) = self.conns.get_mut(conn) {
             at.call = Some(id);
         }
-        if condition.silent {
-            return Some(id);
+        // A silent endpoint does nothing with it.
+        if !condition.silent {
+            self.accept_or_reject(id);
         }
-        let told = |seed| draw(seed, message.0, count, 1) < kind.told_share;
-        if let Some(until) = condition.shut_until {
-            let wait = told(self.plan.seed).then(|| until.saturating_sub(now).max(MS));
-            self.note_outage_seen(e, dispatcher);
-            self.answer(id, Answer::RateLimited(wait));
-            return Some(id);
-        }
-        let gate = self.plan.endpoints[e].gate;
-        let drawn = draw(self.plan.seed, message.0, count, 2);
-        if let Some(wait) = self.gates[gate].call(now, &self.plan.gates[gate], kind, drawn) {
-            let wait = told(self.plan.seed).then_some(wait.max(MS));
-            self.answer(id, Answer::RateLimited(wait));
-            return Some(id);
+        Some(id)
+    }
+
+    /// An endpoint begins with a call, queues it, or has no capacity for it.
+    fn accept_or_reject(&mut self, id: CallId) {
+        let Some(e) = self.calls.get(id).map(|call| call.endpoint) else {
+            return;
+        };
+        if let Some(rejection) = self.limited(id) {
+            self.answer(id, rejection);
+            return;
         }
+        let condition = self.endpoints[e].condition;
         let workers = self.workers(e);
         if !condition.hung && self.endpoints[e].working < workers {
             self.work(id);
@@ -136,7 +137,29 @@
         } else {
             self.answer(id, Answer::RateLimited(None));
         }
-        Some(id)
+    }
+
+    /// The answer to a call that is over the limit, or that comes to an endpoint which is shut.
+    fn limited(&mut self, id: CallId) -> Option<Answer> {
+        let call = self.calls.get(id)?;
+        let (e, message, dispatcher, count) = (
+            call.endpoint,
+            call.new.message,
+            call.new.dispatcher,
+            call.count,
+        );
+        let (now, seed) = (self.now, self.plan.seed);
+        let kind = &self.plan.spec.kinds[self.plan.endpoints[e].kind];
+        let told = || draw(seed, message.0, count, 1) < kind.told_share;
+        if let Some(until) = self.endpoints[e].condition.shut_until {
+            let wait = told().then(|| until.saturating_sub(now).max(MS));
+            self.note_outage_seen(e, dispatcher);
+            return Some(Answer::RateLimited(wait));
+        }
+        let gate = self.plan.endpoints[e].gate;
+        let drawn = draw(seed, message.0, count, 2);
+        let wait = self.gates[gate].call(now, &self.plan.gates[gate], kind, drawn)?;
+        Some(Answer::RateLimited(told().then_some(wait.max(MS))))
     }
 
     /// Whether a connection has not been closed by either side.
--- a/crates/testbed/src/world/gate.rs
+++ b/crates/testbed/src/world/gate.rs
@@ -9,6 +9,7 @@
 /// The part of a second whose calls a plain rate takes at once.
 const AT_ONCE: f64 = 0.1;
 
+/// The state of a limit.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     /// Rate: when it will have room again for all that it takes at once.
--- a/crates/testbed/src/world/listing.rs
+++ b/crates/testbed/src/world/listing.rs
@@ -13,6 +13,7 @@
         self.listed_at_start
     }
 
+    /// The latest version.
     pub fn versions(&self) -> usize {
         self.changes.len()
     }
@@ -41,7 +42,7 @@
         });
     }
 
-    /// Tells all dispatchers what has been listed, each after its own lag.
+    /// Publishes the latest version to all dispatchers, each after its own lag.
     pub(super) fn publish_list(&mut self) {
         let (upto, seed) = (self.changes.len(), self.plan.seed);
         for d in 0..self.plan.spec.dispatchers.count {
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -10,49 +10,67 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// An endpoint as it is when it is well.
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
+    /// The destination that it belongs to.
     pub destination: usize,
+    /// Where it is: a row of the world's zones.
     pub zone: usize,
+    /// A row of the experiment's kinds.
     pub kind: usize,
+    /// Calls that it works on at once.
     pub workers: u32,
     /// Calls a second that it can do when it is warm.
     pub capacity: f64,
+    /// Calls that wait in it at most.
     pub queue: usize,
     /// What its limit binds: a row of [`Plan::gates`].
     pub gate: usize,
 }
 
+/// The limit on one route, or on all routes of a destination together.
 #[derive(Clone, Debug)]
 pub struct GatePlan {
     /// Calls a second, if there is a limit.
     pub limit: Option<f64>,
-    /// What it takes where a fault limits what has none.
+    /// Calls a second that are possible; a fault that lowers a limit starts from this where there is none.
     pub capacity: f64,
 }
 
+/// What is done to a dispatcher's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DispatcherSignal {
+    /// It ends at once.
     Kill,
-    /// Told to end.
+    /// It is asked to shut down gracefully.
     Terminate,
+    /// It starts, unless it is running.
     Start,
 }
 
 /// What happens at a moment of the script.
 #[derive(Clone, Debug)]
 pub enum ScriptedChange {
-    /// A fault (a row of the experiment's) strikes these endpoints.
+    /// A fault begins.
     BeginFault {
+        /// A row of the experiment's faults.
         fault: usize,
+        /// The endpoints that it affects.
         endpoints: Vec<usize>,
     },
+    /// A fault ends.
     EndFault {
+        /// A row of the experiment's faults.
         fault: usize,
+        /// The endpoints that it affected.
         endpoints: Vec<usize>,
     },
+    /// Whether the endpoint list is held back altogether.
     ListFrozen(bool),
+    /// The delay of the endpoint list grows by this, in nanoseconds.
     ListLag(i64),
+    /// A dispatcher's process is killed, terminated or started.
     Signal(usize, DispatcherSignal),
 }
 
@@ -72,18 +90,23 @@
 /// All that a run is made of.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// What all draws start from.
     pub seed: u64,
+    /// The experiment, as this variant has it.
     pub spec: Spec,
+    /// The endpoints of all destinations, in their order.
     pub endpoints: Vec<EndpointPlan>,
+    /// The limits on them.
     pub gates: Vec<GatePlan>,
     /// The part of the load of each destination.
     pub parts: Vec<f64>,
+    /// What service times of each destination are multiplied by.
     pub paces: Vec<f64>,
     /// In order of time, from [`START`].
     pub script: Vec<(Nanos, ScriptedChange)>,
     /// When some dispatchers get more than their part of the messages.
     pub hot: Vec<HotSpan>,
-    /// No message is handed in from then on.
+    /// No message is submitted for the first time from then on.
     pub load_until: Nanos,
     /// All messages have had their time by then.
     pub over_at: Nanos,
@@ -257,6 +280,7 @@
 }
 
 impl Plan {
+    /// Draws the plan of a run, always in the same order.
     pub fn new(spec: &Spec, seed: u64) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let world = &spec.world;
@@ -307,13 +331,14 @@
             .unwrap_or(((busy * d.slots_times / d.count as f64).ceil() as usize).max(2))
     }
 
-    pub fn hold(&self) -> usize {
+    /// Messages that one dispatcher holds at most.
+    pub fn queue_capacity(&self) -> usize {
         let d = &self.spec.dispatchers;
         d.hold
             .unwrap_or(((self.spec.load.rate * d.hold_s / d.count as f64).ceil() as usize).max(16))
     }
 
-    /// What the decisions of one dispatcher are told at its start.
+    /// The settings of one dispatcher's decisions at one of its starts.
     pub fn dispatcher_settings(&self, dispatcher: usize, start: u32) -> Settings {
         let (d, r) = (&self.spec.dispatchers, &self.spec.rules);
         let class = |c: &Class| ClassSettings {
@@ -343,7 +368,7 @@
             max_batch: vec![],
             value_decay: ValueDecay::Halving,
             max_in_flight: self.slots(),
-            queue_capacity: self.hold(),
+            queue_capacity: self.queue_capacity(),
             caller_admission: false,
             max_attempts: d.max_connects,
             connect_timeout: ms(d.connect_timeout_ms),
@@ -358,6 +383,7 @@
         }
     }
 
+    /// What the draws of one dispatcher's decisions start from.
     pub fn dispatcher_seed(&self, dispatcher: usize, start: u32) -> u64 {
         Pcg64Mcg::seed_from_u64(self.seed ^ ((dispatcher as u64 + 1) << 20) ^ u64::from(start))
             .random()
--- a/crates/testbed/src/world/service.rs
+++ b/crates/testbed/src/world/service.rs
@@ -86,7 +86,7 @@
             call.new.message,
         );
         // A repeat is known for one by when it came, however long the work takes.
-        let arrivals = call.arrivals;
+        let arrived_at = call.arrived_at;
         let mut fresh = true;
         if class.repeat == Repeat::Tagged {
             let zone = if class.same_zone {
@@ -96,9 +96,9 @@
             };
             let (key, window) = ((call.new.idempotency_key, zone), ms(class.window_ms));
             match self.applied.get(&key) {
-                Some(first) if arrivals < first + window => fresh = false,
+                Some(first) if arrived_at < first + window => fresh = false,
                 _ => {
-                    self.applied.insert(key, arrivals);
+                    self.applied.insert(key, arrived_at);
                     self.expiring_effects
                         .push_back((self.now + window + EFFECT_RETENTION, key));
                 }
--- a/crates/testbed/src/world/state.rs
+++ b/crates/testbed/src/world/state.rs
@@ -28,7 +28,7 @@
     pub(super) state: CallState,
     pub(super) handshake: Nanos,
     pub(super) count: u64,
-    pub(super) arrivals: Nanos,
+    pub(super) arrived_at: Nanos,
 }
 
 pub(super) struct Conn {
@@ -47,7 +47,9 @@
     Sample,
 }
 
+/// The model: endpoints, connections, calls and the endpoint list, at one moment.
 pub struct World {
+    /// What it is made of; grows when endpoints are added.
     pub plan: Plan,
     pub(super) now: Nanos,
     pub(super) endpoints: Vec<Endpoint>,
@@ -57,20 +59,22 @@
     pub(super) timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
     pub(super) seq: u64,
     pub(super) effects: VecDeque<Effect>,
-    /// When a tag first took effect, by its tag and the zone that remembers it.
+    /// When an idempotency key first took effect, by the key and the zone that remembers it.
     pub(super) applied: BTreeMap<(u64, usize), Nanos>,
     pub(super) expiring_effects: VecDeque<(Nanos, (u64, usize))>,
     pub(super) changes: Vec<ListChange>,
-    /// Up to where all dispatchers were told at the start.
+    /// The version that all dispatchers know at the start.
     pub(super) listed_at_start: usize,
     pub(super) list_frozen: bool,
     pub(super) lag: i64,
     pub(super) cold: Vec<usize>,
+    /// The load on endpoints that had returned cold.
     pub returns: Vec<ReturnLoad>,
     pub(super) calls_seen: u64,
 }
 
 impl World {
+    /// The world of a plan at its start.
     pub fn new(plan: Plan) -> World {
         let changes: Vec<ListChange> = (0..plan.endpoints.len())
             .map(|e| ListChange {
@@ -112,16 +116,17 @@
         self.timers.push(Reverse((at, self.seq, what)));
     }
 
-    /// When something happens here next without being told.
+    /// When something happens here next by itself.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse((at, _, _))| *at)
     }
 
+    /// Takes the next effect that is to be carried out.
     pub fn effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// Lets all happen that is due by now.
+    /// Lets everything happen up to now.
     pub fn advance(&mut self, now: Nanos) {
         while let Some(&Reverse((at, _, what))) =
             self.timers.peek().filter(|Reverse((at, _, _))| *at <= now)
@@ -137,7 +142,7 @@
                         version,
                     })
                 }
-                // Told when the list moves again.
+                // It is published when the list moves again.
                 Timer::PublishList(..) => {}
                 Timer::Sample => self.sample(),
             }
@@ -154,10 +159,12 @@
         }
     }
 
+    /// The plan of an endpoint.
     pub fn endpoint(&self, endpoint: EndpointId) -> &EndpointPlan {
         &self.plan.endpoints[endpoint.0 as usize]
     }
 
+    /// How many endpoints there have been.
     pub fn endpoints(&self) -> usize {
         self.plan.endpoints.len()
     }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -2,7 +2,7 @@
 
 use bellsill_core::interface::*;
 use bellsill_testbed::experiment;
-use bellsill_testbed::load::{Arrivals, worth};
+use bellsill_testbed::load::{Arrivals, delivered_value};
 use bellsill_testbed::spec::Spec;
 use bellsill_testbed::virtual_time;
 use bellsill_testbed::world::draw::draw;
@@ -178,9 +178,9 @@
 #[test]
 fn importance_falls_after_the_target_delay() {
     let class = &spec("calm.toml").classes[0];
-    let worth = |s: f64| worth(class, secs(s));
+    let value = |s: f64| delivered_value(class, secs(s));
     assert_eq!(
-        (worth(1.9), worth(4.0), worth(7.9), worth(8.0)),
+        (value(1.9), value(4.0), value(7.9), value(8.0)),
         (1.0, 0.5, 0.4, 0.0)
     );
 }
