--- a/crates/testbed/src/capacity/bench.rs
+++ b/crates/testbed/src/capacity/bench.rs
@@ -2,7 +2,7 @@
 
 use super::peers::Peers;
 use super::process::Place;
-use super::wasted::Traffic;
+use super::traffic::Traffic;
 
 /// The bytes of a message's body, here and at the full size.
 pub const BODY_BYTES: usize = 512;
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -15,6 +15,7 @@
 mod peers;
 mod process;
 pub mod report;
+pub mod traffic;
 pub mod wasted;
 
 use anyhow::{Context, Result, ensure};
--- a/crates/testbed/src/capacity/wasted.rs
+++ b/crates/testbed/src/capacity/wasted.rs
@@ -5,6 +5,7 @@
 use super::decisions::{entry, facts, message};
 use super::fit::Point;
 use super::report::{Finding, Series, SeriesId};
+use super::traffic::Traffic;
 use crate::recording_actions::RecordingActions;
 use anyhow::Result;
 use bellsill_core::control::Dispatcher;
@@ -21,17 +22,6 @@
 /// How long a message may wait.
 const LIFETIME: Nanos = 20 * SECOND;
 
-/// The traffic, which is the same for every number of dispatchers.
-#[derive(Clone, Copy, Debug)]
-pub struct Traffic {
-    pub destinations: u32,
-    /// The first so many of the destinations are down throughout.
-    pub down: u32,
-    pub messages_per_second: f64,
-    pub seconds: u32,
-    pub seed: u64,
-}
-
 /// What became of the first attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Wasted {
--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -3,7 +3,7 @@
 
 use crate::experiment::{self, BadExperiment, Experiment};
 use crate::hollow::options::HollowOptions;
-use crate::run::{self, How, RunLine};
+use crate::run::{self, RunLine, RunOptions};
 use crate::spec::{Drive, Vary};
 use anyhow::{Context, Result};
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -124,8 +124,8 @@
     }
 }
 
-fn how(args: &RunArgs) -> How {
-    How {
+fn run_options(args: &RunArgs) -> RunOptions {
+    RunOptions {
         drive: args.drive.map(|d| match d {
             DriveWord::Virtual => Drive::Virtual,
             DriveWord::Sockets => Drive::Sockets,
@@ -153,7 +153,7 @@
 /// Plays an experiment, says what came of it and writes the report.
 fn play(experiment: &Experiment, args: &RunArgs) -> Result<(Vec<RunLine>, PathBuf)> {
     let folder = args.out.join(&experiment.name);
-    let runs = run::all(experiment, &how(args), &folder.join("runs.jsonl"))?;
+    let runs = run::run_all(experiment, &run_options(args), &folder.join("runs.jsonl"))?;
     runs.iter()
         .for_each(|run| println!("{}", run::summary(run)));
     let report = folder.join("report.html");
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -33,7 +33,7 @@
 pub enum BadExperiment {
     /// The file could not be read.
     Unread(PathBuf, std::io::Error),
-    /// No TOML, or not of the form: what the reader of TOML says, with line and column.
+    /// Not TOML, or not of the form: the message of the TOML parser, with line and column.
     Form(PathBuf, String),
     /// The form is right, but not what some fields hold.
     InvalidFields(PathBuf, Vec<InvalidField>),
@@ -122,7 +122,7 @@
     }
 }
 
-/// The line on which a field such as `faults[1].zone` stands, or the nearest thing around it.
+/// The line of a field such as `troubles[1].zone`, or of the nearest thing around it.
 fn line_of(text: &str, field: &str) -> Option<usize> {
     use toml::de::{DeTable, DeValue};
     let whole = DeTable::parse(text).ok()?;
@@ -162,14 +162,14 @@
 const DEPTH: usize = 4;
 
 impl Texts {
-    /// Where a field stands: in the nearest text that has it.
+    /// Where a field is written: in the nearest text that has it.
     fn place(&self, field: &str) -> Option<(PathBuf, usize)> {
         // The longest part of the field that is written somewhere counts.
         let whole =
             |(path, text): &(PathBuf, String)| line_of(text, field).map(|l| (path.clone(), l));
         self.0.iter().find_map(whole)
     }
-    /// The first line that sets a key of this name, for what the reader of TOML says of a merged table.
+    /// The first line that sets a key of this name, for an error of the TOML parser in a merged table.
     fn key_line(&self, key: &str) -> Option<(PathBuf, usize)> {
         let sets = |line: &str| {
             let line = line.trim_start().trim_start_matches('[');
@@ -220,7 +220,7 @@
     read_varied(path, long, None)
 }
 
-/// The same, with something else that varies than the file says.
+/// The same, varying something else than the file does.
 pub fn read_varied(
     path: &Path,
     long: bool,
@@ -240,7 +240,7 @@
     build(texts, table, name, &path, false, None)
 }
 
-/// What the reader of TOML says of a table that is merged from several texts, with its place.
+/// The error of the TOML parser in a table that is merged from several texts, with its place.
 fn misread(texts: &Texts, path: &Path, e: &toml::de::Error) -> BadExperiment {
     let said = e.message().to_string();
     let key = said.split('`').nth(1).unwrap_or("");
--- a/crates/testbed/src/hollow/churn.rs
+++ b/crates/testbed/src/hollow/churn.rs
@@ -2,7 +2,7 @@
 
 use super::clock::{self, SECOND};
 use super::control_process::ControlClient;
-use super::fleet::Event;
+use super::events::Event;
 use super::plan::{Plan, endpoint_name};
 use super::propagation::Change;
 use bellsill_core::interface::Nanos;
--- a/crates/testbed/src/hollow/corruption.rs
+++ b/crates/testbed/src/hollow/corruption.rs
@@ -4,11 +4,12 @@
 use super::control_process::{
     ControlPlace, ControlProcess, RefusedRequests, free_addresses, state_file,
 };
-use super::fleet::{Event, Fleet};
+use super::events::Event;
+use super::fleet::Fleet;
 use super::messages::{BucketDigest, Order, Report, StartFrom, Status};
 use super::plan::DispatcherIndex;
+use super::player::Player;
 use super::report::{Outcome, seconds_or_never};
-use super::scenario::Player;
 use super::worker_process::WorkerProcess;
 use anyhow::{Context, Result, bail};
 use bellsill_directory::line::{EndpointEntry, Version};
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -2,12 +2,13 @@
 
 use super::clock;
 use super::control_process::{ControlPlace, ControlProcess, free_addresses};
+use super::events::Event;
 use super::holders::Holders;
 use super::measure::{Sampler, Usage, sample};
 use super::messages::{BucketDigest, FaultCounts, Order, Report, StartFrom, Status, Traffic};
 use super::options::{HollowOptions, WorkerOptions};
 use super::plan::{DispatcherIndex, Plan};
-use super::propagation::{Change, Propagation};
+use super::propagation::Propagation;
 use super::routes::fingerprint;
 use super::worker_process::WorkerProcess;
 use anyhow::{Context, Result, bail, ensure};
@@ -31,35 +32,6 @@
 /// Live holders of each bucket.
 pub const REPLICAS: usize = bellsill_placement::REPLICAS;
 
-/// What happens in the parent's threads.
-pub enum Event {
-    Report {
-        worker: usize,
-        report: Report,
-    },
-    BadReport {
-        worker: usize,
-        what: String,
-    },
-    WorkerEnded {
-        worker: usize,
-    },
-    Writing {
-        change: Change,
-        entry: EndpointEntry,
-    },
-    Written {
-        endpoint: String,
-        version: Version,
-        started: Nanos,
-        answered: Nanos,
-    },
-    WriteRefused {
-        endpoint: String,
-        what: String,
-    },
-}
-
 /// A worker and what it has told.
 struct Worker {
     process: WorkerProcess,
--- a/crates/testbed/src/hollow/worker_process.rs
+++ b/crates/testbed/src/hollow/worker_process.rs
@@ -1,6 +1,6 @@
 //! A worker process as the parent sees it: orders are written to it, reports become events.
 
-use super::fleet::Event;
+use super::events::Event;
 use super::messages::{Order, Report};
 use super::options::WorkerOptions;
 use anyhow::{Context, Result};
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,6 +1,7 @@
 //! The load: messages as they are drawn ahead from the seed, and what clients do with an answer. Open loop: nothing here
 //! waits for an answer before the next message, and times count from the intended moment.
 
+use crate::spec::{Burst, Class};
 use crate::world::draw::{between, draw};
 use crate::world::plan::Plan;
 use crate::world::time::{MS, START, ms, secs};
@@ -8,6 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, weighted::WeightedIndex};
 use rand_pcg::Pcg64Mcg;
+use std::cmp::Reverse;
 
 /// A message that a client means to submit.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,6 +43,20 @@
     )
 }
 
+/// When a message is to come, and for which destination.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Planned {
+    at: Nanos,
+    destination: usize,
+}
+
+/// Messages of a burst that are still to come, and where they go.
+#[derive(Default)]
+struct CurrentBurst {
+    left: usize,
+    destination: usize,
+}
+
 /// All arrivals of a run in order of time.
 pub struct Arrivals {
     plan: Plan,
@@ -50,11 +66,12 @@
     /// The most that the rate is ever multiplied by.
     peak: f64,
     at: f64,
-    burst: (usize, usize),
-    /// Drawn and not returned yet: when, and its destination.
-    ahead: Option<(Nanos, usize)>,
-    /// What bursts bring, the next one last.
-    bursts: Vec<(Nanos, usize)>,
+    /// The rest of the burst that is being drawn.
+    current_burst: CurrentBurst,
+    /// Drawn and not returned yet.
+    ahead: Option<Planned>,
+    /// What the experiment's bursts bring, the next one last.
+    bursts: Vec<Planned>,
     next: u64,
 }
 
@@ -63,17 +80,20 @@
     pub fn new(plan: &Plan) -> Arrivals {
         let shares = plan.spec.classes.iter().map(|c| c.share);
         // The shares were checked: none is negative, not all are zero.
-        let index = |w: Vec<f64>| WeightedIndex::new(w).expect("shares that are not all nought");
-        let burst = |c: &crate::spec::Burst| {
-            let (at, space, to) = (c.at_s, c.over_s / c.messages.max(1) as f64, c.destination);
+        let index = |w: Vec<f64>| WeightedIndex::new(w).expect("shares that are not all zero");
+        let burst = |c: &Burst| {
+            let space = c.over_s / c.messages.max(1) as f64;
+            let (at, destination) = (c.at_s, c.destination);
             (0..c.messages)
-                .map(move |i| (START + secs(at + space * i as f64), to))
+                .map(move |i| Planned {
+                    at: START + secs(at + space * i as f64),
+                    destination,
+                })
                 .collect::<Vec<_>>()
         };
-        let mut bursts: Vec<(Nanos, usize)> =
-            plan.spec.load.bursts.iter().flat_map(burst).collect();
-        bursts.retain(|c| c.0 < plan.load_until);
-        bursts.sort_by_key(|c| std::cmp::Reverse(*c));
+        let mut bursts: Vec<Planned> = plan.spec.load.bursts.iter().flat_map(burst).collect();
+        bursts.retain(|planned| planned.at < plan.load_until);
+        bursts.sort_by_key(|planned| Reverse(*planned));
         Arrivals {
             rng: Pcg64Mcg::seed_from_u64(plan.seed ^ 0x6c6f_6164),
             classes: index(shares.collect()),
@@ -86,7 +106,7 @@
                 .map(|s| s.times)
                 .fold(1.0, f64::max),
             at: START as f64,
-            burst: (0, 0),
+            current_burst: CurrentBurst::default(),
             ahead: None,
             bursts,
             next: 0,
@@ -113,7 +133,8 @@
             })
     }
 
-    fn arrival(&mut self, at: Nanos, destination: usize) -> Arrival {
+    fn arrival(&mut self, planned: Planned) -> Arrival {
+        let Planned { at, destination } = planned;
         let (plan, rng) = (&self.plan, &mut self.rng);
         let (no, class) = (self.next, self.classes.sample(rng));
         self.next += 1;
@@ -144,11 +165,14 @@
         }
     }
 
-    /// The next moment of the Poisson stream, and the destination it is for.
-    fn draw(&mut self) -> Option<(Nanos, usize)> {
-        if self.burst.0 > 0 {
-            self.burst.0 -= 1;
-            return Some((self.at as Nanos, self.burst.1));
+    /// The next message of the Poisson stream.
+    fn draw(&mut self) -> Option<Planned> {
+        if self.current_burst.left > 0 {
+            self.current_burst.left -= 1;
+            return Some(Planned {
+                at: self.at as Nanos,
+                destination: self.current_burst.destination,
+            });
         }
         let (share, size) = (
             self.plan.spec.load.burst_share,
@@ -168,9 +192,15 @@
         }
         let destination = self.destinations.sample(&mut self.rng);
         if self.rng.random::<f64>() < bursts / (1.0 - share + bursts) {
-            self.burst = (size - 1, destination);
+            self.current_burst = CurrentBurst {
+                left: size - 1,
+                destination,
+            };
         }
-        Some((self.at as Nanos, destination))
+        Some(Planned {
+            at: self.at as Nanos,
+            destination,
+        })
     }
 }
 
@@ -180,11 +210,11 @@
     fn next(&mut self) -> Option<Arrival> {
         self.ahead = self.ahead.take().or_else(|| self.draw());
         let first = match (self.ahead, self.bursts.last().copied()) {
-            (Some(ahead), Some(burst)) if burst.0 < ahead.0 => self.bursts.pop(),
+            (Some(ahead), Some(burst)) if burst.at < ahead.at => self.bursts.pop(),
             (None, Some(_)) => self.bursts.pop(),
             _ => self.ahead.take(),
         };
-        first.map(|(at, destination)| self.arrival(at, destination))
+        first.map(|planned| self.arrival(planned))
     }
 }
 
@@ -232,7 +262,7 @@
 }
 
 /// The value of a message that is delivered this long after its intended submission; 1 is in time.
-pub fn delivered_value(class: &crate::spec::Class, delay: Nanos) -> f64 {
+pub fn delivered_value(class: &Class, delay: Nanos) -> f64 {
     let (late, target) = (delay as f64 / 1e6 - class.target_ms, class.target_ms);
     match () {
         () if delay as f64 / 1e6 >= class.lifetime_ms => 0.0,
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,5 +1,5 @@
 //! What a run comes to: delivered importance over time, latencies with their whole distribution, and counts. Fed with the
-//! same [`Observation`] as the auditor. Times count from the moment at which a message was meant to be handed in first.
+//! same [`Observation`] as the auditor. Times count from the moment at which a message was meant to be submitted first.
 
 use crate::load::{Arrival, arrival_of, delivered_value};
 use crate::record::{CallNumber, Observation};
@@ -71,7 +71,7 @@
     pub name: String,
     pub asked: f64,
     pub delivered: f64,
-    /// From the intended hand-in to the answer of the endpoint.
+    /// From the intended submission to the answer of the endpoint.
     pub latency: Spread,
     pub late: u64,
     pub bounced: u64,
@@ -89,10 +89,10 @@
     }
 }
 
-/// One point of the curves; counts of what happened in the span, importance by the moment of the intended hand-in.
+/// One point of the curves; counts of what happened in the span, importance by the moment of the intended submission.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Messages that were meant to be handed in for the first time.
+    /// Messages that were meant to be submitted for the first time.
     pub arrivals: u64,
     pub asked: f64,
     pub delivered: f64,
@@ -117,7 +117,7 @@
     pub worst_span: f64,
     pub worst_class: f64,
     pub classes: Vec<ClassResult>,
-    /// From the intended hand-in to the dispatcher's answer to it.
+    /// From the intended submission to the dispatcher's answer to it.
     #[serde(rename = "hand_in")]
     pub submission_latency: Spread,
     pub points: Vec<Point>,
@@ -211,7 +211,7 @@
             .map(|a| (a.at, a.class as usize))
     }
 
-    /// An answer to a hand-in has come, so long after it was meant to be made.
+    /// The answer to a submission has come, this long after the submission was meant to be made.
     pub fn submission_answered(&mut self, span: Nanos) {
         record(&mut self.submission_latency, span);
     }
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -42,7 +42,7 @@
     pub late_p99_ms: f64,
     pub late_max_ms: f64,
     pub usage: Vec<Usage>,
-    /// Messages owed their end, at seconds of the run; sockets only.
+    /// Messages accepted and not ended, at seconds of the run; sockets only.
     pub open: Vec<(f64, usize)>,
     /// From which second on processor time counts.
     pub cpu_from_s: f64,
@@ -57,8 +57,9 @@
     pub seed: u64,
     pub drive: Drive,
     /// Of all that the run is made of; a run with another is another run.
-    pub print: String,
-    /// Why the run says nothing; it is valid where this is empty.
+    #[serde(rename = "print")]
+    pub fingerprint: String,
+    /// Why the run is not valid; empty where it is.
     pub not_valid: Vec<String>,
     /// What went wrong beside the rules.
     pub faults: Vec<String>,
@@ -84,9 +85,9 @@
     }
 }
 
-/// How runs are to be done, beside what the experiment says.
+/// How runs are done, beside what the experiment settles.
 #[derive(Clone, Debug)]
-pub struct How {
+pub struct RunOptions {
     pub drive: Option<Drive>,
     pub seeds: Option<Vec<u64>>,
     /// The dispatcher's program, for runs on sockets whose variant names none.
@@ -96,7 +97,7 @@
     pub quiet: bool,
 }
 
-fn marks(variant: &Variant) -> Vec<FaultMark> {
+fn fault_marks(variant: &Variant) -> Vec<FaultMark> {
     let mark = |t: &crate::spec::Fault| FaultMark {
         what: t.what,
         whom: match (&t.zone, t.destination, t.endpoint, t.dispatcher, t.share) {
@@ -123,15 +124,15 @@
 }
 
 /// One run, from its plan to its line.
-fn one(
+fn run_once(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
-    how: &How,
-    print: String,
+    options: &RunOptions,
+    fingerprint: String,
     tick: &mut dyn FnMut(f64),
 ) -> Result<RunLine> {
-    let drive = how.drive.unwrap_or(variant.spec.run.drive);
+    let drive = options.drive.unwrap_or(variant.spec.run.drive);
     let plan = Plan::new(&variant.spec, seed);
     let mut line = RunLine {
         experiment: experiment.name.clone(),
@@ -139,7 +140,7 @@
         variant: variant.name.clone(),
         seed,
         drive,
-        print,
+        fingerprint,
         not_valid: vec![],
         faults: vec![],
         interrupted: false,
@@ -147,7 +148,7 @@
         endpoints: plan.endpoints.len(),
         load_s: variant.spec.run.seconds,
         rate: variant.spec.load.rate,
-        injected_faults: marks(variant),
+        injected_faults: fault_marks(variant),
         results: Results::default(),
         verdict: Verdict::default(),
         returns: vec![],
@@ -157,19 +158,19 @@
     let from = Instant::now();
     match drive {
         Drive::Virtual => {
-            let played = virtual_time::run(plan, tick);
+            let outcome = virtual_time::run(plan, tick);
             (line.results, line.verdict, line.returns) =
-                (played.results, played.verdict, played.returns);
-            line.steps = played.steps;
+                (outcome.results, outcome.verdict, outcome.returns);
+            line.steps = outcome.steps;
         }
         Drive::Sockets => {
-            let program = variant.program.as_ref().unwrap_or(&how.program);
-            let played = sockets::run(plan, program, &how.work, tick)?;
+            let program = variant.program.as_ref().unwrap_or(&options.program);
+            let outcome = sockets::run(plan, program, &options.work, tick)?;
             (line.results, line.verdict, line.returns) =
-                (played.results, played.verdict, played.returns);
+                (outcome.results, outcome.verdict, outcome.returns);
             (line.not_valid, line.faults, line.cost) =
-                (played.not_valid, played.faults, played.cost);
-            line.interrupted = played.interrupted;
+                (outcome.not_valid, outcome.faults, outcome.cost);
+            line.interrupted = outcome.interrupted;
         }
     }
     line.cost.cpu_from_s = variant.spec.run.cpu_from_s;
@@ -192,11 +193,15 @@
 
 /// Names all that the runs of a variant are made of but their seeds. Another build, of the dispatcher or of the testbed
 /// (`own` is its checksum), makes another run.
-fn print(variant: &Variant, how: &How, own: u32) -> String {
-    let drive = how.drive.unwrap_or(variant.spec.run.drive);
+fn fingerprint(variant: &Variant, options: &RunOptions, own: u32) -> String {
+    let drive = options.drive.unwrap_or(variant.spec.run.drive);
     let program = match drive {
         Drive::Virtual => 0,
-        Drive::Sockets => checksum(Ok(variant.program.as_ref().unwrap_or(&how.program).clone())),
+        Drive::Sockets => checksum(Ok(variant
+            .program
+            .as_ref()
+            .unwrap_or(&options.program)
+            .clone())),
     };
     let all = format!("{own:08x} {program:08x} {drive:?} {:?}", variant.spec);
     format!("{:08x}", crc32fast::hash(all.as_bytes()))
@@ -233,7 +238,7 @@
 }
 
 /// Plays what of an experiment is not in the file yet, a line a run, and hands back all of its lines.
-pub fn all(experiment: &Experiment, how: &How, file: &Path) -> Result<Vec<RunLine>> {
+pub fn run_all(experiment: &Experiment, options: &RunOptions, file: &Path) -> Result<Vec<RunLine>> {
     let old = if file.exists() { lines(file)? } else { vec![] };
     if let Some(folder) = file.parent() {
         std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
@@ -249,10 +254,13 @@
     let mut runs = vec![];
     let own = checksum(std::env::current_exe());
     for variant in &experiment.variants {
-        let print = print(variant, how, own);
-        for &seed in how.seeds.as_ref().unwrap_or(&experiment.seeds) {
+        let fingerprint = fingerprint(variant, options, own);
+        for &seed in options.seeds.as_ref().unwrap_or(&experiment.seeds) {
             let same = |r: &&RunLine| {
-                r.print == print && r.seed == seed && r.variant == variant.name && r.valid()
+                r.fingerprint == fingerprint
+                    && r.seed == seed
+                    && r.variant == variant.name
+                    && r.valid()
             };
             if let Some(run) = old.iter().find(same) {
                 runs.push(run.clone());
@@ -260,10 +268,17 @@
             }
             let bar = bar(
                 &format!("{}, {}, seed {seed}", experiment.name, variant.name),
-                how.quiet,
+                options.quiet,
             );
             let mut tick = |part: f64| bar.set_position((part * 1_000.0) as u64);
-            let run = one(experiment, variant, seed, how, print.clone(), &mut tick)?;
+            let run = run_once(
+                experiment,
+                variant,
+                seed,
+                options,
+                fingerprint.clone(),
+                &mut tick,
+            )?;
             bar.finish_and_clear();
             // In one write, so that a line is whole or the last.
             let mut line = serde_json::to_vec(&run)?;
@@ -282,7 +297,7 @@
     Ok(runs)
 }
 
-/// What a run says in a few lines.
+/// A run in a few lines.
 pub fn summary(run: &RunLine) -> String {
     let r = &run.results;
     let mut text = format!(
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for clients: RESP2, open loop. A hand-in starts when it was meant to; it waits for nobody else's answer.
+//! Stand-ins for clients: RESP2, open loop. A submission starts when it was meant to and waits for no other answer.
 
-use super::{Handed, Shared};
+use super::{Shared, SubmittedMessage};
 use crate::load::{Arrival, RetryReason, deadline, message_id, next_submission};
 use crate::record::{Observation, Submission};
 use crate::spec::Repeat;
@@ -31,7 +31,10 @@
 }
 
 /// Takes arrivals from the schedule, each as soon as it comes.
-pub(super) async fn take_in(shared: Rc<Shared>, mut from: mpsc::UnboundedReceiver<Arrival>) {
+pub(super) async fn submit_arrivals(
+    shared: Rc<Shared>,
+    mut from: mpsc::UnboundedReceiver<Arrival>,
+) {
     while let Some(arrival) = from.recv().await {
         {
             let mut s = shared.state.borrow_mut();
@@ -41,15 +44,15 @@
             s.pending += 1;
         }
         let dispatcher = arrival.dispatcher;
-        tokio::task::spawn_local(submission(shared.clone(), Rc::new(arrival), 0, dispatcher));
+        tokio::task::spawn_local(submit(shared.clone(), Rc::new(arrival), 0, dispatcher));
     }
 }
 
-/// Hands a message in again at a later moment.
-pub(super) fn later(
+/// Submits a message again at a later moment.
+pub(super) fn submit_later(
     shared: &Rc<Shared>,
     arrival: Rc<Arrival>,
-    tries: u32,
+    attempts: u32,
     at: Nanos,
     dispatcher: usize,
 ) {
@@ -57,40 +60,44 @@
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
         tokio::time::sleep_until(shared.instant(at)).await;
-        submission(shared, arrival, tries, dispatcher).await;
+        submit(shared, arrival, attempts, dispatcher).await;
     });
 }
 
-enum Heard {
-    Ok,
-    Busy(Option<Nanos>),
+enum SubmissionResult {
+    Accepted,
+    Rejected(Option<Nanos>),
     Failed(String),
     /// The connection could not be had, or has ended before an answer.
-    Ended,
-    Nothing,
+    Disconnected,
+    NoAnswer,
 }
 
-async fn submission(shared: Rc<Shared>, arrival: Rc<Arrival>, tries: u32, dispatcher: usize) {
-    let back = put(&shared, &arrival, tries, dispatcher).await;
+async fn submit(shared: Rc<Shared>, arrival: Rc<Arrival>, attempts: u32, dispatcher: usize) {
+    let reason = submit_once(&shared, &arrival, attempts, dispatcher).await;
     let next = shared.with(|s| {
         s.pending -= 1;
         let now = s.now();
-        back.and_then(|back| next_submission(&s.world.plan, &arrival, tries, back, now))
+        reason.and_then(|reason| next_submission(&s.world.plan, &arrival, attempts, reason, now))
     });
     if let Some((at, to)) = next.filter(|_| !*shared.over.borrow()) {
-        later(&shared, arrival, tries + 1, at, to);
+        submit_later(&shared, arrival, attempts + 1, at, to);
     }
 }
 
-/// Hands a message in once. What the client goes by if it is to come back.
-async fn put(
+/// Submits a message once. Why it may be submitted again, if it may.
+async fn submit_once(
     shared: &Rc<Shared>,
     arrival: &Rc<Arrival>,
-    tries: u32,
+    attempts: u32,
     dispatcher: usize,
 ) -> Option<RetryReason> {
-    let meant = if tries == 0 { arrival.at } else { shared.now() };
-    let message = message_id(arrival.no, tries);
+    let meant = if attempts == 0 {
+        arrival.at
+    } else {
+        shared.now()
+    };
+    let message = message_id(arrival.no, attempts);
     let mut stream = match pooled(shared, dispatcher) {
         Some(stream) => (stream, true),
         None => match connect(shared, dispatcher).await {
@@ -106,10 +113,10 @@
             return None;
         }
         let (tag, body) = content(&s.world.plan, arrival);
-        let submission = Submission::new(arrival, tries, dispatcher, now + left * MS);
+        let submission = Submission::new(arrival, attempts, dispatcher, now + left * MS);
         s.messages.insert(
             message,
-            Handed {
+            SubmittedMessage {
                 dispatcher,
                 arrival: Rc::clone(arrival),
             },
@@ -120,7 +127,7 @@
         if !tag.is_empty() {
             fields += &format!(",k={tag}");
         }
-        if tries > 0 {
+        if attempts > 0 {
             fields += ",r=1";
         }
         let words: [&[u8]; 5] = [
@@ -142,17 +149,20 @@
     let heard = loop {
         let heard = tokio::time::timeout_at(until, ask(&mut stream.0, &command))
             .await
-            .unwrap_or(Heard::Nothing);
+            .unwrap_or(SubmissionResult::NoAnswer);
         match heard {
             // Its closing crossed this: once more on a new connection.
-            Heard::Ended if stream.1 => match connect(shared, dispatcher).await {
+            SubmissionResult::Disconnected if stream.1 => match connect(shared, dispatcher).await {
                 Some(new) => stream = (new, false),
-                None => break Heard::Ended,
+                None => break SubmissionResult::Disconnected,
             },
             heard => break heard,
         }
     };
-    let answered = matches!(heard, Heard::Ok | Heard::Busy(_) | Heard::Failed(_));
+    let answered = matches!(
+        heard,
+        SubmissionResult::Accepted | SubmissionResult::Rejected(_) | SubmissionResult::Failed(_)
+    );
     if answered {
         shared.clients.borrow_mut()[dispatcher].0.push(stream.0);
     }
@@ -162,18 +172,18 @@
             s.ledger.measure.submission_answered(span);
         }
         match heard {
-            Heard::Ok => {
+            SubmissionResult::Accepted => {
                 s.observe(Observation::Accepted { message });
                 None
             }
-            Heard::Busy(come_back) => {
+            SubmissionResult::Rejected(come_back) => {
                 s.observe(Observation::Rejected {
                     message,
                     retry_after: come_back,
                 });
                 Some(RetryReason::Rejected(come_back))
             }
-            Heard::Failed(why) => {
+            SubmissionResult::Failed(why) => {
                 s.observe(Observation::Rejected {
                     message,
                     retry_after: None,
@@ -181,7 +191,7 @@
                 s.fault(format!("mail {:016x} was answered {why}", message.0));
                 Some(RetryReason::Rejected(None))
             }
-            Heard::Ended | Heard::Nothing => {
+            SubmissionResult::Disconnected | SubmissionResult::NoAnswer => {
                 s.observe(Observation::Abandoned { message });
                 Some(RetryReason::NoAnswer)
             }
@@ -218,7 +228,7 @@
     vec![head, body]
 }
 
-async fn ask(stream: &mut TcpStream, command: &[u8]) -> Heard {
+async fn ask(stream: &mut TcpStream, command: &[u8]) -> SubmissionResult {
     // A client that minds its delays writes at once; one that does not writes in two parts, as many libraries do.
     let parts = if stream.nodelay().unwrap_or(true) {
         vec![command]
@@ -227,14 +237,14 @@
     };
     for part in parts {
         if stream.write_all(part).await.is_err() {
-            return Heard::Ended;
+            return SubmissionResult::Disconnected;
         }
     }
     let mut line = Vec::with_capacity(64);
     while !line.ends_with(b"\r\n") {
         match stream.read_buf(&mut line).await {
             Ok(n) if n > 0 && line.len() < 1_024 => {}
-            _ => return Heard::Ended,
+            _ => return SubmissionResult::Disconnected,
         }
     }
     let line = String::from_utf8_lossy(&line).trim_end().to_string();
@@ -242,9 +252,9 @@
         .split_once(' ')
         .map_or((line.as_str(), ""), |(a, b)| (a, b))
     {
-        ("-BUSY", told) => Heard::Busy(told.parse().ok().map(ms)),
-        _ if line.starts_with('+') => Heard::Ok,
-        _ => Heard::Failed(line),
+        ("-BUSY", told) => SubmissionResult::Rejected(told.parse().ok().map(ms)),
+        _ if line.starts_with('+') => SubmissionResult::Accepted,
+        _ => SubmissionResult::Failed(line),
     }
 }
 
@@ -256,7 +266,7 @@
                 Duration::from_secs(1),
                 ask(&mut stream, b"*1\r\n$4\r\nPING\r\n"),
             );
-            if let Ok(Heard::Ok) = asked.await {
+            if let Ok(SubmissionResult::Accepted) = asked.await {
                 return;
             }
         }
--- a/crates/testbed/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for endpoints: HTTP/1.1 servers, one listener each, all behind the one world.
 
-use super::{Handed, Say, Shared};
+use super::{EndpointReply, Shared, SubmittedMessage};
 use crate::record::{CallNumber, Observation};
 use crate::world::{Answer, CallRequest, ConnId, ConnectResult, Reachability};
 use anyhow::Result;
@@ -50,7 +50,7 @@
 }
 
 /// Makes the listener of an endpoint what the world says of it: open, refusing, or silent.
-pub(super) fn reach(shared: &Rc<Shared>, endpoint: EndpointId) -> Result<()> {
+pub(super) fn update_listener(shared: &Rc<Shared>, endpoint: EndpointId) -> Result<()> {
     let (reach, at, old) = {
         let mut s = shared.state.borrow_mut();
         let at = s.net.endpoint(endpoint);
@@ -84,7 +84,7 @@
         Reachability::Silent => {
             let socket = listener()?;
             drop(old);
-            // One connection fills a queue of zero; the kernel then leaves all others unanswered.
+            // One connection fills a queue of length zero; the kernel then leaves all others unanswered.
             SockRef::from(&*socket).listen(0)?;
             let mut fill = vec![];
             for _ in 0..2 {
@@ -209,25 +209,25 @@
     let (to, mut from) = mpsc::unbounded_channel();
     shared.state.borrow_mut().conns.insert(conn, to);
     let mut input: Vec<u8> = Vec::with_capacity(1_024);
-    let (mut begun, mut call): (Option<Nanos>, Option<CallNumber>) = (None, None);
+    let (mut started_at, mut call): (Option<Nanos>, Option<CallNumber>) = (None, None);
     let by_endpoint = loop {
         tokio::select! {
             biased;
             say = from.recv() => match say {
-                Some(Say::Answer(said)) => {
+                Some(EndpointReply::Answer(said)) => {
                     call = None;
                     if stream.write_all(answer(said).as_bytes()).await.is_err() {
                         break false;
                     }
                 }
-                Some(Say::Break) | None => break true,
+                Some(EndpointReply::Disconnect) | None => break true,
             },
             read = stream.read_buf(&mut input) => {
                 if !matches!(read, Ok(n) if n > 0) || input.len() > 2 * CALL_MOST {
                     break false;
                 }
                 let now = shared.now();
-                begun.get_or_insert(now);
+                started_at.get_or_insert(now);
                 if call.is_some() {
                     shared.with(|s| s.fault(format!("endpoint {}: a call before the last was answered", endpoint.0)));
                     break true;
@@ -236,8 +236,8 @@
                     Ok(None) => {}
                     Ok(Some(request)) => {
                         input.drain(..request.taken);
-                        let begun = begun.take().unwrap_or(now);
-                        match took(&shared, endpoint, conn, &request, begun) {
+                        let started_at = started_at.take().unwrap_or(now);
+                        match call_received(&shared, endpoint, conn, &request, started_at) {
                             Ok(no) => call = Some(no),
                             Err(no) => {
                                 call = no;
@@ -266,15 +266,15 @@
 }
 
 /// A call has come whole. Err: the connection breaks, with the call that was on it.
-fn took(
+fn call_received(
     shared: &Rc<Shared>,
     endpoint: EndpointId,
     conn: ConnId,
     request: &Request,
-    begun: Nanos,
+    started_at: Nanos,
 ) -> Result<CallNumber, Option<CallNumber>> {
     shared.with(|s| {
-        let known: Option<Handed> = request
+        let known: Option<SubmittedMessage> = request
             .message
             .and_then(|message| s.messages.get(&message))
             .cloned();
@@ -311,7 +311,7 @@
             message,
             endpoint,
             dispatcher,
-            started_at: begun,
+            started_at: started_at,
             fresh: id.is_some(),
         });
         match id {
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,5 +1,5 @@
 //! The world on sockets: stand-ins for endpoints, platform and clients around real `bellsill serve` processes, all on
-//! loopback addresses and in one thread of this process. The world is the same as in virtual time; here it is told what
+//! loopback addresses and in one thread of this process. The world is the same as in virtual time; here it is given what
 //! comes over connections, and what it answers is written to them.
 
 mod clients;
@@ -30,27 +30,27 @@
 use tokio::sync::{Notify, mpsc};
 
 /// What a run on sockets came to.
-pub struct Played {
+pub struct RunOutcome {
     pub verdict: Verdict,
     pub results: Results,
     pub returns: Vec<ReturnLoad>,
     pub not_valid: Vec<String>,
-    /// What went wrong beside the rules: a dispatcher that ended by itself, calls that were not what was handed in.
+    /// What went wrong beside the rules: a dispatcher that ended by itself, calls that were not what was submitted.
     pub faults: Vec<String>,
     pub cost: Cost,
     /// Ctrl-C came.
     pub interrupted: bool,
 }
 
-/// Faults are kept in words up to so many.
-const FAULTS: usize = 50;
+/// Up to this many faults are described.
+const MAX_FAULTS: usize = 50;
 const ENDPOINT_PORT: u16 = 7_400;
 const PLATFORM_PORT: u16 = 7_401;
 const LISTEN_PORT: u16 = 7_402;
 /// Loopback nets that are tried: one run has one to itself.
 const NETS: std::ops::Range<u8> = 32..224;
-/// How often the thread's own stand-stills are looked for.
-const BEAT: Duration = Duration::from_millis(5);
+/// How often this thread checks for its own stalls.
+const STALL_CHECK: Duration = Duration::from_millis(5);
 
 /// Where everything of a run listens: 127.net.x.y.
 #[derive(Clone, Copy)]
@@ -97,14 +97,14 @@
 }
 
 /// What a connection's task is told by the world.
-enum Say {
+enum EndpointReply {
     Answer(Answer),
-    Break,
+    Disconnect,
 }
 
-/// What is known of a message that was handed in.
+/// What is known of a submitted message.
 #[derive(Clone)]
-struct Handed {
+struct SubmittedMessage {
     dispatcher: usize,
     arrival: Rc<Arrival>,
 }
@@ -114,17 +114,17 @@
     ledger: Ledger,
     net: Net,
     t0: Instant,
-    conns: HashMap<ConnId, mpsc::UnboundedSender<Say>>,
+    conns: HashMap<ConnId, mpsc::UnboundedSender<EndpointReply>>,
     /// Which connection a call is on, and its number in the records.
     calls: HashMap<CallId, CallNumber>,
-    messages: HashMap<MessageId, Handed>,
-    /// Up to which version each dispatcher's agent has been told, and has told it.
-    told: Vec<usize>,
-    said: Vec<usize>,
+    messages: HashMap<MessageId, SubmittedMessage>,
+    /// Which version of the list each dispatcher's agent has, and which it has written to the dispatcher.
+    published: Vec<usize>,
+    written: Vec<usize>,
     listeners: Vec<Option<endpoints::Listening>>,
     /// Effects that a task of their own carries out.
-    errands: mpsc::UnboundedSender<Effect>,
-    /// Messages that may be handed in again.
+    slow_effects: mpsc::UnboundedSender<Effect>,
+    /// Messages that may be submitted again.
     pending: usize,
     late: Histogram<u64>,
     open: Vec<(f64, usize)>,
@@ -135,9 +135,9 @@
     state: RefCell<State>,
     /// The world's next moment may have come nearer.
     sooner: Notify,
-    /// By dispatcher: its agent has been told something.
-    news: Vec<Notify>,
-    hosts: RefCell<Vec<processes::Host>>,
+    /// By dispatcher: its agent has a new version of the list.
+    list_changed: Vec<Notify>,
+    dispatchers: RefCell<Vec<processes::DispatcherProcess>>,
     clients: RefCell<Vec<clients::Pool>>,
     over: RefCell<bool>,
 }
@@ -147,7 +147,7 @@
         START + self.t0.elapsed().as_nanos() as Nanos
     }
     fn fault(&mut self, what: String) {
-        if self.faults.len() < FAULTS {
+        if self.faults.len() < MAX_FAULTS {
             self.faults.push(what);
         }
     }
@@ -170,12 +170,12 @@
                     }
                     if let Some(to) = self.conns.get(&conn) {
                         // A task that has ended has closed its connection.
-                        let _ = to.send(Say::Answer(answer));
+                        let _ = to.send(EndpointReply::Answer(answer));
                     }
                 }
                 Effect::ConnectionBroken { conn } => {
                     if let Some(to) = self.conns.remove(&conn) {
-                        let _ = to.send(Say::Break);
+                        let _ = to.send(EndpointReply::Disconnect);
                     }
                 }
                 Effect::Applied { call, fresh, .. } => {
@@ -192,7 +192,7 @@
                     informed_calls,
                     all_calls,
                 }),
-                errand => drop(self.errands.send(errand)),
+                effect => drop(self.slow_effects.send(effect)),
             }
         }
     }
@@ -235,12 +235,12 @@
 }
 
 /// What the world asks for that takes its time.
-async fn errands(shared: Rc<Shared>, mut from: mpsc::UnboundedReceiver<Effect>) {
-    while let Some(errand) = from.recv().await {
-        match errand {
+async fn carry_out_effects(shared: Rc<Shared>, mut from: mpsc::UnboundedReceiver<Effect>) {
+    while let Some(effect) = from.recv().await {
+        match effect {
             Effect::ReachabilityChanged { endpoint, .. } => {
                 // As it is by now, not as it was when this was sent.
-                if let Err(e) = endpoints::reach(&shared, endpoint) {
+                if let Err(e) = endpoints::update_listener(&shared, endpoint) {
                     shared.with(|s| {
                         s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0))
                     });
@@ -256,7 +256,7 @@
                     s.ledger.audit.endpoint_appeared(endpoint);
                     s.listeners.resize_with(s.world.endpoints(), || None);
                 });
-                if let Err(e) = endpoints::reach(&shared, endpoint) {
+                if let Err(e) = endpoints::update_listener(&shared, endpoint) {
                     shared.with(|s| {
                         s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0))
                     });
@@ -266,9 +266,9 @@
                 dispatcher,
                 version,
             } => {
-                let told = &mut shared.state.borrow_mut().told[dispatcher];
-                *told = (*told).max(version);
-                shared.news[dispatcher].notify_waiters();
+                let published = &mut shared.state.borrow_mut().published[dispatcher];
+                *published = (*published).max(version);
+                shared.list_changed[dispatcher].notify_waiters();
             }
             Effect::DispatcherSignalled { dispatcher, signal } => {
                 processes::signal(&shared, dispatcher, signal)
@@ -278,18 +278,23 @@
     }
 }
 
-/// Notes the longest time for which this thread stood still.
-async fn beat(worst: Rc<RefCell<Duration>>) {
+/// Notes the longest time for which this thread was stalled.
+async fn watch_stalls(worst: Rc<RefCell<Duration>>) {
     loop {
         let from = Instant::now();
-        tokio::time::sleep(BEAT).await;
-        let over = from.elapsed().saturating_sub(BEAT);
+        tokio::time::sleep(STALL_CHECK).await;
+        let over = from.elapsed().saturating_sub(STALL_CHECK);
         let mut worst = worst.borrow_mut();
         *worst = (*worst).max(over);
     }
 }
 
-pub fn run(plan: Plan, program: &Path, work: &Path, tick: &mut dyn FnMut(f64)) -> Result<Played> {
+pub fn run(
+    plan: Plan,
+    program: &Path,
+    work: &Path,
+    tick: &mut dyn FnMut(f64),
+) -> Result<RunOutcome> {
     if !program.is_file() {
         bail!(
             "{}: expected the dispatcher's program; build it with cargo build --release",
@@ -311,13 +316,13 @@
         .enable_all()
         .build()?;
     let local = tokio::task::LocalSet::new();
-    let mut played = local.block_on(&runtime, play(plan, program, work, tick))?;
+    let mut outcome = local.block_on(&runtime, play(plan, program, work, tick))?;
     if FAILED.load(Ordering::SeqCst) {
-        played
+        outcome
             .not_valid
             .push("the laboratory itself failed; see its standard error".into());
     }
-    Ok(played)
+    Ok(outcome)
 }
 
 async fn play(
@@ -325,11 +330,11 @@
     program: &Path,
     work: &Path,
     tick: &mut dyn FnMut(f64),
-) -> Result<Played> {
+) -> Result<RunOutcome> {
     let (net, keeps) = Net::free()?;
     let (over_at, load_until, count) = (plan.over_at, plan.load_until, plan.spec.dispatchers.count);
     let late_most = plan.spec.run.late_ms;
-    let (errand_to, errand_from) = mpsc::unbounded_channel();
+    let (effect_sender, effect_receiver) = mpsc::unbounded_channel();
     let world = World::new(plan.clone());
     let first = world.first_version();
     let state = State {
@@ -339,10 +344,10 @@
         conns: HashMap::new(),
         calls: HashMap::new(),
         messages: HashMap::new(),
-        told: vec![first; count],
-        said: vec![first; count],
+        published: vec![first; count],
+        written: vec![first; count],
         listeners: (0..world.endpoints()).map(|_| None).collect(),
-        errands: errand_to,
+        slow_effects: effect_sender,
         pending: 0,
         late: Histogram::new_with_bounds(1, 3_600_000_000, 2).context("bounds")?,
         open: vec![],
@@ -351,14 +356,15 @@
     };
     let shared = Rc::new(Shared {
         sooner: Notify::new(),
-        news: (0..count).map(|_| Notify::new()).collect(),
-        hosts: RefCell::new(vec![]),
+        list_changed: (0..count).map(|_| Notify::new()).collect(),
+        dispatchers: RefCell::new(vec![]),
         clients: RefCell::new((0..count).map(|_| clients::Pool::default()).collect()),
         over: RefCell::new(false),
         state: RefCell::new(state),
     });
     for e in 0..plan.endpoints.len() {
-        endpoints::reach(&shared, EndpointId(e as u32)).with_context(|| format!("endpoint {e}"))?;
+        endpoints::update_listener(&shared, EndpointId(e as u32))
+            .with_context(|| format!("endpoint {e}"))?;
     }
     for d in 0..count {
         platform::listen(&shared, d).with_context(|| format!("the platform of dispatcher {d}"))?;
@@ -369,8 +375,8 @@
     shared.state.borrow_mut().t0 = Instant::now();
     let worst = Rc::new(RefCell::new(Duration::ZERO));
     tokio::task::spawn_local(clock(shared.clone()));
-    tokio::task::spawn_local(errands(shared.clone(), errand_from));
-    tokio::task::spawn_local(beat(worst.clone()));
+    tokio::task::spawn_local(carry_out_effects(shared.clone(), effect_receiver));
+    tokio::task::spawn_local(watch_stalls(worst.clone()));
     tokio::task::spawn_local(processes::watch(shared.clone()));
     let (t0, arrivals) = (shared.state.borrow().t0, Arrivals::new(&plan));
     let (to, from) = mpsc::unbounded_channel();
@@ -384,7 +390,7 @@
             }
         }
     });
-    tokio::task::spawn_local(clients::take_in(shared.clone(), from));
+    tokio::task::spawn_local(clients::submit_arrivals(shared.clone(), from));
     let mut interrupted = false;
     loop {
         tokio::select! {
@@ -447,7 +453,7 @@
         std::mem::take(&mut state.world.returns),
         std::mem::take(&mut state.faults),
     );
-    Ok(Played {
+    Ok(RunOutcome {
         verdict,
         results,
         returns,
@@ -474,7 +480,7 @@
         .ok()
 }
 
-/// What a dispatcher is told at its start: the platform's file.
+/// The configuration file of a dispatcher at its start.
 fn config(state: &State, dispatcher: usize, start: u32) -> serde_json::Value {
     use serde_json::json;
     let plan = &state.world.plan;
@@ -495,14 +501,14 @@
             "dedup-scope": if c.same_zone { "dc" } else { "all" }, "in-turn": c.ordered_keys > 0,
         })
     };
-    let list = state.world.listing(state.told[dispatcher]);
+    let list = state.world.listing(state.published[dispatcher]);
     json!({
         "name": format!("d{dispatcher}"),
         "listen": state.net.listen(dispatcher).to_string(),
         "discovery": state.net.platform(dispatcher).to_string(),
         "seed": format!("{:016x}", facts.seed),
         "limits": {"cores": 1.0, "memory_mb": d.memory_mb, "sockets": d.sockets, "disk_mb": d.disk_mb},
-        "known": platform::whole(state, state.told[dispatcher], &list),
+        "known": platform::full_list(state, state.published[dispatcher], &list),
         "settings": {
             "balancers": d.count,
             "dcs": plan.spec.world.zones,
--- a/crates/testbed/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the place for notices.
+//! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the receiver of notifications.
 
 use super::{Listing, Shared, State};
 use crate::load::{RetryReason, arrival_of, next_submission};
@@ -34,7 +34,7 @@
     })
 }
 
-pub(super) fn whole(state: &State, version: usize, list: &Listing) -> Value {
+pub(super) fn full_list(state: &State, version: usize, list: &Listing) -> Value {
     let servers: Vec<Value> = list
         .iter()
         .map(|(e, listed)| entry(state, *e, *listed))
@@ -59,11 +59,11 @@
     Ok(())
 }
 
-/// Notes what a dispatcher has been told of the list, each version once.
-pub(super) fn said(state: &mut State, dispatcher: usize, upto: usize) {
-    let from = state.said[dispatcher];
-    state.said[dispatcher] = upto.max(from);
-    let changes: Vec<_> = state.world.changes(from.min(upto), upto).to_vec();
+/// Notes what of the list has been written to a dispatcher, each version once.
+pub(super) fn note_written(state: &mut State, dispatcher: usize, version: usize) {
+    let from = state.written[dispatcher];
+    state.written[dispatcher] = version.max(from);
+    let changes: Vec<_> = state.world.changes(from.min(version), version).to_vec();
     for change in changes {
         let serving = change.listed == ListState::Up;
         state.observe(Observation::EndpointListed {
@@ -77,7 +77,7 @@
 async fn serve(shared: Rc<Shared>, dispatcher: usize, mut stream: TcpStream) -> Result<()> {
     let mut input = Vec::new();
     loop {
-        // What is read of a request, owned: the input goes on.
+        // What is read of a request, owned: the input is read on.
         let read = {
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut head = httparse::Request::new(&mut headers);
@@ -100,7 +100,7 @@
         };
         input.drain(..taken);
         if path == "/v2/finals" {
-            let good = notices(&shared, &body);
+            let good = notified(&shared, &body);
             let answer = if good {
                 "204 No Content"
             } else {
@@ -113,8 +113,8 @@
             return watch(&shared, dispatcher, &mut stream, since.parse().unwrap_or(0)).await;
         } else if path == "/api/targets" {
             let text = shared.with(|s| {
-                let upto = s.told[dispatcher];
-                whole(s, upto, &s.world.listing(upto)).to_string()
+                let version = s.published[dispatcher];
+                full_list(s, version, &s.world.listing(version)).to_string()
             });
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
             stream.write_all((head + &text).as_bytes()).await?;
@@ -138,29 +138,29 @@
     let mut at = since;
     let mut first = true;
     loop {
-        let news = shared.news[dispatcher].notified();
+        let news = shared.list_changed[dispatcher].notified();
         tokio::pin!(news);
-        // Heard from here on, so that nothing is missed while a line is written.
+        // Registered before the version is read, so that nothing is missed while a line is written.
         news.as_mut().enable();
-        let upto = shared.state.borrow().told[dispatcher];
-        if upto > at || first {
+        let version = shared.state.borrow().published[dispatcher];
+        if version > at || first {
             let line = shared.with(|s| {
-                let known = at >= s.world.first_version() && at <= upto;
+                let known = at >= s.world.first_version() && at <= version;
                 match known {
-                    false => whole(s, upto, &s.world.listing(upto)),
+                    false => full_list(s, version, &s.world.listing(version)),
                     true => {
-                        let changes = s.world.changes(at, upto).to_vec();
+                        let changes = s.world.changes(at, version).to_vec();
                         let servers: Vec<Value> = changes
                             .iter()
                             .map(|c| entry(s, c.endpoint, c.listed))
                             .collect();
-                        json!({"version": upto, "full": false, "servers": servers})
+                        json!({"version": version, "full": false, "servers": servers})
                     }
                 }
             });
             chunk(stream, &format!("{line}\n")).await?;
-            shared.with(|s| said(s, dispatcher, upto));
-            (at, first) = (upto, false);
+            shared.with(|s| note_written(s, dispatcher, version));
+            (at, first) = (version, false);
             continue;
         }
         let mut byte = [0; 64];
@@ -178,8 +178,8 @@
         .await
 }
 
-/// Notices have come. False: they cannot be read.
-fn notices(shared: &Rc<Shared>, body: &[u8]) -> bool {
+/// Notifications have come. False: they cannot be read.
+fn notified(shared: &Rc<Shared>, body: &[u8]) -> bool {
     let mut read = vec![];
     for line in body
         .split(|b| *b == b'\n')
@@ -200,22 +200,22 @@
         read.push((MessageId(id), deferred));
     }
     for (message, deferred) in read {
-        let back = shared.with(|s| {
+        let reason = shared.with(|s| {
             s.observe(Observation::Notified {
                 message,
                 retry_after: deferred,
             });
             let known = s.messages.get(&message).cloned()?;
-            let (back, tries, now) = (
+            let (reason, attempts, now) = (
                 RetryReason::rejected_after(deferred?),
                 arrival_of(message).1,
                 s.now(),
             );
-            let next = next_submission(&s.world.plan, &known.arrival, tries, back, now)?;
-            Some((known.arrival, tries + 1, next))
+            let next = next_submission(&s.world.plan, &known.arrival, attempts, reason, now)?;
+            Some((known.arrival, attempts + 1, next))
         });
-        if let Some((arrival, tries, (at, to))) = back {
-            super::clients::later(shared, arrival, tries, at, to);
+        if let Some((arrival, attempts, (at, to))) = reason {
+            super::clients::submit_later(shared, arrival, attempts, at, to);
         }
     }
     true
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -1,4 +1,4 @@
-//! The dispatchers' processes: started, told to end, killed and started again with the folder that lasts; and what they use.
+//! The dispatchers' processes: started, asked to shut down, killed and started again with the folder that lasts; and what they use.
 
 use super::{Shared, clients, config, platform};
 use crate::record::Observation;
@@ -15,16 +15,16 @@
 
 /// All dispatchers must be there within this.
 const READY_WITHIN: Duration = Duration::from_secs(30);
-/// SIGKILL comes so long after SIGTERM.
+/// SIGKILL comes this long after SIGTERM.
 const TERM_TO_KILL: Duration = Duration::from_millis(3_700);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-pub(super) struct Host {
+pub(super) struct DispatcherProcess {
     program: PathBuf,
     folder: PathBuf,
     child: Option<Child>,
-    /// Its process has been told to end, and has not.
-    ends: bool,
+    /// Its process has been asked to shut down, and has not.
+    shutting_down: bool,
     starts: u32,
     usage: Usage,
     /// When the present process was looked at last, and its processor seconds then.
@@ -39,17 +39,17 @@
     let program = std::fs::canonicalize(program).with_context(|| program.display().to_string())?;
     for d in 0..count {
         let folder = work.join(format!("net{}-d{d}", net.0));
-        // Nothing of an earlier run may be taken over.
+        // Nothing of an earlier run may remain.
         if folder.exists() {
             std::fs::remove_dir_all(&folder).with_context(|| folder.display().to_string())?;
         }
         std::fs::create_dir_all(folder.join("state"))
             .with_context(|| folder.display().to_string())?;
-        let host = Host {
+        let process = DispatcherProcess {
             program: program.clone(),
             folder,
             child: None,
-            ends: false,
+            shutting_down: false,
             starts: 0,
             usage: Usage {
                 dispatcher: d,
@@ -57,14 +57,14 @@
             },
             sampled: None,
         };
-        shared.hosts.borrow_mut().push(host);
+        shared.dispatchers.borrow_mut().push(process);
         spawn(shared, d)?;
     }
     for d in 0..count {
         let at = shared.state.borrow().net.listen(d);
         let there = tokio::time::timeout(READY_WITHIN, clients::ready(at)).await;
         there.with_context(|| {
-            let folder = shared.hosts.borrow()[d].folder.display().to_string();
+            let folder = shared.dispatchers.borrow()[d].folder.display().to_string();
             format!("dispatcher {d} did not get ready; its log is in {folder}")
         })?;
         shared
@@ -76,49 +76,50 @@
 }
 
 fn spawn(shared: &Rc<Shared>, d: usize) -> Result<()> {
-    let mut hosts = shared.hosts.borrow_mut();
-    let host = &mut hosts[d];
-    host.starts += 1;
+    let mut dispatchers = shared.dispatchers.borrow_mut();
+    let process = &mut dispatchers[d];
+    process.starts += 1;
     let mut state = shared.state.borrow_mut();
-    let json = config(&state, d, host.starts);
-    let upto = state.told[d];
-    platform::said(&mut state, d, upto);
+    let json = config(&state, d, process.starts);
+    let version = state.published[d];
+    platform::note_written(&mut state, d, version);
     state.observe(Observation::Started { dispatcher: d });
-    let file = host.folder.join("config.json");
+    let file = process.folder.join("config.json");
     std::fs::write(&file, json.to_string()).with_context(|| file.display().to_string())?;
     let log = std::fs::OpenOptions::new()
         .create(true)
         .append(true)
-        .open(host.folder.join("log"))?;
-    let child = Command::new(&host.program)
+        .open(process.folder.join("log"))?;
+    let child = Command::new(&process.program)
         .arg("serve")
         .arg("--config")
         .arg(&file)
         .arg("--state")
-        .arg(host.folder.join("state"))
+        .arg(process.folder.join("state"))
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(log)
         .kill_on_drop(true)
         .spawn()
-        .with_context(|| host.program.display().to_string())?;
-    host.child = Some(child);
-    host.sampled = None;
+        .with_context(|| process.program.display().to_string())?;
+    process.child = Some(child);
+    process.sampled = None;
     Ok(())
 }
 
-fn pid(host: &Host) -> Option<Pid> {
-    host.child
+fn pid(process: &DispatcherProcess) -> Option<Pid> {
+    process
+        .child
         .as_ref()
         .and_then(Child::id)
         .and_then(|id| Pid::from_raw(id as i32))
 }
 
-/// What the script says of a dispatcher is done.
-pub(super) fn signal(shared: &Rc<Shared>, d: usize, news: DispatcherSignal) {
+/// Carries out a signal of the script.
+pub(super) fn signal(shared: &Rc<Shared>, d: usize, signal: DispatcherSignal) {
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
-        match news {
+        match signal {
             DispatcherSignal::Kill => end(&shared, d, false).await,
             DispatcherSignal::Terminate => end(&shared, d, true).await,
             DispatcherSignal::Start => start(&shared, d).await,
@@ -129,13 +130,13 @@
 /// Ends a dispatcher's process: killed at once, or `asked` first and killed when its time is up.
 async fn end(shared: &Rc<Shared>, d: usize, asked: bool) {
     let child = {
-        let mut hosts = shared.hosts.borrow_mut();
-        if let Some(pid) = pid(&hosts[d]).filter(|_| asked) {
+        let mut dispatchers = shared.dispatchers.borrow_mut();
+        if let Some(pid) = pid(&dispatchers[d]).filter(|_| asked) {
             // It may just have ended by itself.
             let _ = kill_process(pid, Signal::TERM);
         }
-        let child = hosts[d].child.take();
-        hosts[d].ends |= child.is_some();
+        let child = dispatchers[d].child.take();
+        dispatchers[d].shutting_down |= child.is_some();
         child
     };
     let Some(mut child) = child else { return };
@@ -150,19 +151,19 @@
 }
 
 fn ended(shared: &Rc<Shared>, d: usize) {
-    let mut hosts = shared.hosts.borrow_mut();
-    let host = &mut hosts[d];
-    (host.ends, host.sampled) = (false, None);
+    let mut dispatchers = shared.dispatchers.borrow_mut();
+    let process = &mut dispatchers[d];
+    (process.shutting_down, process.sampled) = (false, None);
     shared.clients.borrow_mut()[d] = clients::Pool::default();
     shared.with(|s| s.observe(Observation::Stopped { dispatcher: d }));
 }
 
 async fn start(shared: &Rc<Shared>, d: usize) {
-    // One that was told to end has until it is killed.
-    while shared.hosts.borrow()[d].ends && !*shared.over.borrow() {
+    // A process that is shutting down may take until it is killed.
+    while shared.dispatchers.borrow()[d].shutting_down && !*shared.over.borrow() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    if *shared.over.borrow() || shared.hosts.borrow()[d].child.is_some() {
+    if *shared.over.borrow() || shared.dispatchers.borrow()[d].child.is_some() {
         return;
     }
     if let Err(e) = spawn(shared, d) {
@@ -188,7 +189,7 @@
 /// Samples what each dispatcher uses, and notes one that ended unasked.
 pub(super) async fn watch(shared: Rc<Shared>) {
     loop {
-        let count = shared.hosts.borrow().len();
+        let count = shared.dispatchers.borrow().len();
         for d in 0..count {
             sample(&shared, d);
         }
@@ -206,21 +207,23 @@
     let at = (shared.now() - START) as f64 / 1e9;
     let mut crashed = None;
     {
-        let mut hosts = shared.hosts.borrow_mut();
-        let host = &mut hosts[d];
-        let Some(child) = &mut host.child else { return };
-        // One that was told to end is no longer here.
+        let mut dispatchers = shared.dispatchers.borrow_mut();
+        let process = &mut dispatchers[d];
+        let Some(child) = &mut process.child else {
+            return;
+        };
+        // One that was asked to shut down is no longer here.
         if let Ok(Some(status)) = child.try_wait() {
             crashed = Some(status);
-            host.child = None;
+            process.child = None;
         } else if let Some((cpu, mb, fds)) = child.id().and_then(used) {
             let now = Instant::now();
-            if let Some((before, was)) = host.sampled {
+            if let Some((before, was)) = process.sampled {
                 let share = (cpu - was) / now.duration_since(before).as_secs_f64();
-                host.usage.samples.push((at, share, mb, fds));
+                process.usage.samples.push((at, share, mb, fds));
             }
-            host.sampled = Some((now, cpu));
-            host.usage.peak_mb = host.usage.peak_mb.max(mb);
+            process.sampled = Some((now, cpu));
+            process.usage.peak_mb = process.usage.peak_mb.max(mb);
         }
     }
     if let Some(status) = crashed {
@@ -235,14 +238,14 @@
 
 /// All processes end; what each used.
 pub(super) async fn end_all(shared: &Rc<Shared>) -> Vec<Usage> {
-    let count = shared.hosts.borrow().len();
+    let count = shared.dispatchers.borrow().len();
     (0..count).for_each(|d| sample(shared, d));
     for d in 0..count {
-        let child = shared.hosts.borrow_mut()[d].child.take();
+        let child = shared.dispatchers.borrow_mut()[d].child.take();
         if let Some(mut child) = child {
             let _ = child.kill().await;
         }
     }
-    let mut hosts = shared.hosts.borrow_mut();
-    hosts.drain(..).map(|host| host.usage).collect()
+    let mut dispatchers = shared.dispatchers.borrow_mut();
+    dispatchers.drain(..).map(|process| process.usage).collect()
 }
--- a/crates/testbed/src/world/cold_return.rs
+++ b/crates/testbed/src/world/cold_return.rs
@@ -1,11 +1,12 @@
 //! Endpoints that have returned cold: their share of capacity, their overload, and the load on them.
 
 use super::effects::{Effect, ReturnLoad};
+use super::endpoint::RecentCall;
 use super::state::{SAMPLE_INTERVAL, Timer, World};
 use super::time::ms;
 use bellsill_core::interface::EndpointId;
 
-/// Under so many calls allowed, the slack of a cold endpoint's budget is larger.
+/// Where fewer calls than this are allowed, the slack of a cold endpoint's budget is larger.
 const SMALL_ALLOWANCE: f64 = 30.0;
 
 /// How many calls a cold endpoint bears in the window, of which it could handle `allowed` in the mean: as the standing test
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Counts a call against what a cold endpoint bears.
+    /// Counts a call against the budget of a cold endpoint.
     pub(super) fn count_against_budget(&mut self, e: usize, dispatcher: usize) {
         let Some(since) = self.endpoints[e].cold_since else {
             return;
@@ -59,29 +60,32 @@
         let r = &self.plan.spec.rules;
         if self.now >= since + ms(r.ramp_ms) {
             let endpoint = &mut self.endpoints[e];
-            (endpoint.cold_since, endpoint.arrivals_in_sample) = (None, 0);
-            endpoint.arrivals.clear();
+            (endpoint.cold_since, endpoint.calls_in_sample) = (None, 0);
+            endpoint.recent_calls.clear();
             endpoint.outage_seen_by.clear();
             self.cold.retain(|c| *c != e);
             return;
         }
         let window = ms(r.tip_window_ms);
         let warm_capacity = self.plan.endpoints[e].capacity * self.warm_fraction(e);
-        let bears = slow_start_budget(r.tip_multiple * warm_capacity * window as f64 / 1e9);
+        let budget = slow_start_budget(r.tip_multiple * warm_capacity * window as f64 / 1e9);
         let endpoint = &mut self.endpoints[e];
-        let knowing = endpoint.outage_seen_by.contains(&dispatcher);
-        endpoint.arrivals_in_sample += 1;
-        endpoint.arrivals.push_back((self.now, knowing));
+        let informed = endpoint.outage_seen_by.contains(&dispatcher);
+        endpoint.calls_in_sample += 1;
+        endpoint.recent_calls.push_back(RecentCall {
+            at: self.now,
+            informed,
+        });
         while endpoint
-            .arrivals
+            .recent_calls
             .front()
-            .is_some_and(|c| c.0 + window <= self.now)
+            .is_some_and(|c| c.at + window <= self.now)
         {
-            endpoint.arrivals.pop_front();
+            endpoint.recent_calls.pop_front();
         }
-        let all_calls = endpoint.arrivals.len();
-        if all_calls as f64 > bears {
-            let informed_calls = endpoint.arrivals.iter().filter(|c| c.1).count();
+        let all_calls = endpoint.recent_calls.len();
+        if all_calls as f64 > budget {
+            let informed_calls = endpoint.recent_calls.iter().filter(|c| c.informed).count();
             endpoint.collapsed = true;
             self.effects.push_back(Effect::Overloaded {
                 endpoint: EndpointId(e as u32),
@@ -102,7 +106,7 @@
                 ..Default::default()
             };
             for e in self.cold.clone() {
-                load.calls += std::mem::take(&mut self.endpoints[e].arrivals_in_sample) as f64;
+                load.calls += std::mem::take(&mut self.endpoints[e].calls_in_sample) as f64;
                 load.capacity += self.capacity(EndpointId(e as u32)) * SAMPLE_INTERVAL as f64 / 1e9;
             }
             self.returns.push(load);
--- a/crates/testbed/src/world/connections.rs
+++ b/crates/testbed/src/world/connections.rs
@@ -81,7 +81,7 @@
         let (e, idle) = (at.endpoint, now - at.used);
         let fresh = std::mem::replace(&mut at.fresh, false);
         at.used = now;
-        // On sockets nothing says whose a connection is before its first call.
+        // On sockets it is not known whose connection this is before its first call.
         at.dispatcher = new.dispatcher;
         let condition = self.endpoints[e].condition;
         let keep_alive = ms(self.plan.spec.dispatchers.keep_alive_ms);
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Nothing will be said of the call; its caller still waits, or has gone.
+    /// The call gets no answer; its caller still waits, or has closed the connection.
     pub(super) fn leave_unanswered(&mut self, id: CallId) {
         let Some(conn) = self.calls.get(id).map(|c| c.conn) else {
             return;
--- a/crates/testbed/src/world/effects.rs
+++ b/crates/testbed/src/world/effects.rs
@@ -20,7 +20,7 @@
         call: CallId,
         /// The connection it came on.
         conn: ConnId,
-        /// What the endpoint says.
+        /// The answer.
         answer: Answer,
     },
     /// The endpoint breaks a connection, with the calls on it.
@@ -76,7 +76,7 @@
     },
 }
 
-/// What an endpoint says to a call.
+/// How an endpoint answers a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The call took effect.
--- a/crates/testbed/src/world/endpoint.rs
+++ b/crates/testbed/src/world/endpoint.rs
@@ -33,23 +33,30 @@
     };
 }
 
+/// A call to a cold endpoint.
+pub(super) struct RecentCall {
+    pub(super) at: Nanos,
+    /// It came from a dispatcher that had seen the outage.
+    pub(super) informed: bool,
+}
+
 pub(super) struct Endpoint {
-    /// Faults that strike it now.
+    /// The faults of the moment.
     pub(super) faults: Vec<usize>,
     pub(super) condition: Condition,
     pub(super) collapsed: bool,
     pub(super) removed: bool,
     pub(super) working: u32,
     pub(super) queue: VecDeque<CallId>,
-    /// Their work is done, but it stands still.
+    /// Their work is done, but it hangs and does not answer.
     pub(super) stalled: Vec<CallId>,
     pub(super) conns: BTreeSet<ConnId>,
     pub(super) cold_since: Option<Nanos>,
-    /// Dispatchers that saw a call or connection fail here in the outage.
+    /// Dispatchers that saw a call or a connection fail here during the outage.
     pub(super) outage_seen_by: BTreeSet<usize>,
-    /// Calls since it is back, while it is cold: when, and from one that saw the outage.
-    pub(super) arrivals: VecDeque<(Nanos, bool)>,
-    pub(super) arrivals_in_sample: u64,
+    /// The latest calls since its return, while it is cold.
+    pub(super) recent_calls: VecDeque<RecentCall>,
+    pub(super) calls_in_sample: u64,
 }
 
 impl Endpoint {
@@ -65,8 +72,8 @@
             conns: BTreeSet::new(),
             cold_since,
             outage_seen_by: BTreeSet::new(),
-            arrivals: VecDeque::new(),
-            arrivals_in_sample: 0,
+            recent_calls: VecDeque::new(),
+            calls_in_sample: 0,
         }
     }
     pub(super) fn reach(&self) -> Reachability {
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -319,8 +319,8 @@
         }
     }
 
-    /// Slots of one dispatcher: what its part of the load keeps busy, times what the experiment says.
-    pub fn slots(&self) -> usize {
+    /// Attempts that one dispatcher has in flight at most: what its part of the load needs, times the experiment's factor.
+    pub fn max_in_flight(&self) -> usize {
         let d = &self.spec.dispatchers;
         let busy: f64 = self
             .endpoints
@@ -367,7 +367,7 @@
             per_endpoint_limits: self.spec.kinds.iter().map(|k| k.apart).collect(),
             max_batch: vec![],
             value_decay: ValueDecay::Halving,
-            max_in_flight: self.slots(),
+            max_in_flight: self.max_in_flight(),
             queue_capacity: self.queue_capacity(),
             caller_admission: false,
             max_attempts: d.max_connects,
--- a/crates/testbed/src/world/script.rs
+++ b/crates/testbed/src/world/script.rs
@@ -100,7 +100,7 @@
         self.report_reachability(e);
     }
 
-    /// What all faults that strike an endpoint make of it together.
+    /// The condition of an endpoint under all of its faults together.
     pub(super) fn condition(&self, e: usize) -> Condition {
         let mut c = Condition::HEALTHY;
         for &t in &self.endpoints[e].faults {
@@ -133,8 +133,8 @@
         if was_out && !self.endpoints[e].in_outage() && cold_after {
             let endpoint = &mut self.endpoints[e];
             endpoint.cold_since = Some(self.now);
-            endpoint.arrivals.clear();
-            endpoint.arrivals_in_sample = 0;
+            endpoint.recent_calls.clear();
+            endpoint.calls_in_sample = 0;
             if !self.cold.contains(&e) {
                 self.cold.push(e);
             }
@@ -143,7 +143,7 @@
             let frozen = std::mem::take(&mut self.endpoints[e].stalled);
             frozen.into_iter().for_each(|call| self.finish(call));
             self.next_of(e);
-            // What is over its queue is turned away.
+            // What is over its queue is rejected.
             while self.endpoints[e].queue.len() > self.plan.endpoints[e].queue {
                 let Some(call) = self.endpoints[e].queue.pop_back() else {
                     break;
--- a/crates/testbed/src/world/service.rs
+++ b/crates/testbed/src/world/service.rs
@@ -7,7 +7,7 @@
 use crate::spec::Repeat;
 use bellsill_core::interface::{EndpointId, Nanos};
 
-/// Effects are remembered for so long over the longest queue lifetime.
+/// For how long effects are remembered after their window.
 const EFFECT_RETENTION: Nanos = 30 * S;
 
 impl World {
@@ -85,7 +85,7 @@
             &self.plan.spec.classes[call.new.class],
             call.new.message,
         );
-        // A repeat is known for one by when it came, however long the work takes.
+        // Whether it is a repeat depends on when it came, however long the work takes.
         let arrived_at = call.arrived_at;
         let mut fresh = true;
         if class.repeat == Repeat::Tagged {
--- a/crates/testbed/src/world/state.rs
+++ b/crates/testbed/src/world/state.rs
@@ -10,14 +10,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// How often the load on what has returned is written down.
+/// How often the load on endpoints that have returned is recorded.
 pub(super) const SAMPLE_INTERVAL: Nanos = 500 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallState {
     Queued,
     Working,
-    /// Nothing will be said of it.
+    /// It gets no answer.
     Unanswered,
 }
 
