--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for clients: RESP2, open loop. A submission starts when it was meant to and waits for no other answer.
 
-use super::{Shared, SubmittedMessage};
+use super::state::{Shared, SubmittedMessage};
 use crate::load::{Arrival, RetryReason, deadline, message_id, next_submission};
 use crate::record::{Observation, Submission};
 use crate::spec::Repeat;
@@ -13,10 +13,6 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Connections to one dispatcher that nobody uses just now.
-#[derive(Default)]
-pub(super) struct Pool(Vec<TcpStream>);
-
 /// The tag and the body that a message goes out with, and must come with.
 pub(super) fn content(plan: &Plan, arrival: &Arrival) -> (String, Vec<u8>) {
     let tagged = plan.spec.classes[arrival.class].repeat == Repeat::Tagged;
--- a/crates/testbed/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -1,6 +1,7 @@
 //! Stand-ins for endpoints: HTTP/1.1 servers, one listener each, all behind the one world.
 
-use super::{EndpointReply, Shared, SubmittedMessage};
+use super::http::{content_length, header};
+use super::state::{EndpointReply, Listening, Shared, SubmittedMessage};
 use crate::record::{CallNumber, Observation};
 use crate::world::{Answer, CallRequest, ConnId, ConnectResult, Reachability};
 use anyhow::Result;
@@ -12,29 +13,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::task::JoinHandle;
 
 const BACKLOG: i32 = 1_024;
 /// A call's head and body, at most.
 const CALL_MOST: usize = 80 * 1024;
 
-/// An endpoint that can be connected to, or seems to be there and says nothing.
-pub(super) struct Listening {
-    reach: Reachability,
-    accepts: Option<JoinHandle<()>>,
-    socket: Rc<TcpListener>,
-    /// Connections that fill the queue of one that is silent, so that no other comes up.
-    _fill: Vec<Socket>,
-}
-
-impl Drop for Listening {
-    fn drop(&mut self) {
-        if let Some(accepts) = &self.accepts {
-            accepts.abort();
-        }
-    }
-}
-
 fn socket() -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -143,8 +126,8 @@
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(e) => return Err(format!("a head that is no HTTP: {e}")),
     };
-    let value = |name: &str| super::header(&head, name);
-    let size = super::content_length(&head).ok_or("a call without its length")?;
+    let value = |name: &str| header(&head, name);
+    let size = content_length(&head).ok_or("a call without its length")?;
     if size > CALL_MOST {
         return Err(format!("a call of {size} bytes"));
     }
@@ -311,7 +294,7 @@
             message,
             endpoint,
             dispatcher,
-            started_at: started_at,
+            started_at,
             fresh: id.is_some(),
         });
         match id {
--- a/crates/testbed/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -1,6 +1,7 @@
 //! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the receiver of notifications.
 
-use super::{Listing, Shared, State};
+use super::http::content_length;
+use super::state::{Listing, Shared, State};
 use crate::load::{RetryReason, arrival_of, next_submission};
 use crate::record::Observation;
 use crate::world::ListState;
@@ -84,7 +85,7 @@
             match head.parse(&input)? {
                 httparse::Status::Partial => None,
                 httparse::Status::Complete(length) => {
-                    let size = super::content_length(&head).unwrap_or(0);
+                    let size = content_length(&head).unwrap_or(0);
                     let path = head.path.unwrap_or("").to_string();
                     (input.len() >= length + size)
                         .then(|| (path, input[length..length + size].to_vec(), length + size))
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -1,13 +1,15 @@
 //! The dispatchers' processes: started, asked to shut down, killed and started again with the folder that lasts; and what they use.
 
-use super::{Shared, clients, config, platform};
+use super::config::config;
+use super::state::{DispatcherProcess, Pool, Shared};
+use super::{clients, platform};
 use crate::record::Observation;
 use crate::run::Usage;
 use crate::world::plan::DispatcherSignal;
 use crate::world::time::START;
 use anyhow::{Context, Result};
 use rustix::process::{Pid, Signal, kill_process};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::Stdio;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,18 +21,6 @@
 const TERM_TO_KILL: Duration = Duration::from_millis(3_700);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-pub(super) struct DispatcherProcess {
-    program: PathBuf,
-    folder: PathBuf,
-    child: Option<Child>,
-    /// Its process has been asked to shut down, and has not.
-    shutting_down: bool,
-    starts: u32,
-    usage: Usage,
-    /// When the present process was looked at last, and its processor seconds then.
-    sampled: Option<(Instant, f64)>,
-}
-
 pub(super) async fn start_all(shared: &Rc<Shared>, program: &Path, work: &Path) -> Result<()> {
     let (count, net) = {
         let s = shared.state.borrow();
@@ -154,7 +144,7 @@
     let mut dispatchers = shared.dispatchers.borrow_mut();
     let process = &mut dispatchers[d];
     (process.shutting_down, process.sampled) = (false, None);
-    shared.clients.borrow_mut()[d] = clients::Pool::default();
+    shared.clients.borrow_mut()[d] = Pool::default();
     shared.with(|s| s.observe(Observation::Stopped { dispatcher: d }));
 }
 
