--- a/crates/testbed/src/capacity/decisions.rs
+++ b/crates/testbed/src/capacity/decisions.rs
@@ -6,23 +6,27 @@
 use crate::recording_actions::RecordingActions;
 use anyhow::Result;
 use bellsill_core::control::Dispatcher;
-use bellsill_core::interface::*;
+use bellsill_core::interface::{
+    AttemptEnd, AttemptNumber, ClassId, ClassSettings, DeliverySemantics, DestinationId,
+    EndpointEntry, EndpointId, EndpointUpdate, MessageHistory, MessageId, Nanos, NewMessage,
+    Outcome, Settings,
+};
 use rustix::time::{ClockId, clock_gettime};
 
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
-/// The virtual time at which a dispatcher starts, and after which all that was held has been refused once.
+/// The virtual time at which a dispatcher starts, and after which all messages held have been rejected once.
 const START: Nanos = 1_000 * SECOND;
 const LOADED: Nanos = START + SECOND;
 /// Between two messages, and from a connect to its answer.
 const SPACE: Nanos = MILLISECOND;
 const ANSWER_AFTER: Nanos = MILLISECOND / 2;
 const LIFETIME: Nanos = 3_600 * SECOND;
-/// A destination that is down tells to come back after the whole measurement.
+/// A destination that is down has a Retry-After over the whole measurement.
 const DOWN_FOR: Nanos = 3_600 * SECOND;
 
-/// The facts of a dispatcher of the full fleet, with one queue class.
-pub fn facts(seed: u64, dispatchers: u32) -> Settings {
+/// The settings of a dispatcher of the full fleet, with one queue class.
+pub fn fleet_settings(seed: u64, dispatchers: u32) -> Settings {
     let class = ClassSettings {
         priority_weight: 1.0,
         latency_objective: 2 * SECOND,
@@ -61,7 +65,7 @@
     }
 }
 
-/// A message that has not been tried.
+/// A message without attempts.
 pub fn message(id: u64, destination: u32, due: Nanos) -> NewMessage {
     NewMessage {
         id: MessageId(id),
@@ -73,40 +77,40 @@
     }
 }
 
-struct Bed {
+struct DecisionBench {
     dispatcher: Dispatcher,
-    answers: RecordingActions,
+    actions: RecordingActions,
     now: Nanos,
     next_id: u64,
 }
 
-impl Bed {
+impl DecisionBench {
     /// A dispatcher that knows `known` destinations, the last `down` of which are down.
-    fn new(known: u32) -> Bed {
-        let mut answers = RecordingActions::default();
-        let mut dispatcher = Dispatcher::new(START, facts(1, 1_900));
+    fn new(known: u32) -> DecisionBench {
+        let mut actions = RecordingActions::default();
+        let mut dispatcher = Dispatcher::new(START, fleet_settings(1, 1_900));
         let entries: Vec<EndpointEntry> = (1..=known).map(entry).collect();
-        dispatcher.update_endpoints(START, EndpointUpdate::Snapshot, &entries, &mut answers);
-        Bed {
+        dispatcher.update_endpoints(START, EndpointUpdate::Snapshot, &entries, &mut actions);
+        DecisionBench {
             dispatcher,
-            answers,
+            actions,
             now: START,
             next_id: 1,
         }
     }
 
-    fn take(&mut self, destination: u32) {
+    fn accept(&mut self, destination: u32) {
         let new = message(self.next_id, destination, self.now + LIFETIME);
         self.next_id += 1;
-        self.dispatcher.accept(self.now, [new], &mut self.answers);
+        self.dispatcher.accept(self.now, [new], &mut self.actions);
     }
 
-    /// Answers all attempts that are out.
-    fn answer(&mut self, outcome: Outcome, took: Nanos) {
-        for (mail, _) in std::mem::take(&mut self.answers.attempts) {
+    /// Ends all attempts in flight.
+    fn end_attempts(&mut self, outcome: Outcome, took: Nanos) {
+        for (message, _) in std::mem::take(&mut self.actions.attempts) {
             let over = outcome == Outcome::Delivered;
             let end = AttemptEnd {
-                message: mail,
+                message,
                 number: AttemptNumber(0),
                 outcome,
                 message_ended: over,
@@ -114,15 +118,15 @@
                 reported_limit: None,
             };
             self.dispatcher
-                .attempt_ended(self.now, end, &mut self.answers);
+                .attempt_ended(self.now, end, &mut self.actions);
         }
     }
 
     /// Holds messages for the last `down` of `known` destinations in turn; each is refused once.
-    fn hold(&mut self, known: u32, down: u32, held: u32) {
+    fn hold_messages(&mut self, known: u32, down: u32, held: u32) {
         for i in 0..held {
-            self.take(known - i % down);
-            self.answer(
+            self.accept(known - i % down);
+            self.end_attempts(
                 Outcome::RateLimited {
                     retry_after: Some(DOWN_FOR),
                 },
@@ -133,11 +137,11 @@
     }
 
     /// One message from its taking to its answer.
-    fn relay(&mut self, destination: u32) {
+    fn deliver(&mut self, destination: u32) {
         self.now += SPACE;
-        self.take(destination);
+        self.accept(destination);
         self.now += ANSWER_AFTER;
-        self.answer(Outcome::Delivered, ANSWER_AFTER);
+        self.end_attempts(Outcome::Delivered, ANSWER_AFTER);
     }
 }
 
@@ -149,14 +153,14 @@
 
 /// Microseconds of a message's calls where `down` of `known` destinations hold `held` messages.
 fn message_us(known: u32, down: u32, held: u32, messages: u32) -> f64 {
-    let mut bed = Bed::new(known);
+    let mut decisions = DecisionBench::new(known);
     if held > 0 {
-        bed.hold(known, down, held);
+        decisions.hold_messages(known, down, held);
     }
     let serving = known - down;
     let before = own_processor_us();
     for i in 0..messages {
-        bed.relay(1 + i % serving);
+        decisions.deliver(1 + i % serving);
     }
     (own_processor_us() - before) / f64::from(messages)
 }
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -51,7 +51,7 @@
 }
 
 /// Does what the command line asks for.
-pub fn act(args: &CapacityArgs) -> Result<()> {
+pub fn execute(args: &CapacityArgs) -> Result<()> {
     let capacity = match &args.from {
         Some(path) => read(path)?,
         None => run_full(args)?,
--- a/crates/testbed/src/capacity/wasted.rs
+++ b/crates/testbed/src/capacity/wasted.rs
@@ -2,14 +2,16 @@
 //! time: the decisions are called directly. Each destination has the rate that it has at the full size.
 
 use super::bench::Bench;
-use super::decisions::{entry, facts, message};
+use super::decisions::{entry, fleet_settings, message};
 use super::fit::Point;
 use super::report::{Finding, Series, SeriesId};
 use super::traffic::Traffic;
 use crate::recording_actions::RecordingActions;
 use anyhow::Result;
 use bellsill_core::control::Dispatcher;
-use bellsill_core::interface::*;
+use bellsill_core::interface::{
+    AttemptEnd, AttemptNumber, EndpointEntry, EndpointUpdate, MessageId, Nanos, Outcome, Settings,
+};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -97,11 +99,11 @@
     fn new(traffic: Traffic, dispatchers: u32) -> Fleet {
         let entries: Vec<EndpointEntry> = (1..=traffic.destinations).map(entry).collect();
         let boot = |i: u32| {
-            let facts = Settings {
+            let settings = Settings {
                 caller_admission: false,
-                ..facts(traffic.seed + u64::from(i), dispatchers)
+                ..fleet_settings(traffic.seed + u64::from(i), dispatchers)
             };
-            let mut dispatcher = Dispatcher::new(START, facts);
+            let mut dispatcher = Dispatcher::new(START, settings);
             dispatcher.update_endpoints(
                 START,
                 EndpointUpdate::Snapshot,
--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -115,7 +115,7 @@
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .init();
-    match act(line.what) {
+    match execute(line.what) {
         Ok(good) => ExitCode::from(u8::from(!good)),
         Err(e) => {
             eprintln!("{e:#}");
@@ -167,9 +167,9 @@
     Ok(())
 }
 
-fn act(what: What) -> Result<bool> {
+fn execute(what: What) -> Result<bool> {
     match what {
-        What::Capacity(args) => crate::capacity::act(&args).map(|()| true),
+        What::Capacity(args) => crate::capacity::execute(&args).map(|()| true),
         What::Hollow(options) => crate::hollow::scenario::play(options),
         What::HollowWorker { options } => crate::hollow::worker::run(&options).map(|()| true),
         What::Check { files } => {
--- a/crates/testbed/src/hollow/routes.rs
+++ b/crates/testbed/src/hollow/routes.rs
@@ -5,7 +5,10 @@
 use super::plan::{DispatcherIndex, Plan};
 use crate::recording_actions::RecordingActions;
 use bellsill_core::control::Dispatcher;
-use bellsill_core::interface::*;
+use bellsill_core::interface::{
+    ClassSettings, DeliverySemantics, DestinationId, EndpointEntry, EndpointId, EndpointUpdate,
+    KindId, Nanos, Settings, ZoneId,
+};
 use bellsill_directory::line;
 use bellsill_directory::line::EndpointState;
 use bellsill_placement::BucketId;
@@ -33,7 +36,7 @@
 
 impl RouteTable {
     pub fn new(now: Nanos, seed: u64, dispatchers: usize) -> Self {
-        let facts = Settings {
+        let settings = Settings {
             seed,
             dispatchers: dispatchers as u32,
             classes: vec![queue_class()],
@@ -51,7 +54,7 @@
             clock_resolution: 1_000_000,
             ..Settings::default()
         };
-        let decisions = Dispatcher::new(now, facts);
+        let decisions = Dispatcher::new(now, settings);
         RouteTable {
             decisions,
             routes: BTreeMap::new(),
--- a/crates/testbed/src/hollow/worker.rs
+++ b/crates/testbed/src/hollow/worker.rs
@@ -21,10 +21,10 @@
 use std::time::Duration;
 
 const STATUS_EVERY: Nanos = 250 * MILLISECOND;
-/// A dispatcher that has heard nothing for so long counts as not served.
+/// A dispatcher that has received nothing for this long counts as not served.
 const SERVED_WITHIN: Nanos = 3 * SECOND / 2;
-/// Room for what has been read of a connection and not been taken yet.
-const INPUT_ROOM: usize = 64 * 1024;
+/// Capacity for what has been read of a connection and not processed yet.
+const INPUT_CAPACITY: usize = 64 * 1024;
 /// The poller's key of the standard input; connections have smaller ones.
 const ORDERS_KEY: usize = usize::MAX - 1;
 
@@ -34,7 +34,7 @@
     dispatcher: DispatcherIndex,
     call: CallId,
     server: SocketAddr,
-    rising: bool,
+    connecting: bool,
     input: RingBuffer,
     /// What is to be written of the request.
     output: Vec<u8>,
@@ -47,8 +47,8 @@
     dispatchers: BTreeMap<DispatcherIndex, HollowDispatcher>,
     connections: SlotMap<DefaultKey, Connection>,
     /// When dispatchers have something due: at most one row of each.
-    due: BTreeSet<(Nanos, DispatcherIndex)>,
-    due_at: BTreeMap<DispatcherIndex, Nanos>,
+    timers: BTreeSet<(Nanos, DispatcherIndex)>,
+    timer_of: BTreeMap<DispatcherIndex, Nanos>,
     orders: Stdin,
     order_bytes: Vec<u8>,
     orders_ended: bool,
@@ -80,8 +80,8 @@
         poller,
         dispatchers: BTreeMap::new(),
         connections: SlotMap::new(),
-        due: BTreeSet::new(),
-        due_at: BTreeMap::new(),
+        timers: BTreeSet::new(),
+        timer_of: BTreeMap::new(),
         orders,
         order_bytes: vec![],
         orders_ended: false,
@@ -110,7 +110,7 @@
     fn turn(&mut self, events: &mut Events) -> Result<()> {
         let now = clock::now();
         let next = self
-            .due
+            .timers
             .first()
             .map_or(self.status_at, |&(at, _)| at.min(self.status_at));
         events.clear();
@@ -122,7 +122,7 @@
                 key => self.ready(DefaultKey::from(KeyData::from_ffi(key as u64)), event)?,
             }
         }
-        self.fire()?;
+        self.run_timers()?;
         if clock::now() >= self.status_at {
             self.tell_status()?;
         }
@@ -150,12 +150,12 @@
         }
         while let Some(end) = self.order_bytes.iter().position(|&byte| byte == b'\n') {
             let line: Vec<u8> = self.order_bytes.drain(..=end).collect();
-            self.obey(serde_json::from_slice(&line).context("an order")?)?;
+            self.carry_out(serde_json::from_slice(&line).context("an order")?)?;
         }
         Ok(())
     }
 
-    fn obey(&mut self, order: Order) -> Result<()> {
+    fn carry_out(&mut self, order: Order) -> Result<()> {
         match order {
             Order::Start { dispatchers, from } => dispatchers
                 .into_iter()
@@ -217,8 +217,8 @@
             .map(|(key, _)| key)
             .collect();
         keys.into_iter().for_each(|key| self.close(key));
-        if let Some(at) = self.due_at.remove(&index) {
-            self.due.remove(&(at, index));
+        if let Some(at) = self.timer_of.remove(&index) {
+            self.timers.remove(&(at, index));
         }
         self.former_faults.add(&dispatcher.faults());
         self.former_traffic
@@ -246,14 +246,14 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
-        if connection.rising {
+        if connection.connecting {
             if !event.writable && !event.readable {
                 return Ok(());
             }
-            return self.risen(key);
+            return self.connected(key);
         }
         if !connection.output.is_empty() && event.writable && self.write(key).is_err() {
-            return self.broke(key);
+            return self.disconnected(key);
         }
         if event.readable {
             self.read(key)
@@ -262,21 +262,21 @@
         }
     }
 
-    fn risen(&mut self, key: DefaultKey) -> Result<()> {
+    fn connected(&mut self, key: DefaultKey) -> Result<()> {
         let connection = &mut self.connections[key];
         if !matches!(connection.socket.take_error(), Ok(None))
             || connection.socket.peer_addr().is_err()
         {
-            return self.broke(key);
+            return self.disconnected(key);
         }
-        connection.rising = false;
+        connection.connecting = false;
         let (index, call) = (connection.dispatcher, connection.call);
         if let Some(dispatcher) = self.dispatchers.get_mut(&index) {
             dispatcher.connected(clock::now(), call);
         }
         match self.write(key) {
             Ok(()) => self.follow(index),
-            Err(_) => self.broke(key),
+            Err(_) => self.disconnected(key),
         }
     }
 
@@ -311,7 +311,7 @@
             dispatcher.heard(now, server, count);
         }
         let Ok(ended) = filled else {
-            return self.broke(key);
+            return self.disconnected(key);
         };
         dispatcher.received(now, &self.surroundings, call, &mut connection.input, ended);
         if ended && self.connections.contains_key(key) {
@@ -320,7 +320,7 @@
         self.follow(index)
     }
 
-    fn broke(&mut self, key: DefaultKey) -> Result<()> {
+    fn disconnected(&mut self, key: DefaultKey) -> Result<()> {
         let Some(connection) = self.connections.get(key) else {
             return Ok(());
         };
@@ -333,11 +333,11 @@
     }
 
     /// Fires what is due.
-    fn fire(&mut self) -> Result<()> {
+    fn run_timers(&mut self) -> Result<()> {
         let now = clock::now();
-        while let Some(&(at, index)) = self.due.first().filter(|&&(at, _)| at <= now) {
-            self.due.remove(&(at, index));
-            self.due_at.remove(&index);
+        while let Some(&(at, index)) = self.timers.first().filter(|&&(at, _)| at <= now) {
+            self.timers.remove(&(at, index));
+            self.timer_of.remove(&index);
             if let Some(dispatcher) = self.dispatchers.get_mut(&index) {
                 dispatcher.fire(now);
             }
@@ -373,22 +373,22 @@
         let Some(dispatcher) = self.dispatchers.get_mut(&index) else {
             return Ok(());
         };
-        let (reports, due) = (dispatcher.take_reports(), dispatcher.next_due());
+        let (reports, next) = (dispatcher.take_reports(), dispatcher.next_due());
         reports.iter().try_for_each(|report| self.report(report))?;
-        self.set_due(index, due);
+        self.set_timer(index, next);
         Ok(())
     }
 
-    fn set_due(&mut self, index: DispatcherIndex, due: Option<Nanos>) {
-        if self.due_at.get(&index).copied() == due {
+    fn set_timer(&mut self, index: DispatcherIndex, next: Option<Nanos>) {
+        if self.timer_of.get(&index).copied() == next {
             return;
         }
-        if let Some(at) = self.due_at.remove(&index) {
-            self.due.remove(&(at, index));
+        if let Some(at) = self.timer_of.remove(&index) {
+            self.timers.remove(&(at, index));
         }
-        if let Some(at) = due {
-            self.due_at.insert(index, at);
-            self.due.insert((at, index));
+        if let Some(at) = next {
+            self.timer_of.insert(index, at);
+            self.timers.insert((at, index));
         }
     }
 
@@ -408,7 +408,7 @@
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
         let begun = socket.connect(&server.into());
-        let rising = begun.is_err();
+        let connecting = begun.is_err();
         let failed = begun
             .is_err_and(|e| e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()));
         if failed {
@@ -417,13 +417,13 @@
             }
             return Ok(());
         }
-        let input = RingBuffer::new(INPUT_ROOM);
+        let input = RingBuffer::new(INPUT_CAPACITY);
         let connection = Connection {
             socket,
             dispatcher,
             call,
             server,
-            rising,
+            connecting,
             input,
             output: request,
         };
@@ -434,7 +434,11 @@
             self.poller
                 .add_with_mode(socket, Event::all(key_of(key)), PollMode::Level)?
         };
-        if rising { Ok(()) } else { self.risen(key) }
+        if connecting {
+            Ok(())
+        } else {
+            self.connected(key)
+        }
     }
 
     fn tell_status(&mut self) -> Result<()> {
--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -1,6 +1,8 @@
 //! The auditor on records that are written down here one by one, for what must be told apart exactly.
 
-use bellsill_core::interface::*;
+use bellsill_core::interface::{
+    ClassSettings, DeduplicationScope, DeliverySemantics, EndpointId, MessageId, Nanos,
+};
 use bellsill_testbed::audit::{AuditSettings, AuditedEndpoint, Auditor, Rule, Slack};
 use bellsill_testbed::record::{CallNumber, Observation, Submission};
 use bellsill_testbed::world::Answer;
--- a/crates/testbed/tests/subset.rs
+++ b/crates/testbed/tests/subset.rs
@@ -1,7 +1,11 @@
 //! The subset of a large destination's routes: small, spread evenly over the fleet, widened when it is suspended.
 
 use bellsill_core::control::Dispatcher;
-use bellsill_core::interface::*;
+use bellsill_core::interface::{
+    AttemptEnd, AttemptNumber, ClassId, ClassSettings, DeliverySemantics, DestinationId,
+    EndpointEntry, EndpointId, EndpointUpdate, MessageHistory, MessageId, Nanos, NewMessage,
+    Outcome, Settings,
+};
 use bellsill_testbed::recording_actions::RecordingActions;
 use std::collections::BTreeMap;
 
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,6 +1,6 @@
 //! The model, the load and virtual time: equal seeds give equal runs, and the decisions keep the rules in whatever overlaps.
 
-use bellsill_core::interface::*;
+use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use bellsill_testbed::experiment;
 use bellsill_testbed::load::{Arrivals, delivered_value};
 use bellsill_testbed::spec::Spec;
