--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -18,13 +18,21 @@
 /// A whole distribution: the value up to which each step counts, in microseconds, with how many there are in it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
+    /// How many values there are.
     pub count: u64,
+    /// Their mean.
     pub mean_us: f64,
+    /// The median.
     pub p50_us: u64,
+    /// The 90th percentile.
     pub p90_us: u64,
+    /// The 99th percentile.
     pub p99_us: u64,
+    /// The 99.9th percentile.
     pub p999_us: u64,
+    /// The largest.
     pub max_us: u64,
+    /// The steps, the smallest value first.
     pub steps: Vec<(u64, u64)>,
 }
 
@@ -38,6 +46,7 @@
 }
 
 impl Spread {
+    /// The distribution of a histogram.
     pub fn of(h: &Histogram<u64>) -> Spread {
         Spread {
             count: h.len(),
@@ -66,15 +75,22 @@
     }
 }
 
+/// What came of a queue class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassResult {
+    /// The class.
     pub name: String,
+    /// The importance of its messages.
     pub asked: f64,
+    /// The importance that was delivered.
     pub delivered: f64,
     /// From the intended submission to the answer of the endpoint.
     pub latency: Spread,
+    /// Messages that were delivered after their latency objective.
     pub late: u64,
+    /// Messages that failed after they had been accepted.
     pub bounced: u64,
+    /// Messages that were rejected after they had been accepted.
     pub deferred: u64,
 }
 
@@ -84,6 +100,7 @@
 }
 
 impl ClassResult {
+    /// The part of its importance that was delivered.
     pub fn share(&self) -> f64 {
         part(self.delivered, self.asked)
     }
@@ -94,37 +111,61 @@
 pub struct Point {
     /// Messages that were meant to be submitted for the first time.
     pub arrivals: u64,
+    /// Their importance.
     pub asked: f64,
+    /// What of that was delivered.
     pub delivered: f64,
+    /// Calls that came to endpoints.
     pub calls: u64,
+    /// Calls that were rejected for a limit or a full queue.
     pub refused: u64,
+    /// Calls with an error or an unreadable answer.
     pub errors: u64,
+    /// Calls whose connection was closed before an answer.
     pub unanswered: u64,
+    /// Connections to endpoints.
     pub opened: u64,
+    /// Submissions that were rejected.
     pub turned_away: u64,
+    /// Messages that were rejected after they had been accepted.
     pub deferred: u64,
+    /// Messages that failed after they had been accepted.
     pub bounced: u64,
 }
 
+/// What a run comes to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Results {
+    /// Messages that clients meant to submit.
     pub arrivals: u64,
+    /// Submissions, repeated ones too.
     pub handed_in: u64,
+    /// The importance of all messages.
     pub asked: f64,
+    /// What of that was delivered.
     pub delivered: f64,
     /// Delivered over asked, in the whole run, in its worst 10 s and of the worst class.
     pub share: f64,
+    /// The same in the worst 10 s.
     pub worst_span: f64,
+    /// The same of the worst class.
     pub worst_class: f64,
+    /// By queue class.
     pub classes: Vec<ClassResult>,
     /// From the intended submission to the dispatcher's answer to it.
     #[serde(rename = "hand_in")]
     pub submission_latency: Spread,
+    /// The curves over time.
     pub points: Vec<Point>,
+    /// Calls that came to endpoints.
     pub calls: u64,
+    /// Calls that were rejected for a limit or a full queue.
     pub refused: u64,
+    /// Connections to endpoints.
     pub opened: u64,
+    /// Submissions that were rejected.
     pub turned_away: u64,
+    /// Submissions whose client did not get an answer.
     pub no_answer: u64,
     /// The largest number of calls of any endpoint, over the mean of its destination's endpoints; zero with no calls.
     #[serde(default)]
@@ -137,6 +178,7 @@
     relayed: bool,
 }
 
+/// Measures a run from what is observed of it.
 pub struct Measure {
     classes: Vec<Class>,
     arrivals: Vec<State>,
@@ -151,6 +193,7 @@
 }
 
 impl Measure {
+    /// The measurements of a run that has not begun.
     pub fn new(plan: &Plan) -> Measure {
         let classes = plan.spec.classes.clone();
         let points = ((plan.over_at - START) / BUCKET + 2) as usize;
@@ -216,6 +259,7 @@
         record(&mut self.submission_latency, span);
     }
 
+    /// Takes in an observation.
     pub fn observe(&mut self, at: Nanos, observation: &Observation) {
         match observation {
             Observation::Submitted(_) => self.results.handed_in += 1,
@@ -314,6 +358,7 @@
         by_destination.values().map(of).fold(0.0, f64::max)
     }
 
+    /// The results once the run is over.
     pub fn finish(mut self) -> Results {
         self.results.largest_over_mean = self.largest_over_mean();
         let r = &mut self.results;
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -17,30 +17,39 @@
 /// A fault as a report marks it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultMark {
+    /// What it does.
     pub what: FaultKind,
+    /// What it affects, in words.
     pub whom: String,
+    /// When it begins.
     pub from_s: f64,
+    /// When it ends.
     pub to_s: f64,
 }
 
 /// What one dispatcher's process used, sampled; sockets only.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
+    /// Which one.
     pub dispatcher: usize,
     /// Second, share of a core since the sample before, resident megabytes, descriptors.
     pub samples: Vec<(f64, f64, f64, u64)>,
+    /// The most memory that it held.
     pub peak_mb: f64,
 }
 
 /// What the run cost this machine: not the same in equal runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
+    /// How long the run took.
     pub wall_s: f64,
     /// Of the testbed's own process.
     pub peak_mb: f64,
     /// How late the generator was, in milliseconds: at its 99th percentile and at worst.
     pub late_p99_ms: f64,
+    /// At worst.
     pub late_max_ms: f64,
+    /// By dispatcher.
     pub usage: Vec<Usage>,
     /// Messages accepted and not ended, at seconds of the run; sockets only.
     pub open: Vec<(f64, usize)>,
@@ -51,10 +60,15 @@
 /// One run: one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunLine {
+    /// The name of the experiment.
     pub experiment: String,
+    /// Its title.
     pub title: String,
+    /// The name of the variant.
     pub variant: String,
+    /// What all draws started from.
     pub seed: u64,
+    /// How it was run.
     pub drive: Drive,
     /// Of all that the run is made of; a run with another is another run.
     #[serde(rename = "print")]
@@ -65,21 +79,31 @@
     pub faults: Vec<String>,
     /// Ctrl-C came; all else that is here was measured until then.
     pub interrupted: bool,
+    /// How many there were.
     pub dispatchers: usize,
+    /// How many there were at the start.
     pub endpoints: usize,
+    /// For how long messages were submitted.
     pub load_s: f64,
+    /// Messages a second.
     pub rate: f64,
+    /// What went wrong by the script.
     #[serde(rename = "troubles")]
     pub injected_faults: Vec<FaultMark>,
+    /// What it came to.
     pub results: Results,
+    /// What the auditor found.
     pub verdict: Verdict,
+    /// The load on endpoints that had returned cold.
     pub returns: Vec<ReturnLoad>,
     /// Calls on the decisions; virtual time only.
     pub steps: u64,
+    /// What it cost this machine.
     pub cost: Cost,
 }
 
 impl RunLine {
+    /// Whether its figures count.
     pub fn valid(&self) -> bool {
         self.not_valid.is_empty()
     }
@@ -88,12 +112,15 @@
 /// How runs are done, beside what the experiment settles.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
+    /// Another drive than the experiment's.
     pub drive: Option<Drive>,
+    /// Other seeds than the experiment's.
     pub seeds: Option<Vec<u64>>,
     /// The dispatcher's program, for runs on sockets whose variant names none.
     pub program: PathBuf,
     /// Logs and state folders of dispatchers.
     pub work: PathBuf,
+    /// Without progress bars.
     pub quiet: bool,
 }
 
--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -3,7 +3,7 @@
 use bellsill_core::interface::{
     ClassSettings, DeduplicationScope, DeliverySemantics, EndpointId, MessageId, Nanos,
 };
-use bellsill_testbed::audit::{AuditSettings, AuditedEndpoint, Auditor, Rule, Slack};
+use bellsill_testbed::audit::{AuditSettings, AuditedEndpoint, Auditor, Rule, Slack, Verdict};
 use bellsill_testbed::record::{CallNumber, Observation, Submission};
 use bellsill_testbed::world::Answer;
 
@@ -320,3 +320,13 @@
     answered(&mut a, 4 * S, 2, Answer::Delivered);
     assert!(rules(a).is_empty());
 }
+
+#[test]
+fn a_stored_verdict_keeps_its_field_names() {
+    const STORED: &str = r#"{"mails":1,"calls":2,"applied":2,"applied_unheard":1,"breaks":{"two-at-once":1},"words":[{"at":5,"rule":"two-at-once","mail":7,"evidence":"sent"}]}"#;
+    let verdict: Verdict = serde_json::from_str(STORED).unwrap();
+    assert_eq!((verdict.messages, verdict.applied_unanswered), (1, 1));
+    assert_eq!(verdict.violations[&Rule::TwoAtOnce], 1);
+    assert_eq!(verdict.samples[0].message, Some(7));
+    assert_eq!(serde_json::to_string(&verdict).unwrap(), STORED);
+}
