--- a/crates/testbed/src/capacity/wasted.rs
+++ b/crates/testbed/src/capacity/wasted.rs
@@ -2,13 +2,16 @@
 //! time: the decisions are called directly. Each destination has the rate that it has at the full size.
 
 use super::bench::Bench;
-use super::decisions::{entry, facts, message};
+use super::decisions::{entry, fleet_settings, message};
 use super::fit::Point;
 use super::report::{Finding, Series, SeriesId};
+use super::traffic::Traffic;
 use crate::recording_actions::RecordingActions;
 use anyhow::Result;
 use bellsill_core::control::Dispatcher;
-use bellsill_core::interface::*;
+use bellsill_core::interface::{
+    AttemptEnd, AttemptNumber, EndpointEntry, EndpointUpdate, MessageId, Nanos, Outcome, Settings,
+};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -21,17 +24,6 @@
 /// How long a message may wait.
 const LIFETIME: Nanos = 20 * SECOND;
 
-/// The traffic, which is the same for every number of dispatchers.
-#[derive(Clone, Copy, Debug)]
-pub struct Traffic {
-    pub destinations: u32,
-    /// The first so many of the destinations are down throughout.
-    pub down: u32,
-    pub messages_per_second: f64,
-    pub seconds: u32,
-    pub seed: u64,
-}
-
 /// What became of the first attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Wasted {
@@ -107,11 +99,11 @@
     fn new(traffic: Traffic, dispatchers: u32) -> Fleet {
         let entries: Vec<EndpointEntry> = (1..=traffic.destinations).map(entry).collect();
         let boot = |i: u32| {
-            let facts = Settings {
+            let settings = Settings {
                 caller_admission: false,
-                ..facts(traffic.seed + u64::from(i), dispatchers)
+                ..fleet_settings(traffic.seed + u64::from(i), dispatchers)
             };
-            let mut dispatcher = Dispatcher::new(START, facts);
+            let mut dispatcher = Dispatcher::new(START, settings);
             dispatcher.update_endpoints(
                 START,
                 EndpointUpdate::Snapshot,
--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -1,10 +1,10 @@
 //! The program `bellsill-testbed`. Status 0: done and valid, rules kept; 1: a rule was broken, or a run is not valid; 2: what was
 //! asked for cannot be done, nothing was started.
 
-use crate::experiment::{self, BadExperiment, Experiment, Vary};
+use crate::experiment::{self, BadExperiment, Experiment};
 use crate::hollow::options::HollowOptions;
-use crate::run::{self, How, RunLine};
-use crate::spec::Drive;
+use crate::run::{self, RunLine, RunOptions};
+use crate::spec::{Drive, Vary};
 use anyhow::{Context, Result};
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::{Path, PathBuf};
@@ -115,7 +115,7 @@
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .init();
-    match act(line.what) {
+    match execute(line.what) {
         Ok(good) => ExitCode::from(u8::from(!good)),
         Err(e) => {
             eprintln!("{e:#}");
@@ -124,8 +124,8 @@
     }
 }
 
-fn how(args: &RunArgs) -> How {
-    How {
+fn run_options(args: &RunArgs) -> RunOptions {
+    RunOptions {
         drive: args.drive.map(|d| match d {
             DriveWord::Virtual => Drive::Virtual,
             DriveWord::Sockets => Drive::Sockets,
@@ -147,13 +147,13 @@
 
 fn good(runs: &[RunLine]) -> bool {
     runs.iter()
-        .all(|r| r.valid() && r.verdict.kept() && r.faults.is_empty())
+        .all(|r| r.valid() && r.verdict.passed() && r.faults.is_empty())
 }
 
 /// Plays an experiment, says what came of it and writes the report.
 fn play(experiment: &Experiment, args: &RunArgs) -> Result<(Vec<RunLine>, PathBuf)> {
     let folder = args.out.join(&experiment.name);
-    let runs = run::all(experiment, &how(args), &folder.join("runs.jsonl"))?;
+    let runs = run::run_all(experiment, &run_options(args), &folder.join("runs.jsonl"))?;
     runs.iter()
         .for_each(|run| println!("{}", run::summary(run)));
     let report = folder.join("report.html");
@@ -167,9 +167,9 @@
     Ok(())
 }
 
-fn act(what: What) -> Result<bool> {
+fn execute(what: What) -> Result<bool> {
     match what {
-        What::Capacity(args) => crate::capacity::act(&args).map(|()| true),
+        What::Capacity(args) => crate::capacity::execute(&args).map(|()| true),
         What::Hollow(options) => crate::hollow::scenario::play(options),
         What::HollowWorker { options } => crate::hollow::worker::run(&options).map(|()| true),
         What::Check { files } => {
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,21 +1,21 @@
-//! An experiment: world, load, troubles, seeds and what varies, read from one TOML file and checked whole.
+//! An experiment: world, load, faults, seeds and what varies, read from a TOML file (and those it builds on) and checked.
 
-use crate::spec::*;
-use serde::Deserialize;
+use crate::spec::{File, Spec, Vary, check};
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 
 /// One thing that is wrong with an experiment's file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    /// Such as `troubles[1].zone`.
+pub struct InvalidField {
+    /// Such as `faults[1].zone`.
     pub field: String,
     /// Counted from 1; none where the field is missing.
     pub line: Option<usize>,
+    /// What is allowed there.
     pub expected: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for InvalidField {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self.line {
             Some(line) => write!(
@@ -31,10 +31,12 @@
 /// Why an experiment cannot be run; nothing has been started.
 #[derive(Debug)]
 pub enum BadExperiment {
+    /// The file could not be read.
     Unread(PathBuf, std::io::Error),
-    /// No TOML, or not of the form: what the reader of TOML says, with line and column.
+    /// Not TOML, or not of the form: the message of the TOML parser, with line and column.
     Form(PathBuf, String),
-    Faults(PathBuf, Vec<Fault>),
+    /// The form is right, but not what some fields hold.
+    InvalidFields(PathBuf, Vec<InvalidField>),
 }
 
 impl std::fmt::Display for BadExperiment {
@@ -42,7 +44,7 @@
         match self {
             BadExperiment::Unread(path, e) => write!(f, "{}: {e}", path.display()),
             BadExperiment::Form(path, e) => write!(f, "{}: {}", path.display(), e.trim_end()),
-            BadExperiment::Faults(path, faults) => {
+            BadExperiment::InvalidFields(path, faults) => {
                 let lines: Vec<String> = faults
                     .iter()
                     .map(|fault| format!("{}: {fault}", path.display()))
@@ -55,33 +57,27 @@
 
 impl std::error::Error for BadExperiment {}
 
-/// What varies between the runs of an experiment: each value makes a variant, run with every seed.
-#[derive(Clone, Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Vary {
-    /// A field of the file such as `load.rate`.
-    pub field: Option<String>,
-    #[serde(default)]
-    pub values: Vec<Value>,
-    /// Builds of the program by a name of their own; sockets only.
-    #[serde(default)]
-    pub programs: std::collections::BTreeMap<String, PathBuf>,
-}
-
 /// One way of running an experiment.
 #[derive(Clone, Debug)]
 pub struct Variant {
+    /// What sets it apart.
     pub name: String,
+    /// The run, all but its seed.
     pub spec: Spec,
     /// The build of the dispatcher, where the variant names one.
     pub program: Option<PathBuf>,
 }
 
+/// An experiment that can be run.
 #[derive(Clone, Debug)]
 pub struct Experiment {
+    /// The file's name, without its ending.
     pub name: String,
+    /// For reports.
     pub title: String,
+    /// Every variant is run with each of these.
     pub seeds: Vec<u64>,
+    /// The ways of running it.
     pub variants: Vec<Variant>,
 }
 
@@ -97,7 +93,7 @@
     }
 }
 
-/// Sets a field such as `load.rate` or `troubles[0].share`. False: its place does not exist.
+/// Sets a field such as `load.rate` or `faults[0].share`. False: its place does not exist.
 fn set(table: &mut Table, field: &str, value: &Value) -> bool {
     let (head, rest) = field
         .split_once('.')
@@ -126,7 +122,7 @@
     }
 }
 
-/// The line on which a field such as `troubles[1].zone` stands, or the nearest thing around it.
+/// The line of a field such as `troubles[1].zone`, or of the nearest thing around it.
 fn line_of(text: &str, field: &str) -> Option<usize> {
     use toml::de::{DeTable, DeValue};
     let whole = DeTable::parse(text).ok()?;
@@ -166,14 +162,14 @@
 const DEPTH: usize = 4;
 
 impl Texts {
-    /// Where a field stands: in the nearest text that has it.
+    /// Where a field is written: in the nearest text that has it.
     fn place(&self, field: &str) -> Option<(PathBuf, usize)> {
         // The longest part of the field that is written somewhere counts.
         let whole =
             |(path, text): &(PathBuf, String)| line_of(text, field).map(|l| (path.clone(), l));
         self.0.iter().find_map(whole)
     }
-    /// The first line that sets a key of this name, for what the reader of TOML says of a merged table.
+    /// The first line that sets a key of this name, for an error of the TOML parser in a merged table.
     fn key_line(&self, key: &str) -> Option<(PathBuf, usize)> {
         let sets = |line: &str| {
             let line = line.trim_start().trim_start_matches('[');
@@ -201,12 +197,12 @@
         let expected = "the name of another experiment's file, beside this one, four deep at most";
         let fault = || {
             let line = line_of(&texts[0].1, "base");
-            let fault = Fault {
+            let fault = InvalidField {
                 field: "base".into(),
                 line,
                 expected: expected.into(),
             };
-            BadExperiment::Faults(path.into(), vec![fault])
+            BadExperiment::InvalidFields(path.into(), vec![fault])
         };
         let name = base.as_str().filter(|_| depth < DEPTH).ok_or_else(fault)?;
         let under = path.parent().unwrap_or(Path::new("")).join(name);
@@ -224,7 +220,7 @@
     read_varied(path, long, None)
 }
 
-/// The same, with something else that varies than the file says.
+/// The same, varying something else than the file does.
 pub fn read_varied(
     path: &Path,
     long: bool,
@@ -237,14 +233,14 @@
     build(texts, table, &name, path, long, vary)
 }
 
-/// Reads an experiment that stands in no file.
+/// Reads an experiment from a text.
 pub fn parse(text: &str, name: &str) -> Result<Experiment, BadExperiment> {
     let path = PathBuf::from(name);
     let (texts, table) = Texts::layer(&path, text.to_string(), 0)?;
     build(texts, table, name, &path, false, None)
 }
 
-/// What the reader of TOML says of a table that is merged from several texts, with its place.
+/// The error of the TOML parser in a table that is merged from several texts, with its place.
 fn misread(texts: &Texts, path: &Path, e: &toml::de::Error) -> BadExperiment {
     let said = e.message().to_string();
     let key = said.split('`').nth(1).unwrap_or("");
@@ -260,6 +256,12 @@
     }
 }
 
+/// The file as a whole, without what varies: what is wrong there is wrong in every variant.
+fn whole_file(texts: &Texts, path: &Path, table: &Table) -> Result<File, BadExperiment> {
+    let read: Result<File, toml::de::Error> = table.clone().try_into();
+    read.map_err(|e| misread(texts, path, &e))
+}
+
 fn build(
     texts: Texts,
     mut table: Table,
@@ -268,97 +270,98 @@
     long: bool,
     vary: Option<Vary>,
 ) -> Result<Experiment, BadExperiment> {
-    // The whole file first: what it says is wrong whatever varies.
-    let whole = |table: &Table| -> Result<File, BadExperiment> {
-        table
-            .clone()
-            .try_into()
-            .map_err(|e: toml::de::Error| misread(&texts, path, &e))
-    };
-    let mut file = whole(&table)?;
+    let mut file = whole_file(&texts, path, &table)?;
     if let (true, Some(Value::Table(over))) = (long, table.get("long").cloned()) {
         overlay(&mut table, over);
-        file = whole(&table)?;
+        file = whole_file(&texts, path, &table)?;
     }
-    file.vary = vary.or(file.vary);
     AROUND.iter().for_each(|key| drop(table.remove(*key)));
-    let mut faults = Vec::new();
-    let mut fault = |field: &str, expected: &str| {
-        let place = texts.place(field);
+    let mut builder = Builder {
+        texts,
+        path,
+        invalid: vec![],
+        variants: vec![],
+    };
+    if file.seeds.is_empty() {
+        builder.report("seeds", "at least one whole number");
+    }
+    match vary.or(file.vary) {
+        None => builder.add("as written".into(), table, None),
+        Some(vary) => builder.add_all(&vary, &table),
+    }
+    if builder.invalid.is_empty() {
+        Ok(Experiment {
+            name: name.into(),
+            title: file.title,
+            seeds: file.seeds,
+            variants: builder.variants,
+        })
+    } else {
+        Err(BadExperiment::InvalidFields(path.into(), builder.invalid))
+    }
+}
+
+/// Collects the variants of an experiment, and all that is wrong in them.
+struct Builder<'a> {
+    texts: Texts,
+    path: &'a Path,
+    invalid: Vec<InvalidField>,
+    variants: Vec<Variant>,
+}
+
+impl Builder<'_> {
+    /// What is wrong in several variants is reported once.
+    fn report(&mut self, field: &str, expected: &str) {
+        let place = self.texts.place(field);
         let line = place.as_ref().map(|p| p.1);
         let in_other = place
-            .filter(|p| p.0 != path)
+            .filter(|p| p.0 != self.path)
             .map(|p| format!(" (in {})", p.0.display()));
-        let expected = format!("{expected}{}", in_other.unwrap_or_default());
-        faults.push(Fault {
+        let invalid = InvalidField {
             field: field.into(),
             line,
-            expected,
-        })
-    };
-    if file.seeds.is_empty() {
-        fault("seeds", "at least one whole number");
+            expected: format!("{expected}{}", in_other.unwrap_or_default()),
+        };
+        if !self.invalid.contains(&invalid) {
+            self.invalid.push(invalid);
+        }
     }
-    let mut variants = Vec::new();
-    let mut add =
-        |name: String, table: Table, program, fault: &mut dyn FnMut(&str, &str)| match table
-            .try_into::<Spec>()
-        {
+
+    fn add(&mut self, name: String, table: Table, program: Option<PathBuf>) {
+        match table.try_into::<Spec>() {
             Ok(spec) => {
-                check(&spec, fault);
-                variants.push(Variant {
+                check(&spec, &mut |field, expected| self.report(field, expected));
+                self.variants.push(Variant {
                     name,
                     spec,
                     program,
                 });
             }
-            Err(e) => fault(
+            Err(e) => self.report(
                 "vary.values",
                 &format!("values that its field can take ({})", e.message()),
             ),
-        };
-    match &file.vary {
-        None => add("as written".into(), table, None, &mut fault),
-        Some(vary) => {
-            if vary.field.is_some() == vary.values.is_empty() {
-                fault("vary", "a field together with its values, or programs");
-            }
-            if vary.field.is_none() && vary.programs.is_empty() {
-                fault("vary", "a field with values, or programs");
-            }
-            for value in &vary.values {
-                let (mut table, field) = (table.clone(), vary.field.as_deref().unwrap_or(""));
-                if set(&mut table, field, value) {
-                    add(format!("{field} = {value}"), table, None, &mut fault);
-                } else {
-                    fault("vary.field", "a field of this file such as load.rate");
-                }
-            }
-            for (name, program) in &vary.programs {
-                add(
-                    name.clone(),
-                    table.clone(),
-                    Some(program.clone()),
-                    &mut fault,
-                );
-            }
         }
     }
-    // What is wrong in each variant is said once.
-    let mut said: Vec<Fault> = Vec::new();
-    faults.into_iter().for_each(|fault| {
-        if !said.contains(&fault) {
-            said.push(fault)
+
+    fn add_all(&mut self, vary: &Vary, table: &Table) {
+        if vary.field.is_some() == vary.values.is_empty() {
+            self.report("vary", "a field together with its values, or programs");
+        }
+        if vary.field.is_none() && vary.programs.is_empty() {
+            self.report("vary", "a field with values, or programs");
+        }
+        let field = vary.field.as_deref().unwrap_or("");
+        for value in &vary.values {
+            let mut varied = table.clone();
+            if set(&mut varied, field, value) {
+                self.add(format!("{field} = {value}"), varied, None);
+            } else {
+                self.report("vary.field", "a field of this file such as load.rate");
+            }
+        }
+        for (name, program) in &vary.programs {
+            self.add(name.clone(), table.clone(), Some(program.clone()));
         }
-    });
-    if said.is_empty() {
-        Ok(Experiment {
-            name: name.into(),
-            title: file.title,
-            seeds: file.seeds,
-            variants,
-        })
-    } else {
-        Err(BadExperiment::Faults(path.into(), said))
     }
 }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,59 +1,75 @@
-//! Where all that is seen goes: to the auditor and to the measurements, in one order of time.
+//! Passes every observation to the auditor and to the measurements, in one order of time.
 
-use crate::audit::{Auditor, Facts, Slack, Verdict};
+use crate::audit::{AuditSettings, AuditedEndpoint, Auditor, Slack, Verdict};
 use crate::load::Arrival;
 use crate::measure::{Measure, Results};
-use crate::record::{CallNo, Seen};
-use crate::world::plan::*;
+use crate::record::{CallNumber, Observation};
+use crate::world::plan::Plan;
+use crate::world::time::ms;
 use bellsill_core::interface::Nanos;
 
+/// The auditor and the measurements of a run.
 pub struct Ledger {
+    /// Judges the rules.
     pub audit: Auditor,
+    /// Measures latencies and counts.
     pub measure: Measure,
     calls: u64,
     at: Nanos,
 }
 
 /// What the auditor must know of the world of this plan.
-pub fn facts(plan: &Plan, slack: Slack) -> Facts {
+pub fn audit_settings(plan: &Plan, slack: Slack) -> AuditSettings {
     let r = &plan.spec.rules;
-    Facts {
-        classes: plan.boot_facts(0, 0).classes,
-        endpoints: plan.endpoints.iter().map(|e| (e.zone, e.gate)).collect(),
+    AuditSettings {
+        classes: plan.dispatcher_settings(0, 0).classes,
+        endpoints: plan
+            .endpoints
+            .iter()
+            .map(|e| AuditedEndpoint {
+                zone: e.zone,
+                gate: e.gate,
+            })
+            .collect(),
         drain_grace: ms(r.drain_grace_ms),
-        key_rest: ms(r.key_rest_ms),
-        max_connects: plan.spec.dispatchers.max_connects,
+        key_cooldown: ms(r.key_rest_ms),
+        max_attempts: plan.spec.dispatchers.max_connects,
         slack,
     }
 }
 
 impl Ledger {
+    /// The ledger of a run that has not begun.
     pub fn new(plan: &Plan, slack: Slack) -> Ledger {
         Ledger {
-            audit: Auditor::new(facts(plan, slack)),
+            audit: Auditor::new(audit_settings(plan, slack)),
             measure: Measure::new(plan),
             calls: 0,
             at: 0,
         }
     }
 
-    pub fn call_no(&mut self) -> CallNo {
+    /// A number for a call that was not observed before.
+    pub fn next_call_number(&mut self) -> CallNumber {
         self.calls += 1;
-        CallNo(self.calls)
+        CallNumber(self.calls)
     }
 
-    pub fn see(&mut self, at: Nanos, seen: Seen) {
+    /// Takes in an observation.
+    pub fn observe(&mut self, at: Nanos, observation: Observation) {
         // Two tasks may have looked at the clock in another order than they come here.
         self.at = self.at.max(at);
-        tracing::trace!(at = self.at, ?seen);
-        self.audit.see(self.at, &seen);
-        self.measure.see(self.at, &seen);
+        tracing::trace!(at = self.at, ?observation);
+        self.audit.observe(self.at, &observation);
+        self.measure.observe(self.at, &observation);
     }
 
+    /// Notes an arrival that a client means to submit.
     pub fn arrived(&mut self, arrival: &Arrival) {
         self.measure.arrived(arrival);
     }
 
+    /// The verdict and the results once the run is over.
     pub fn finish(self, now: Nanos) -> (Verdict, Results) {
         (self.audit.finish(now.max(self.at)), self.measure.finish())
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,33 +1,60 @@
-//! The load: mails as they are drawn ahead from the seed, and what clients do with an answer. Open loop: nothing here
-//! waits for an answer before the next mail, and times count from the intended moment.
+//! The load: messages as they are drawn ahead from the seed, and what clients do with an answer. Open loop: nothing here
+//! waits for an answer before the next message, and times count from the intended moment.
 
-use crate::world::plan::*;
+use crate::spec::{Burst, Class};
+use crate::world::draw::{between, draw};
+use crate::world::plan::Plan;
+use crate::world::time::{MS, START, ms, secs};
 use bellsill_core::interface::{MessageId, Nanos};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, weighted::WeightedIndex};
 use rand_pcg::Pcg64Mcg;
+use std::cmp::Reverse;
 
-/// A mail that a client means to hand in.
+/// A message that a client means to submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Counted from nought; also what its repeats are known by.
+    /// Counted from zero; also the idempotency key of its repeats.
     pub no: u64,
+    /// When it is meant to be submitted first.
     pub at: Nanos,
+    /// Its queue class.
     pub class: usize,
+    /// The destination it is for.
     pub destination: usize,
+    /// Messages of one key go in order.
     pub key: Option<u64>,
+    /// To which dispatcher it is submitted first.
     pub dispatcher: usize,
 }
 
-/// Ids name the arrival and how often it had been handed in before.
-const TRIES: u64 = 16;
+/// Ids name the arrival and how often it had been submitted before.
+const MAX_SUBMISSIONS: u64 = 16;
 
-pub fn mail_id(arrival: u64, tries: u32) -> MessageId {
-    MessageId((arrival + 1) * TRIES + u64::from(tries))
+/// The id of an arrival that has been submitted this often before.
+pub fn message_id(arrival: u64, attempts: u32) -> MessageId {
+    MessageId((arrival + 1) * MAX_SUBMISSIONS + u64::from(attempts))
 }
-/// The arrival of a mail, and how often it had been handed in before.
-pub fn arrival_of(mail: MessageId) -> (u64, u32) {
-    ((mail.0 / TRIES).saturating_sub(1), (mail.0 % TRIES) as u32)
+/// The arrival of a message, and how often it had been submitted before.
+pub fn arrival_of(message: MessageId) -> (u64, u32) {
+    (
+        (message.0 / MAX_SUBMISSIONS).saturating_sub(1),
+        (message.0 % MAX_SUBMISSIONS) as u32,
+    )
+}
+
+/// When a message is to come, and for which destination.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Planned {
+    at: Nanos,
+    destination: usize,
+}
+
+/// Messages of a burst that are still to come, and where they go.
+#[derive(Default)]
+struct CurrentBurst {
+    left: usize,
+    destination: usize,
 }
 
 /// All arrivals of a run in order of time.
@@ -39,29 +66,34 @@
     /// The most that the rate is ever multiplied by.
     peak: f64,
     at: f64,
-    burst: (usize, usize),
-    /// Drawn and not handed out yet: when, and its destination.
-    ahead: Option<(Nanos, usize)>,
-    /// What clumps bring, the next one last.
-    clumps: Vec<(Nanos, usize)>,
+    /// The rest of the burst that is being drawn.
+    current_burst: CurrentBurst,
+    /// Drawn and not returned yet.
+    ahead: Option<Planned>,
+    /// What the experiment's bursts bring, the next one last.
+    bursts: Vec<Planned>,
     next: u64,
 }
 
 impl Arrivals {
+    /// The arrivals of a plan.
     pub fn new(plan: &Plan) -> Arrivals {
         let shares = plan.spec.classes.iter().map(|c| c.share);
-        // The shares were checked: none is negative, not all are nought.
-        let index = |w: Vec<f64>| WeightedIndex::new(w).expect("shares that are not all nought");
-        let clump = |c: &crate::spec::Clump| {
-            let (at, space, to) = (c.at_s, c.over_s / c.mails.max(1) as f64, c.destination);
-            (0..c.mails)
-                .map(move |i| (START + secs(at + space * i as f64), to))
+        // The shares were checked: none is negative, not all are zero.
+        let index = |w: Vec<f64>| WeightedIndex::new(w).expect("shares that are not all zero");
+        let burst = |c: &Burst| {
+            let space = c.over_s / c.messages.max(1) as f64;
+            let (at, destination) = (c.at_s, c.destination);
+            (0..c.messages)
+                .map(move |i| Planned {
+                    at: START + secs(at + space * i as f64),
+                    destination,
+                })
                 .collect::<Vec<_>>()
         };
-        let mut clumps: Vec<(Nanos, usize)> =
-            plan.spec.load.clumps.iter().flat_map(clump).collect();
-        clumps.retain(|c| c.0 < plan.load_until);
-        clumps.sort_by_key(|c| std::cmp::Reverse(*c));
+        let mut bursts: Vec<Planned> = plan.spec.load.bursts.iter().flat_map(burst).collect();
+        bursts.retain(|planned| planned.at < plan.load_until);
+        bursts.sort_by_key(|planned| Reverse(*planned));
         Arrivals {
             rng: Pcg64Mcg::seed_from_u64(plan.seed ^ 0x6c6f_6164),
             classes: index(shares.collect()),
@@ -74,9 +106,9 @@
                 .map(|s| s.times)
                 .fold(1.0, f64::max),
             at: START as f64,
-            burst: (0, 0),
+            current_burst: CurrentBurst::default(),
             ahead: None,
-            clumps,
+            bursts,
             next: 0,
             plan: plan.clone(),
         }
@@ -101,7 +133,8 @@
             })
     }
 
-    fn arrival(&mut self, at: Nanos, destination: usize) -> Arrival {
+    fn arrival(&mut self, planned: Planned) -> Arrival {
+        let Planned { at, destination } = planned;
         let (plan, rng) = (&self.plan, &mut self.rng);
         let (no, class) = (self.next, self.classes.sample(rng));
         self.next += 1;
@@ -113,13 +146,13 @@
         let hot = plan
             .hot
             .iter()
-            .find(|(from, to, _, _)| (*from..*to).contains(&at));
+            .find(|span| (span.from..span.to).contains(&at));
         let drawn: f64 = rng.random();
         let any = rng.random_range(0..count);
         let dispatcher = match (key, hot) {
             // A key stays with its dispatcher.
             (Some(key), _) => key as usize % count,
-            (None, Some((_, _, part, whom))) if drawn < *part => whom[any % whom.len()],
+            (None, Some(hot)) if drawn < hot.part => hot.dispatchers[any % hot.dispatchers.len()],
             _ => any,
         };
         Arrival {
@@ -132,11 +165,14 @@
         }
     }
 
-    /// The next moment of the Poisson stream, and the destination it is for.
-    fn draw(&mut self) -> Option<(Nanos, usize)> {
-        if self.burst.0 > 0 {
-            self.burst.0 -= 1;
-            return Some((self.at as Nanos, self.burst.1));
+    /// The next message of the Poisson stream.
+    fn draw(&mut self) -> Option<Planned> {
+        if self.current_burst.left > 0 {
+            self.current_burst.left -= 1;
+            return Some(Planned {
+                at: self.at as Nanos,
+                destination: self.current_burst.destination,
+            });
         }
         let (share, size) = (
             self.plan.spec.load.burst_share,
@@ -156,9 +192,15 @@
         }
         let destination = self.destinations.sample(&mut self.rng);
         if self.rng.random::<f64>() < bursts / (1.0 - share + bursts) {
-            self.burst = (size - 1, destination);
+            self.current_burst = CurrentBurst {
+                left: size - 1,
+                destination,
+            };
         }
-        Some((self.at as Nanos, destination))
+        Some(Planned {
+            at: self.at as Nanos,
+            destination,
+        })
     }
 }
 
@@ -167,60 +209,60 @@
 
     fn next(&mut self) -> Option<Arrival> {
         self.ahead = self.ahead.take().or_else(|| self.draw());
-        let first = match (self.ahead, self.clumps.last().copied()) {
-            (Some(ahead), Some(clump)) if clump.0 < ahead.0 => self.clumps.pop(),
-            (None, Some(_)) => self.clumps.pop(),
+        let first = match (self.ahead, self.bursts.last().copied()) {
+            (Some(ahead), Some(burst)) if burst.at < ahead.at => self.bursts.pop(),
+            (None, Some(_)) => self.bursts.pop(),
             _ => self.ahead.take(),
         };
-        first.map(|(at, destination)| self.arrival(at, destination))
+        first.map(|planned| self.arrival(planned))
     }
 }
 
-/// Why a client may hand a mail in again.
+/// Why a client may submit a message again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Back {
-    /// Turned away or deferred; the time to come back if one was told.
-    Refused(Option<Nanos>),
+pub enum RetryReason {
+    /// Rejected, at its submission or later; with the Retry-After wait if there was one.
+    Rejected(Option<Nanos>),
     /// No connection, or no answer in time: another dispatcher is tried.
     NoAnswer,
 }
 
-impl Back {
-    /// After a deferral; nought tells no time.
-    pub fn deferred(come_back: Nanos) -> Back {
-        Back::Refused(Some(come_back).filter(|wait| *wait > 0))
+impl RetryReason {
+    /// After a notification that it was rejected; a wait of zero is none.
+    pub fn rejected_after(wait: Nanos) -> RetryReason {
+        RetryReason::Rejected(Some(wait).filter(|wait| *wait > 0))
     }
 }
 
 /// When the queue lifetime of an arrival is up.
-pub fn due(plan: &Plan, arrival: &Arrival) -> Nanos {
+pub fn deadline(plan: &Plan, arrival: &Arrival) -> Nanos {
     arrival.at + ms(plan.spec.classes[arrival.class].lifetime_ms)
 }
 
-/// When a client hands a mail in again and at which dispatcher, if it still may.
-pub fn again(
+/// When a client submits a message again and to which dispatcher, if it still may.
+pub fn next_submission(
     plan: &Plan,
     arrival: &Arrival,
-    tries: u32,
-    back: Back,
+    attempts: u32,
+    reason: RetryReason,
     now: Nanos,
 ) -> Option<(Nanos, usize)> {
     let load = &plan.spec.load;
-    let drawn = draw(plan.seed, arrival.no, u64::from(tries), 11);
+    let drawn = draw(plan.seed, arrival.no, u64::from(attempts), 11);
     let pause = ms(between(load.retry_ms, drawn));
-    let (wait, dispatcher) = match back {
-        Back::Refused(told) => (told.unwrap_or(pause).max(MS), arrival.dispatcher),
-        Back::NoAnswer => (
+    let (wait, dispatcher) = match reason {
+        RetryReason::Rejected(wait) => (wait.unwrap_or(pause).max(MS), arrival.dispatcher),
+        RetryReason::NoAnswer => (
             pause,
-            (arrival.dispatcher + tries as usize + 1) % plan.spec.dispatchers.count,
+            (arrival.dispatcher + attempts as usize + 1) % plan.spec.dispatchers.count,
         ),
     };
-    (tries < load.retries && now + wait + 50 * MS < due(plan, arrival))
+    (attempts < load.retries && now + wait + 50 * MS < deadline(plan, arrival))
         .then_some((now + wait, dispatcher))
 }
 
-/// What a mail that is relayed so long after its intended hand-in is worth; 1 is in time.
-pub fn worth(class: &crate::spec::Class, delay: Nanos) -> f64 {
+/// The value of a message that is delivered this long after its intended submission; 1 is in time.
+pub fn delivered_value(class: &Class, delay: Nanos) -> f64 {
     let (late, target) = (delay as f64 / 1e6 - class.target_ms, class.target_ms);
     match () {
         () if delay as f64 / 1e6 >= class.lifetime_ms => 0.0,
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,11 +1,12 @@
 //! What a run comes to: delivered importance over time, latencies with their whole distribution, and counts. Fed with the
-//! same [`Seen`] as the auditor. Times count from the moment at which a mail was meant to be handed in first.
+//! same [`Observation`] as the auditor. Times count from the moment at which a message was meant to be submitted first.
 
-use crate::load::{Arrival, arrival_of, worth};
-use crate::record::*;
+use crate::load::{Arrival, arrival_of, delivered_value};
+use crate::record::{CallNumber, Observation};
 use crate::spec::Class;
 use crate::world::Answer;
-use crate::world::plan::*;
+use crate::world::plan::Plan;
+use crate::world::time::{MS, S, START, ms};
 use bellsill_core::interface::{MessageId, Nanos};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -17,13 +18,21 @@
 /// A whole distribution: the value up to which each step counts, in microseconds, with how many there are in it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
+    /// How many values there are.
     pub count: u64,
+    /// Their mean.
     pub mean_us: f64,
+    /// The median.
     pub p50_us: u64,
+    /// The 90th percentile.
     pub p90_us: u64,
+    /// The 99th percentile.
     pub p99_us: u64,
+    /// The 99.9th percentile.
     pub p999_us: u64,
+    /// The largest.
     pub max_us: u64,
+    /// The steps, the smallest value first.
     pub steps: Vec<(u64, u64)>,
 }
 
@@ -37,6 +46,7 @@
 }
 
 impl Spread {
+    /// The distribution of a histogram.
     pub fn of(h: &Histogram<u64>) -> Spread {
         Spread {
             count: h.len(),
@@ -65,15 +75,22 @@
     }
 }
 
+/// What came of a queue class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassResult {
+    /// The class.
     pub name: String,
+    /// The importance of its messages.
     pub asked: f64,
+    /// The importance that was delivered.
     pub delivered: f64,
-    /// From the intended hand-in to the answer of the endpoint.
+    /// From the intended submission to the answer of the endpoint.
     pub latency: Spread,
+    /// Messages that were delivered after their latency objective.
     pub late: u64,
+    /// Messages that failed after they had been accepted.
     pub bounced: u64,
+    /// Messages that were rejected after they had been accepted.
     pub deferred: u64,
 }
 
@@ -83,48 +100,74 @@
 }
 
 impl ClassResult {
+    /// The part of its importance that was delivered.
     pub fn share(&self) -> f64 {
         part(self.delivered, self.asked)
     }
 }
 
-/// One point of the curves; counts of what happened in the span, importance by the moment of the intended hand-in.
+/// One point of the curves; counts of what happened in the span, importance by the moment of the intended submission.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Mails that were meant to be handed in for the first time.
+    /// Messages that were meant to be submitted for the first time.
     pub arrivals: u64,
+    /// Their importance.
     pub asked: f64,
+    /// What of that was delivered.
     pub delivered: f64,
+    /// Calls that came to endpoints.
     pub calls: u64,
+    /// Calls that were rejected for a limit or a full queue.
     pub refused: u64,
+    /// Calls with an error or an unreadable answer.
     pub errors: u64,
+    /// Calls whose connection was closed before an answer.
     pub unanswered: u64,
+    /// Connections to endpoints.
     pub opened: u64,
+    /// Submissions that were rejected.
     pub turned_away: u64,
+    /// Messages that were rejected after they had been accepted.
     pub deferred: u64,
+    /// Messages that failed after they had been accepted.
     pub bounced: u64,
 }
 
+/// What a run comes to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Results {
+    /// Messages that clients meant to submit.
     pub arrivals: u64,
+    /// Submissions, repeated ones too.
     pub handed_in: u64,
+    /// The importance of all messages.
     pub asked: f64,
+    /// What of that was delivered.
     pub delivered: f64,
     /// Delivered over asked, in the whole run, in its worst 10 s and of the worst class.
     pub share: f64,
+    /// The same in the worst 10 s.
     pub worst_span: f64,
+    /// The same of the worst class.
     pub worst_class: f64,
+    /// By queue class.
     pub classes: Vec<ClassResult>,
-    /// From the intended hand-in to the dispatcher's answer to it.
-    pub hand_in: Spread,
+    /// From the intended submission to the dispatcher's answer to it.
+    #[serde(rename = "hand_in")]
+    pub submission_latency: Spread,
+    /// The curves over time.
     pub points: Vec<Point>,
+    /// Calls that came to endpoints.
     pub calls: u64,
+    /// Calls that were rejected for a limit or a full queue.
     pub refused: u64,
+    /// Connections to endpoints.
     pub opened: u64,
+    /// Submissions that were rejected.
     pub turned_away: u64,
+    /// Submissions whose client did not get an answer.
     pub no_answer: u64,
-    /// The largest number of calls of any endpoint, over the mean of its destination's endpoints; nought with no calls.
+    /// The largest number of calls of any endpoint, over the mean of its destination's endpoints; zero with no calls.
     #[serde(default)]
     pub largest_over_mean: f64,
 }
@@ -135,20 +178,22 @@
     relayed: bool,
 }
 
+/// Measures a run from what is observed of it.
 pub struct Measure {
     classes: Vec<Class>,
     arrivals: Vec<State>,
-    calls: HashMap<CallNo, MessageId>,
+    calls: HashMap<CallNumber, MessageId>,
     unheard: HashSet<MessageId>,
     /// Calls by endpoint, and the destination of each endpoint.
     calls_by_endpoint: Vec<u64>,
     destinations: Vec<usize>,
     latency: Vec<Histogram<u64>>,
-    hand_in: Histogram<u64>,
+    submission_latency: Histogram<u64>,
     results: Results,
 }
 
 impl Measure {
+    /// The measurements of a run that has not begun.
     pub fn new(plan: &Plan) -> Measure {
         let classes = plan.spec.classes.clone();
         let points = ((plan.over_at - START) / BUCKET + 2) as usize;
@@ -158,7 +203,7 @@
         };
         Measure {
             latency: classes.iter().map(|_| histogram()).collect(),
-            hand_in: histogram(),
+            submission_latency: histogram(),
             arrivals: vec![],
             calls: HashMap::new(),
             unheard: HashSet::new(),
@@ -203,35 +248,36 @@
         self.point(at).opened += 1;
     }
 
-    fn meant_at(&self, mail: MessageId) -> Option<(Nanos, usize)> {
+    fn meant_at(&self, message: MessageId) -> Option<(Nanos, usize)> {
         self.arrivals
-            .get(arrival_of(mail).0 as usize)
+            .get(arrival_of(message).0 as usize)
             .map(|a| (a.at, a.class as usize))
     }
 
-    /// An answer to a hand-in has come, so long after it was meant to be made.
-    pub fn hand_in_answered(&mut self, span: Nanos) {
-        record(&mut self.hand_in, span);
+    /// The answer to a submission has come, this long after the submission was meant to be made.
+    pub fn submission_answered(&mut self, span: Nanos) {
+        record(&mut self.submission_latency, span);
     }
 
-    pub fn see(&mut self, at: Nanos, seen: &Seen) {
-        match seen {
-            Seen::HandedIn(_) => self.results.handed_in += 1,
-            Seen::TurnedAway { .. } => {
+    /// Takes in an observation.
+    pub fn observe(&mut self, at: Nanos, observation: &Observation) {
+        match observation {
+            Observation::Submitted(_) => self.results.handed_in += 1,
+            Observation::Rejected { .. } => {
                 self.results.turned_away += 1;
                 self.point(at).turned_away += 1;
             }
-            Seen::Unheard { mail } => {
+            Observation::Abandoned { message } => {
                 self.results.no_answer += 1;
-                self.unheard.insert(*mail);
+                self.unheard.insert(*message);
             }
-            Seen::Call {
+            Observation::Call {
                 call,
-                mail,
+                message,
                 endpoint,
                 ..
             } => {
-                self.calls.insert(*call, *mail);
+                self.calls.insert(*call, *message);
                 // Endpoints that come later in a run are not compared: they had less time.
                 if let Some(calls) = self.calls_by_endpoint.get_mut(endpoint.0 as usize) {
                     *calls += 1;
@@ -239,22 +285,27 @@
                 self.results.calls += 1;
                 self.point(at).calls += 1;
             }
-            Seen::Answered { call, answer } => {
-                let mail = self.calls.remove(call);
+            Observation::Answered { call, answer } => {
+                let message = self.calls.remove(call);
                 match answer {
-                    Answer::Full(_) => {
+                    Answer::RateLimited(_) => {
                         self.results.refused += 1;
                         self.point(at).refused += 1;
                     }
-                    Answer::Errored | Answer::Spoilt => self.point(at).errors += 1,
-                    Answer::Relayed => mail.into_iter().for_each(|mail| self.relayed(at, mail)),
+                    Answer::ServerError | Answer::Malformed => self.point(at).errors += 1,
+                    Answer::Delivered => message
+                        .into_iter()
+                        .for_each(|message| self.relayed(at, message)),
                 }
             }
-            Seen::Broken { call, .. } if self.calls.remove(call).is_some() => {
+            Observation::ConnectionClosed { call, .. } if self.calls.remove(call).is_some() => {
                 self.point(at).unanswered += 1
             }
-            Seen::Notice { mail, deferred } => {
-                let Some((_, class)) = self.meant_at(*mail) else {
+            Observation::Notified {
+                message,
+                retry_after: deferred,
+            } => {
+                let Some((_, class)) = self.meant_at(*message) else {
                     return;
                 };
                 match deferred {
@@ -272,17 +323,17 @@
         }
     }
 
-    fn relayed(&mut self, at: Nanos, mail: MessageId) {
-        let Some(state) = self.arrivals.get_mut(arrival_of(mail).0 as usize) else {
+    fn relayed(&mut self, at: Nanos, message: MessageId) {
+        let Some(state) = self.arrivals.get_mut(arrival_of(message).0 as usize) else {
             return;
         };
-        if self.unheard.contains(&mail) || std::mem::replace(&mut state.relayed, true) {
+        if self.unheard.contains(&message) || std::mem::replace(&mut state.relayed, true) {
             return;
         }
         let (meant, class) = (state.at, state.class as usize);
         let delay = at.saturating_sub(meant);
         let row = &self.classes[class];
-        let worth = row.importance * worth(row, delay);
+        let worth = row.importance * delivered_value(row, delay);
         let late = delay > ms(row.target_ms);
         record(&mut self.latency[class], delay);
         self.results.classes[class].delivered += worth;
@@ -307,13 +358,14 @@
         by_destination.values().map(of).fold(0.0, f64::max)
     }
 
+    /// The results once the run is over.
     pub fn finish(mut self) -> Results {
         self.results.largest_over_mean = self.largest_over_mean();
         let r = &mut self.results;
         for (row, h) in r.classes.iter_mut().zip(&self.latency) {
             row.latency = Spread::of(h);
         }
-        r.hand_in = Spread::of(&self.hand_in);
+        r.submission_latency = Spread::of(&self.submission_latency);
         (r.asked, r.delivered) = r
             .points
             .iter()
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -3,9 +3,9 @@
 use crate::audit::Verdict;
 use crate::experiment::{Experiment, Variant};
 use crate::measure::Results;
-use crate::spec::{Drive, TroubleKind};
+use crate::spec::{Drive, FaultKind};
 use crate::world::ReturnLoad;
-use crate::world::plan::*;
+use crate::world::plan::Plan;
 use crate::{sockets, virtual_time};
 use anyhow::{Context, Result};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -14,35 +14,44 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// A trouble as a report marks it.
+/// A fault as a report marks it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Mark {
-    pub what: TroubleKind,
+pub struct FaultMark {
+    /// What it does.
+    pub what: FaultKind,
+    /// What it affects, in words.
     pub whom: String,
+    /// When it begins.
     pub from_s: f64,
+    /// When it ends.
     pub to_s: f64,
 }
 
 /// What one dispatcher's process used, sampled; sockets only.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
+    /// Which one.
     pub dispatcher: usize,
     /// Second, share of a core since the sample before, resident megabytes, descriptors.
     pub samples: Vec<(f64, f64, f64, u64)>,
+    /// The most memory that it held.
     pub peak_mb: f64,
 }
 
 /// What the run cost this machine: not the same in equal runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
+    /// How long the run took.
     pub wall_s: f64,
-    /// Of the laboratory's own process.
+    /// Of the testbed's own process.
     pub peak_mb: f64,
     /// How late the generator was, in milliseconds: at its 99th percentile and at worst.
     pub late_p99_ms: f64,
+    /// At worst.
     pub late_max_ms: f64,
+    /// By dispatcher.
     pub usage: Vec<Usage>,
-    /// Mails owed their end, at seconds of the run; sockets only.
+    /// Messages accepted and not ended, at seconds of the run; sockets only.
     pub open: Vec<(f64, usize)>,
     /// From which second on processor time counts.
     pub cpu_from_s: f64,
@@ -51,52 +60,72 @@
 /// One run: one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunLine {
+    /// The name of the experiment.
     pub experiment: String,
+    /// Its title.
     pub title: String,
+    /// The name of the variant.
     pub variant: String,
+    /// What all draws started from.
     pub seed: u64,
+    /// How it was run.
     pub drive: Drive,
     /// Of all that the run is made of; a run with another is another run.
-    pub print: String,
-    /// Why the run says nothing; it is valid where this is empty.
+    #[serde(rename = "print")]
+    pub fingerprint: String,
+    /// Why the run is not valid; empty where it is.
     pub not_valid: Vec<String>,
     /// What went wrong beside the rules.
     pub faults: Vec<String>,
     /// Ctrl-C came; all else that is here was measured until then.
     pub interrupted: bool,
+    /// How many there were.
     pub dispatchers: usize,
+    /// How many there were at the start.
     pub endpoints: usize,
+    /// For how long messages were submitted.
     pub load_s: f64,
+    /// Messages a second.
     pub rate: f64,
-    pub troubles: Vec<Mark>,
+    /// What went wrong by the script.
+    #[serde(rename = "troubles")]
+    pub injected_faults: Vec<FaultMark>,
+    /// What it came to.
     pub results: Results,
+    /// What the auditor found.
     pub verdict: Verdict,
+    /// The load on endpoints that had returned cold.
     pub returns: Vec<ReturnLoad>,
     /// Calls on the decisions; virtual time only.
     pub steps: u64,
+    /// What it cost this machine.
     pub cost: Cost,
 }
 
 impl RunLine {
+    /// Whether its figures count.
     pub fn valid(&self) -> bool {
         self.not_valid.is_empty()
     }
 }
 
-/// How runs are to be done, beside what the experiment says.
+/// How runs are done, beside what the experiment settles.
 #[derive(Clone, Debug)]
-pub struct How {
+pub struct RunOptions {
+    /// Another drive than the experiment's.
     pub drive: Option<Drive>,
+    /// Other seeds than the experiment's.
     pub seeds: Option<Vec<u64>>,
     /// The dispatcher's program, for runs on sockets whose variant names none.
     pub program: PathBuf,
     /// Logs and state folders of dispatchers.
     pub work: PathBuf,
+    /// Without progress bars.
     pub quiet: bool,
 }
 
-fn marks(variant: &Variant) -> Vec<Mark> {
-    let mark = |t: &crate::spec::Trouble| Mark {
+fn fault_marks(variant: &Variant) -> Vec<FaultMark> {
+    let mark = |t: &crate::spec::Fault| FaultMark {
         what: t.what,
         whom: match (&t.zone, t.destination, t.endpoint, t.dispatcher, t.share) {
             (Some(zone), ..) => zone.clone(),
@@ -109,7 +138,7 @@
         from_s: t.from_s,
         to_s: t.to_s,
     };
-    variant.spec.troubles.iter().map(mark).collect()
+    variant.spec.faults.iter().map(mark).collect()
 }
 
 /// The most memory that this process ever held, in megabytes.
@@ -122,15 +151,15 @@
 }
 
 /// One run, from its plan to its line.
-fn one(
+fn run_once(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
-    how: &How,
-    print: String,
+    options: &RunOptions,
+    fingerprint: String,
     tick: &mut dyn FnMut(f64),
 ) -> Result<RunLine> {
-    let drive = how.drive.unwrap_or(variant.spec.run.drive);
+    let drive = options.drive.unwrap_or(variant.spec.run.drive);
     let plan = Plan::new(&variant.spec, seed);
     let mut line = RunLine {
         experiment: experiment.name.clone(),
@@ -138,7 +167,7 @@
         variant: variant.name.clone(),
         seed,
         drive,
-        print,
+        fingerprint,
         not_valid: vec![],
         faults: vec![],
         interrupted: false,
@@ -146,7 +175,7 @@
         endpoints: plan.endpoints.len(),
         load_s: variant.spec.run.seconds,
         rate: variant.spec.load.rate,
-        troubles: marks(variant),
+        injected_faults: fault_marks(variant),
         results: Results::default(),
         verdict: Verdict::default(),
         returns: vec![],
@@ -156,19 +185,19 @@
     let from = Instant::now();
     match drive {
         Drive::Virtual => {
-            let played = virtual_time::run(plan, tick);
+            let outcome = virtual_time::run(plan, tick);
             (line.results, line.verdict, line.returns) =
-                (played.results, played.verdict, played.returns);
-            line.steps = played.steps;
+                (outcome.results, outcome.verdict, outcome.returns);
+            line.steps = outcome.steps;
         }
         Drive::Sockets => {
-            let program = variant.program.as_ref().unwrap_or(&how.program);
-            let played = sockets::run(plan, program, &how.work, tick)?;
+            let program = variant.program.as_ref().unwrap_or(&options.program);
+            let outcome = sockets::run(plan, program, &options.work, tick)?;
             (line.results, line.verdict, line.returns) =
-                (played.results, played.verdict, played.returns);
+                (outcome.results, outcome.verdict, outcome.returns);
             (line.not_valid, line.faults, line.cost) =
-                (played.not_valid, played.faults, played.cost);
-            line.interrupted = played.interrupted;
+                (outcome.not_valid, outcome.faults, outcome.cost);
+            line.interrupted = outcome.interrupted;
         }
     }
     line.cost.cpu_from_s = variant.spec.run.cpu_from_s;
@@ -177,7 +206,7 @@
     Ok(line)
 }
 
-/// The checksum of a program's file, read in pieces; nought where there is none.
+/// The checksum of a program's file, read in pieces; zero where there is none.
 fn checksum(path: std::io::Result<PathBuf>) -> u32 {
     let mut hash = crc32fast::Hasher::new();
     let mut piece = vec![0; 1 << 16];
@@ -189,13 +218,17 @@
     hash.finalize()
 }
 
-/// Names all that the runs of a variant are made of but their seeds. Another build, of the dispatcher or of the laboratory
+/// Names all that the runs of a variant are made of but their seeds. Another build, of the dispatcher or of the testbed
 /// (`own` is its checksum), makes another run.
-fn print(variant: &Variant, how: &How, own: u32) -> String {
-    let drive = how.drive.unwrap_or(variant.spec.run.drive);
+fn fingerprint(variant: &Variant, options: &RunOptions, own: u32) -> String {
+    let drive = options.drive.unwrap_or(variant.spec.run.drive);
     let program = match drive {
         Drive::Virtual => 0,
-        Drive::Sockets => checksum(Ok(variant.program.as_ref().unwrap_or(&how.program).clone())),
+        Drive::Sockets => checksum(Ok(variant
+            .program
+            .as_ref()
+            .unwrap_or(&options.program)
+            .clone())),
     };
     let all = format!("{own:08x} {program:08x} {drive:?} {:?}", variant.spec);
     format!("{:08x}", crc32fast::hash(all.as_bytes()))
@@ -209,7 +242,7 @@
         let line = line.with_context(|| path.display().to_string())?;
         match serde_json::from_str(&line) {
             Ok(run) => runs.push(run),
-            // A line that was being written when the laboratory was killed.
+            // A line that was being written when the testbed was killed.
             Err(e) if e.is_eof() => {
                 tracing::warn!("{}: line {} is cut off and skipped", path.display(), i + 1)
             }
@@ -232,7 +265,7 @@
 }
 
 /// Plays what of an experiment is not in the file yet, a line a run, and hands back all of its lines.
-pub fn all(experiment: &Experiment, how: &How, file: &Path) -> Result<Vec<RunLine>> {
+pub fn run_all(experiment: &Experiment, options: &RunOptions, file: &Path) -> Result<Vec<RunLine>> {
     let old = if file.exists() { lines(file)? } else { vec![] };
     if let Some(folder) = file.parent() {
         std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
@@ -248,10 +281,13 @@
     let mut runs = vec![];
     let own = checksum(std::env::current_exe());
     for variant in &experiment.variants {
-        let print = print(variant, how, own);
-        for &seed in how.seeds.as_ref().unwrap_or(&experiment.seeds) {
+        let fingerprint = fingerprint(variant, options, own);
+        for &seed in options.seeds.as_ref().unwrap_or(&experiment.seeds) {
             let same = |r: &&RunLine| {
-                r.print == print && r.seed == seed && r.variant == variant.name && r.valid()
+                r.fingerprint == fingerprint
+                    && r.seed == seed
+                    && r.variant == variant.name
+                    && r.valid()
             };
             if let Some(run) = old.iter().find(same) {
                 runs.push(run.clone());
@@ -259,10 +295,17 @@
             }
             let bar = bar(
                 &format!("{}, {}, seed {seed}", experiment.name, variant.name),
-                how.quiet,
+                options.quiet,
             );
             let mut tick = |part: f64| bar.set_position((part * 1_000.0) as u64);
-            let run = one(experiment, variant, seed, how, print.clone(), &mut tick)?;
+            let run = run_once(
+                experiment,
+                variant,
+                seed,
+                options,
+                fingerprint.clone(),
+                &mut tick,
+            )?;
             bar.finish_and_clear();
             // In one write, so that a line is whole or the last.
             let mut line = serde_json::to_vec(&run)?;
@@ -281,7 +324,7 @@
     Ok(runs)
 }
 
-/// What a run says in a few lines.
+/// A run in a few lines.
 pub fn summary(run: &RunLine) -> String {
     let r = &run.results;
     let mut text = format!(
@@ -315,16 +358,16 @@
             c.deferred
         );
     }
-    if run.verdict.kept() {
+    if run.verdict.passed() {
         text += &format!(
             "\n  rules kept, {} effects in {} calls",
             run.verdict.applied, run.verdict.calls
         );
     }
-    for (rule, count) in &run.verdict.breaks {
+    for (rule, count) in &run.verdict.violations {
         text += &format!("\n  RULE BROKEN {rule:?}: {count} times");
     }
-    for words in run.verdict.words.iter().take(5) {
+    for words in run.verdict.samples.iter().take(5) {
         text += &format!("\n    {words}");
     }
     for fault in run.faults.iter().take(5) {
--- a/crates/testbed/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -1,8 +1,9 @@
 //! Stand-ins for endpoints: HTTP/1.1 servers, one listener each, all behind the one world.
 
-use super::{Handed, Say, Shared};
-use crate::record::*;
-use crate::world::*;
+use super::http::{content_length, header};
+use super::state::{EndpointReply, Listening, Shared, SubmittedMessage};
+use crate::record::{CallNumber, Observation};
+use crate::world::{Answer, CallRequest, ConnId, ConnectResult, Reachability};
 use anyhow::Result;
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -12,29 +13,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use tokio::task::JoinHandle;
 
 const BACKLOG: i32 = 1_024;
 /// A call's head and body, at most.
 const CALL_MOST: usize = 80 * 1024;
 
-/// An endpoint that can be connected to, or seems to be there and says nothing.
-pub(super) struct Listening {
-    reach: Reach,
-    accepts: Option<JoinHandle<()>>,
-    socket: Rc<TcpListener>,
-    /// Connections that fill the queue of one that is silent, so that no other comes up.
-    _fill: Vec<Socket>,
-}
-
-impl Drop for Listening {
-    fn drop(&mut self) {
-        if let Some(accepts) = &self.accepts {
-            accepts.abort();
-        }
-    }
-}
-
 fn socket() -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
@@ -50,7 +33,7 @@
 }
 
 /// Makes the listener of an endpoint what the world says of it: open, refusing, or silent.
-pub(super) fn reach(shared: &Rc<Shared>, endpoint: EndpointId) -> Result<()> {
+pub(super) fn update_listener(shared: &Rc<Shared>, endpoint: EndpointId) -> Result<()> {
     let (reach, at, old) = {
         let mut s = shared.state.borrow_mut();
         let at = s.net.endpoint(endpoint);
@@ -68,8 +51,8 @@
         None => bound(at).map(Rc::new),
     };
     let new = match reach {
-        Reach::Refusing => None,
-        Reach::Open => {
+        Reachability::Refusing => None,
+        Reachability::Open => {
             let socket = listener()?;
             SockRef::from(&*socket).listen(BACKLOG)?;
             let accepts =
@@ -81,10 +64,10 @@
                 _fill: vec![],
             })
         }
-        Reach::Silent => {
+        Reachability::Silent => {
             let socket = listener()?;
             drop(old);
-            // One connection fills a queue of nought; the kernel then leaves all others unanswered.
+            // One connection fills a queue of length zero; the kernel then leaves all others unanswered.
             SockRef::from(&*socket).listen(0)?;
             let mut fill = vec![];
             for _ in 0..2 {
@@ -127,7 +110,7 @@
 
 /// A call as it was read.
 struct Request {
-    mail: Option<MessageId>,
+    message: Option<MessageId>,
     tag: Vec<u8>,
     body: Vec<u8>,
     /// How much of the input it was.
@@ -143,8 +126,8 @@
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(e) => return Err(format!("a head that is no HTTP: {e}")),
     };
-    let value = |name: &str| super::header(&head, name);
-    let size = super::content_length(&head).ok_or("a call without its length")?;
+    let value = |name: &str| header(&head, name);
+    let size = content_length(&head).ok_or("a call without its length")?;
     if size > CALL_MOST {
         return Err(format!("a call of {size} bytes"));
     }
@@ -159,7 +142,7 @@
     }
     let id = value("x-trace-id").and_then(|v| std::str::from_utf8(v).ok());
     Ok(Some(Request {
-        mail: id
+        message: id
             .and_then(|id| u64::from_str_radix(id, 16).ok())
             .map(MessageId),
         tag: value("idempotency-key").unwrap_or_default().to_vec(),
@@ -170,18 +153,20 @@
 
 fn answer(answer: Answer) -> String {
     match answer {
-        Answer::Relayed => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".into(),
-        Answer::Errored => "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into(),
-        Answer::Full(Some(wait)) => {
+        Answer::Delivered => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".into(),
+        Answer::ServerError => {
+            "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n".into()
+        }
+        Answer::RateLimited(Some(wait)) => {
             let seconds = wait as f64 / 1e9;
             format!(
                 "HTTP/1.1 429 Too Many Requests\r\nRetry-After: {seconds:.6}\r\nContent-Length: 0\r\n\r\n"
             )
         }
-        Answer::Full(None) => {
+        Answer::RateLimited(None) => {
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".into()
         }
-        Answer::Spoilt => "HTP/one 2x0 \u{1}\r\n\r\n\r\n".into(),
+        Answer::Malformed => "HTP/one 2x0 \u{1}\r\n\r\n\r\n".into(),
     }
 }
 
@@ -195,37 +180,37 @@
     let opened = shared.with(|s| {
         let now = s.now();
         let opened = s.world.open(usize::MAX, endpoint);
-        if matches!(opened, Opening::Up(_)) {
+        if matches!(opened, ConnectResult::Connected(_)) {
             s.ledger.measure.opened(now);
         }
         opened
     });
     let conn = match opened {
-        Opening::Up(conn) => conn,
-        Opening::Refused | Opening::Never => return reset(stream),
+        ConnectResult::Connected(conn) => conn,
+        ConnectResult::Refused | ConnectResult::NoResponse => return reset(stream),
     };
     let (to, mut from) = mpsc::unbounded_channel();
     shared.state.borrow_mut().conns.insert(conn, to);
     let mut input: Vec<u8> = Vec::with_capacity(1_024);
-    let (mut begun, mut call): (Option<Nanos>, Option<CallNo>) = (None, None);
+    let (mut started_at, mut call): (Option<Nanos>, Option<CallNumber>) = (None, None);
     let by_endpoint = loop {
         tokio::select! {
             biased;
             say = from.recv() => match say {
-                Some(Say::Answer(said)) => {
+                Some(EndpointReply::Answer(said)) => {
                     call = None;
                     if stream.write_all(answer(said).as_bytes()).await.is_err() {
                         break false;
                     }
                 }
-                Some(Say::Break) | None => break true,
+                Some(EndpointReply::Disconnect) | None => break true,
             },
             read = stream.read_buf(&mut input) => {
                 if !matches!(read, Ok(n) if n > 0) || input.len() > 2 * CALL_MOST {
                     break false;
                 }
                 let now = shared.now();
-                begun.get_or_insert(now);
+                started_at.get_or_insert(now);
                 if call.is_some() {
                     shared.with(|s| s.fault(format!("endpoint {}: a call before the last was answered", endpoint.0)));
                     break true;
@@ -234,8 +219,8 @@
                     Ok(None) => {}
                     Ok(Some(request)) => {
                         input.drain(..request.taken);
-                        let begun = begun.take().unwrap_or(now);
-                        match took(&shared, endpoint, conn, &request, begun) {
+                        let started_at = started_at.take().unwrap_or(now);
+                        match call_received(&shared, endpoint, conn, &request, started_at) {
                             Ok(no) => call = Some(no),
                             Err(no) => {
                                 call = no;
@@ -255,7 +240,7 @@
         s.conns.remove(&conn);
         s.world.close(conn);
         if let Some(call) = call {
-            s.see(Seen::Broken { call, by_endpoint });
+            s.observe(Observation::ConnectionClosed { call, by_endpoint });
         }
     });
     if by_endpoint {
@@ -264,16 +249,19 @@
 }
 
 /// A call has come whole. Err: the connection breaks, with the call that was on it.
-fn took(
+fn call_received(
     shared: &Rc<Shared>,
     endpoint: EndpointId,
     conn: ConnId,
     request: &Request,
-    begun: Nanos,
-) -> Result<CallNo, Option<CallNo>> {
+    started_at: Nanos,
+) -> Result<CallNumber, Option<CallNumber>> {
     shared.with(|s| {
-        let known: Option<Handed> = request.mail.and_then(|mail| s.mails.get(&mail)).cloned();
-        let (Some(mail), Some(known)) = (request.mail, known) else {
+        let known: Option<SubmittedMessage> = request
+            .message
+            .and_then(|message| s.messages.get(&message))
+            .cloned();
+        let (Some(message), Some(known)) = (request.message, known) else {
             s.fault(format!(
                 "endpoint {}: a call with a mail that nobody handed in",
                 endpoint.0
@@ -284,29 +272,29 @@
         if request.tag != tag.as_bytes() || request.body != body {
             s.fault(format!(
                 "endpoint {}: mail {:016x} came with another tag or body",
-                endpoint.0, mail.0
+                endpoint.0, message.0
             ));
         }
         if s.world.endpoint(endpoint).destination != known.arrival.destination {
             s.fault(format!(
                 "endpoint {}: mail {:016x} is for another destination",
-                endpoint.0, mail.0
+                endpoint.0, message.0
             ));
         }
-        let (no, dispatcher) = (s.ledger.call_no(), known.dispatcher);
-        let new = NewCall {
-            mail,
+        let (no, dispatcher) = (s.ledger.next_call_number(), known.dispatcher);
+        let new = CallRequest {
+            message,
             class: known.arrival.class,
             dispatcher,
-            tag: known.arrival.no,
+            idempotency_key: known.arrival.no,
         };
         let id = s.world.call(conn, new);
-        s.see(Seen::Call {
+        s.observe(Observation::Call {
             call: no,
-            mail,
+            message,
             endpoint,
             dispatcher,
-            begun,
+            started_at,
             fresh: id.is_some(),
         });
         match id {
--- a/crates/testbed/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -1,9 +1,10 @@
-//! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the place for notices.
+//! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the receiver of notifications.
 
-use super::{Listing, Shared, State};
-use crate::load::{Back, again, arrival_of};
-use crate::record::*;
-use crate::world::Listed;
+use super::http::content_length;
+use super::state::{Listing, Shared, State};
+use crate::load::{RetryReason, arrival_of, next_submission};
+use crate::record::Observation;
+use crate::world::ListState;
 use anyhow::Result;
 use bellsill_core::interface::MessageId;
 use serde_json::{Value, json};
@@ -16,12 +17,16 @@
 const EMPTY_LINE: Duration = Duration::from_secs(2);
 const REQUEST_MOST: usize = 4 << 20;
 
-fn entry(state: &State, endpoint: bellsill_core::interface::EndpointId, listed: Listed) -> Value {
+fn entry(
+    state: &State,
+    endpoint: bellsill_core::interface::EndpointId,
+    listed: ListState,
+) -> Value {
     let (plan, spec) = (state.world.endpoint(endpoint), &state.world.plan.spec);
     let word = match listed {
-        Listed::Up => "up",
-        Listed::Draining => "draining",
-        Listed::Removed => "removed",
+        ListState::Up => "up",
+        ListState::Draining => "draining",
+        ListState::Removed => "removed",
     };
     json!({
         "id": format!("e-{:06}", endpoint.0), "addr": state.net.endpoint(endpoint).to_string(),
@@ -30,7 +35,7 @@
     })
 }
 
-pub(super) fn whole(state: &State, version: usize, list: &Listing) -> Value {
+pub(super) fn full_list(state: &State, version: usize, list: &Listing) -> Value {
     let servers: Vec<Value> = list
         .iter()
         .map(|(e, listed)| entry(state, *e, *listed))
@@ -55,14 +60,14 @@
     Ok(())
 }
 
-/// Notes what a dispatcher has been told of the list, each version once.
-pub(super) fn said(state: &mut State, dispatcher: usize, upto: usize) {
-    let from = state.said[dispatcher];
-    state.said[dispatcher] = upto.max(from);
-    let changes: Vec<_> = state.world.changes(from.min(upto), upto).to_vec();
+/// Notes what of the list has been written to a dispatcher, each version once.
+pub(super) fn note_written(state: &mut State, dispatcher: usize, version: usize) {
+    let from = state.written[dispatcher];
+    state.written[dispatcher] = version.max(from);
+    let changes: Vec<_> = state.world.changes(from.min(version), version).to_vec();
     for change in changes {
-        let serving = change.listed == Listed::Up;
-        state.see(Seen::Listed {
+        let serving = change.listed == ListState::Up;
+        state.observe(Observation::EndpointListed {
             dispatcher,
             endpoint: change.endpoint,
             serving,
@@ -73,14 +78,14 @@
 async fn serve(shared: Rc<Shared>, dispatcher: usize, mut stream: TcpStream) -> Result<()> {
     let mut input = Vec::new();
     loop {
-        // What is read of a request, owned: the input goes on.
+        // What is read of a request, owned: the input is read on.
         let read = {
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut head = httparse::Request::new(&mut headers);
             match head.parse(&input)? {
                 httparse::Status::Partial => None,
                 httparse::Status::Complete(length) => {
-                    let size = super::content_length(&head).unwrap_or(0);
+                    let size = content_length(&head).unwrap_or(0);
                     let path = head.path.unwrap_or("").to_string();
                     (input.len() >= length + size)
                         .then(|| (path, input[length..length + size].to_vec(), length + size))
@@ -96,7 +101,7 @@
         };
         input.drain(..taken);
         if path == "/v2/finals" {
-            let good = notices(&shared, &body);
+            let good = notified(&shared, &body);
             let answer = if good {
                 "204 No Content"
             } else {
@@ -109,8 +114,8 @@
             return watch(&shared, dispatcher, &mut stream, since.parse().unwrap_or(0)).await;
         } else if path == "/api/targets" {
             let text = shared.with(|s| {
-                let upto = s.told[dispatcher];
-                whole(s, upto, &s.world.listing(upto)).to_string()
+                let version = s.published[dispatcher];
+                full_list(s, version, &s.world.listing(version)).to_string()
             });
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
             stream.write_all((head + &text).as_bytes()).await?;
@@ -134,29 +139,29 @@
     let mut at = since;
     let mut first = true;
     loop {
-        let news = shared.news[dispatcher].notified();
+        let news = shared.list_changed[dispatcher].notified();
         tokio::pin!(news);
-        // Heard from here on, so that nothing is missed while a line is written.
+        // Registered before the version is read, so that nothing is missed while a line is written.
         news.as_mut().enable();
-        let upto = shared.state.borrow().told[dispatcher];
-        if upto > at || first {
+        let version = shared.state.borrow().published[dispatcher];
+        if version > at || first {
             let line = shared.with(|s| {
-                let known = at >= s.world.first_version() && at <= upto;
+                let known = at >= s.world.first_version() && at <= version;
                 match known {
-                    false => whole(s, upto, &s.world.listing(upto)),
+                    false => full_list(s, version, &s.world.listing(version)),
                     true => {
-                        let changes = s.world.changes(at, upto).to_vec();
+                        let changes = s.world.changes(at, version).to_vec();
                         let servers: Vec<Value> = changes
                             .iter()
                             .map(|c| entry(s, c.endpoint, c.listed))
                             .collect();
-                        json!({"version": upto, "full": false, "servers": servers})
+                        json!({"version": version, "full": false, "servers": servers})
                     }
                 }
             });
             chunk(stream, &format!("{line}\n")).await?;
-            shared.with(|s| said(s, dispatcher, upto));
-            (at, first) = (upto, false);
+            shared.with(|s| note_written(s, dispatcher, version));
+            (at, first) = (version, false);
             continue;
         }
         let mut byte = [0; 64];
@@ -174,8 +179,8 @@
         .await
 }
 
-/// Notices have come. False: they cannot be read.
-fn notices(shared: &Rc<Shared>, body: &[u8]) -> bool {
+/// Notifications have come. False: they cannot be read.
+fn notified(shared: &Rc<Shared>, body: &[u8]) -> bool {
     let mut read = vec![];
     for line in body
         .split(|b| *b == b'\n')
@@ -189,22 +194,29 @@
             .and_then(|id| u64::from_str_radix(id, 16).ok());
         let deferred = match json["result"].as_str() {
             Some("dead") => None,
-            Some("bounced") => Some(json["wait_ms"].as_f64().map_or(0, crate::world::plan::ms)),
+            Some("bounced") => Some(json["wait_ms"].as_f64().map_or(0, crate::world::time::ms)),
             _ => return false,
         };
         let Some(id) = id else { return false };
         read.push((MessageId(id), deferred));
     }
-    for (mail, deferred) in read {
-        let back = shared.with(|s| {
-            s.see(Seen::Notice { mail, deferred });
-            let known = s.mails.get(&mail).cloned()?;
-            let (back, tries, now) = (Back::deferred(deferred?), arrival_of(mail).1, s.now());
-            let next = again(&s.world.plan, &known.arrival, tries, back, now)?;
-            Some((known.arrival, tries + 1, next))
+    for (message, deferred) in read {
+        let reason = shared.with(|s| {
+            s.observe(Observation::Notified {
+                message,
+                retry_after: deferred,
+            });
+            let known = s.messages.get(&message).cloned()?;
+            let (reason, attempts, now) = (
+                RetryReason::rejected_after(deferred?),
+                arrival_of(message).1,
+                s.now(),
+            );
+            let next = next_submission(&s.world.plan, &known.arrival, attempts, reason, now)?;
+            Some((known.arrival, attempts + 1, next))
         });
-        if let Some((arrival, tries, (at, to))) = back {
-            super::clients::later(shared, arrival, tries, at, to);
+        if let Some((arrival, attempts, (at, to))) = reason {
+            super::clients::submit_later(shared, arrival, attempts, at, to);
         }
     }
     true
--- a/crates/testbed/src/world/gate.rs
+++ b/crates/testbed/src/world/gate.rs
@@ -1,12 +1,15 @@
 //! The limit on what one route, or all routes of a destination together, take on.
 
-use super::plan::{GatePlan, MS, between, ms};
+use super::draw::between;
+use super::plan::GatePlan;
+use super::time::{MS, ms};
 use crate::spec::{Kind, LimitForm};
 use bellsill_core::interface::Nanos;
 
 /// The part of a second whose calls a plain rate takes at once.
 const AT_ONCE: f64 = 0.1;
 
+/// The state of a limit.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     /// Rate: when it will have room again for all that it takes at once.
@@ -14,7 +17,7 @@
     /// Span: which one, and the calls counted in it.
     span: Nanos,
     count: u64,
-    /// The parts to which troubles have lowered it.
+    /// The parts to which faults have lowered it.
     pub lowered: Vec<(usize, f64)>,
 }
 
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,6 +1,8 @@
 //! What a world is made of, drawn from an experiment and a seed: equal seeds give equal plans.
 
-use crate::spec::*;
+use super::draw::between;
+use super::time::{MS, S, START, ms, secs};
+use crate::spec::{Class, Fault, FaultKind, LimitForm, Repeat, Spec};
 use bellsill_core::interface::{
     ClassSettings, DeduplicationScope, DeliverySemantics, Nanos, Settings, ValueDecay,
 };
@@ -8,92 +10,105 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-pub const MS: Nanos = 1_000_000;
-pub const S: Nanos = 1_000 * MS;
-/// The laboratory's clock at the start of a run. Not nought, so that "long ago" can be said.
-pub const START: Nanos = 1_000 * S;
-
-pub fn ms(x: f64) -> Nanos {
-    (x * MS as f64) as Nanos
-}
-pub fn secs(x: f64) -> Nanos {
-    (x * S as f64) as Nanos
-}
-
-/// A number from 0 to 1 that hangs on these alone: what is drawn for one mail is the same whatever else happens, so that
-/// runs of two builds can be paired.
-pub fn draw(seed: u64, what: u64, whom: u64, salt: u64) -> f64 {
-    let mixed =
-        seed ^ what.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ whom.rotate_left(32) ^ (salt << 56);
-    Pcg64Mcg::seed_from_u64(mixed).random()
-}
-
-pub fn between(pair: [f64; 2], x: f64) -> f64 {
-    pair[0] + (pair[1] - pair[0]) * x
-}
-
+/// An endpoint as it is when it is well.
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
+    /// The destination that it belongs to.
     pub destination: usize,
+    /// Where it is: a row of the world's zones.
     pub zone: usize,
+    /// A row of the experiment's kinds.
     pub kind: usize,
+    /// Calls that it works on at once.
     pub workers: u32,
     /// Calls a second that it can do when it is warm.
     pub capacity: f64,
+    /// Calls that wait in it at most.
     pub queue: usize,
     /// What its limit binds: a row of [`Plan::gates`].
     pub gate: usize,
 }
 
+/// The limit on one route, or on all routes of a destination together.
 #[derive(Clone, Debug)]
 pub struct GatePlan {
     /// Calls a second, if there is a limit.
     pub limit: Option<f64>,
-    /// What it takes where a trouble limits what has none.
+    /// Calls a second that are possible; a fault that lowers a limit starts from this where there is none.
     pub capacity: f64,
 }
 
+/// What is done to a dispatcher's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum DispatcherNews {
+pub enum DispatcherSignal {
+    /// It ends at once.
     Kill,
-    /// Told to end.
-    Term,
+    /// It is asked to shut down gracefully.
+    Terminate,
+    /// It starts, unless it is running.
     Start,
 }
 
 /// What happens at a moment of the script.
 #[derive(Clone, Debug)]
-pub enum Moment {
-    /// A trouble (a row of the experiment's) strikes these endpoints.
-    Strike {
-        trouble: usize,
+pub enum ScriptedChange {
+    /// A fault begins.
+    BeginFault {
+        /// A row of the experiment's faults.
+        fault: usize,
+        /// The endpoints that it affects.
         endpoints: Vec<usize>,
     },
-    Lift {
-        trouble: usize,
+    /// A fault ends.
+    EndFault {
+        /// A row of the experiment's faults.
+        fault: usize,
+        /// The endpoints that it affected.
         endpoints: Vec<usize>,
     },
+    /// Whether the endpoint list is held back altogether.
     ListFrozen(bool),
+    /// The delay of the endpoint list grows by this, in nanoseconds.
     ListLag(i64),
-    Dispatcher(usize, DispatcherNews),
+    /// A dispatcher's process is killed, terminated or started.
+    Signal(usize, DispatcherSignal),
+}
+
+/// A span in which these dispatchers together get a part of all messages.
+#[derive(Clone, Debug)]
+pub struct HotSpan {
+    /// Its start.
+    pub from: Nanos,
+    /// Its end.
+    pub to: Nanos,
+    /// Their part of all messages.
+    pub part: f64,
+    /// The dispatchers.
+    pub dispatchers: Vec<usize>,
 }
 
+/// All that a run is made of.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// What all draws start from.
     pub seed: u64,
+    /// The experiment, as this variant has it.
     pub spec: Spec,
+    /// The endpoints of all destinations, in their order.
     pub endpoints: Vec<EndpointPlan>,
+    /// The limits on them.
     pub gates: Vec<GatePlan>,
     /// The part of the load of each destination.
     pub parts: Vec<f64>,
+    /// What service times of each destination are multiplied by.
     pub paces: Vec<f64>,
     /// In order of time, from [`START`].
-    pub script: Vec<(Nanos, Moment)>,
-    /// Spans in which these dispatchers together get a part of all mails.
-    pub hot: Vec<(Nanos, Nanos, f64, Vec<usize>)>,
-    /// No mail is handed in from then on.
+    pub script: Vec<(Nanos, ScriptedChange)>,
+    /// When some dispatchers get more than their part of the messages.
+    pub hot: Vec<HotSpan>,
+    /// No message is submitted for the first time from then on.
     pub load_until: Nanos,
-    /// All mails have had their time by then.
+    /// All messages have had their time by then.
     pub over_at: Nanos,
 }
 
@@ -106,7 +121,7 @@
 }
 
 /// As many of each kind as the shares say, dealt over the ranks so that each kind has busy and quiet ones.
-fn kinds_of(shares: &[f64], count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
+fn deal_kinds(shares: &[f64], count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
     let total: f64 = shares.iter().sum();
     let mut kinds: Vec<usize> = (0..count)
         .map(|i| {
@@ -123,7 +138,149 @@
     kinds
 }
 
+/// Endpoints in order of their destinations, each as strong as its part of the load asks for, and the limits on them.
+fn endpoints_and_gates(
+    spec: &Spec,
+    parts: &[f64],
+    kind_of: &[usize],
+    paces: &[f64],
+) -> (Vec<EndpointPlan>, Vec<GatePlan>) {
+    let world = &spec.world;
+    let class_total: f64 = spec.classes.iter().map(|c| c.share).sum();
+    let mean_ms: f64 = spec
+        .classes
+        .iter()
+        .map(|c| c.share * between(c.service_ms, 0.5))
+        .sum::<f64>()
+        / class_total;
+    let (mut endpoints, mut gates) = (Vec::new(), Vec::new());
+    for d in 0..world.destinations {
+        let kind = &spec.kinds[kind_of[d]];
+        let (load, routes) = (spec.load.rate * parts[d], world.endpoints_each as f64);
+        let service = mean_ms * paces[d] / 1e3;
+        let workers = (kind.headroom * load / routes * service).ceil().max(1.0);
+        let capacity = workers / service;
+        for n in 0..world.endpoints_each {
+            if n == 0 || kind.apart {
+                let shared = if kind.apart { 1.0 } else { routes };
+                let limit = kind.limit_headroom * load / routes * shared;
+                let limit = (kind.limit != LimitForm::None).then_some(limit.max(1.0));
+                gates.push(GatePlan {
+                    limit,
+                    capacity: capacity * shared,
+                });
+            }
+            endpoints.push(EndpointPlan {
+                destination: d,
+                zone: (d + n) % world.zones.len(),
+                kind: kind_of[d],
+                workers: workers as u32,
+                capacity,
+                queue: (workers * kind.queue).ceil() as usize,
+                gate: gates.len() - 1,
+            });
+        }
+    }
+    (endpoints, gates)
+}
+
+/// What happens during the run, fault by fault, and the spans in which some dispatchers are hot.
+fn script(
+    spec: &Spec,
+    endpoints: &[EndpointPlan],
+    rng: &mut Pcg64Mcg,
+) -> (Vec<(Nanos, ScriptedChange)>, Vec<HotSpan>) {
+    let (mut script, mut hot) = (Vec::new(), Vec::new());
+    for (i, fault) in spec.faults.iter().enumerate() {
+        let (from, to) = (START + secs(fault.from_s), START + secs(fault.to_s));
+        let (begin, end) = match fault.what {
+            FaultKind::ListLate => {
+                let lag = secs(fault.lag_s.unwrap_or(0.0)) as i64;
+                (ScriptedChange::ListLag(lag), ScriptedChange::ListLag(-lag))
+            }
+            FaultKind::ListFrozen => (
+                ScriptedChange::ListFrozen(true),
+                ScriptedChange::ListFrozen(false),
+            ),
+            what if what.of_dispatchers() => {
+                let dispatchers = match fault.dispatcher {
+                    Some(n) => vec![n],
+                    None => pick(rng, spec.dispatchers.count, fault.share.unwrap_or(0.0)),
+                };
+                if what == FaultKind::Hot {
+                    hot.push(HotSpan {
+                        from,
+                        to,
+                        part: fault.part.unwrap_or(0.0),
+                        dispatchers,
+                    });
+                    continue;
+                }
+                script.extend(signals(what, from, to, dispatchers));
+                continue;
+            }
+            _ => {
+                let affected = affected_endpoints(spec, fault, endpoints, rng);
+                (
+                    ScriptedChange::BeginFault {
+                        fault: i,
+                        endpoints: affected.clone(),
+                    },
+                    ScriptedChange::EndFault {
+                        fault: i,
+                        endpoints: affected,
+                    },
+                )
+            }
+        };
+        script.extend([(from, begin), (to, end)]);
+    }
+    (script, hot)
+}
+
+/// Each dispatcher is ended at the beginning of the fault and started again at its end.
+fn signals(
+    what: FaultKind,
+    from: Nanos,
+    to: Nanos,
+    dispatchers: Vec<usize>,
+) -> impl Iterator<Item = (Nanos, ScriptedChange)> {
+    let signal = match what {
+        FaultKind::Killed => DispatcherSignal::Kill,
+        _ => DispatcherSignal::Terminate,
+    };
+    dispatchers.into_iter().flat_map(move |n| {
+        [
+            (from, ScriptedChange::Signal(n, signal)),
+            (to, ScriptedChange::Signal(n, DispatcherSignal::Start)),
+        ]
+    })
+}
+
+fn affected_endpoints(
+    spec: &Spec,
+    fault: &Fault,
+    endpoints: &[EndpointPlan],
+    rng: &mut Pcg64Mcg,
+) -> Vec<usize> {
+    let zones = &spec.world.zones;
+    let zone = fault
+        .zone
+        .as_ref()
+        .and_then(|z| zones.iter().position(|w| w == z));
+    let is_affected =
+        |e: &EndpointPlan| zone == Some(e.zone) || fault.destination == Some(e.destination);
+    match (fault.endpoint, fault.share) {
+        (Some(e), _) => vec![e],
+        (_, Some(share)) => pick(rng, endpoints.len(), share),
+        _ => (0..endpoints.len())
+            .filter(|&e| is_affected(&endpoints[e]))
+            .collect(),
+    }
+}
+
 impl Plan {
+    /// Draws the plan of a run, always in the same order.
     pub fn new(spec: &Spec, seed: u64) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let world = &spec.world;
@@ -133,110 +290,13 @@
         let total: f64 = raw.iter().sum();
         let parts: Vec<f64> = raw.iter().map(|x| x / total).collect();
         let shares: Vec<f64> = spec.kinds.iter().map(|k| k.share).collect();
-        let kind_of = kinds_of(&shares, world.destinations, &mut rng);
+        let kind_of = deal_kinds(&shares, world.destinations, &mut rng);
         let paces: Vec<f64> = kind_of
             .iter()
             .map(|&k| between(spec.kinds[k].pace, rng.random()))
             .collect();
-        let class_total: f64 = spec.classes.iter().map(|c| c.share).sum();
-        let mean_ms: f64 = spec
-            .classes
-            .iter()
-            .map(|c| c.share * between(c.service_ms, 0.5))
-            .sum::<f64>()
-            / class_total;
-        let (mut endpoints, mut gates) = (Vec::new(), Vec::new());
-        for d in 0..world.destinations {
-            let kind = &spec.kinds[kind_of[d]];
-            let (load, routes) = (spec.load.rate * parts[d], world.endpoints_each as f64);
-            let service = mean_ms * paces[d] / 1e3;
-            let workers = (kind.headroom * load / routes * service).ceil().max(1.0);
-            let capacity = workers / service;
-            for n in 0..world.endpoints_each {
-                if n == 0 || kind.apart {
-                    let shared = if kind.apart { 1.0 } else { routes };
-                    let limit = kind.limit_headroom * load / routes * shared;
-                    let limit = (kind.limit != LimitForm::None).then_some(limit.max(1.0));
-                    gates.push(GatePlan {
-                        limit,
-                        capacity: capacity * shared,
-                    });
-                }
-                endpoints.push(EndpointPlan {
-                    destination: d,
-                    zone: (d + n) % world.zones.len(),
-                    kind: kind_of[d],
-                    workers: workers as u32,
-                    capacity,
-                    queue: (workers * kind.queue).ceil() as usize,
-                    gate: gates.len() - 1,
-                });
-            }
-        }
-        let (mut script, mut hot) = (Vec::new(), Vec::new());
-        for (i, t) in spec.troubles.iter().enumerate() {
-            let (from, to) = (START + secs(t.from_s), START + secs(t.to_s));
-            match t.what {
-                TroubleKind::ListLate => {
-                    let lag = secs(t.lag_s.unwrap_or(0.0)) as i64;
-                    script.extend([(from, Moment::ListLag(lag)), (to, Moment::ListLag(-lag))]);
-                }
-                TroubleKind::ListFrozen => {
-                    script.extend([
-                        (from, Moment::ListFrozen(true)),
-                        (to, Moment::ListFrozen(false)),
-                    ]);
-                }
-                what if what.of_dispatchers() => {
-                    let whom = match t.dispatcher {
-                        Some(n) => vec![n],
-                        None => pick(&mut rng, spec.dispatchers.count, t.share.unwrap_or(0.0)),
-                    };
-                    if what == TroubleKind::Hot {
-                        hot.push((from, to, t.part.unwrap_or(0.0), whom));
-                        continue;
-                    }
-                    let news = match what {
-                        TroubleKind::Killed => DispatcherNews::Kill,
-                        _ => DispatcherNews::Term,
-                    };
-                    for n in whom {
-                        script.push((from, Moment::Dispatcher(n, news)));
-                        script.push((to, Moment::Dispatcher(n, DispatcherNews::Start)));
-                    }
-                }
-                _ => {
-                    let zone = t
-                        .zone
-                        .as_ref()
-                        .and_then(|z| world.zones.iter().position(|w| w == z));
-                    let of = |e: &EndpointPlan| {
-                        zone == Some(e.zone) || t.destination == Some(e.destination)
-                    };
-                    let struck: Vec<usize> = match (t.endpoint, t.share) {
-                        (Some(e), _) => vec![e],
-                        (_, Some(share)) => pick(&mut rng, endpoints.len(), share),
-                        _ => (0..endpoints.len())
-                            .filter(|&e| of(&endpoints[e]))
-                            .collect(),
-                    };
-                    script.push((
-                        from,
-                        Moment::Strike {
-                            trouble: i,
-                            endpoints: struck.clone(),
-                        },
-                    ));
-                    script.push((
-                        to,
-                        Moment::Lift {
-                            trouble: i,
-                            endpoints: struck,
-                        },
-                    ));
-                }
-            }
-        }
+        let (endpoints, gates) = endpoints_and_gates(spec, &parts, &kind_of, &paces);
+        let (mut script, hot) = script(spec, &endpoints, &mut rng);
         script.sort_by_key(|(at, _)| *at);
         let load_until = START + secs(spec.run.seconds);
         let longest = spec
@@ -259,8 +319,8 @@
         }
     }
 
-    /// Slots of one dispatcher: what its part of the load keeps busy, times what the experiment says.
-    pub fn slots(&self) -> usize {
+    /// Attempts that one dispatcher has in flight at most: what its part of the load needs, times the experiment's factor.
+    pub fn max_in_flight(&self) -> usize {
         let d = &self.spec.dispatchers;
         let busy: f64 = self
             .endpoints
@@ -271,14 +331,15 @@
             .unwrap_or(((busy * d.slots_times / d.count as f64).ceil() as usize).max(2))
     }
 
-    pub fn hold(&self) -> usize {
+    /// Messages that one dispatcher holds at most.
+    pub fn queue_capacity(&self) -> usize {
         let d = &self.spec.dispatchers;
         d.hold
             .unwrap_or(((self.spec.load.rate * d.hold_s / d.count as f64).ceil() as usize).max(16))
     }
 
-    /// What the decisions of one dispatcher are told at its start.
-    pub fn boot_facts(&self, dispatcher: usize, start: u32) -> Settings {
+    /// The settings of one dispatcher's decisions at one of its starts.
+    pub fn dispatcher_settings(&self, dispatcher: usize, start: u32) -> Settings {
         let (d, r) = (&self.spec.dispatchers, &self.spec.rules);
         let class = |c: &Class| ClassSettings {
             priority_weight: c.importance,
@@ -286,15 +347,15 @@
             lifetime: ms(c.lifetime_ms),
             late_value_share: c.late_share,
             semantics: match c.repeat {
-                RepeatWord::Redeliverable => DeliverySemantics::Idempotent,
-                RepeatWord::Tagged => DeliverySemantics::IdempotencyKey {
+                Repeat::Redeliverable => DeliverySemantics::Idempotent,
+                Repeat::Tagged => DeliverySemantics::IdempotencyKey {
                     window: ms(c.window_ms),
                     scope: match c.same_zone {
                         true => DeduplicationScope::Zone,
                         false => DeduplicationScope::Destination,
                     },
                 },
-                RepeatWord::OnceOnly => DeliverySemantics::AtMostOnce,
+                Repeat::OnceOnly => DeliverySemantics::AtMostOnce,
             },
             ordered: c.ordered_keys > 0,
         };
@@ -306,8 +367,8 @@
             per_endpoint_limits: self.spec.kinds.iter().map(|k| k.apart).collect(),
             max_batch: vec![],
             value_decay: ValueDecay::Halving,
-            max_in_flight: self.slots(),
-            queue_capacity: self.hold(),
+            max_in_flight: self.max_in_flight(),
+            queue_capacity: self.queue_capacity(),
             caller_admission: false,
             max_attempts: d.max_connects,
             connect_timeout: ms(d.connect_timeout_ms),
@@ -322,6 +383,7 @@
         }
     }
 
+    /// What the draws of one dispatcher's decisions start from.
     pub fn dispatcher_seed(&self, dispatcher: usize, start: u32) -> u64 {
         Pcg64Mcg::seed_from_u64(self.seed ^ ((dispatcher as u64 + 1) << 20) ^ u64::from(start))
             .random()
