--- a/crates/testbed/src/capacity/model/rows.rs
+++ b/crates/testbed/src/capacity/model/rows.rs
@@ -139,7 +139,7 @@
 
 const SCOPED: Mechanism = Mechanism::InPlace {
     name: "scoped configuration",
-    file: "placement/, directory/, controlplane/, crates/discovery-client/src/scoped_list.rs",
+    file: "crates/placement, crates/directory, crates/control-plane, crates/discovery-client",
 };
 const ROUTED: Mechanism = Mechanism::NoneYet {
     wanted: "messages routed to a holder of their destination",
@@ -262,7 +262,7 @@
             budget: Some(|b, _| b.message_cores),
             mechanism: Mechanism::InPlace {
                 name: "an index of destinations",
-                file: "crates/daemon/src/endpoints.rs",
+                file: "crates/daemon/src/endpoint/",
             },
             rests_on: Some(RowId::ConfigurationMemory),
             ..row
@@ -278,7 +278,7 @@
             budget: Some(|b, _| b.message_cores),
             mechanism: Mechanism::InPlace {
                 name: "messages are looked through on the way out alone",
-                file: "crates/daemon/src/event_loop.rs, Daemon::may_end",
+                file: "crates/daemon/src/shutdown.rs, Shutdown::is_quiet",
             },
             ..row
         },
@@ -331,8 +331,8 @@
             },
             budget: Some(|b, _| b.control_cores),
             mechanism: Mechanism::InPlace {
-                name: "Daemon::list",
-                file: "crates/daemon/src/event_loop.rs",
+                name: "Delivery::apply_list",
+                file: "crates/daemon/src/delivery/configuration.rs",
             },
             ..row
         },
@@ -521,7 +521,7 @@
             value: |i| i.size.backlog_per_dispatcher(),
             mechanism: Mechanism::InPlace {
                 name: "the decisions and the daemon",
-                file: "crates/daemon/src/messages.rs",
+                file: "crates/daemon/src/delivery/",
             },
             ..row
         },
@@ -589,7 +589,7 @@
             value: |i| i.size.messages_per_second / i.size.destinations,
             mechanism: Mechanism::InPlace {
                 name: "calls",
-                file: "crates/daemon/src/endpoints.rs",
+                file: "crates/daemon/src/endpoint/",
             },
             ..row
         },
@@ -653,7 +653,7 @@
             value: |i| i.size.messages_per_dispatcher(),
             mechanism: Mechanism::InPlace {
                 name: "clients",
-                file: "crates/daemon/src/clients.rs",
+                file: "crates/daemon/src/client/",
             },
             ..row
         },
@@ -666,7 +666,7 @@
             value: |i| i.all_message_cores(),
             mechanism: Mechanism::InPlace {
                 name: "a full hold is answered -BUSY; full cores are not",
-                file: "crates/core/src/control.rs, Dispatcher::admits",
+                file: "crates/core/src/control/admission.rs, Dispatcher::admits",
             },
             ..row
         },
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod capacity;
 pub mod command_line;
 pub mod compare;
+pub mod cost;
 pub mod experiment;
 pub mod hollow;
 pub mod ledger;
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -2,8 +2,9 @@
 
 use super::curves::{a_second, by_dispatcher, curve, latency, nines, over_time, time};
 use super::plot::{Chart, Line, Span};
+use crate::cost::Usage;
 use crate::measure::Point;
-use crate::run::{RunLine, Usage};
+use crate::run::RunLine;
 use crate::world::time::START;
 
 /// What the charts over time have in common.
--- a/crates/testbed/src/report/curves.rs
+++ b/crates/testbed/src/report/curves.rs
@@ -1,8 +1,9 @@
 //! Curves: what runs measured, as points of a chart.
 
 use super::plot::Line;
+use crate::cost::Usage;
 use crate::measure::{BUCKET, Point, Spread};
-use crate::run::{RunLine, Usage};
+use crate::run::RunLine;
 
 /// More dispatchers than these are drawn as the least, the middle and the most of all.
 const EACH_DRAWN: usize = 8;
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -13,10 +13,10 @@
 mod tasks;
 
 use crate::audit::{Slack, Verdict};
+use crate::cost::Cost;
 use crate::ledger::Ledger;
 use crate::load::{Arrival, Arrivals};
 use crate::measure::Results;
-use crate::run::Cost;
 use crate::world::plan::Plan;
 use crate::world::time::{S, START};
 use crate::world::{Effect, ReturnLoad, World};
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -3,8 +3,8 @@
 use super::config::config;
 use super::state::{DispatcherProcess, Pool, Shared};
 use super::{clients, platform};
+use crate::cost::Usage;
 use crate::record::Observation;
-use crate::run::Usage;
 use crate::world::plan::DispatcherSignal;
 use crate::world::time::START;
 use anyhow::{Context, Result};
--- a/crates/testbed/src/sockets/state.rs
+++ b/crates/testbed/src/sockets/state.rs
@@ -1,10 +1,10 @@
 //! The state that all tasks of a run share.
 
 use super::net::Net;
+use crate::cost::Usage;
 use crate::ledger::Ledger;
 use crate::load::Arrival;
 use crate::record::{CallNumber, Observation};
-use crate::run::Usage;
 use crate::world::time::START;
 use crate::world::{Answer, CallId, ConnId, Effect, ListState, Reachability, World};
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
--- a/crates/testbed/src/spec/format.rs
+++ b/crates/testbed/src/spec/format.rs
@@ -155,7 +155,7 @@
     #[serde(default = "defaults::queue")]
     pub queue: f64,
     /// Whether there is a limit, and how it counts.
-    #[serde(default = "defaults::no_limit")]
+    #[serde(default = "no_limit")]
     pub limit: LimitForm,
     /// The limit as a multiple of the destination's part of the load.
     #[serde(default = "defaults::headroom")]
@@ -433,3 +433,7 @@
     /// Whether what it affected comes back cold; else as its kind does.
     pub cold: Option<bool>,
 }
+
+fn no_limit() -> LimitForm {
+    LimitForm::None
+}
--- a/crates/testbed/src/spec/mod.rs
+++ b/crates/testbed/src/spec/mod.rs
@@ -3,6 +3,7 @@
 mod check;
 mod defaults;
 mod format;
+mod section_defaults;
 
 pub use check::check;
 pub use format::{
