--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,11 +1,11 @@
 //! A dispatcher's list when the control processes that it watches fail.
 
-mod common;
-
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_discovery_client::ScopedList;
 use bellsill_placement::{Layout, RegionName, ZoneName};
-use common::{Place, Watch, entries, entry};
+use bellsill_test_support::control_client::Watch;
+use bellsill_test_support::control_process::Place;
+use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     let mut watch = Watch::open(address, &list.query("north-a"));
     let mut gained = 0;
     while list.version().0 < version || list.complete_buckets().count() < 8 {
-        let line = watch.next().expect("a line");
+        let line = watch.next_line().expect("a line");
         gained += list
             .apply(line)
             .expect("a line that can be applied")
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_dispatcher_continues_at_another_control_process_without_a_complete_transfer() {
-    let places = [Place::new(), Place::new(), Place::new()];
+    let places = [Place::reserve(), Place::reserve(), Place::reserve()];
     let states = [(); 3].map(|()| tempfile::tempdir().expect("a directory"));
     let leader = places[0].start_leader(states[0].path());
     leader.declare();
@@ -70,7 +70,7 @@
     let mut behind = Watch::open(places[1].address, &list.query("north-a"));
     let leader = places[0].start_leader(states[0].path());
     first.wait_for_version(version);
-    let line = behind.next().expect("a line");
+    let line = behind.next_line().expect("a line");
     assert!(
         line.gained.is_empty() && line.version.0 == version,
         "nothing older is told: {line:?}"
--- a/crates/control-plane/tests/replication.rs
+++ b/crates/control-plane/tests/replication.rs
@@ -1,15 +1,15 @@
 //! Restarts, followers, presence of members, and a leader that sends invalid lines.
 
-mod common;
-
 use bellsill_directory::line::EndpointState::{Draining, Up};
-use common::{Place, Watch, entries, entry, ids, request};
+use bellsill_test_support::control_client::{Watch, ids, request};
+use bellsill_test_support::control_process::Place;
+use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
 #[test]
 fn a_restarted_leader_continues_its_versions() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..250, Up));
@@ -22,7 +22,7 @@
     assert_eq!(leader.write(&entry(7, Draining)), version + 1);
     let query = format!("since={version}&log={log}&dispatcher=north-a&buckets=0,1,2,3,4,5,6,7");
     let mut watch = Watch::open(place.address, &query);
-    let first = watch.next().expect("a line");
+    let first = watch.next_line().expect("a line");
     assert!(first.gained.is_empty() && first.log == log);
     assert_eq!(ids(&[first]), ["endpoint-7"]);
     assert_eq!(leader.metrics()["watches_told_anew"], 0);
@@ -30,9 +30,9 @@
 
 #[test]
 fn a_follower_serves_watches_like_the_leader_and_rejects_writes() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let (follower_place, follower_state) =
-        (Place::new(), tempfile::tempdir().expect("a directory"));
+        (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
@@ -59,9 +59,9 @@
 
 #[test]
 fn a_disconnected_follower_catches_up_without_a_transfer() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let (follower_place, follower_state) =
-        (Place::new(), tempfile::tempdir().expect("a directory"));
+        (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
@@ -81,9 +81,9 @@
 
 #[test]
 fn a_restarted_follower_serves_watches_without_the_leader() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let (follower_place, follower_state) =
-        (Place::new(), tempfile::tempdir().expect("a directory"));
+        (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let follower = follower_place.start_follower(follower_state.path(), place.address);
     let (status, _) = request(
         follower_place.address,
@@ -105,9 +105,9 @@
 
 #[test]
 fn a_follower_replaces_another_history_and_restarts_its_watches() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let (follower_place, follower_state) =
-        (Place::new(), tempfile::tempdir().expect("a directory"));
+        (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
@@ -121,7 +121,7 @@
     leader.declare();
     leader.write(&entries(100..110, Up));
     follower.wait_for("the other history", |metrics| metrics["entries"] == 10);
-    while watch.next().is_some() {}
+    while watch.next_line().is_some() {}
     let query = format!("since={version}&log={log}&dispatcher=north-a&buckets=0,1,2,3,4,5,6,7");
     let mut watch = Watch::open(follower_place.address, &query);
     let lines = watch.until_filled(8);
@@ -132,9 +132,9 @@
 
 #[test]
 fn a_member_without_a_watch_is_absent_until_it_returns() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let (follower_place, follower_state) =
-        (Place::new(), tempfile::tempdir().expect("a directory"));
+        (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start(
         state.path(),
         "role = \"writer\"",
@@ -168,9 +168,9 @@
 
 #[test]
 fn a_leader_without_followers_declares_no_member_absent_until_one_returns() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let (follower_place, follower_state) =
-        (Place::new(), tempfile::tempdir().expect("a directory"));
+        (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start(
         state.path(),
         "role = \"writer\"",
@@ -199,12 +199,12 @@
 
 /// Sends lines as a leader to a follower that has a configuration; its metrics once it has rejected them.
 fn metrics_after_rejection(lines: &[Vec<u8>]) -> serde_json::Value {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let follower_state = tempfile::tempdir().expect("a directory");
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
-    let follower_place = Place::new();
+    let follower_place = Place::reserve();
     let follower = follower_place.start_follower(follower_state.path(), place.address);
     follower.wait_for_version(version);
     follower.stop().expect("an end");
--- a/crates/control-plane/tests/serving.rs
+++ b/crates/control-plane/tests/serving.rs
@@ -1,16 +1,16 @@
 //! What a control process answers to dispatchers and operators.
 
-mod common;
-
 use bellsill_directory::line::EndpointState::{Draining, Removed, Up};
-use common::{Place, Watch, connect, entries, entry, ids, read_answer, request};
+use bellsill_test_support::control_client::{Watch, connect, ids, read_answer, request};
+use bellsill_test_support::control_process::Place;
+use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
 #[test]
 fn a_dispatcher_is_sent_its_buckets_and_then_changes() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     leader.write(&entries(0..40, Up));
@@ -20,19 +20,19 @@
     assert_eq!(lines[0].gained.len(), 8);
     assert_eq!(ids(&lines).len(), 40);
     let version = leader.write(&entry(7, Draining));
-    let line = watch.next().expect("a line");
+    let line = watch.next_line().expect("a line");
     assert_eq!(
         (line.version.0, ids(&[line])),
         (version, vec!["endpoint-7".to_string()])
     );
     let version = leader.write(&entry(7, Removed));
-    let line = watch.next().expect("a line");
+    let line = watch.next_line().expect("a line");
     assert_eq!((line.version.0, line.servers[0].state), (version, Removed));
 }
 
 #[test]
 fn changes_of_a_looked_up_destination_are_sent_until_it_is_forgotten() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     leader.write(&entries(0..40, Up));
@@ -52,12 +52,12 @@
         (200, Some(0))
     );
     leader.write(&entry(17, Draining));
-    assert_eq!(ids(&[watch.next().expect("a line")]), ["endpoint-17"]);
+    assert_eq!(ids(&[watch.next_line().expect("a line")]), ["endpoint-17"]);
     assert_eq!(look_up("dispatcher=south-a&forget=17").0, 200);
     leader.write(&entry(17, Up));
     look_up("dispatcher=south-a&cells=18");
     leader.write(&entry(18, Draining));
-    assert_eq!(ids(&[watch.next().expect("a line")]), ["endpoint-18"]);
+    assert_eq!(ids(&[watch.next_line().expect("a line")]), ["endpoint-18"]);
     let many: Vec<String> = (0..5000).map(|cell: u32| cell.to_string()).collect();
     assert_eq!(
         look_up(&format!("dispatcher=south-a&cells={}", many.join(","))).0,
@@ -111,7 +111,7 @@
 
 #[test]
 fn the_names_of_the_metrics_are_those_of_the_protocol() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     let metrics = leader.metrics();
     let names = |value: &serde_json::Value| -> BTreeSet<String> {
@@ -183,7 +183,7 @@
 
 #[test]
 fn invalid_requests_are_rejected_and_counted_and_change_nothing() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     let before = leader.metrics();
@@ -206,7 +206,7 @@
 
 #[test]
 fn heads_and_bodies_that_are_too_long_are_rejected() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let _writer = place.start_leader(state.path());
     let raw = |bytes: &[u8]| {
         let mut stream = connect(place.address);
@@ -235,7 +235,7 @@
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let _writer = place.start_leader(state.path());
     let mut stream = connect(place.address);
     let both =
@@ -249,7 +249,7 @@
 
 #[test]
 fn a_watcher_that_reads_nothing_is_closed() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start(
         state.path(),
         "role = \"writer\"",
@@ -268,12 +268,12 @@
 
 #[test]
 fn a_second_watch_of_a_dispatcher_closes_the_first() {
-    let (place, state) = (Place::new(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let leader = place.start_leader(state.path());
     leader.declare();
     let mut first = Watch::open(place.address, "since=0&dispatcher=north-a");
     let mut second = Watch::open(place.address, "since=0&dispatcher=north-a");
-    while first.next().is_some() {}
+    while first.next_line().is_some() {}
     second.until_filled(8);
     assert_eq!(leader.metrics()["watchers"], 1);
 }
--- a/crates/control-plane/tests/state_directory.rs
+++ b/crates/control-plane/tests/state_directory.rs
@@ -1,13 +1,12 @@
 //! The state directory: what is recovered, and what is rejected. Every kind of damage is in the tests of bellsill-config-log.
 
-mod common;
-
 use bellsill_config_log::ConfigLog;
 use bellsill_directory::entry::Endpoint;
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_directory::line::{EndpointEntry, Version};
 use bellsill_directory::record::{self, LoggedRecord, Record};
-use common::{Place, config_text, entries, entry};
+use bellsill_test_support::control_process::{Place, config_text};
+use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
@@ -57,7 +56,7 @@
 
 #[test]
 fn an_incomplete_last_record_is_dropped_and_its_version_is_used_again() {
-    let place = Place::new();
+    let place = Place::reserve();
     for cut in [1, 13, 100] {
         let (state, version) = state_with_log(&place);
         change(&log_file(state.path()), |bytes| {
@@ -76,7 +75,7 @@
 
 #[test]
 fn zero_bytes_after_the_log_are_dropped() {
-    let place = Place::new();
+    let place = Place::reserve();
     let (state, version) = state_with_log(&place);
     change(&log_file(state.path()), |bytes| bytes.extend([0; 4096]));
     let leader = place.start_leader(state.path());
@@ -85,7 +84,7 @@
 
 #[test]
 fn a_damaged_log_is_rejected_and_left_unchanged() {
-    let place = Place::new();
+    let place = Place::reserve();
     let (state, _) = state_with_log(&place);
     let good = fs::read(log_file(state.path())).expect("a log");
     for offset in [0, 5, 40, good.len() / 2] {
@@ -108,7 +107,7 @@
 
 #[test]
 fn records_that_cannot_be_decoded_or_do_not_follow_are_rejected() {
-    let place = Place::new();
+    let place = Place::reserve();
     let (state, version) = state_with_log(&place);
     for skipped in [0, 2] {
         let (state, version) = state_with_log(&place);
@@ -133,7 +132,7 @@
 
 #[test]
 fn a_truncated_only_snapshot_is_rejected() {
-    let place = Place::new();
+    let place = Place::reserve();
     let (state, _) = state_with_log(&place);
     let snapshot = file(state.path(), "snapshot.");
     let good = fs::read(&snapshot).expect("a snapshot");
@@ -158,7 +157,7 @@
 
 #[test]
 fn an_unfinished_snapshot_is_ignored_and_counted() {
-    let place = Place::new();
+    let place = Place::reserve();
     let (state, version) = state_with_log(&place);
     fs::write(state.path().join("snapshot.99.tmp"), b"half").expect("a written file");
     let leader = place.start_leader(state.path());
@@ -174,7 +173,7 @@
 
 #[test]
 fn another_layout_and_a_second_process_are_rejected() {
-    let place = Place::new();
+    let place = Place::reserve();
     let (state, _) = state_with_log(&place);
     let other = place.start(state.path(), "role = \"writer\"", "").stop();
     other.expect("the same layout");
@@ -192,6 +191,6 @@
     assert!(error.to_string().contains("buckets_per_region"), "{error}");
     let first = place.start_leader(state.path());
     first.wait_for_version(1);
-    let error = start_error(&Place::new(), state.path());
+    let error = start_error(&Place::reserve(), state.path());
     assert!(error.contains("in use by another process"), "{error}");
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,9 +1,9 @@
 //! The log and the snapshot that an earlier version (c1890ee) has written are readable.
 
-mod common;
-
 use bellsill_directory::line::EndpointState;
-use common::{Place, Watch, entry};
+use bellsill_test_support::control_client::Watch;
+use bellsill_test_support::control_process::Place;
+use bellsill_test_support::endpoint_lines::entry;
 use std::path::Path;
 
 /// A state directory with the files of that version: a snapshot, and a log of five records after it.
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_snapshot_and_the_log_after_it_are_read() {
-    let place = Place::new();
+    let place = Place::reserve();
     let state = state_directory();
     let leader = place.start_leader(state.path());
     let metrics = leader.metrics();
--- /dev/null
+++ b/crates/test-support/src/control_process.rs
@@ -0,0 +1,170 @@
+//! Control processes that run in threads of the test.
+
+use crate::PATIENCE;
+use crate::control_client::request;
+use bellsill_control_plane::config::Config;
+use bellsill_control_plane::{Stop, process};
+use serde_json::Value;
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener};
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+/// Four dispatchers, one in each zone of [`config_text`], as lines for `POST /v2/members`.
+pub const MEMBERS: &str = "\
+{\"name\":\"north-a\",\"zone\":\"north-1\"}
+{\"name\":\"north-b\",\"zone\":\"north-2\"}
+{\"name\":\"south-a\",\"zone\":\"south-1\",\"weight\":1.0}
+{\"name\":\"south-b\",\"zone\":\"south-2\"}
+";
+
+/// An address that stays the same over restarts: the listener is kept open here.
+pub struct Place {
+    listener: TcpListener,
+    /// Where the processes started here listen.
+    pub address: SocketAddr,
+}
+
+impl Place {
+    /// Takes a free loopback port, on which nothing answers until a process is started.
+    pub fn reserve() -> Place {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
+        let address = listener.local_addr().expect("an address");
+        Place { listener, address }
+    }
+
+    /// Starts a process here, with more lines for its configuration.
+    pub fn start(&self, state: &Path, role: &str, more: &str) -> Running {
+        let config =
+            Config::parse(&config_text(self.address, state, role, more)).expect("a configuration");
+        let (wake, waker) = UnixStream::pair().expect("a pair of sockets");
+        let requested: Arc<AtomicBool> = Arc::default();
+        let stop = Stop {
+            wake,
+            requested: requested.clone(),
+        };
+        let listener = self.listener.try_clone().expect("a listener");
+        let thread = std::thread::spawn(move || {
+            process::run_on(listener, config, stop).map_err(|e| e.to_string())
+        });
+        Running {
+            address: self.address,
+            thread: Some(thread),
+            waker,
+            requested,
+        }
+    }
+
+    /// Starts the process that accepts writes.
+    pub fn start_leader(&self, state: &Path) -> Running {
+        self.start(state, "role = \"writer\"", "")
+    }
+
+    /// Starts a process that copies the log of the leader at that address.
+    pub fn start_follower(&self, state: &Path, leader: SocketAddr) -> Running {
+        self.start(
+            state,
+            &format!("role = \"follower\"\nwriter = \"{leader}\""),
+            "",
+        )
+    }
+}
+
+/// The text of a configuration file with two regions of two zones; `role` and `more` are lines of TOML.
+pub fn config_text(listen: SocketAddr, state: &Path, role: &str, more: &str) -> String {
+    let state = state.display();
+    format!(
+        "name = \"control\"\nlisten = \"{listen}\"\nstate = \"{state}\"\n{role}\nbuckets_per_region = 8\n{more}\n\
+         [[zones]]\nname = \"north-1\"\nregion = \"north\"\n[[zones]]\nname = \"north-2\"\nregion = \"north\"\n\
+         [[zones]]\nname = \"south-1\"\nregion = \"south\"\n[[zones]]\nname = \"south-2\"\nregion = \"south\"\n"
+    )
+}
+
+/// A control process that runs in a thread until it is stopped or dropped.
+pub struct Running {
+    /// Where it accepts requests.
+    pub address: SocketAddr,
+    thread: Option<JoinHandle<Result<(), String>>>,
+    waker: UnixStream,
+    requested: Arc<AtomicBool>,
+}
+
+impl Running {
+    /// Ends it, and waits until it has ended.
+    pub fn stop(mut self) -> Result<(), String> {
+        self.end()
+    }
+
+    /// Waits until it ends by itself.
+    pub fn ended(mut self) -> Result<(), String> {
+        self.thread
+            .take()
+            .expect("it runs")
+            .join()
+            .expect("no panic")
+    }
+
+    fn end(&mut self) -> Result<(), String> {
+        self.requested.store(true, Ordering::SeqCst);
+        // A process that has ended by itself has closed its side.
+        self.waker.write_all(b"x").ok();
+        self.thread
+            .take()
+            .map_or(Ok(()), |thread| thread.join().expect("no panic"))
+    }
+
+    /// The answer of `GET /v2/figures`.
+    pub fn metrics(&self) -> Value {
+        request(self.address, "GET", "/v2/figures", "").1
+    }
+
+    /// Polls the metrics until they are as wanted, and fails after [`PATIENCE`] with `what` as the reason.
+    pub fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+        let started = Instant::now();
+        loop {
+            let metrics = self.metrics();
+            if wanted(&metrics) {
+                return metrics;
+            }
+            assert!(
+                started.elapsed() < PATIENCE,
+                "{what} did not come: {metrics}"
+            );
+            std::thread::sleep(Duration::from_millis(20));
+        }
+    }
+
+    /// Waits until the process has applied the log up to this version.
+    pub fn wait_for_version(&self, version: u64) -> Value {
+        self.wait_for("the version", |metrics| {
+            metrics["version"].as_u64() >= Some(version)
+        })
+    }
+
+    /// Posts endpoint entries, one JSON object per line, and returns the version they got.
+    pub fn write(&self, body: &str) -> u64 {
+        let (status, answer) = request(self.address, "POST", "/api/targets", body);
+        assert_eq!(status, 200, "{answer}");
+        answer["version"].as_u64().expect("a version")
+    }
+
+    /// Declares the members, and waits until buckets are assigned to them.
+    pub fn declare(&self) {
+        let (status, answer) = request(self.address, "POST", "/v2/members", MEMBERS);
+        assert_eq!(status, 200, "{answer}");
+        self.wait_for("the assignment", |metrics| {
+            metrics["epoch"].as_u64() >= Some(1)
+        });
+    }
+}
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        // A test that expects an error calls `stop` or `ended`.
+        self.end().ok();
+    }
+}
