--- a/crates/daemon/tests/admin_and_configuration.rs
+++ b/crates/daemon/tests/admin_and_configuration.rs
@@ -1,8 +1,11 @@
 //! What operators do: the configuration, the log, admin requests.
 
-mod common;
-
-use common::*;
+use bellsill_test_support::admin::call_at;
+use bellsill_test_support::client::{Client, fresh, put};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use serde_json::json;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -74,7 +77,7 @@
 #[test]
 fn a_bad_configuration_ends_with_status_2_and_names_the_field() {
     for (place, value, named) in BAD_FIELDS {
-        let mut rig = Rig::new(&[]);
+        let mut rig = Rig::new(program!(), &[]);
         rig.json["settings"]["penalties"] = json!({"probe": 0.01});
         rig.json["settings"]["discovery"] = json!("pushed");
         rig.json["settings"]["family-info"]["per-call"] = json!([1]);
@@ -109,7 +112,7 @@
 #[test]
 fn a_log_that_nobody_reads_blocks_nothing() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     let mut command = rig.command("serve");
     command.stderr(Stdio::piped());
     rig.start_by(command);
@@ -150,7 +153,7 @@
         Endpoint::start(Does::Says("500 No")),
         Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
     );
-    let mut rig = Rig::new(&[(&sound, 7), (&failing, 8), (&shut, 9)]);
+    let mut rig = Rig::new(program!(), &[(&sound, 7), (&failing, 8), (&shut, 9)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.start();
     // Callers that say nothing, half a line, or too much hold nobody up.
@@ -204,7 +207,7 @@
 #[test]
 fn a_drained_dispatcher_is_not_ready_keeps_pending_messages_and_accepts_clients_again() {
     let (sound, hung) = (Endpoint::start(OK), Endpoint::start(Does::Hangs));
-    let mut rig = Rig::new(&[(&sound, 7), (&hung, 8)]);
+    let mut rig = Rig::new(program!(), &[(&sound, 7), (&hung, 8)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.start();
     let (mut idle, mut within, mut asks) = (rig.client(), rig.client(), rig.client());
@@ -263,7 +266,7 @@
 #[test]
 fn a_disabled_endpoint_stays_disabled_over_lists_restarts_and_upgrades() {
     let (a, b) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&a, 7), (&b, 7)]);
+    let mut rig = Rig::new(program!(), &[(&a, 7), (&b, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     // Left by a process that was stopped halfway: a line that is no id is skipped.
     std::fs::write(rig.folder.join("state/held-out"), "two words\ne0\n\n").unwrap();
@@ -326,7 +329,7 @@
 #[test]
 fn an_admin_address_that_cannot_be_bound_is_named() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["mgmt"] = taken.local_addr().unwrap().to_string().into();
     let end = rig.command("serve").output().unwrap();
     let text = String::from_utf8(end.stderr).unwrap();
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -1,8 +1,11 @@
 //! Attempts: which responses count as delivered, and connections that are established late or rejected.
 
-mod common;
-
-use common::*;
+use bellsill_test_support::client::{fresh, put};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK, entry, up};
+use bellsill_test_support::program;
+use bellsill_test_support::stand_in::{crowded, crowded_but_for, request};
+use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::json;
 use std::io::{BufReader, Read};
@@ -13,7 +16,7 @@
 fn a_response_that_is_not_http_is_a_reset_and_a_closed_connection_is_replaced() {
     let babbles = Does::Writes("no HTTP at all\r\n\r\n");
     let e = Endpoint::start(babbles);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
     for does in [babbles, Does::Breaks] {
@@ -37,7 +40,7 @@
 #[test]
 fn a_malformed_response_may_have_run_unless_its_status_line_is_a_success() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
     let relayed = [
@@ -89,7 +92,7 @@
 fn a_connection_established_after_the_deadline_gets_no_request() {
     let (slow, filler) = crowded();
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["known"]["servers"] = json!([entry]);
     rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     // The connection is kept, and closed when it has been idle that long.
@@ -120,7 +123,7 @@
     let addr = slow.local_addr().unwrap().to_string();
     let entry = |state: &str| entry("slow", &addr, 7, state);
     let second = Endpoint::start(OK);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["known"]["servers"] = json!([entry("up"), second.entry("second", 7, "up")]);
     rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     rig.start();
@@ -160,7 +163,7 @@
         Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
         Endpoint::start(Does::Says("410 Gone")),
     );
-    let mut rig = Rig::new(&[(&full, 8), (&open, 8)]);
+    let mut rig = Rig::new(program!(), &[(&full, 8), (&open, 8)]);
     for entry in rig.json["known"]["servers"].as_array_mut().unwrap() {
         entry["kind"] = "banks".into();
     }
@@ -184,7 +187,7 @@
         "503 Service Unavailable\r\nConnection: close",
     ));
     let open = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&full, 7), (&open, 7)]);
+    let mut rig = Rig::new(program!(), &[(&full, 7), (&open, 7)]);
     // In so large a fleet the wait after a refusal at their common limit would outlast every message.
     rig.json["settings"]["balancers"] = 100_000_000.into();
     rig.start();
@@ -211,7 +214,7 @@
 fn a_connection_established_after_the_idempotency_window_gets_no_retry() {
     let slow = crowded_but_for(1);
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["known"]["servers"] = json!([entry]);
     rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     rig.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
@@ -250,7 +253,7 @@
     let (old, filler) = crowded();
     let moved = Endpoint::start(OK);
     let entry = |addr: String| up("e0", &addr, 7);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["known"]["servers"] = json!([entry(old.local_addr().unwrap().to_string())]);
     rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     rig.start();
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -1,8 +1,10 @@
 //! What clients see: answers in order, bad input, and who is closed when there are too many.
 
-mod common;
-
-use common::*;
+use bellsill_test_support::client::{Client, fresh, put};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -11,7 +13,7 @@
 #[test]
 fn split_and_pipelined_input_is_answered_in_order_and_delivered() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let (mut client, a, b) = (rig.client(), fresh(), fresh());
     let mut input = b"PING\r\n".to_vec();
@@ -54,7 +56,7 @@
 #[test]
 fn bad_input_is_answered_and_stops_nothing() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
     let id = fresh();
@@ -120,7 +122,7 @@
 #[test]
 fn a_message_whose_client_has_closed_its_side_is_not_accepted() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let (mut client, id) = (rig.client(), fresh());
     assert_eq!(client.says(b"PING\r\n"), "+PONG");
@@ -143,7 +145,7 @@
 #[test]
 fn clients_that_send_nothing_or_half_a_request_are_closed_and_starve_nobody() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["limits"]["sockets"] = json!(64);
     rig.start();
     let whole = put(&fresh(), "c=notice,d=8000,k=a,dest=7", "x");
@@ -174,7 +176,7 @@
 #[test]
 fn a_client_whose_request_has_arrived_is_not_closed_for_another() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["limits"]["sockets"] = json!(64);
     rig.start();
     let silent = rig.client();
@@ -209,7 +211,7 @@
 
 #[test]
 fn a_client_with_many_errors_is_closed_and_hundreds_of_commands_are_all_answered() {
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.start();
     let mut client = rig.client();
     client.to.write_all(&b"PING\r\n".repeat(500)).unwrap();
@@ -226,7 +228,7 @@
 #[test]
 fn clients_beyond_the_descriptors_wait_and_those_connected_are_served() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["limits"]["sockets"] = json!(64);
     rig.start();
     let mut client = rig.client();
@@ -249,7 +251,7 @@
 #[test]
 fn accepted_messages_keep_their_place_and_a_hung_destination_leaves_capacity_for_others() {
     let (hung, sound) = (Endpoint::start(Does::Hangs), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&hung, 7), (&sound, 9)]);
+    let mut rig = Rig::new(program!(), &[(&hung, 7), (&sound, 9)]);
     rig.start();
     let mut client = rig.client();
     let put_in = |client: &mut Client, cell: u64| {
@@ -278,7 +280,7 @@
 #[test]
 fn a_request_that_crosses_the_close_is_not_accepted_and_resets_nothing() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.start();
     let mut resting = rig.client();
--- a/crates/daemon/tests/control_plane_processes.rs
+++ b/crates/daemon/tests/control_plane_processes.rs
@@ -1,10 +1,10 @@
 //! Three dispatchers and three control processes: killed, suspended and resumed, and partitioned. Each test waits for what
 //! has to happen, and asserts no times.
 
-mod common;
-
-use common::installation::Installation;
-use common::*;
+use bellsill_test_support::endpoint::{Endpoint, OK};
+use bellsill_test_support::installation::Installation;
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 
 /// Some of these are in buckets that a dispatcher holds, the others it looks up.
@@ -13,7 +13,7 @@
 #[test]
 fn every_dispatcher_delivers_to_every_destination_and_follows_changes() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let installation = Installation::start();
+    let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "as first written");
     let looked_up: u64 = installation
@@ -29,7 +29,7 @@
 #[test]
 fn a_killed_control_process_is_replaced_by_another_and_rejoins() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut installation = Installation::start();
+    let mut installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "with all three");
     installation.control[1].kill();
@@ -44,7 +44,7 @@
 #[test]
 fn a_suspended_control_process_is_left_for_another_one() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let installation = Installation::start();
+    let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "with all three");
     for process in &installation.control[1..] {
@@ -62,7 +62,7 @@
 #[test]
 fn a_suspended_dispatcher_resumes_from_its_version() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let installation = Installation::start();
+    let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "before");
     installation.dispatchers[0].rig.signal(Signal::STOP);
@@ -75,7 +75,7 @@
 #[test]
 fn a_partitioned_dispatcher_serves_what_it_has_and_catches_up_afterwards() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let installation = Installation::start();
+    let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "before the cut");
     let cut_off = &installation.dispatchers[0];
@@ -92,7 +92,7 @@
 #[test]
 fn with_all_control_processes_killed_a_dispatcher_restarts_with_its_scope_file() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut installation = Installation::start();
+    let mut installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "before");
     wait_for("the list to be saved", || {
--- a/crates/daemon/tests/disconnects_and_restarts.rs
+++ b/crates/daemon/tests/disconnects_and_restarts.rs
@@ -1,9 +1,12 @@
 //! What is still pending when something ends: descriptors, a process, a client, a watch, a connection.
 
-mod common;
-
 use bellsill_daemon::journal::Recovered;
-use common::*;
+use bellsill_test_support::client::{Client, fresh, put};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK, up};
+use bellsill_test_support::program;
+use bellsill_test_support::stand_in::{accept, crowded, request};
+use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -185,7 +188,7 @@
 #[test]
 fn at_the_client_limit_attempts_admin_requests_notifications_and_the_watch_have_descriptors() {
     let (sound, failing) = (Endpoint::start(OK), Endpoint::start(Does::Says("500 Oops")));
-    let mut rig = Rig::new(&[(&sound, 7), (&failing, 8)]);
+    let mut rig = Rig::new(program!(), &[(&sound, 7), (&failing, 8)]);
     let discovery = nobody(&rig, 7100);
     rig.json["discovery"] = discovery.clone().into();
     rig.json["limits"]["sockets"] = json!(32);
@@ -239,7 +242,7 @@
 #[test]
 fn accepted_messages_without_an_attempt_are_attempted_by_the_next_process() {
     let sound = Endpoint::start(OK);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     // One endpoint refuses connections, at the other none comes up.
     let (refuses, (hangs, _filler)) = (nobody(&rig, 7200), crowded());
     let hangs = hangs.local_addr().unwrap().to_string();
@@ -276,7 +279,7 @@
 #[test]
 fn each_accepted_message_of_a_client_that_floods_and_disconnects_ends_once() {
     let sound = Endpoint::start(OK);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     let addr = nobody(&rig, 7200);
     rig.json["known"]["servers"] = json!([up("e0", &addr, 7), up("e1", &addr, 8)]);
     rig.start();
@@ -328,7 +331,7 @@
 #[test]
 fn a_notification_whose_answer_was_lost_is_sent_by_the_next_process_until_acknowledged() {
     let failing = Endpoint::start(Does::Says("500 Oops"));
-    let mut rig = Rig::new(&[(&failing, 7)]);
+    let mut rig = Rig::new(program!(), &[(&failing, 7)]);
     let mut old = Place::start();
     rig.json["discovery"] = old.addr.clone().into();
     rig.start();
@@ -372,7 +375,7 @@
         Endpoint::start(OK),
     );
     let old = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut rig = Rig::new(&[(&known, 7)]);
+    let mut rig = Rig::new(program!(), &[(&known, 7)]);
     rig.json["discovery"] = old.local_addr().unwrap().to_string().into();
     rig.start();
     let mut watch = accept(&old);
@@ -434,7 +437,7 @@
 #[test]
 fn an_idle_connection_that_received_half_a_line_is_not_reused() {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["known"]["servers"] =
         json!([up("e0", &endpoint.local_addr().unwrap().to_string(), 7)]);
     rig.start();
@@ -489,7 +492,7 @@
 #[test]
 fn an_attempt_in_flight_at_sigkill_is_retried_only_where_its_class_allows() {
     let hung = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&hung, 7)]);
+    let mut rig = Rig::new(program!(), &[(&hung, 7)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     rig.start();
     let mut client = rig.client();
@@ -517,7 +520,7 @@
 #[test]
 fn an_attempt_with_an_idempotency_key_in_flight_at_sigkill_is_not_retried_after_its_window() {
     let hung = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&hung, 7)]);
+    let mut rig = Rig::new(program!(), &[(&hung, 7)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(1_000_000_000);
     rig.start();
     let id = rig.client().message("notice", 7, 19_000, "x");
--- a/crates/daemon/tests/discovery_watch.rs
+++ b/crates/daemon/tests/discovery_watch.rs
@@ -1,8 +1,12 @@
 //! The watch on discovery: followed over breaks, and moved on SIGHUP.
 
-mod common;
-
-use common::*;
+use bellsill_test_support::client::{fresh, put};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK, up};
+use bellsill_test_support::platform::Platform;
+use bellsill_test_support::program;
+use bellsill_test_support::stand_in::{accept, request};
+use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -12,7 +16,7 @@
 #[test]
 fn the_watch_is_followed_over_split_lines_bad_lines_and_disconnects() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&first, 7)]);
+    let mut rig = Rig::new(program!(), &[(&first, 7)]);
     rig.start();
     let mut client = rig.client();
     let tell = |version: u64, entries: Vec<Value>| {
@@ -60,7 +64,7 @@
 #[test]
 fn an_endpoint_listed_twice_gets_no_new_message_if_it_drains() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&first, 7), (&second, 7)]);
+    let mut rig = Rig::new(program!(), &[(&first, 7), (&second, 7)]);
     let servers = rig.json["known"]["servers"].as_array_mut().unwrap();
     let drains = first.entry("e0", 7, "draining");
     servers.insert(0, drains);
@@ -85,7 +89,7 @@
         TcpListener::bind("127.0.0.1:0").unwrap(),
         Endpoint::start(OK),
     );
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.json["known"]["servers"] = vec![up("e0", &old.local_addr().unwrap().to_string(), 7)].into();
     rig.start();
@@ -114,7 +118,7 @@
 
 #[test]
 fn a_silent_watch_is_reopened_from_its_last_version() {
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.start();
     rig.platform.tell(&format!(
         "{}\n",
@@ -134,7 +138,7 @@
 #[test]
 fn on_sighup_discovery_is_relocated_and_a_bad_configuration_is_rejected() {
     let (failing, other) = (Endpoint::start(Does::Says("500 Oops")), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&failing, 7)]);
+    let mut rig = Rig::new(program!(), &[(&failing, 7)]);
     rig.platform.deaf.store(true, Ordering::SeqCst);
     rig.start();
     rig.platform.tell(&format!(
@@ -209,7 +213,7 @@
 #[test]
 fn the_watch_is_opened_before_the_first_client_is_answered() {
     let (discovery, addr) = by_hand();
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["discovery"] = addr;
     rig.json["settings"]["balancers"] = json!(300);
     // Elsewhere it may take half of the grace.
@@ -222,7 +226,7 @@
 #[test]
 fn a_watch_whose_line_never_ends_is_reopened() {
     let (discovery, addr) = by_hand();
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["discovery"] = addr;
     rig.start();
     let (mut first, _) = next_watch(&discovery);
@@ -254,7 +258,7 @@
 fn a_slow_watch_request_is_kept_beside_a_second_one_and_the_first_to_answer_is_used() {
     let (discovery, addr) = by_hand();
     let endpoint = Endpoint::start(OK);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["discovery"] = addr;
     rig.start();
     let (mut first, _) = next_watch(&discovery);
@@ -275,7 +279,7 @@
 #[test]
 fn an_indented_list_is_read_and_a_truncated_one_hides_none_after_it() {
     let endpoint = Endpoint::start(OK);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.start();
     let list = |version: u64, servers: Value| json!({"version": version, "full": true, "servers": servers});
     let text =
--- a/crates/daemon/tests/failing_folder.rs
+++ b/crates/daemon/tests/failing_folder.rs
@@ -1,14 +1,13 @@
 //! The state folder fails temporarily: writes fail completely or half, and the process is killed in between.
 
-mod common;
-
-use common::faults::{EIO, ENOSPC, words};
-use common::soak::{Scenario, World, assert_kept};
+use bellsill_test_support::faults::{EIO, ENOSPC, words};
+use bellsill_test_support::program;
+use bellsill_test_support::soak::{Scenario, World, assert_kept};
 use std::time::Duration;
 
 /// Plays failing writes with kills among them, and checks that some writes did fail.
 fn play_failing_writes(seed: u64, half_written: bool) {
-    let mut world = World::start(Scenario::new(seed));
+    let mut world = World::start(program!(), Scenario::new(seed));
     for round in 0..8 {
         let healthy = world.draw_ms(200..900);
         world.play(healthy);
--- a/crates/daemon/tests/graceful_shutdown.rs
+++ b/crates/daemon/tests/graceful_shutdown.rs
@@ -1,8 +1,10 @@
 //! A dispatcher that shuts down on SIGTERM, alone or for a new version, loses no message.
 
-mod common;
-
-use common::*;
+use bellsill_test_support::client::{Client, connect, fresh, put};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
@@ -14,7 +16,7 @@
 #[test]
 fn on_sigterm_pending_messages_are_sent_and_clients_are_closed_between_requests() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.7"));
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
     let held = client.message("notice", 7, 20_000, "held");
@@ -53,7 +55,7 @@
 #[test]
 fn on_sigterm_connected_clients_are_served_when_no_new_ones_are_accepted() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
     client.message("notice", 7, 8000, "before");
@@ -72,7 +74,7 @@
 #[test]
 fn on_sigterm_an_attempt_without_a_response_delays_nothing() {
     let e = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let once = rig.client().message("payment", 7, 20_000, "x");
     wait_for("the call", || e.calls().len() == 1);
@@ -119,7 +121,7 @@
 #[test]
 fn a_new_version_takes_over_under_load_and_each_message_is_delivered_once() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.json["settings"]["limits"]["max-open"] = json!(1000);
     rig.start();
--- a/crates/daemon/tests/guarantees.rs
+++ b/crates/daemon/tests/guarantees.rs
@@ -1,9 +1,12 @@
 //! The guarantees of the pages in their strictest fair reading, each at its limit; `docs/terms-audit.md` lists them by row.
 
-mod common;
-
-use common::faults::{EINTR, EIO, ENOSPC, Faults, words};
-use common::*;
+use bellsill_test_support::client::{Client, connect, fresh, put};
+use bellsill_test_support::dispatcher_process::{OldProcess, Rig};
+use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::faults::{EINTR, EIO, ENOSPC, Faults, words};
+use bellsill_test_support::platform::Platform;
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -21,7 +24,7 @@
 #[test]
 fn an_endpoint_whose_destination_changes_gets_only_messages_of_the_new_one() {
     let (moving, staying) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&moving, 7), (&staying, 7)]);
+    let mut rig = Rig::new(program!(), &[(&moving, 7), (&staying, 7)]);
     rig.start();
     let before = rig.client().message("notice", 7, 8_000, "before");
     wait_for("the first message", || {
@@ -61,7 +64,7 @@
 #[test]
 fn a_request_with_a_duplicate_field_is_rejected() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
     for fields in [
@@ -83,7 +86,7 @@
 #[test]
 fn a_new_connection_is_closed_unread_and_half_a_request_gets_an_error() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let request = put(&fresh(), "c=notice,d=8000,k=a,dest=7", "x");
     let (mut silent, mut half) = (rig.client(), rig.client());
@@ -116,7 +119,7 @@
 #[test]
 fn a_start_waits_for_a_failing_state_folder_and_loses_nothing() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     let faults = Faults::new(&rig.folder, 1);
     rig.start_with(&faults);
     let held = rig.client().message("payment", 7, 20_000, "held");
@@ -153,7 +156,7 @@
 #[test]
 fn an_adopted_journal_that_was_not_emptied_is_not_adopted_again() {
     let hung = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&hung, 7)]);
+    let mut rig = Rig::new(program!(), &[(&hung, 7)]);
     let faults = Faults::new(&rig.folder, 1);
     rig.start_with(&faults);
     let mut client = rig.client();
@@ -183,7 +186,7 @@
 #[test]
 fn an_endpoint_is_disabled_though_the_list_cannot_be_written() {
     let (out, other) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&out, 7), (&other, 7)]);
+    let mut rig = Rig::new(program!(), &[(&out, 7), (&other, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     let faults = Faults::new(&rig.folder, 1);
     rig.start_with(&faults);
@@ -222,7 +225,7 @@
 #[test]
 fn an_endpoint_drains_though_the_rest_of_its_entry_is_unreadable() {
     let (draining, other) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&draining, 7), (&other, 7)]);
+    let mut rig = Rig::new(program!(), &[(&draining, 7), (&other, 7)]);
     rig.start();
     let mut client = rig.client();
     let entry = json!({"id": "e0", "state": "draining", "weight": "heavy"});
@@ -245,7 +248,7 @@
 #[test]
 fn a_message_of_a_class_removed_at_a_restart_fails_and_is_not_sent() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let held = rig.client().message("payment", 7, 20_000, "held");
     wait_for("a refusal", || rig.never_ran(&held));
@@ -270,7 +273,7 @@
     const LIMIT: u64 = 400_000;
     // Messages end soon, so that both journals are long with what is over.
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["limits"]["disk_mb"] = json!(LIMIT as f64 / 1e6);
     rig.start();
     let body = "x".repeat(30_000);
@@ -326,7 +329,7 @@
 #[test]
 fn an_interrupted_connect_is_not_a_failure() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     let faults = Faults::new(&rig.folder, 1);
     rig.start_with(&faults);
     faults.ask(words::CONNECT_ERRNO, EINTR);
@@ -346,7 +349,7 @@
 #[test]
 fn a_repeated_request_is_answered_and_not_accepted_again_after_its_message_has_ended() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let id = fresh();
     let request = put(&id, "c=payment,d=8000,dest=7", "once");
@@ -369,7 +372,7 @@
     let e = Endpoint::start(Does::Says(
         "429 Full\r\nRetry-After: 1.5\r\nX-Over-Slots: 1",
     ));
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let mut client = rig.client();
     client.message("notice", 7, 8_000, "first");
@@ -389,7 +392,7 @@
 #[test]
 fn a_start_waits_for_its_listeners() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     let faults = Faults::new(&rig.folder, 1);
     faults.ask(words::SOCKET_PERMILLE, 1_000);
@@ -413,7 +416,7 @@
 fn a_retry_after_outlasts_a_change_of_its_endpoint_s_entry() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 2"));
     let other = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["known"]["servers"][0]["kind"] = json!("banks");
     rig.start();
     let mut client = rig.client();
@@ -442,7 +445,7 @@
 #[test]
 fn of_several_configurations_in_quick_succession_the_last_counts() {
     let (leaving, staying) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(&[(&leaving, 7), (&staying, 7)]);
+    let mut rig = Rig::new(program!(), &[(&leaving, 7), (&staying, 7)]);
     rig.start();
     let platforms: Vec<Platform> = (0..4).map(|_| Platform::start()).collect();
     for platform in &platforms {
@@ -483,7 +486,7 @@
 #[test]
 fn messages_of_one_key_are_sent_in_order_over_a_restart() {
     let e = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.4"));
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.json["settings"]["services"][0]["in-turn"] = json!(true);
     rig.start();
     let mut client = rig.client();
@@ -518,7 +521,7 @@
 #[test]
 fn a_value_of_sixty_megabytes_is_rejected_in_time() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&e, 7)]);
+    let mut rig = Rig::new(program!(), &[(&e, 7)]);
     rig.start();
     let began = Instant::now();
     let mut huge = rig.client();
--- a/crates/daemon/tests/journal.rs
+++ b/crates/daemon/tests/journal.rs
@@ -1,9 +1,11 @@
 //! What the journal carries over a kill to the next process or to one beside it, and its disk quota.
 
-mod common;
-
 use bellsill_daemon::journal::Recovered;
-use common::{Does, Endpoint, OK, Rig, fresh, put, wait_for};
+use bellsill_test_support::client::{fresh, put};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use serde_json::json;
 use std::sync::atomic::Ordering;
 
@@ -18,7 +20,7 @@
         Endpoint::start(Does::Hangs),
         Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
     );
-    let mut rig = Rig::new(&[(&hanging, 7), (&full, 8)]);
+    let mut rig = Rig::new(program!(), &[(&hanging, 7), (&full, 8)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     rig.start();
     let mut client = rig.client();
@@ -79,7 +81,7 @@
 fn a_notification_is_pending_until_the_platform_confirms_it() {
     let failing = Endpoint::start(Does::Says("500 Oops"));
     let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
-    let mut rig = Rig::new(&[(&failing, 7), (&full, 99)]);
+    let mut rig = Rig::new(program!(), &[(&failing, 7), (&full, 99)]);
     rig.platform.deaf.store(true, Ordering::SeqCst);
     rig.start();
     let mut client = rig.client();
@@ -103,7 +105,7 @@
 #[test]
 fn a_second_process_in_a_folder_in_use_starts_and_adopts_its_messages() {
     let hanging = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&hanging, 7)]);
+    let mut rig = Rig::new(program!(), &[(&hanging, 7)]);
     rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     rig.start();
     let mut client = rig.client();
@@ -162,7 +164,7 @@
 #[test]
 fn the_disk_quota_is_kept_and_answered_with_busy() {
     let rejecting = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
-    let mut rig = Rig::new(&[(&rejecting, 7)]);
+    let mut rig = Rig::new(program!(), &[(&rejecting, 7)]);
     rig.json["limits"]["disk_mb"] = json!(0.4);
     rig.start();
     let mut client = rig.client();
--- a/crates/daemon/tests/preload/lib.rs
+++ b/crates/daemon/tests/preload/lib.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 #[path = "words.rs"]
-mod words;
+pub mod words;
 use words::{
     CONNECT_ERRNO, HALF_WRITTEN, KILL_AT_WRITE, MONOTONIC_SHIFT_SECONDS, OPEN_ERRNO, OPEN_FAULTS,
     PAGE_BYTES, RANDOM_STATE, READ_ERRNO, RENAME_ERRNO, SHORT_PERMILLE, SOCKET_FAULTS,
--- a/crates/daemon/tests/scoped_configuration.rs
+++ b/crates/daemon/tests/scoped_configuration.rs
@@ -1,9 +1,11 @@
 //! A dispatcher with a part of the configuration, from a control process that the test itself stands in for.
 
-mod common;
-
-use common::control::{BUCKETS, Control};
-use common::*;
+use bellsill_test_support::client::{fresh, put};
+use bellsill_test_support::control_stand_in::{BUCKETS, Control};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use std::path::PathBuf;
 use std::process::Command;
 
@@ -15,7 +17,7 @@
 
 impl ScopedRig {
     fn new(control: &[&str], cache_destinations: usize) -> ScopedRig {
-        let mut rig = Rig::new(&[]);
+        let mut rig = Rig::new(program!(), &[]);
         rig.json["mgmt"] = rig.mgmt_at(0).into();
         let installation = rig.folder.join("installation.toml");
         let addresses: Vec<String> = control.iter().map(|addr| format!("{addr:?}")).collect();
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -3,9 +3,8 @@
 //! `BELLSILL_SOAK_SEEDS=FIRST-LAST` plays other seeds than the few that CI plays, `BELLSILL_SOAK_SIDE_BY_SIDE=N` so many at
 //! once. A seed names its faults and its draws; threads and sockets of the machine take their own time all the same.
 
-mod common;
-
-use common::soak::{Fault, Scenario, World};
+use bellsill_test_support::program;
+use bellsill_test_support::soak::{Fault, Scenario, World};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
@@ -40,7 +39,7 @@
 fn play(seed: u64) -> Vec<String> {
     let mut random = Pcg64::seed_from_u64(seed);
     let faults = two_faults(&mut random);
-    let mut world = World::start(Scenario::with_faults(seed, &faults));
+    let mut world = World::start(program!(), Scenario::with_faults(seed, &faults));
     world.disturb_by(&faults);
     world.disturb_for(Duration::from_millis(random.random_range(800..2_000)));
     world.kill_while_disturbed();
--- a/crates/daemon/tests/stepped_clock.rs
+++ b/crates/daemon/tests/stepped_clock.rs
@@ -1,9 +1,10 @@
 //! The wall clock is stepped during a restart: deadlines and deduplication windows remain spans of real time.
 
-mod common;
-
-use common::faults::{Faults, words};
-use common::{Does, Endpoint, OK, Rig, wait_for};
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::faults::{Faults, words};
+use bellsill_test_support::program;
+use bellsill_test_support::wait::wait_for;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -19,7 +20,10 @@
     let recovering = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.5"));
     let rejecting = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
     let hanging = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&recovering, 7), (&rejecting, 8), (&hanging, 9)]);
+    let mut rig = Rig::new(
+        program!(),
+        &[(&recovering, 7), (&rejecting, 8), (&hanging, 9)],
+    );
     rig.json["settings"]["services"][0]["window-ns"] = json!(WINDOW.as_nanos() as u64);
     let faults = Faults::new(&rig.folder, 1);
     rig.start_with(&faults);
@@ -82,7 +86,7 @@
 fn after_a_reboot_the_wall_clock_measures_the_remaining_time() {
     let recovering = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.5"));
     let rejecting = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
-    let mut rig = Rig::new(&[(&recovering, 7), (&rejecting, 8)]);
+    let mut rig = Rig::new(program!(), &[(&recovering, 7), (&rejecting, 8)]);
     let faults = Faults::new(&rig.folder, 1);
     // The machine of the first process has run for longer than that of the second.
     faults.ask(words::MONOTONIC_SHIFT_SECONDS, 100_000);
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -1,11 +1,10 @@
 //! What an earlier version of the program (c1890ee) has written to the state folder is read by this one.
 
-mod common;
-
 use bellsill_core::interface::MessageId;
 use bellsill_daemon::admin::load_disabled;
 use bellsill_daemon::journal::{JournaledMessage, MessageJournal, Recovered, Resolution};
-use common::Rig;
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::program;
 use std::path::{Path, PathBuf};
 
 const DISK_BYTES: u64 = 10_000_000;
@@ -181,7 +180,7 @@
 
 #[test]
 fn the_scope_file_is_read() {
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     std::fs::copy(fixture("scope"), rig.folder.join("state/scope")).unwrap();
     let installation = rig.folder.join("installation.toml");
--- a/crates/daemon/tests/wire_bytes.rs
+++ b/crates/daemon/tests/wire_bytes.rs
@@ -1,10 +1,13 @@
 //! The exact bytes on every wire of the program, against what an earlier version of it wrote (`fixtures/wire`). Only
 //! addresses and what depends on the time are masked.
 
-mod common;
-
-use common::control::Control;
-use common::*;
+use bellsill_test_support::client::put;
+use bellsill_test_support::control_stand_in::Control;
+use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::endpoint::{Does, Endpoint, OK, up};
+use bellsill_test_support::program;
+use bellsill_test_support::stand_in::stand_in;
+use bellsill_test_support::wait::wait_for;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -98,7 +101,7 @@
 #[test]
 fn requests_to_endpoints_have_the_recorded_bytes() {
     let endpoint = RecordingServer::start(|_| "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     rig.json["known"]["servers"] = json!([up("e0", &endpoint.address, 7)]);
     rig.start();
     let mut client = rig.client();
@@ -124,7 +127,7 @@
 #[test]
 fn answers_to_clients_have_the_recorded_bytes() {
     let hung = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(&[(&hung, 7)]);
+    let mut rig = Rig::new(program!(), &[(&hung, 7)]);
     rig.json["settings"]["limits"]["max-open"] = json!(4);
     rig.start();
     let long = "x".repeat(2000);
@@ -182,7 +185,7 @@
     let failing = Endpoint::start(Does::Says("500 Oops"));
     let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
     let platform = RecordingServer::start(platform_answer);
-    let mut rig = Rig::new(&[(&failing, 7), (&full, 99)]);
+    let mut rig = Rig::new(program!(), &[(&failing, 7), (&full, 99)]);
     rig.json["discovery"] = platform.address.clone().into();
     rig.start();
     let mut client = rig.client();
@@ -209,7 +212,7 @@
 #[test]
 fn the_scoped_watch_has_the_recorded_bytes() {
     let control = RecordingServer::start(|_| WATCH_OPENED);
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     start_scoped(&mut rig, &control.address);
     assert_recorded("scoped_watch.txt", &control.request_with("follow=1"));
 }
@@ -217,7 +220,7 @@
 #[test]
 fn the_lookup_of_a_destination_has_the_recorded_query() {
     let control = Control::start();
-    let mut rig = Rig::new(&[]);
+    let mut rig = Rig::new(program!(), &[]);
     start_scoped(&mut rig, &control.addr);
     rig.client().says(&put(
         "00000000000000d1",
@@ -244,7 +247,7 @@
 #[test]
 fn answers_to_operators_have_the_recorded_bytes() {
     let endpoint = Endpoint::start(OK);
-    let mut rig = Rig::new(&[(&endpoint, 7)]);
+    let mut rig = Rig::new(program!(), &[(&endpoint, 7)]);
     rig.json["mgmt"] = rig.mgmt_at(0).into();
     rig.start();
     let long = "x".repeat(600);
--- a/crates/daemon/tests/common/control.rs
+++ b/crates/test-support/src/control_stand_in.rs
@@ -1,7 +1,8 @@
 //! A control process as far as a dispatcher sees it, in the test's own process: one whose answers a test can hold back. The
 //! dispatcher's region is that of zone `north`, whose four buckets it holds; all else has to be looked up.
 
-use super::{request, stand_in, wait_for};
+use crate::stand_in::{request, stand_in};
+use crate::wait::wait_for;
 use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
 use bellsill_placement::{BucketId, Epoch};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +12,7 @@
 use std::time::Duration;
 
 /// How many buckets a region has.
-pub(crate) const BUCKETS: u32 = 4;
+pub const BUCKETS: u32 = 4;
 /// The region's buckets come first among all.
 const HELD_ZONE: &str = "north";
 const LOG: &str = "c0ffee";
@@ -36,14 +37,17 @@
     lookup_queries: Vec<String>,
 }
 
+/// The stand-in, with what the test has it serve.
 #[derive(Clone)]
-pub(crate) struct Control {
-    pub(crate) addr: String,
+pub struct Control {
+    /// Where it listens.
+    pub addr: String,
     state: Arc<Mutex<State>>,
 }
 
 impl Control {
-    pub(crate) fn start() -> Control {
+    /// Starts it on a free port, with no endpoints.
+    pub fn start() -> Control {
         let state: Arc<Mutex<State>> = Arc::default();
         let served = Arc::clone(&state);
         let addr = stand_in(move |stream| serve(stream, &served));
@@ -51,7 +55,7 @@
     }
 
     /// Writes an endpoint, as `POST /api/targets` does.
-    pub(crate) fn write(&self, id: &str, addr: &str, zone: &str, destination: u64, up: bool) {
+    pub fn write(&self, id: &str, addr: &str, zone: &str, destination: u64, up: bool) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
         let entry = EndpointEntry {
@@ -73,34 +77,37 @@
     }
 
     /// Ends all watches; the next ones are served.
-    pub(crate) fn end_watches(&self) {
+    pub fn end_watches(&self) {
         self.state.lock().unwrap().epoch += 1;
     }
 
     /// Assigns the dispatcher's buckets to another one.
-    pub(crate) fn take_buckets_away(&self) {
+    pub fn take_buckets_away(&self) {
         self.state.lock().unwrap().taken_away = true;
     }
 
-    /// Tells a line that no dispatcher may take.
-    pub(crate) fn tell_whole_list(&self) {
+    /// Sends a line that no dispatcher may take: a snapshot in the middle of a watch.
+    pub fn tell_whole_list(&self) {
         self.state.lock().unwrap().whole_list_next = true;
     }
 
-    pub(crate) fn fail_lookups(&self, fail: bool) {
+    /// Whether lookups are answered 503 from now on.
+    pub fn fail_lookups(&self, fail: bool) {
         self.state.lock().unwrap().lookups_fail = fail;
     }
 
-    pub(crate) fn watch_queries(&self) -> Vec<String> {
+    /// The query of each watch so far.
+    pub fn watch_queries(&self) -> Vec<String> {
         self.state.lock().unwrap().watch_queries.clone()
     }
 
-    pub(crate) fn lookup_queries(&self) -> Vec<String> {
+    /// The query of each lookup so far, of failed ones too.
+    pub fn lookup_queries(&self) -> Vec<String> {
         self.state.lock().unwrap().lookup_queries.clone()
     }
 
     /// The query of the next watch after the first `seen` ones.
-    pub(crate) fn next_watch(&self, seen: usize) -> String {
+    pub fn next_watch(&self, seen: usize) -> String {
         wait_for("another watch", || self.watch_queries().len() > seen);
         self.watch_queries()[seen].clone()
     }
--- /dev/null
+++ b/crates/test-support/src/endpoint.rs
@@ -0,0 +1,124 @@
+//! Endpoints that a dispatcher delivers to, and their entries in the list of endpoints.
+
+use crate::stand_in::{request, stand_in};
+use serde_json::{Value, json};
+use std::io::{BufReader, Write};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+
+/// A delivery request that came to an endpoint.
+#[derive(Clone, Debug)]
+pub struct Call {
+    /// The request line and the headers.
+    pub head: Vec<String>,
+    /// The body of the message.
+    pub body: String,
+    /// Counts the connections of its endpoint.
+    pub conn: u64,
+}
+
+impl Call {
+    /// The value of this header, empty if it is not there.
+    pub fn header(&self, name: &str) -> &str {
+        self.head
+            .iter()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
+            .unwrap_or("")
+    }
+}
+
+/// What an endpoint does with a call.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Does {
+    /// Answers with this: status line without its version, further headers.
+    Says(&'static str),
+    /// Answers, then closes the connection.
+    SaysLast(&'static str),
+    /// Reads the request and never answers; the connection stays open.
+    Hangs,
+    /// Closes the connection with no answer.
+    Breaks,
+    /// Writes just this, and keeps the connection open.
+    Writes(&'static str),
+}
+
+/// An HTTP server that records what comes and treats it as it was last told to.
+#[derive(Clone)]
+pub struct Endpoint {
+    /// Where it listens.
+    pub addr: String,
+    /// All requests so far, in the order in which they came.
+    pub calls: Arc<Mutex<Vec<Call>>>,
+    /// What it does with the next request.
+    pub does: Arc<Mutex<Does>>,
+}
+
+impl Endpoint {
+    /// Starts an endpoint on a free port.
+    pub fn start(does: Does) -> Endpoint {
+        let (calls, does) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(does)));
+        let (seen, way, conns) = (
+            Arc::clone(&calls),
+            Arc::clone(&does),
+            Arc::new(AtomicU64::new(0)),
+        );
+        let addr = stand_in(move |stream| {
+            let conn = conns.fetch_add(1, Ordering::SeqCst);
+            let mut to = stream.try_clone().unwrap();
+            let mut from = BufReader::new(stream);
+            while let Some((head, body)) = request(&mut from) {
+                let body = String::from_utf8(body).unwrap();
+                let does = *way.lock().unwrap();
+                seen.lock().unwrap().push(Call { head, body, conn });
+                let done = match does {
+                    Does::Says(answer) | Does::SaysLast(answer) => {
+                        write!(to, "HTTP/1.1 {answer}\r\nContent-Length: 2\r\n\r\nok")
+                    }
+                    Does::Hangs => Ok(()),
+                    Does::Breaks => return,
+                    Does::Writes(text) => to.write_all(text.as_bytes()),
+                };
+                if done.is_err() || matches!(does, Does::SaysLast(_)) {
+                    return;
+                }
+            }
+        });
+        Endpoint { addr, calls, does }
+    }
+
+    /// Treats requests like this from now on, on connections that are open too.
+    pub fn does(&self, does: Does) {
+        *self.does.lock().unwrap() = does;
+    }
+
+    /// A copy of all requests so far.
+    pub fn calls(&self) -> Vec<Call> {
+        self.calls.lock().unwrap().clone()
+    }
+
+    /// How many calls came for a message.
+    pub fn calls_of(&self, id: &str) -> usize {
+        self.calls()
+            .iter()
+            .filter(|call| call.header("X-Trace-Id") == id)
+            .count()
+    }
+
+    /// Its entry in the list of endpoints, under this id.
+    pub fn entry(&self, id: &str, cell: u64, state: &str) -> Value {
+        entry(id, &self.addr, cell, state)
+    }
+}
+
+/// Accepts every message.
+pub const OK: Does = Does::Says("200 OK");
+
+/// An entry of the list of endpoints; `cell` is the number of its destination.
+pub fn entry(id: &str, addr: &str, cell: u64, state: &str) -> Value {
+    json!({"id": id, "addr": addr, "zone": "north", "kind": "shops", "cell": cell, "state": state})
+}
+
+/// The entry of an endpoint that takes messages.
+pub fn up(id: &str, addr: &str, cell: u64) -> Value {
+    entry(id, addr, cell, "up")
+}
--- a/crates/daemon/tests/common/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -5,20 +5,23 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-#[path = "../preload/words.rs"]
-pub(crate) mod words;
+#[path = "../../daemon/tests/preload/words.rs"]
+pub mod words;
 
-pub(crate) const ENOSPC: u64 = 28;
-pub(crate) const EIO: u64 = 5;
-pub(crate) const EINTR: u64 = 4;
+/// The disk is full.
+pub const ENOSPC: u64 = 28;
+/// The device has failed.
+pub const EIO: u64 = 5;
+/// A signal came in between.
+pub const EINTR: u64 = 4;
 
 /// The page of one dispatcher, which outlasts its restarts.
-pub(crate) struct Faults {
+pub struct Faults {
     path: PathBuf,
     page: File,
 }
 
-/// The preloaded library: an example of this package, built with its tests.
+/// The preloaded library: an example of the package whose test runs, built with its tests.
 fn library() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     let built = test
@@ -36,7 +39,7 @@
 
 impl Faults {
     /// A page in this folder that asks for nothing.
-    pub(crate) fn new(folder: &Path, seed: u64) -> Faults {
+    pub fn new(folder: &Path, seed: u64) -> Faults {
         let path = folder.join("faults");
         let page = OpenOptions::new()
             .read(true)
@@ -51,13 +54,15 @@
         faults
     }
 
-    pub(crate) fn ask(&self, word: usize, value: u64) {
+    /// Sets a word of the page, one of [`words`].
+    pub fn ask(&self, word: usize, value: u64) {
         self.page
             .write_all_at(&value.to_ne_bytes(), word as u64 * 8)
             .unwrap();
     }
 
-    pub(crate) fn count(&self, word: usize) -> u64 {
+    /// Reads a word of the page, such as the number of calls that failed.
+    pub fn count(&self, word: usize) -> u64 {
         let mut bytes = [0; 8];
         self.page
             .read_exact_at(&mut bytes, word as u64 * 8)
@@ -66,20 +71,20 @@
     }
 
     /// From now on the wall clock is this far from the machine's.
-    pub(crate) fn step_wall_clock(&self, seconds: i64) {
+    pub fn step_wall_clock(&self, seconds: i64) {
         self.ask(words::WALL_STEP_SECONDS, seconds as u64);
     }
 
     /// Writes to the folder that lasts fail with this error, after half of the bytes or before any; truncating fails too
     /// where half is written.
-    pub(crate) fn fail_writes(&self, errno: u64, half: bool) {
+    pub fn fail_writes(&self, errno: u64, half: bool) {
         self.ask(words::WRITE_HALF, u64::from(half));
         self.ask(words::TRUNCATE_ERRNO, if half { errno } else { 0 });
         self.ask(words::WRITE_ERRNO, errno);
     }
 
     /// Everything that changes files in the folder that lasts fails, opening them too.
-    pub(crate) fn fail_folder(&self, errno: u64) {
+    pub fn fail_folder(&self, errno: u64) {
         for word in [words::WRITE_ERRNO, words::TRUNCATE_ERRNO, words::OPEN_ERRNO] {
             self.ask(word, errno);
         }
@@ -88,13 +93,13 @@
     }
 
     /// The folder is good again.
-    pub(crate) fn heal_folder(&self) {
+    pub fn heal_folder(&self) {
         self.fail_folder(0);
         self.ask(words::WRITE_HALF, 0);
     }
 
     /// Has a command's process preload the library, with faults in that folder.
-    pub(crate) fn preload(&self, command: &mut Command, folder: &Path) {
+    pub fn preload(&self, command: &mut Command, folder: &Path) {
         command.env("LD_PRELOAD", library());
         command
             .env("BELLSILL_FAULTS", &self.path)
--- a/crates/daemon/tests/common/installation.rs
+++ b/crates/test-support/src/installation.rs
@@ -1,23 +1,41 @@
 //! A complete installation at small scale: three control processes and three dispatchers, each a process of the program, and a
 //! link to the control processes that can be cut for each dispatcher.
 
-use super::*;
-use rustix::process::{Pid, kill_process};
+use crate::client::{fresh, put};
+use crate::dispatcher_process::{Program, Rig};
+use crate::endpoint::Endpoint;
+use crate::stand_in::stand_in;
+use crate::wait::wait_for;
+use rustix::process::{Pid, Signal, kill_process};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpStream;
+use std::path::PathBuf;
+use std::process::{Child, Command};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
 
 /// Dispatchers `d0` to `d2` and control processes `c0` (the writer) to `c2`.
-pub(crate) const SIZE: usize = 3;
+pub const SIZE: usize = 3;
 const BUCKETS_PER_REGION: u32 = 16;
 /// The dispatchers' zones. Each bucket is held in both.
 const ZONES: [&str; SIZE] = ["north", "south", "north"];
 
-pub(crate) struct ControlProcess {
+/// A control process with its configuration and its log in a folder.
+pub struct ControlProcess {
+    program: Program,
     addr: String,
     folder: PathBuf,
     child: Option<Child>,
 }
 
 impl ControlProcess {
-    fn new(addr: String, folder: PathBuf, writer: Option<&str>) -> ControlProcess {
+    fn new(
+        program: Program,
+        addr: String,
+        folder: PathBuf,
+        writer: Option<&str>,
+    ) -> ControlProcess {
         std::fs::create_dir_all(folder.join("log")).unwrap();
         let role = match writer {
             None => "role = \"writer\"".to_string(),
@@ -30,14 +48,16 @@
         );
         std::fs::write(folder.join("control.toml"), text).unwrap();
         ControlProcess {
+            program,
             addr,
             folder,
             child: None,
         }
     }
 
-    pub(crate) fn start(&mut self) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill"));
+    /// Starts it, and waits until it accepts connections.
+    pub fn start(&mut self) {
+        let mut command = Command::new(self.program.executable);
         command
             .arg("control")
             .arg("--config")
@@ -50,11 +70,13 @@
         });
     }
 
-    pub(crate) fn signal(&self, signal: Signal) {
+    /// Sends the process a signal.
+    pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(self.child.as_ref().unwrap()), signal).unwrap();
     }
 
-    pub(crate) fn kill(&mut self) {
+    /// Ends it by SIGKILL, if it runs.
+    pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().unwrap();
             child.wait().unwrap();
@@ -78,7 +100,7 @@
 
 /// A link to one address: bytes go both ways until it is cut, then they wait, and new connections too.
 #[derive(Clone)]
-pub(crate) struct Link {
+struct Link {
     addr: String,
     cut: Arc<AtomicBool>,
 }
@@ -119,14 +141,16 @@
     from.shutdown(std::net::Shutdown::Both).ok();
 }
 
-pub(crate) struct Dispatcher {
-    pub(crate) rig: Rig,
+/// A dispatcher, and its links to the control processes.
+pub struct Dispatcher {
+    /// Its process.
+    pub rig: Rig,
     links: Vec<Link>,
 }
 
 impl Dispatcher {
-    fn new(number: usize, control: &[ControlProcess]) -> Dispatcher {
-        let mut rig = Rig::new(&[]);
+    fn new(program: Program, number: usize, control: &[ControlProcess]) -> Dispatcher {
+        let mut rig = Rig::new(program, &[]);
         rig.json["mgmt"] = rig.mgmt_at(0).into();
         let links: Vec<Link> = control
             .iter()
@@ -146,7 +170,8 @@
         Dispatcher { rig, links }
     }
 
-    pub(crate) fn start(&mut self) {
+    /// Starts it with the installation that its folder describes.
+    pub fn start(&mut self) {
         let mut command = self.rig.command("serve");
         command
             .arg("--installation")
@@ -155,18 +180,19 @@
     }
 
     /// Cuts or heals the link to all control processes.
-    pub(crate) fn cut(&self, cut: bool) {
+    pub fn cut(&self, cut: bool) {
         self.links
             .iter()
             .for_each(|link| link.cut.store(cut, Ordering::SeqCst));
     }
 
-    pub(crate) fn scope(&self, name: &str) -> u64 {
+    /// One of the metrics of its part of the endpoint list.
+    pub fn scope(&self, name: &str) -> u64 {
         self.rig.figure(&format!("scope.{name}"))
     }
 
     /// Hands in one message after another until one has reached the endpoint, whatever the answers to the ones before.
-    pub(crate) fn reaches(&self, destination: u64, endpoint: &Endpoint, body: &str) {
+    pub fn reaches(&self, destination: u64, endpoint: &Endpoint, body: &str) {
         let came = || endpoint.calls().iter().any(|call| call.body == body);
         wait_for(&format!("the message {body:?} for {destination}"), || {
             let fields = format!("c=payment,d=8000,k=,dest={destination}");
@@ -178,20 +204,24 @@
     }
 }
 
-pub(crate) struct Installation {
-    pub(crate) control: Vec<ControlProcess>,
-    pub(crate) dispatchers: Vec<Dispatcher>,
+/// All processes; they end when it is dropped.
+pub struct Installation {
+    /// The first of them accepts writes.
+    pub control: Vec<ControlProcess>,
+    /// Two of the first zone and one of the second.
+    pub dispatchers: Vec<Dispatcher>,
 }
 
 impl Installation {
     /// All processes run, and the dispatchers are declared and hold their buckets.
-    pub(crate) fn start() -> Installation {
-        let places: Vec<Rig> = (0..SIZE).map(|_| Rig::new(&[])).collect();
+    pub fn start(program: Program) -> Installation {
+        let places: Vec<Rig> = (0..SIZE).map(|_| Rig::new(program, &[])).collect();
         let addr = |n: usize| places[n].listen.replace(":6379", ":7400");
         let folder = |n: usize| places[n].folder.with_extension("control");
         let mut control: Vec<ControlProcess> = (0..SIZE)
             .map(|n| {
-                ControlProcess::new(addr(n), folder(n), Some(addr(0).as_str()).filter(|_| n > 0))
+                let leader = Some(addr(0)).filter(|_| n > 0);
+                ControlProcess::new(program, addr(n), folder(n), leader.as_deref())
             })
             .collect();
         control.iter_mut().for_each(ControlProcess::start);
@@ -206,7 +236,7 @@
             .collect();
         installation.post("/v2/members", &members.concat());
         for n in 0..SIZE {
-            let mut dispatcher = Dispatcher::new(n, &installation.control);
+            let mut dispatcher = Dispatcher::new(program, n, &installation.control);
             dispatcher.start();
             installation.dispatchers.push(dispatcher);
         }
@@ -215,7 +245,7 @@
     }
 
     /// Waits until every bucket is held in both zones.
-    pub(crate) fn wait_for_buckets(&self) {
+    pub fn wait_for_buckets(&self) {
         wait_for("every bucket in both zones", || {
             let held: u64 = self
                 .dispatchers
@@ -227,7 +257,7 @@
     }
 
     /// Writes an endpoint of each of these destinations, at the writer.
-    pub(crate) fn write(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint) {
+    pub fn write(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint) {
         let lines = destinations
             .map(|cell| format!("{}\n", endpoint.entry(&format!("e{cell}"), cell, "up")));
         self.post("/api/targets", &lines.collect::<String>());
@@ -247,12 +277,7 @@
     }
 
     /// Every dispatcher delivers to each of these destinations.
-    pub(crate) fn all_reach(
-        &self,
-        destinations: std::ops::Range<u64>,
-        endpoint: &Endpoint,
-        what: &str,
-    ) {
+    pub fn all_reach(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint, what: &str) {
         for (n, dispatcher) in self.dispatchers.iter().enumerate() {
             for destination in destinations.clone() {
                 dispatcher.reaches(
--- a/crates/daemon/tests/common/ledger.rs
+++ b/crates/test-support/src/ledger.rs
@@ -74,15 +74,19 @@
 
 /// What the account came to.
 #[derive(Debug, Default, PartialEq)]
-pub(crate) struct Verdict {
-    pub(crate) accepted: usize,
-    pub(crate) refused: usize,
-    pub(crate) delivered: usize,
-    pub(crate) noticed: usize,
+pub struct Verdict {
+    /// Messages whose clients got an `OK`.
+    pub accepted: usize,
+    /// Messages whose clients got a `BUSY`.
+    pub refused: usize,
+    /// Messages that an endpoint accepted.
+    pub delivered: usize,
+    /// Messages with a notification.
+    pub noticed: usize,
     /// For how long the machine stood still at the most.
-    pub(crate) stalled: Duration,
+    pub stalled: Duration,
     /// Each broken rule, in words.
-    pub(crate) broken: Vec<String>,
+    pub broken: Vec<String>,
 }
 
 impl std::fmt::Display for Verdict {
--- /dev/null
+++ b/crates/test-support/src/stand_in.rs
@@ -0,0 +1,80 @@
+//! Listeners that stand in for other systems, and what their servers read.
+
+use crate::wait::wait_for;
+use std::io::{BufRead, BufReader, Read};
+use std::net::{TcpListener, TcpStream};
+use std::time::Duration;
+
+/// Reads one HTTP request: the lines of its head, and its body. None once the connection has ended.
+pub fn request(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
+    let mut lines = Vec::new();
+    loop {
+        let mut line = String::new();
+        if from.read_line(&mut line).ok()? == 0 {
+            return None;
+        }
+        match line.trim_end() {
+            "" => break,
+            text => lines.push(text.to_string()),
+        }
+    }
+    let length = lines
+        .iter()
+        .find_map(|l| l.strip_prefix("Content-Length: "))
+        .map_or(0, |n| n.parse().unwrap());
+    let mut body = vec![0; length];
+    from.read_exact(&mut body).ok()?;
+    Some((lines, body))
+}
+
+/// Listens on a free loopback port, with a thread for each connection, and returns the address.
+pub fn stand_in(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap().to_string();
+    std::thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let serve = serve.clone();
+            std::thread::spawn(move || serve(stream));
+        }
+    });
+    addr
+}
+
+/// An endpoint whose queue of new connections is full with the one returned: another is established when there is room.
+pub fn crowded() -> (TcpListener, TcpStream) {
+    let listener = crowded_but_for(1);
+    let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (listener, filler)
+}
+
+/// An endpoint whose queue takes so many new connections that it has not accepted, and no more.
+pub fn crowded_but_for(places: i32) -> TcpListener {
+    let listener =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    listener
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<std::net::SocketAddr>()
+                .unwrap()
+                .into(),
+        )
+        .unwrap();
+    listener.listen(places - 1).unwrap();
+    listener.into()
+}
+
+/// Waits for the next connection; its reads fail after a minute.
+pub fn accept(at: &TcpListener) -> BufReader<TcpStream> {
+    at.set_nonblocking(true).unwrap();
+    let mut next = None;
+    wait_for("a connection", || {
+        next = at.accept().ok();
+        next.is_some()
+    });
+    let stream = next.unwrap().0;
+    stream.set_nonblocking(false).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(60)))
+        .unwrap();
+    BufReader::new(stream)
+}
