--- a/crates/daemon/tests/admin_and_configuration.rs
+++ b/crates/daemon/tests/admin_and_configuration.rs
@@ -2,8 +2,8 @@
 
 use bellsill_test_support::admin::call_at;
 use bellsill_test_support::client::{Client, fresh, put};
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::program;
 use bellsill_test_support::wait::wait_for;
 use serde_json::json;
@@ -77,14 +77,18 @@
 #[test]
 fn a_bad_configuration_ends_with_status_2_and_names_the_field() {
     for (place, value, named) in BAD_FIELDS {
-        let mut rig = Rig::new(program!(), &[]);
-        rig.json["settings"]["penalties"] = json!({"probe": 0.01});
-        rig.json["settings"]["discovery"] = json!("pushed");
-        rig.json["settings"]["family-info"]["per-call"] = json!([1]);
-        assert!(rig.command("check").output().unwrap().status.success());
-        *rig.json.pointer_mut(place).unwrap() = serde_json::from_str(value).unwrap();
+        let mut process = DispatcherProcess::new(program!(), &[]);
+        process.json["settings"]["penalties"] = json!({"probe": 0.01});
+        process.json["settings"]["discovery"] = json!("pushed");
+        process.json["settings"]["family-info"]["per-call"] = json!([1]);
+        assert!(process.command("check").output().unwrap().status.success());
+        *process.json.pointer_mut(place).unwrap() = serde_json::from_str(value).unwrap();
         for what in ["serve", "check"] {
-            let end = rig.command(what).stdout(Stdio::piped()).output().unwrap();
+            let end = process
+                .command(what)
+                .stdout(Stdio::piped())
+                .output()
+                .unwrap();
             let text = String::from_utf8(end.stderr).unwrap();
             assert!(
                 end.status.code() == Some(2) && text.contains(&format!("field {named}:")),
@@ -112,24 +116,25 @@
 #[test]
 fn a_log_that_nobody_reads_blocks_nothing() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    let mut command = rig.command("serve");
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    let mut command = process.command("serve");
     command.stderr(Stdio::piped());
-    rig.start_by(command);
+    process.start_by(command);
     // Far more than a pipe holds.
     let garbage = "{\"not\": json\n".repeat(5000);
     wait_for("a watch", || {
-        !rig.platform.watches.lock().unwrap().is_empty()
+        !process.platform.watches.lock().unwrap().is_empty()
     });
     let chunk = format!("{:x}\r\n{garbage}\r\n", garbage.len());
-    rig.platform.watches.lock().unwrap()[0]
+    process.platform.watches.lock().unwrap()[0]
         .write_all(chunk.as_bytes())
         .unwrap();
-    rig.platform.tell(&format!(
+    process.platform.publish(&format!(
         "{}\n",
         json!({"version": 2, "servers": [e.entry("more", 9, "up")]})
     ));
-    rig.client()
+    process
+        .client()
         .message("notice", 9, 19_000, "behind all the garbage");
     wait_for("the message", || e.calls().len() == 1);
 }
@@ -150,14 +155,14 @@
 fn admin_requests_are_answered_whatever_others_do_and_metrics_equal_a_counted_run() {
     let (sound, failing, shut) = (
         Endpoint::start(OK),
-        Endpoint::start(Does::Says("500 No")),
-        Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
+        Endpoint::start(Behavior::Responds("500 No")),
+        Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000")),
     );
-    let mut rig = Rig::new(program!(), &[(&sound, 7), (&failing, 8), (&shut, 9)]);
-    rig.json["mgmt"] = rig.mgmt_at(0).into();
-    rig.start();
+    let mut process = DispatcherProcess::new(program!(), &[(&sound, 7), (&failing, 8), (&shut, 9)]);
+    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.start();
     // Callers that say nothing, half a line, or too much hold nobody up.
-    let addr = rig.mgmt_at(0);
+    let addr = process.mgmt_at(0);
     let mut idle: Vec<TcpStream> = (0..30)
         .map(|_| TcpStream::connect(&addr).unwrap())
         .collect();
@@ -175,10 +180,10 @@
         ("enable-server e0", "SUCCESS"),
         (&"x".repeat(600), "FAILURE a call is 512 bytes at most"),
     ] {
-        let answer = rig.call(line);
+        let answer = process.call(line);
         assert!(answer[0].starts_with(says), "{line}: {answer:?}");
     }
-    let mut client = rig.client();
+    let mut client = process.client();
     for _ in 0..5 {
         client.message("notice", 7, 8000, "relayed");
     }
@@ -189,16 +194,19 @@
         sound.calls().len() == 5
             && [&once, &late]
                 .iter()
-                .all(|id| rig.platform.notice(id).is_some())
+                .all(|id| process.platform.notification(id).is_some())
     });
     for (name, value) in COUNTED {
-        wait_for(name, || rig.figure(name) == value);
+        wait_for(name, || process.metric(name) == value);
     }
     let calls = sound.calls().len() + failing.calls().len() + shut.calls().len();
-    assert_eq!(rig.figure("upstream_requests"), calls as u64);
-    assert!(rig.call("disable-server e0")[0].starts_with("SUCCESS"));
+    assert_eq!(process.metric("upstream_requests"), calls as u64);
+    assert!(process.call("disable-server e0")[0].starts_with("SUCCESS"));
     assert_eq!(
-        (rig.figure("members"), rig.figure("members_unavailable")),
+        (
+            process.metric("members"),
+            process.metric("members_unavailable")
+        ),
         (3, 1)
     );
     drop(idle);
@@ -206,11 +214,11 @@
 
 #[test]
 fn a_drained_dispatcher_is_not_ready_keeps_pending_messages_and_accepts_clients_again() {
-    let (sound, hung) = (Endpoint::start(OK), Endpoint::start(Does::Hangs));
-    let mut rig = Rig::new(program!(), &[(&sound, 7), (&hung, 8)]);
-    rig.json["mgmt"] = rig.mgmt_at(0).into();
-    rig.start();
-    let (mut idle, mut within, mut asks) = (rig.client(), rig.client(), rig.client());
+    let (sound, hung) = (Endpoint::start(OK), Endpoint::start(Behavior::Hangs));
+    let mut process = DispatcherProcess::new(program!(), &[(&sound, 7), (&hung, 8)]);
+    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.start();
+    let (mut idle, mut within, mut asks) = (process.client(), process.client(), process.client());
     idle.message("notice", 7, 8000, "before");
     let held = asks.message("notice", 8, 19_000, "held over the drain");
     wait_for("the call that hangs", || !hung.calls().is_empty());
@@ -220,19 +228,27 @@
     asks.to
         .write_all(&put(&second, "c=notice,d=8000,k=b,dest=7", "crossing"))
         .unwrap();
-    assert!(rig.call("drain")[0].starts_with("SUCCESS"));
-    assert!(rig.call("drain")[0].starts_with("SUCCESS"), "twice is once");
+    assert!(process.call("drain")[0].starts_with("SUCCESS"));
+    assert!(
+        process.call("drain")[0].starts_with("SUCCESS"),
+        "twice is once"
+    );
     assert_eq!((asks.line().as_str(), asks.line().as_str()), ("+OK", ""));
     assert_eq!(idle.line(), "", "closed");
-    assert_eq!(within.says(&first[30..]), "+OK");
+    assert_eq!(within.send(&first[30..]), "+OK");
     assert_eq!(within.line(), "", "closed once it is answered");
-    assert!(rig.client().says(b"PING\r\n").starts_with("-ERR draining"));
-    assert!(rig.call("ready")[0].starts_with("FAILURE"));
+    assert!(
+        process
+            .client()
+            .send(b"PING\r\n")
+            .starts_with("-ERR draining")
+    );
+    assert!(process.call("ready")[0].starts_with("FAILURE"));
     // One that comes nonetheless is served, and what was held goes on.
-    let mut late = rig.client();
+    let mut late = process.client();
     late.message("notice", 7, 8000, "late");
     assert_eq!(late.line(), "");
-    hung.does(OK);
+    hung.set_behavior(OK);
     wait_for("the message held", || {
         hung.calls()
             .iter()
@@ -241,18 +257,24 @@
             == 2
     });
     wait_for("all of them", || {
-        rig.figure("downstream_requests.notice.completed") == 5
+        process.metric("downstream_requests.notice.completed") == 5
     });
     assert!(
-        rig.child.as_mut().unwrap().try_wait().unwrap().is_none(),
+        process
+            .child
+            .as_mut()
+            .unwrap()
+            .try_wait()
+            .unwrap()
+            .is_none(),
         "it stays"
     );
-    assert!(rig.call("resume")[0].starts_with("SUCCESS"));
-    let mut after = rig.client();
-    assert_eq!(after.says(b"PING\r\n"), "+PONG");
+    assert!(process.call("resume")[0].starts_with("SUCCESS"));
+    let mut after = process.client();
+    assert_eq!(after.send(b"PING\r\n"), "+PONG");
     after.message("notice", 7, 8000, "after");
-    assert_eq!(after.says(b"PING\r\n"), "+PONG", "stays inside");
-    assert!(rig.platform.notices().is_empty());
+    assert_eq!(after.send(b"PING\r\n"), "+PONG", "stays inside");
+    assert!(process.platform.notifications().is_empty());
 }
 
 /// Has this many messages delivered, by either endpoint.
@@ -266,19 +288,19 @@
 #[test]
 fn a_disabled_endpoint_stays_disabled_over_lists_restarts_and_upgrades() {
     let (a, b) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(program!(), &[(&a, 7), (&b, 7)]);
-    rig.json["mgmt"] = rig.mgmt_at(0).into();
+    let mut process = DispatcherProcess::new(program!(), &[(&a, 7), (&b, 7)]);
+    process.json["mgmt"] = process.mgmt_at(0).into();
     // Left by a process that was stopped halfway: a line that is no id is skipped.
-    std::fs::write(rig.folder.join("state/held-out"), "two words\ne0\n\n").unwrap();
-    rig.start();
-    let mut client = rig.client();
+    std::fs::write(process.folder.join("state/held-out"), "two words\ne0\n\n").unwrap();
+    process.start();
+    let mut client = process.client();
     let calls = || (a.calls().len(), b.calls().len());
     let messages = |client: &mut Client, many| send(client, [&a, &b], many);
     messages(&mut client, 10);
     assert_eq!(calls(), (0, 10), "disabled by the file found");
-    assert!(rig.call("enable-server e0")[0].starts_with("SUCCESS"));
+    assert!(process.call("enable-server e0")[0].starts_with("SUCCESS"));
     for _ in 0..2 {
-        assert!(rig.call("disable-server e1")[0].starts_with("SUCCESS"));
+        assert!(process.call("disable-server e1")[0].starts_with("SUCCESS"));
     }
     // What discovery says meanwhile changes nothing.
     let up = [
@@ -287,51 +309,51 @@
         a.entry("e2", 8, "up"),
     ];
     let up = json!({"version": 2, "full": true, "servers": up});
-    rig.platform.tell(&format!("{up}\n"));
-    wait_for("the list", || rig.figure("members") == 3);
+    process.platform.publish(&format!("{up}\n"));
+    wait_for("the list", || process.metric("members") == 3);
     messages(&mut client, 10);
     assert_eq!(calls(), (10, 10));
     // A message whose end is not in the journal yet would be sent again.
     wait_for("their ends", || {
-        rig.figure("downstream_requests.notice.completed") == 20
+        process.metric("downstream_requests.notice.completed") == 20
     });
-    rig.kill();
-    rig.start();
-    client = rig.client();
+    process.kill();
+    process.start();
+    client = process.client();
     messages(&mut client, 10);
     assert_eq!(calls(), (20, 10), "over a restart");
     // A new version beside it, then a request to the old one: it applies to the new one too.
-    let mut old = rig.child.take().unwrap();
-    rig.json["mgmt"] = rig.mgmt_at(1).into();
-    rig.start_beside();
-    assert!(call_at(&rig.mgmt_at(0), "enable-server e1")[0].starts_with("SUCCESS"));
+    let mut old = process.child.take().unwrap();
+    process.json["mgmt"] = process.mgmt_at(1).into();
+    process.start_beside();
+    assert!(call_at(&process.mgmt_at(0), "enable-server e1")[0].starts_with("SUCCESS"));
     wait_for("the endpoint enabled at the new one", || {
-        rig.figure("members_unavailable") == 0
+        process.metric("members_unavailable") == 0
     });
-    assert!(call_at(&rig.mgmt_at(0), "disable-server e0")[0].starts_with("SUCCESS"));
-    let out = || std::fs::read_to_string(rig.folder.join("state/held-out")).unwrap();
+    assert!(call_at(&process.mgmt_at(0), "disable-server e0")[0].starts_with("SUCCESS"));
+    let out = || std::fs::read_to_string(process.folder.join("state/held-out")).unwrap();
     assert_eq!(out(), "e0\n");
     wait_for("the endpoint disabled at the new one", || {
-        rig.figure("members_unavailable") == 1
+        process.metric("members_unavailable") == 1
     });
     old.kill().unwrap();
     old.wait().unwrap();
-    client = rig.client();
+    client = process.client();
     messages(&mut client, 10);
     assert_eq!(calls(), (20, 20), "over an upgrade");
     assert!(
-        rig.call("enable-server e0")[0].starts_with("SUCCESS"),
+        process.call("enable-server e0")[0].starts_with("SUCCESS"),
         "one call undoes two"
     );
-    assert_eq!(rig.figure("members_unavailable"), 0);
+    assert_eq!(process.metric("members_unavailable"), 0);
 }
 
 #[test]
 fn an_admin_address_that_cannot_be_bound_is_named() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["mgmt"] = taken.local_addr().unwrap().to_string().into();
-    let end = rig.command("serve").output().unwrap();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["mgmt"] = taken.local_addr().unwrap().to_string().into();
+    let end = process.command("serve").output().unwrap();
     let text = String::from_utf8(end.stderr).unwrap();
     assert!(
         !end.status.success() && text.contains(&format!("mgmt: {}", taken.local_addr().unwrap())),
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts: which responses count as delivered, and connections that are established late or rejected.
 
 use bellsill_test_support::client::{fresh, put};
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK, entry, up};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK, entry, up};
 use bellsill_test_support::program;
 use bellsill_test_support::stand_in::{crowded, crowded_but_for, request};
 use bellsill_test_support::wait::wait_for;
@@ -14,18 +14,21 @@
 
 #[test]
 fn a_response_that_is_not_http_is_a_reset_and_a_closed_connection_is_replaced() {
-    let babbles = Does::Writes("no HTTP at all\r\n\r\n");
+    let babbles = Behavior::Writes("no HTTP at all\r\n\r\n");
     let e = Endpoint::start(babbles);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.start();
-    let mut client = rig.client();
-    for does in [babbles, Does::Breaks] {
-        e.does(does);
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.start();
+    let mut client = process.client();
+    for does in [babbles, Behavior::Closes] {
+        e.set_behavior(does);
         let once = client.message("payment", 7, 8000, "once");
-        wait_for("its end", || rig.platform.notice(&once).is_some());
-        assert_eq!(rig.platform.notice(&once).unwrap()["result"], "dead");
+        wait_for("its end", || process.platform.notification(&once).is_some());
+        assert_eq!(
+            process.platform.notification(&once).unwrap()["result"],
+            "dead"
+        );
     }
-    e.does(Does::SaysLast("200 OK"));
+    e.set_behavior(Behavior::RespondsAndCloses("200 OK"));
     let before = e.calls().len();
     for n in 1..4 {
         client.message("notice", 7, 8000, "each on a connection of its own");
@@ -34,15 +37,15 @@
     let mut conns: Vec<u64> = e.calls()[before..].iter().map(|c| c.conn).collect();
     conns.dedup();
     assert!(conns.len() >= 3);
-    assert_eq!(rig.platform.notices().len(), 2);
+    assert_eq!(process.platform.notifications().len(), 2);
 }
 
 #[test]
 fn a_malformed_response_may_have_run_unless_its_status_line_is_a_success() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.start();
+    let mut client = process.client();
     let relayed = [
         "HTTP/1.1 200 OK\r\nno header at all\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n",
@@ -52,10 +55,10 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
     ];
     for (n, text) in relayed.iter().enumerate() {
-        e.does(Does::Writes(text));
+        e.set_behavior(Behavior::Writes(text));
         client.message("payment", 7, 8000, "relayed");
         wait_for("the call", || e.calls().len() > n);
-        wait_for("its end", || rig.kept().messages.is_empty());
+        wait_for("its end", || process.journaled().messages.is_empty());
     }
     let spoilt = [
         "HTTP/1.1 503 Full\r\nContent-Length: 3000000000\r\n\r\nand so on",
@@ -66,16 +69,16 @@
         "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n",
     ];
     for text in spoilt {
-        e.does(Does::Writes(text));
+        e.set_behavior(Behavior::Writes(text));
         let once = client.message("payment", 7, 20_000, "spoilt");
-        wait_for("its end", || rig.platform.notice(&once).is_some());
+        wait_for("its end", || process.platform.notification(&once).is_some());
         assert_eq!(
-            rig.platform.notice(&once).unwrap()["result"],
+            process.platform.notification(&once).unwrap()["result"],
             "dead",
             "{text:?}"
         );
     }
-    e.does(OK);
+    e.set_behavior(OK);
     client.message("notice", 7, 8000, "after all that");
     wait_for("the message", || {
         e.calls().iter().any(|c| c.body == "after all that")
@@ -85,31 +88,33 @@
         relayed.len() + spoilt.len() + 1,
         "each went out once"
     );
-    assert_eq!(rig.platform.notices().len(), spoilt.len());
+    assert_eq!(process.platform.notifications().len(), spoilt.len());
 }
 
 #[test]
 fn a_connection_established_after_the_deadline_gets_no_request() {
     let (slow, filler) = crowded();
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["known"]["servers"] = json!([entry]);
-    rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["known"]["servers"] = json!([entry]);
+    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     // The connection is kept, and closed when it has been idle that long.
-    rig.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
-    rig.start();
-    let mut client = rig.client();
+    process.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
+    process.start();
+    let mut client = process.client();
     let (id, from) = (client.message("payment", 7, 3000, "x"), Instant::now());
-    assert_eq!(client.says(b"PING\r\n"), "+PONG");
+    assert_eq!(client.send(b"PING\r\n"), "+PONG");
     // The dispatcher is suspended while the connection comes up, until the queue lifetime is over.
-    rig.signal(Signal::STOP);
+    process.signal(Signal::STOP);
     drop((slow.accept().unwrap(), filler));
     let mut late = slow.accept().unwrap().0;
     std::thread::sleep(Duration::from_millis(3500).saturating_sub(from.elapsed()));
-    rig.signal(Signal::CONT);
-    wait_for("the message's end", || rig.platform.notice(&id).is_some());
+    process.signal(Signal::CONT);
+    wait_for("the message's end", || {
+        process.platform.notification(&id).is_some()
+    });
     assert_eq!(
-        rig.platform.notice(&id).unwrap()["result"],
+        process.platform.notification(&id).unwrap()["result"],
         "bounced",
         "it never ran"
     );
@@ -123,11 +128,11 @@
     let addr = slow.local_addr().unwrap().to_string();
     let entry = |state: &str| entry("slow", &addr, 7, state);
     let second = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["known"]["servers"] = json!([entry("up"), second.entry("second", 7, "up")]);
-    rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["known"]["servers"] = json!([entry("up"), second.entry("second", 7, "up")]);
+    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    process.start();
+    let mut client = process.client();
     // Picks are even: one of the two goes to the endpoint that does not answer yet.
     let messages = [
         client.message("payment", 7, 24_000, "x"),
@@ -136,12 +141,12 @@
     let relayed = |id: &String| second.calls().iter().any(|c| c.header("X-Trace-Id") == id);
     wait_for("the first message", || messages.iter().any(relayed));
     let news = json!({"version": 2, "full": false, "servers": [entry("draining"), second.entry("more", 9, "up")]});
-    rig.platform.tell(&format!("{news}\n"));
+    process.platform.publish(&format!("{news}\n"));
     // Its destination is in the same line, so when it goes out the drain is known.
     // Until the line is read its destination is unknown, and a message to it is rejected.
     let later = fresh();
     let ask = put(&later, &format!("c=notice,d=19000,k=k{later},dest=9"), "x");
-    wait_for("the news", || match rig.client().says(&ask).as_str() {
+    wait_for("the news", || match process.client().send(&ask).as_str() {
         "-ERR dest: unknown destination" => false,
         answer => {
             assert_eq!(answer, "+OK");
@@ -160,22 +165,22 @@
 #[test]
 fn a_rejected_message_goes_to_another_route_and_a_withdrawn_one_ends() {
     let (full, open) = (
-        Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
-        Endpoint::start(Does::Says("410 Gone")),
+        Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000")),
+        Endpoint::start(Behavior::Responds("410 Gone")),
     );
-    let mut rig = Rig::new(program!(), &[(&full, 8), (&open, 8)]);
-    for entry in rig.json["known"]["servers"].as_array_mut().unwrap() {
+    let mut process = DispatcherProcess::new(program!(), &[(&full, 8), (&open, 8)]);
+    for entry in process.json["known"]["servers"].as_array_mut().unwrap() {
         entry["kind"] = "banks".into();
     }
-    rig.start();
-    let mut client = rig.client();
+    process.start();
+    let mut client = process.client();
     for n in 1..10 {
         client.message("payment", 8, 8000, "x");
         wait_for("the message at the open route", || open.calls().len() == n);
     }
     assert_eq!(full.calls().len(), 1);
     assert_eq!(
-        rig.platform.notices().len(),
+        process.platform.notifications().len(),
         0,
         "no notification for a withdrawn message"
     );
@@ -183,26 +188,26 @@
 
 #[test]
 fn a_503_that_closes_its_connection_suspends_no_sibling() {
-    let full = Endpoint::start(Does::SaysLast(
+    let full = Endpoint::start(Behavior::RespondsAndCloses(
         "503 Service Unavailable\r\nConnection: close",
     ));
     let open = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&full, 7), (&open, 7)]);
+    let mut process = DispatcherProcess::new(program!(), &[(&full, 7), (&open, 7)]);
     // In so large a fleet the wait after a refusal at their common limit would outlast every message.
-    rig.json["settings"]["balancers"] = 100_000_000.into();
-    rig.start();
-    let mut client = rig.client();
+    process.json["settings"]["balancers"] = 100_000_000.into();
+    process.start();
+    let mut client = process.client();
     for n in 1..4 {
         client.message("payment", 7, 8000, "x");
         wait_for("the message at the open route", || {
-            open.calls().len() == n || !rig.platform.notices().is_empty()
+            open.calls().len() == n || !process.platform.notifications().is_empty()
         });
     }
     assert_eq!(
         (
             full.calls().len(),
             open.calls().len(),
-            rig.platform.notices().len()
+            process.platform.notifications().len()
         ),
         (1, 3, 0)
     );
@@ -214,15 +219,15 @@
 fn a_connection_established_after_the_idempotency_window_gets_no_retry() {
     let slow = crowded_but_for(1);
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["known"]["servers"] = json!([entry]);
-    rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
-    rig.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
-    for class in rig.json["settings"]["services"].as_array_mut().unwrap() {
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["known"]["servers"] = json!([entry]);
+    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    process.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
+    for class in process.json["settings"]["services"].as_array_mut().unwrap() {
         class["window-ns"] = json!(600_000_000);
     }
-    rig.start();
-    let id = rig.client().message("notice", 7, 8000, "x");
+    process.start();
+    let id = process.client().message("notice", 7, 8000, "x");
     let (first, _) = slow.accept().unwrap();
     let mut from = BufReader::new(first);
     request(&mut from).unwrap();
@@ -240,9 +245,11 @@
         "{}",
         String::from_utf8_lossy(&got)
     );
-    wait_for("the message's end", || rig.platform.notice(&id).is_some());
+    wait_for("the message's end", || {
+        process.platform.notification(&id).is_some()
+    });
     assert_eq!(
-        rig.platform.notice(&id).unwrap()["result"],
+        process.platform.notification(&id).unwrap()["result"],
         "dead",
         "it may have run"
     );
@@ -253,17 +260,17 @@
     let (old, filler) = crowded();
     let moved = Endpoint::start(OK);
     let entry = |addr: String| up("e0", &addr, 7);
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["known"]["servers"] = json!([entry(old.local_addr().unwrap().to_string())]);
-    rig.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
-    rig.start();
-    let id = rig.client().message("payment", 7, 24_000, "x");
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["known"]["servers"] = json!([entry(old.local_addr().unwrap().to_string())]);
+    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    process.start();
+    let id = process.client().message("payment", 7, 24_000, "x");
     let news = json!({"version": 2, "full": false, "servers": [entry(moved.addr.clone()), moved.entry("more", 9, "up")]});
-    rig.platform.tell(&format!("{news}\n"));
+    process.platform.publish(&format!("{news}\n"));
     // A destination of the same line is known: so the move is.
     let later = fresh();
     let ask = put(&later, &format!("c=notice,d=19000,k=k{later},dest=9"), "x");
-    wait_for("the news", || rig.client().says(&ask) == "+OK");
+    wait_for("the news", || process.client().send(&ask) == "+OK");
     // The connection to the old address is given up: nothing comes up there, or what did is closed with nothing written.
     drop((old.accept().unwrap(), filler));
     wait_for("the message where it is now", || {
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -1,8 +1,8 @@
 //! What clients see: answers in order, bad input, and who is closed when there are too many.
 
 use bellsill_test_support::client::{Client, fresh, put};
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::program;
 use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
@@ -13,9 +13,9 @@
 #[test]
 fn split_and_pipelined_input_is_answered_in_order_and_delivered() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.start();
-    let (mut client, a, b) = (rig.client(), fresh(), fresh());
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.start();
+    let (mut client, a, b) = (process.client(), fresh(), fresh());
     let mut input = b"PING\r\n".to_vec();
     input.extend(put(
         &a,
@@ -56,9 +56,9 @@
 #[test]
 fn bad_input_is_answered_and_stops_nothing() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.start();
+    let mut client = process.client();
     let id = fresh();
     for (fields, named) in [
         ("d=1,k=a,dest=7", "c:"),
@@ -72,7 +72,7 @@
         ("c=notice,d=5,dest=7", "k:"),
         ("c=notice,d=5,k=a\r\nX: y,dest=7", "k:"),
     ] {
-        let answer = client.says(&put(&id, fields, "x"));
+        let answer = client.send(&put(&id, fields, "x"));
         assert!(
             answer.starts_with(&format!("-ERR {named}")),
             "{fields:?}: {answer}"
@@ -80,20 +80,20 @@
     }
     assert!(
         client
-            .says(&put("xyz", "c=notice,d=5,k=a,dest=7", "x"))
+            .send(&put("xyz", "c=notice,d=5,k=a,dest=7", "x"))
             .starts_with("-ERR id:")
     );
     assert!(
         client
-            .says(b"*1\r\n$7\r\nMSG.PUT\r\n")
+            .send(b"*1\r\n$7\r\nMSG.PUT\r\n")
             .starts_with("-ERR wrong number")
     );
     assert!(
         client
-            .says(b"*1\r\n$4\r\nNONE\r\n")
+            .send(b"*1\r\n$4\r\nNONE\r\n")
             .starts_with("-ERR unknown command")
     );
-    assert_eq!(client.says(b"PING\r\n"), "+PONG");
+    assert_eq!(client.send(b"PING\r\n"), "+PONG");
     let long = "x".repeat(70_000);
     for malformed in [
         "*1\r\n+PING\r\n",
@@ -102,10 +102,10 @@
         "\u{1}\u{2}\r\n",
         &put_text(&id, &long),
     ] {
-        let mut other = rig.client();
+        let mut other = process.client();
         assert!(
             other
-                .says(malformed.as_bytes())
+                .send(malformed.as_bytes())
                 .starts_with("-ERR Protocol error"),
             "{malformed:.20?}"
         );
@@ -122,20 +122,20 @@
 #[test]
 fn a_message_whose_client_has_closed_its_side_is_not_accepted() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.start();
-    let (mut client, id) = (rig.client(), fresh());
-    assert_eq!(client.says(b"PING\r\n"), "+PONG");
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.start();
+    let (mut client, id) = (process.client(), fresh());
+    assert_eq!(client.send(b"PING\r\n"), "+PONG");
     // The dispatcher is suspended while the client hands in a message and ends its side.
-    rig.signal(Signal::STOP);
+    process.signal(Signal::STOP);
     client
         .to
         .write_all(&put(&id, "c=payment,d=8000,dest=7", "x"))
         .unwrap();
     client.to.shutdown(std::net::Shutdown::Write).unwrap();
-    rig.signal(Signal::CONT);
+    process.signal(Signal::CONT);
     assert_eq!([client.line(), client.line()], ["-BUSY", ""]);
-    let later = rig.client().message("payment", 7, 8000, "x");
+    let later = process.client().message("payment", 7, 8000, "x");
     wait_for("a later message", || {
         e.calls().iter().any(|c| c.header("X-Trace-Id") == later)
     });
@@ -145,17 +145,19 @@
 #[test]
 fn clients_that_send_nothing_or_half_a_request_are_closed_and_starve_nobody() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.json["limits"]["sockets"] = json!(64);
-    rig.start();
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.json["limits"]["sockets"] = json!(64);
+    process.start();
     let whole = put(&fresh(), "c=notice,d=8000,k=a,dest=7", "x");
-    let mut bad: Vec<Client> = (0..150).map(|_| rig.client()).collect();
+    let mut bad: Vec<Client> = (0..150).map(|_| process.client()).collect();
     for (n, client) in bad.iter_mut().enumerate() {
         // Some end up where there is no place for them yet; whatever happens to them is an end.
         client.to.write_all(&whole[..n % 3 * 20]).ok();
     }
     for n in 1..=3 {
-        rig.client().message("notice", 7, 8000, "a usual client");
+        process
+            .client()
+            .message("notice", 7, 8000, "a usual client");
         wait_for("the message", || e.calls().len() == n);
     }
     for client in &mut bad {
@@ -176,18 +178,18 @@
 #[test]
 fn a_client_whose_request_has_arrived_is_not_closed_for_another() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.json["limits"]["sockets"] = json!(64);
-    rig.start();
-    let silent = rig.client();
-    let mut inside: Vec<Client> = (0..10).map(|_| rig.client()).collect();
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.json["limits"]["sockets"] = json!(64);
+    process.start();
+    let silent = process.client();
+    let mut inside: Vec<Client> = (0..10).map(|_| process.client()).collect();
     assert!(
-        inside.iter_mut().all(|c| c.says(b"PING\r\n") == "+PONG"),
+        inside.iter_mut().all(|c| c.send(b"PING\r\n") == "+PONG"),
         "they and the one before are inside"
     );
     // While the dispatcher is suspended a crowd comes first, then the requests; all of them find it at once.
-    rig.signal(Signal::STOP);
-    let crowd: Vec<Client> = (0..150).map(|_| rig.client()).collect();
+    process.signal(Signal::STOP);
+    let crowd: Vec<Client> = (0..150).map(|_| process.client()).collect();
     let ids = [fresh(), fresh()];
     let mut askers = [silent, inside.remove(0)];
     for (asker, id) in askers.iter_mut().zip(&ids) {
@@ -197,7 +199,7 @@
             .unwrap();
     }
     std::thread::sleep(Duration::from_millis(600));
-    rig.signal(Signal::CONT);
+    process.signal(Signal::CONT);
     for asker in &mut askers {
         assert_eq!(asker.line(), "+OK");
     }
@@ -211,9 +213,9 @@
 
 #[test]
 fn a_client_with_many_errors_is_closed_and_hundreds_of_commands_are_all_answered() {
-    let mut rig = Rig::new(program!(), &[]);
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.start();
+    let mut client = process.client();
     client.to.write_all(&b"PING\r\n".repeat(500)).unwrap();
     assert!((0..500).all(|_| client.line() == "+PONG"));
     client.to.write_all(&b"NONE\r\n".repeat(500)).unwrap();
@@ -228,35 +230,35 @@
 #[test]
 fn clients_beyond_the_descriptors_wait_and_those_connected_are_served() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.json["limits"]["sockets"] = json!(64);
-    rig.start();
-    let mut client = rig.client();
-    assert_eq!(client.says(b"PING\r\n"), "+PONG");
-    let others: Vec<Client> = (0..100).map(|_| rig.client()).collect();
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.json["limits"]["sockets"] = json!(64);
+    process.start();
+    let mut client = process.client();
+    assert_eq!(client.send(b"PING\r\n"), "+PONG");
+    let others: Vec<Client> = (0..100).map(|_| process.client()).collect();
     for _ in 0..20 {
         client.message("notice", 7, 8000, "served all the same");
     }
     wait_for("all of them", || e.calls().len() == 20);
-    let open = std::fs::read_dir(format!("/proc/{}/fd", rig.child.as_ref().unwrap().id()))
+    let open = std::fs::read_dir(format!("/proc/{}/fd", process.child.as_ref().unwrap().id()))
         .unwrap()
         .count();
     assert!(open <= 64, "{open} descriptors");
     drop(others);
-    assert_eq!(rig.client().says(b"PING\r\n"), "+PONG");
+    assert_eq!(process.client().send(b"PING\r\n"), "+PONG");
 }
 
 /// Seen on the short days of another customer: a full hold gave up up to 860 messages a day that had surely not run, most of them
 /// right after they had been accepted.
 #[test]
 fn accepted_messages_keep_their_place_and_a_hung_destination_leaves_capacity_for_others() {
-    let (hung, sound) = (Endpoint::start(Does::Hangs), Endpoint::start(OK));
-    let mut rig = Rig::new(program!(), &[(&hung, 7), (&sound, 9)]);
-    rig.start();
-    let mut client = rig.client();
+    let (hung, sound) = (Endpoint::start(Behavior::Hangs), Endpoint::start(OK));
+    let mut process = DispatcherProcess::new(program!(), &[(&hung, 7), (&sound, 9)]);
+    process.start();
+    let mut client = process.client();
     let put_in = |client: &mut Client, cell: u64| {
         let id = fresh();
-        client.says(&put(
+        client.send(&put(
             &id,
             &format!("c=notice,d=20000,k=k{id},dest={cell}"),
             "x",
@@ -265,7 +267,7 @@
     let taken = (0..200)
         .take_while(|_| put_in(&mut client, 7) == "+OK")
         .count();
-    let kept = rig.kept();
+    let kept = process.journaled();
     assert_eq!(
         (kept.messages.len(), kept.pending_notifications.len()),
         (taken, 0),
@@ -280,12 +282,12 @@
 #[test]
 fn a_request_that_crosses_the_close_is_not_accepted_and_resets_nothing() {
     let e = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&e, 7)]);
-    rig.json["mgmt"] = rig.mgmt_at(0).into();
-    rig.start();
-    let mut resting = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
+    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.start();
+    let mut resting = process.client();
     resting.message("notice", 7, 8000, "before");
-    assert!(rig.call("drain")[0].starts_with("SUCCESS"));
+    assert!(process.call("drain")[0].starts_with("SUCCESS"));
     assert_eq!(resting.line(), "", "closed");
     let crossing = fresh();
     resting
@@ -295,13 +297,13 @@
     // Over a connection that was reset nothing more can be written.
     resting.to.write_all(b"PING\r\n").expect("no reset");
     // Once this is answered, what came before has been met.
-    let later = rig.client().message("notice", 7, 8000, "later");
+    let later = process.client().message("notice", 7, 8000, "later");
     wait_for("the later message", || {
         e.calls().iter().any(|c| c.header("X-Trace-Id") == later)
     });
     assert_eq!(resting.line(), "", "no answer");
-    let kept = rig
-        .kept()
+    let kept = process
+        .journaled()
         .messages
         .iter()
         .any(|m| format!("{:016x}", m.id.0) == crossing);
--- a/crates/daemon/tests/control_plane_processes.rs
+++ b/crates/daemon/tests/control_plane_processes.rs
@@ -65,10 +65,10 @@
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "before");
-    installation.dispatchers[0].rig.signal(Signal::STOP);
+    installation.dispatchers[0].process.signal(Signal::STOP);
     installation.write(DESTINATIONS, &second);
     installation.dispatchers[1].reaches(0, &second, "by another one meanwhile");
-    installation.dispatchers[0].rig.signal(Signal::CONT);
+    installation.dispatchers[0].process.signal(Signal::CONT);
     installation.all_reach(DESTINATIONS, &second, "after");
 }
 
@@ -102,7 +102,7 @@
         .control
         .iter_mut()
         .for_each(|process| process.kill());
-    installation.dispatchers[0].rig.kill();
+    installation.dispatchers[0].process.kill();
     installation.dispatchers[0].start();
     installation.all_reach(DESTINATIONS, &first, "with no control process");
     installation
--- a/crates/daemon/tests/discovery_watch.rs
+++ b/crates/daemon/tests/discovery_watch.rs
@@ -1,8 +1,8 @@
 //! The watch on discovery: followed over breaks, and moved on SIGHUP.
 
 use bellsill_test_support::client::{fresh, put};
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK, up};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK, up};
 use bellsill_test_support::platform::Platform;
 use bellsill_test_support::program;
 use bellsill_test_support::stand_in::{accept, request};
@@ -16,14 +16,15 @@
 #[test]
 fn the_watch_is_followed_over_split_lines_bad_lines_and_disconnects() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(program!(), &[(&first, 7)]);
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[(&first, 7)]);
+    process.start();
+    let mut client = process.client();
     let tell = |version: u64, entries: Vec<Value>| {
-        rig.platform
-            .tell("\n{\"not\": json\n{\"version\":true}\n\n");
+        process
+            .platform
+            .publish("\n{\"not\": json\n{\"version\":true}\n\n");
         let line = json!({"version": version, "full": false, "servers": entries});
-        rig.platform.tell(&format!("{line}\n"));
+        process.platform.publish(&format!("{line}\n"));
     };
     let nonsense =
         json!({"id": "e9", "addr": "nowhere", "zone": "z", "kind": "k", "cell": 7, "state": "up"});
@@ -46,10 +47,19 @@
     wait_for("all of them", || bodies(&second, "not to the first") == 10);
     assert_eq!(bodies(&first, "not to the first"), 0);
     // The watch disconnects: it is reopened after the last version.
-    for watch in rig.platform.watches.lock().unwrap().drain(..) {
+    for watch in process.platform.watches.lock().unwrap().drain(..) {
         watch.shutdown(std::net::Shutdown::Both).unwrap();
     }
-    let since = || rig.platform.since.lock().unwrap().last().cloned().unwrap();
+    let since = || {
+        process
+            .platform
+            .since
+            .lock()
+            .unwrap()
+            .last()
+            .cloned()
+            .unwrap()
+    };
     wait_for("a new watch", || since().contains("since=2 "));
     tell(
         3,
@@ -64,14 +74,14 @@
 #[test]
 fn an_endpoint_listed_twice_gets_no_new_message_if_it_drains() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
-    let mut rig = Rig::new(program!(), &[(&first, 7), (&second, 7)]);
-    let servers = rig.json["known"]["servers"].as_array_mut().unwrap();
+    let mut process = DispatcherProcess::new(program!(), &[(&first, 7), (&second, 7)]);
+    let servers = process.json["known"]["servers"].as_array_mut().unwrap();
     let drains = first.entry("e0", 7, "draining");
     servers.insert(0, drains);
     let twice = second.entry("e1", 7, "up");
     servers.push(twice);
-    rig.start();
-    let mut client = rig.client();
+    process.start();
+    let mut client = process.client();
     for n in 1..9 {
         client.message("payment", 7, 8000, "x");
         wait_for("the message at the second", || {
@@ -89,20 +99,21 @@
         TcpListener::bind("127.0.0.1:0").unwrap(),
         Endpoint::start(OK),
     );
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["mgmt"] = rig.mgmt_at(0).into();
-    rig.json["known"]["servers"] = vec![up("e0", &old.local_addr().unwrap().to_string(), 7)].into();
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.json["known"]["servers"] =
+        vec![up("e0", &old.local_addr().unwrap().to_string(), 7)].into();
+    process.start();
+    let mut client = process.client();
     client.message("notice", 7, 8000, "out");
     let mut out = accept(&old);
     request(&mut out).unwrap();
     let moved = vec![new.entry("e0", 7, "up"), new.entry("e1", 8, "up")];
-    rig.platform.tell(&format!(
+    process.platform.publish(&format!(
         "{}\n",
         json!({"version": 5, "full": false, "servers": moved})
     ));
-    wait_for("the list", || rig.figure("members") == 2);
+    wait_for("the list", || process.metric("members") == 2);
     out.get_mut()
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         .unwrap();
@@ -118,15 +129,16 @@
 
 #[test]
 fn a_silent_watch_is_reopened_from_its_last_version() {
-    let mut rig = Rig::new(program!(), &[]);
-    rig.start();
-    rig.platform.tell(&format!(
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.start();
+    process.platform.publish(&format!(
         "{}\n",
         json!({"version": 5, "full": false, "servers": []})
     ));
     // The stand-in keeps the connection open and sends nothing more.
     wait_for("another watch", || {
-        rig.platform
+        process
+            .platform
             .since
             .lock()
             .unwrap()
@@ -137,38 +149,43 @@
 
 #[test]
 fn on_sighup_discovery_is_relocated_and_a_bad_configuration_is_rejected() {
-    let (failing, other) = (Endpoint::start(Does::Says("500 Oops")), Endpoint::start(OK));
-    let mut rig = Rig::new(program!(), &[(&failing, 7)]);
-    rig.platform.deaf.store(true, Ordering::SeqCst);
-    rig.start();
-    rig.platform.tell(&format!(
+    let (failing, other) = (
+        Endpoint::start(Behavior::Responds("500 Oops")),
+        Endpoint::start(OK),
+    );
+    let mut process = DispatcherProcess::new(program!(), &[(&failing, 7)]);
+    process.platform.deaf.store(true, Ordering::SeqCst);
+    process.start();
+    process.platform.publish(&format!(
         "{}\n",
         json!({"version": 90, "full": false, "servers": []})
     ));
-    let mut client = rig.client();
+    let mut client = process.client();
     let once = client.message("payment", 7, 8000, "may have run");
     wait_for("the call", || failing.calls().len() == 1);
-    let old = std::mem::replace(&mut rig.platform, Platform::start());
+    let old = std::mem::replace(&mut process.platform, Platform::start());
     // What cannot be taken changes nothing.
-    std::fs::write(rig.folder.join("config.json"), "{\"listen\":").unwrap();
-    rig.signal(Signal::HUP);
-    assert_eq!(client.says(b"PING\r\n"), "+PONG");
-    rig.json["discovery"] = "nowhere".into();
-    drop(rig.command("check"));
-    rig.signal(Signal::HUP);
-    assert_eq!(client.says(b"PING\r\n"), "+PONG");
-    assert_eq!(rig.platform.since.lock().unwrap().len(), 0);
+    std::fs::write(process.folder.join("config.json"), "{\"listen\":").unwrap();
+    process.signal(Signal::HUP);
+    assert_eq!(client.send(b"PING\r\n"), "+PONG");
+    process.json["discovery"] = "nowhere".into();
+    drop(process.command("check"));
+    process.signal(Signal::HUP);
+    assert_eq!(client.send(b"PING\r\n"), "+PONG");
+    assert_eq!(process.platform.since.lock().unwrap().len(), 0);
     // A new discovery takes over the watch, from the beginning, and the notices that are owed; the rest stays.
-    rig.json["discovery"] = rig.platform.addr.clone().into();
-    rig.json["listen"] = "127.0.0.1:1".into();
-    drop(rig.command("check"));
-    rig.signal(Signal::HUP);
-    wait_for("the notice", || rig.platform.notice(&once).is_some());
-    rig.platform.tell(&format!(
+    process.json["discovery"] = process.platform.addr.clone().into();
+    process.json["listen"] = "127.0.0.1:1".into();
+    drop(process.command("check"));
+    process.signal(Signal::HUP);
+    wait_for("the notice", || {
+        process.platform.notification(&once).is_some()
+    });
+    process.platform.publish(&format!(
         "{}\n",
         json!({"version": 3, "full": true, "servers": [other.entry("e1", 7, "up")]})
     ));
-    assert!(rig.platform.since.lock().unwrap()[0].contains("since=0 "));
+    assert!(process.platform.since.lock().unwrap()[0].contains("since=0 "));
     wait_for("a message by the new list", || {
         client.message("notice", 7, 8000, "to whom");
         !other.calls().is_empty()
@@ -213,12 +230,12 @@
 #[test]
 fn the_watch_is_opened_before_the_first_client_is_answered() {
     let (discovery, addr) = by_hand();
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["discovery"] = addr;
-    rig.json["settings"]["balancers"] = json!(300);
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["discovery"] = addr;
+    process.json["settings"]["balancers"] = json!(300);
     // Elsewhere it may take half of the grace.
-    rig.json["settings"]["guarantees"]["drain-grace-ns"] = json!(0);
-    rig.start();
+    process.json["settings"]["guarantees"]["drain-grace-ns"] = json!(0);
+    process.start();
     discovery.set_nonblocking(true).unwrap();
     assert!(discovery.accept().is_ok(), "no call has come");
 }
@@ -226,9 +243,9 @@
 #[test]
 fn a_watch_whose_line_never_ends_is_reopened() {
     let (discovery, addr) = by_hand();
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["discovery"] = addr;
-    rig.start();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["discovery"] = addr;
+    process.start();
     let (mut first, _) = next_watch(&discovery);
     first.write_all(CHUNKED).unwrap();
     says(
@@ -258,9 +275,9 @@
 fn a_slow_watch_request_is_kept_beside_a_second_one_and_the_first_to_answer_is_used() {
     let (discovery, addr) = by_hand();
     let endpoint = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["discovery"] = addr;
-    rig.start();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["discovery"] = addr;
+    process.start();
     let (mut first, _) = next_watch(&discovery);
     first.write_all(CHUNKED).unwrap();
     let (mut second, _) = next_watch(&discovery);
@@ -270,8 +287,9 @@
     assert_eq!(second.read(&mut end).unwrap(), 0, "the other one is closed");
     wait_for("a message by the list", || {
         let id = fresh();
-        rig.client()
-            .says(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
+        process
+            .client()
+            .send(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
         !endpoint.calls().is_empty()
     });
 }
@@ -279,21 +297,22 @@
 #[test]
 fn an_indented_list_is_read_and_a_truncated_one_hides_none_after_it() {
     let endpoint = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[]);
-    rig.start();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.start();
     let list = |version: u64, servers: Value| json!({"version": version, "full": true, "servers": servers});
     let text =
         serde_json::to_string_pretty(&list(2, json!([endpoint.entry("e0", 7, "up")]))).unwrap();
     // Broken off, then one on a line of its own, then one over many lines.
-    rig.platform.tell(&format!(
+    process.platform.publish(&format!(
         "{}\n{}\n{text}\n",
         &text[..text.len() - 9],
         list(1, json!([]))
     ));
     wait_for("a message by the list", || {
         let id = fresh();
-        rig.client()
-            .says(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
+        process
+            .client()
+            .send(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
         !endpoint.calls().is_empty()
     });
 }
--- a/crates/daemon/tests/journal.rs
+++ b/crates/daemon/tests/journal.rs
@@ -2,8 +2,8 @@
 
 use bellsill_daemon::journal::Recovered;
 use bellsill_test_support::client::{fresh, put};
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::program;
 use bellsill_test_support::wait::wait_for;
 use serde_json::json;
@@ -14,27 +14,38 @@
     calls.iter().filter(|call| call.body == body).count()
 }
 
+/// Hands in one more message, and waits until it has reached the endpoint.
+fn hand_in_a_later_message(process: &DispatcherProcess, endpoint: &Endpoint) {
+    let last = process.client().message("notice", 7, 8000, "last");
+    wait_for("a later message", || {
+        endpoint
+            .calls()
+            .iter()
+            .any(|c| c.header("X-Trace-Id") == last)
+    });
+}
+
 #[test]
 fn after_sigkill_each_message_is_retried_as_its_class_allows() {
     let (hanging, full) = (
-        Endpoint::start(Does::Hangs),
-        Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000")),
+        Endpoint::start(Behavior::Hangs),
+        Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000")),
     );
-    let mut rig = Rig::new(program!(), &[(&hanging, 7), (&full, 8)]);
-    rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[(&hanging, 7), (&full, 8)]);
+    process.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
+    process.start();
+    let mut client = process.client();
     let (idempotent, at_most_once) = (
         client.message("notice", 7, 19_000, "t"),
         client.message("payment", 7, 19_000, "o"),
     );
     wait_for("both calls", || hanging.calls().len() == 2);
     let rejected = client.message("payment", 8, 19_000, "w");
-    wait_for("a rejection", || rig.never_ran(&rejected));
-    rig.kill();
-    hanging.does(OK);
-    full.does(OK);
-    rig.start();
+    wait_for("a rejection", || process.never_ran(&rejected));
+    process.kill();
+    hanging.set_behavior(OK);
+    full.set_behavior(OK);
+    process.start();
     wait_for("the second attempt of the idempotent message", || {
         calls_with_body(&hanging, "t") == 2
     });
@@ -42,36 +53,30 @@
         calls_with_body(&full, "w") == 2
     });
     wait_for("the end of the other message", || {
-        rig.platform.notice(&at_most_once).is_some()
+        process.platform.notification(&at_most_once).is_some()
     });
     assert_eq!(
-        rig.platform.notice(&at_most_once).unwrap()["result"],
+        process.platform.notification(&at_most_once).unwrap()["result"],
         "dead"
     );
     assert_eq!(calls_with_body(&hanging, "o"), 1, "it may have run");
     wait_for("all ends in the journal", || {
-        rig.kept() == Recovered::default()
+        process.journaled() == Recovered::default()
     });
     assert_eq!(
-        rig.platform.notices().len(),
+        process.platform.notifications().len(),
         1,
         "{idempotent} and {rejected} are delivered"
     );
     // Delivered messages have ended: the next process does nothing for them.
-    rig.kill();
-    rig.start();
-    let last = rig.client().message("notice", 7, 8000, "last");
-    wait_for("a later message", || {
-        hanging
-            .calls()
-            .iter()
-            .any(|c| c.header("X-Trace-Id") == last)
-    });
+    process.kill();
+    process.start();
+    hand_in_a_later_message(&process, &hanging);
     assert_eq!(
         (
             hanging.calls().len(),
             full.calls().len(),
-            rig.platform.notices().len()
+            process.platform.notifications().len()
         ),
         (4, 2, 1)
     );
@@ -79,51 +84,59 @@
 
 #[test]
 fn a_notification_is_pending_until_the_platform_confirms_it() {
-    let failing = Endpoint::start(Does::Says("500 Oops"));
-    let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
-    let mut rig = Rig::new(program!(), &[(&failing, 7), (&full, 99)]);
-    rig.platform.deaf.store(true, Ordering::SeqCst);
-    rig.start();
-    let mut client = rig.client();
+    let failing = Endpoint::start(Behavior::Responds("500 Oops"));
+    let full = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
+    let mut process = DispatcherProcess::new(program!(), &[(&failing, 7), (&full, 99)]);
+    process.platform.deaf.store(true, Ordering::SeqCst);
+    process.start();
+    let mut client = process.client();
     let may_have_run = client.message("payment", 7, 8000, "may have run");
     wait_for("the attempt", || failing.calls().len() == 1);
     let unserved = client.message("notice", 99, 100, "nowhere to go");
-    rig.kill();
-    rig.start();
-    assert_eq!(rig.platform.notices().len(), 0);
-    rig.platform.deaf.store(false, Ordering::SeqCst);
-    wait_for("both notifications", || rig.platform.notices().len() >= 2);
+    process.kill();
+    process.start();
+    assert_eq!(process.platform.notifications().len(), 0);
+    process.platform.deaf.store(false, Ordering::SeqCst);
+    wait_for("both notifications", || {
+        process.platform.notifications().len() >= 2
+    });
     assert_eq!(
-        rig.platform.notice(&may_have_run).unwrap()["result"],
+        process.platform.notification(&may_have_run).unwrap()["result"],
         "dead"
     );
-    let rejected = rig.platform.notice(&unserved).unwrap();
+    let rejected = process.platform.notification(&unserved).unwrap();
     assert!(rejected["result"] == "bounced" && rejected["wait_ms"].is_u64());
     assert_eq!(failing.calls().len(), 1);
 }
 
 #[test]
 fn a_second_process_in_a_folder_in_use_starts_and_adopts_its_messages() {
-    let hanging = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(program!(), &[(&hanging, 7)]);
-    rig.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
-    rig.start();
-    let mut client = rig.client();
+    let hanging = Endpoint::start(Behavior::Hangs);
+    let mut process = DispatcherProcess::new(program!(), &[(&hanging, 7)]);
+    process.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
+    process.start();
+    let mut client = process.client();
     let (idempotent, at_most_once) = (
         client.message("notice", 7, 19_000, "t"),
         client.message("payment", 7, 19_000, "o"),
     );
     wait_for("both calls", || hanging.calls().len() == 2);
     // A new version, in the same folder and at the same clients' address, while the old one still runs.
-    let mut old = rig.child.take().unwrap();
-    rig.start();
-    let state = rig.folder.join("state");
+    let mut old = process.child.take().unwrap();
+    process.start();
+    let state = process.folder.join("state");
     wait_for("a journal of its own", || state.join("mails.1").exists());
     assert!(
         old.try_wait().unwrap().is_none()
-            && rig.child.as_mut().unwrap().try_wait().unwrap().is_none()
+            && process
+                .child
+                .as_mut()
+                .unwrap()
+                .try_wait()
+                .unwrap()
+                .is_none()
     );
-    hanging.does(OK);
+    hanging.set_behavior(OK);
     old.kill().unwrap();
     old.wait().unwrap();
     wait_for("the adoption of the old journal", || {
@@ -133,44 +146,45 @@
         calls_with_body(&hanging, "t") == 2
     });
     wait_for("the end of the other message", || {
-        rig.platform.notice(&at_most_once).is_some()
+        process.platform.notification(&at_most_once).is_some()
     });
     assert_eq!(
-        rig.platform.notice(&at_most_once).unwrap()["result"],
+        process.platform.notification(&at_most_once).unwrap()["result"],
         "dead"
     );
     assert_eq!(calls_with_body(&hanging, "o"), 1, "it may have run");
-    assert_eq!(rig.platform.notices().len(), 1, "{idempotent} is delivered");
+    assert_eq!(
+        process.platform.notifications().len(),
+        1,
+        "{idempotent} is delivered"
+    );
     // What was adopted is not done again by the process after it. Killed before it has read the platform's answer, this one
     // would leave the notification pending and the next one would repeat it, which is allowed but not shown here.
     wait_for("the ends in the journal", || {
-        rig.kept_in("mails.1") == Recovered::default()
-    });
-    rig.kill();
-    rig.start();
-    let last = rig.client().message("notice", 7, 8000, "last");
-    wait_for("a later message", || {
-        hanging
-            .calls()
-            .iter()
-            .any(|c| c.header("X-Trace-Id") == last)
+        process.journaled_in("mails.1") == Recovered::default()
     });
+    process.kill();
+    process.start();
+    hand_in_a_later_message(&process, &hanging);
     assert_eq!(
-        (hanging.calls().len(), rig.platform.notices().len()),
+        (
+            hanging.calls().len(),
+            process.platform.notifications().len()
+        ),
         (4, 1)
     );
 }
 
 #[test]
 fn the_disk_quota_is_kept_and_answered_with_busy() {
-    let rejecting = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
-    let mut rig = Rig::new(program!(), &[(&rejecting, 7)]);
-    rig.json["limits"]["disk_mb"] = json!(0.4);
-    rig.start();
-    let mut client = rig.client();
+    let rejecting = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1"));
+    let mut process = DispatcherProcess::new(program!(), &[(&rejecting, 7)]);
+    process.json["limits"]["disk_mb"] = json!(0.4);
+    process.start();
+    let mut client = process.client();
     let body = "x".repeat(30_000);
     let used = || {
-        let files = std::fs::read_dir(rig.folder.join("state"))
+        let files = std::fs::read_dir(process.folder.join("state"))
             .unwrap()
             .flatten();
         files
@@ -180,7 +194,7 @@
     let mut answers = Vec::new();
     for _ in 0..40 {
         let id = fresh();
-        answers.push(client.says(&put(&id, "c=payment,d=20000,k=x,dest=7", &body)));
+        answers.push(client.send(&put(&id, "c=payment,d=20000,k=x,dest=7", &body)));
         assert!(used() <= 400_000);
     }
     assert_eq!(
@@ -188,9 +202,9 @@
         ("+OK", "-BUSY")
     );
     // Once messages have ended there is capacity again, however much was written before.
-    rejecting.does(OK);
+    rejecting.set_behavior(OK);
     wait_for("capacity for many more", || {
-        let answer = client.says(&put(&fresh(), "c=notice,d=20000,k=x,dest=7", &body));
+        let answer = client.send(&put(&fresh(), "c=notice,d=20000,k=x,dest=7", &body));
         assert!(used() <= 400_000);
         rejecting.calls().len() > 40 && answer == "+OK"
     });
--- a/crates/daemon/tests/journal_file.rs
+++ b/crates/daemon/tests/journal_file.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Does one step on the journal and on the model of what it holds.
+/// Behavior one step on the journal and on the model of what it holds.
 fn step(
     journal: &mut MessageJournal,
     model: &mut Recovered,
--- a/crates/daemon/tests/scoped_configuration.rs
+++ b/crates/daemon/tests/scoped_configuration.rs
@@ -2,24 +2,24 @@
 
 use bellsill_test_support::client::{fresh, put};
 use bellsill_test_support::control_stand_in::{BUCKETS, Control};
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::program;
 use bellsill_test_support::wait::wait_for;
 use std::path::PathBuf;
 use std::process::Command;
 
 /// A dispatcher `d1` of zone `north`; `south` is of another region.
-struct ScopedRig {
-    rig: Rig,
+struct ScopedDispatcher {
+    process: DispatcherProcess,
     installation: PathBuf,
 }
 
-impl ScopedRig {
-    fn new(control: &[&str], cache_destinations: usize) -> ScopedRig {
-        let mut rig = Rig::new(program!(), &[]);
-        rig.json["mgmt"] = rig.mgmt_at(0).into();
-        let installation = rig.folder.join("installation.toml");
+impl ScopedDispatcher {
+    fn new(control: &[&str], cache_destinations: usize) -> ScopedDispatcher {
+        let mut process = DispatcherProcess::new(program!(), &[]);
+        process.json["mgmt"] = process.mgmt_at(0).into();
+        let installation = process.folder.join("installation.toml");
         let addresses: Vec<String> = control.iter().map(|addr| format!("{addr:?}")).collect();
         let text = format!(
             "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [{}]\nbuckets_per_region = {BUCKETS}\n\
@@ -28,30 +28,33 @@
             addresses.join(", ")
         );
         std::fs::write(&installation, text).unwrap();
-        ScopedRig { rig, installation }
+        ScopedDispatcher {
+            process,
+            installation,
+        }
     }
 
     fn command(&self) -> Command {
-        let mut command = self.rig.command("serve");
+        let mut command = self.process.command("serve");
         command.arg("--installation").arg(&self.installation);
         command
     }
 
     fn start(&mut self) {
         let command = self.command();
-        self.rig.start_by(command);
+        self.process.start_by(command);
     }
 
     /// Ends the process as an operator would, so that it saves what it knows.
     fn stop(&mut self) {
-        self.rig.signal(rustix::process::Signal::TERM);
-        let mut child = self.rig.child.take().unwrap();
+        self.process.signal(rustix::process::Signal::TERM);
+        let mut child = self.process.child.take().unwrap();
         assert!(child.wait().unwrap().success());
     }
 
     /// What the dispatcher's own figures say.
     fn scope(&self, name: &str) -> u64 {
-        self.rig.figure(&format!("scope.{name}"))
+        self.process.metric(&format!("scope.{name}"))
     }
 }
 
@@ -70,10 +73,18 @@
 }
 
 /// Hands in one message after another until one has come to the endpoint, whatever the ones before are answered.
-fn delivered_in_the_end(dispatcher: &ScopedRig, endpoint: &Endpoint, destination: u64, body: &str) {
+fn delivered_in_the_end(
+    dispatcher: &ScopedDispatcher,
+    endpoint: &Endpoint,
+    destination: u64,
+    body: &str,
+) {
     wait_for(&format!("the message {body:?}"), || {
         let fields = format!("c=payment,d=8000,k=,dest={destination}");
-        dispatcher.rig.client().says(&put(&fresh(), &fields, body));
+        dispatcher
+            .process
+            .client()
+            .send(&put(&fresh(), &fields, body));
         // The room for messages is small.
         std::thread::sleep(std::time::Duration::from_millis(50));
         bodies(endpoint, body) > 0
@@ -84,12 +95,12 @@
 fn entries_of_its_buckets_are_cached_and_changes_are_followed() {
     let (first, second, control) = (Endpoint::start(OK), Endpoint::start(OK), Control::start());
     control.write("e0", &first.addr, "north", 7, true);
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
     wait_for("the buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
-    let mut client = dispatcher.rig.client();
+    let mut client = dispatcher.process.client();
     client.message("notice", 7, 8000, "held");
     delivered(&first, "held");
     assert!(control.lookup_queries().is_empty(), "it was known");
@@ -104,9 +115,9 @@
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "south", 47, true);
     control.fail_lookups(true);
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
-    let mut client = dispatcher.rig.client();
+    let mut client = dispatcher.process.client();
     let mut taken = Vec::new();
     for body in ["first", "second"] {
         client.message("notice", 47, 20_000, body);
@@ -137,17 +148,17 @@
 #[test]
 fn messages_that_wait_for_a_destination_whose_bucket_is_lost_are_delivered() {
     let (endpoint, control) = (
-        Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1")),
+        Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1")),
         Control::start(),
     );
     control.write("e0", &endpoint.addr, "north", 7, true);
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
     wait_for("the buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
     dispatcher
-        .rig
+        .process
         .client()
         .message("notice", 7, 20_000, "waits");
     wait_for("a first call", || !endpoint.calls().is_empty());
@@ -155,11 +166,11 @@
     wait_for("the buckets to be lost", || {
         dispatcher.scope("complete_buckets") == 0
     });
-    endpoint.does(OK);
+    endpoint.set_behavior(OK);
     wait_for("its delivery", || {
         dispatcher
-            .rig
-            .figure("downstream_requests.notice.completed")
+            .process
+            .metric("downstream_requests.notice.completed")
             == 1
     });
     assert_eq!(control.lookup_queries(), ["dispatcher=d1&cells=7"]);
@@ -172,13 +183,15 @@
 #[test]
 fn a_message_for_a_missing_destination_ends_at_its_deadline_and_the_next_one_is_rejected() {
     let control = Control::start();
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
-    let mut client = dispatcher.rig.client();
+    let mut client = dispatcher.process.client();
     let id = client.message("payment", 47, 1000, "to nobody");
-    wait_for("its end", || dispatcher.rig.platform.notice(&id).is_some());
+    wait_for("its end", || {
+        dispatcher.process.platform.notification(&id).is_some()
+    });
     assert!(!control.lookup_queries().is_empty());
-    let answer = client.says(&put(&fresh(), "c=payment,d=1000,k=,dest=47", "x"));
+    let answer = client.send(&put(&fresh(), "c=payment,d=1000,k=,dest=47", "x"));
     assert_eq!(answer, "-ERR dest: unknown destination");
     // One that comes to be is served.
     let endpoint = Endpoint::start(OK);
@@ -191,9 +204,9 @@
     let (held, cached, control) = (Endpoint::start(OK), Endpoint::start(OK), Control::start());
     control.write("e0", &held.addr, "north", 7, true);
     control.write("e1", &cached.addr, "south", 47, true);
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
-    let mut client = dispatcher.rig.client();
+    let mut client = dispatcher.process.client();
     client.message("notice", 7, 8000, "before");
     client.message("notice", 47, 8000, "before");
     [&held, &cached]
@@ -202,10 +215,10 @@
     drop(client);
     dispatcher.stop();
     // Nobody listens there any more.
-    let dead = ScopedRig::new(&["127.0.0.1:1"], 8);
+    let dead = ScopedDispatcher::new(&["127.0.0.1:1"], 8);
     std::fs::copy(&dead.installation, &dispatcher.installation).unwrap();
     dispatcher.start();
-    let mut client = dispatcher.rig.client();
+    let mut client = dispatcher.process.client();
     client.message("notice", 7, 8000, "after");
     client.message("notice", 47, 8000, "after");
     [&held, &cached]
@@ -213,11 +226,13 @@
         .for_each(|endpoint| delivered(endpoint, "after"));
     // One that is not known is taken, and ends by its time.
     let id = client.message("payment", 48, 1000, "unknown");
-    wait_for("its end", || dispatcher.rig.platform.notice(&id).is_some());
+    wait_for("its end", || {
+        dispatcher.process.platform.notification(&id).is_some()
+    });
     // It resumes from its version when control is back.
     drop(client);
     dispatcher.stop();
-    let alive = ScopedRig::new(&[&control.addr], 8);
+    let alive = ScopedDispatcher::new(&[&control.addr], 8);
     std::fs::copy(&alive.installation, &dispatcher.installation).unwrap();
     dispatcher.start();
     let query = control.next_watch(1);
@@ -231,13 +246,13 @@
 fn a_damaged_scope_file_is_rejected_and_fetched_again() {
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "north", 7, true);
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
     wait_for("the buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
     dispatcher.stop();
-    let file = dispatcher.rig.folder.join("state/scope");
+    let file = dispatcher.process.folder.join("state/scope");
     let mut bytes = std::fs::read(&file).unwrap();
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
@@ -261,9 +276,9 @@
             true,
         );
     }
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 2);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 2);
     dispatcher.start();
-    let mut client = dispatcher.rig.client();
+    let mut client = dispatcher.process.client();
     for (n, endpoint) in endpoints.iter().enumerate() {
         client.message("notice", 40 + n as u64, 8000, "each");
         delivered(endpoint, "each");
@@ -294,14 +309,14 @@
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "south", 47, true);
     control.fail_lookups(true);
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
     dispatcher
-        .rig
+        .process
         .client()
         .message("notice", 47, 20_000, "waits");
     wait_for("a lookup", || !control.lookup_queries().is_empty());
-    dispatcher.rig.kill();
+    dispatcher.process.kill();
     control.fail_lookups(false);
     dispatcher.start();
     delivered(&endpoint, "waits");
@@ -310,21 +325,21 @@
 #[test]
 fn a_destination_with_pending_messages_or_recent_use_is_not_evicted() {
     let control = Control::start();
-    let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1"));
+    let full = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1"));
     let endpoint = Endpoint::start(OK);
     control.write("e40", &full.addr, "south", 40, true);
     for cell in 41..=44 {
         control.write(&format!("e{cell}"), &endpoint.addr, "south", cell, true);
     }
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 3);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 3);
     dispatcher.start();
-    let mut client = dispatcher.rig.client();
+    let mut client = dispatcher.process.client();
     client.message("notice", 40, 20_000, "waits");
     wait_for("a first call", || !full.calls().is_empty());
     let completed = || {
         dispatcher
-            .rig
-            .figure("downstream_requests.notice.completed")
+            .process
+            .metric("downstream_requests.notice.completed")
     };
     for (n, cell) in [41, 42, 41, 43, 44].into_iter().enumerate() {
         client.message("notice", cell, 8000, "is delivered");
@@ -338,7 +353,7 @@
         .into_iter()
         .filter(|query| query.contains("cells=40"));
     assert_eq!(asked.count(), 1, "it never gave way");
-    full.does(OK);
+    full.set_behavior(OK);
     wait_for("what waited", || completed() == 6);
 }
 
@@ -346,12 +361,12 @@
 fn a_line_that_cannot_be_applied_ends_the_watch_and_changes_nothing() {
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "north", 7, true);
-    let mut dispatcher = ScopedRig::new(&[&control.addr], 8);
+    let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
     wait_for("the buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
-    control.tell_whole_list();
+    control.send_snapshot_line();
     assert!(
         control
             .next_watch(1)
@@ -370,11 +385,11 @@
 #[test]
 fn the_known_list_is_used_where_there_is_no_scope_file() {
     let endpoint = Endpoint::start(OK);
-    let mut dispatcher = ScopedRig::new(&["127.0.0.1:1"], 8);
-    dispatcher.rig.json["known"]["servers"] = vec![endpoint.entry("e0", 7, "up")].into();
+    let mut dispatcher = ScopedDispatcher::new(&["127.0.0.1:1"], 8);
+    dispatcher.process.json["known"]["servers"] = vec![endpoint.entry("e0", 7, "up")].into();
     dispatcher.start();
     dispatcher
-        .rig
+        .process
         .client()
         .message("notice", 7, 8000, "by the list of the start");
     delivered(&endpoint, "by the list of the start");
@@ -424,14 +439,14 @@
 
 #[test]
 fn an_installation_file_is_checked_completely_and_errors_are_named() {
-    let rig = ScopedRig::new(&["127.0.0.1:7400"], 8);
-    let good = std::fs::read_to_string(&rig.installation).unwrap();
+    let process = ScopedDispatcher::new(&["127.0.0.1:7400"], 8);
+    let good = std::fs::read_to_string(&process.installation).unwrap();
     let check = |text: &str| {
-        std::fs::write(&rig.installation, text).unwrap();
-        let mut command = rig.rig.command("check");
+        std::fs::write(&process.installation, text).unwrap();
+        let mut command = process.process.command("check");
         let done = command
             .arg("--installation")
-            .arg(&rig.installation)
+            .arg(&process.installation)
             .output()
             .unwrap();
         (
--- a/crates/daemon/tests/stepped_clock.rs
+++ b/crates/daemon/tests/stepped_clock.rs
@@ -1,7 +1,7 @@
 //! The wall clock is stepped during a restart: deadlines and deduplication windows remain spans of real time.
 
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::faults::{Faults, words};
 use bellsill_test_support::program;
 use bellsill_test_support::wait::wait_for;
@@ -17,17 +17,17 @@
 
 /// Leaves messages pending, steps the clock while no process runs, and checks that each continues as without the step.
 fn play_step(seconds: i64) {
-    let recovering = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.5"));
-    let rejecting = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
-    let hanging = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(
+    let recovering = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 0.5"));
+    let rejecting = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
+    let hanging = Endpoint::start(Behavior::Hangs);
+    let mut process = DispatcherProcess::new(
         program!(),
         &[(&recovering, 7), (&rejecting, 8), (&hanging, 9)],
     );
-    rig.json["settings"]["services"][0]["window-ns"] = json!(WINDOW.as_nanos() as u64);
-    let faults = Faults::new(&rig.folder, 1);
-    rig.start_with(&faults);
-    let mut client = rig.client();
+    process.json["settings"]["services"][0]["window-ns"] = json!(WINDOW.as_nanos() as u64);
+    let faults = Faults::new(&process.folder, 1);
+    process.start_with(&faults);
+    let mut client = process.client();
     let lasting: Vec<String> = (0..10)
         .map(|_| client.message("payment", 7, 20_000, "lasting"))
         .collect();
@@ -40,16 +40,18 @@
         hanging.calls_of(&idempotent) == 1
     });
     let attempted_at = Instant::now();
-    wait_for("a rejection", || rig.never_ran(&lasting[0]));
-    rig.kill();
+    wait_for("a rejection", || process.never_ran(&lasting[0]));
+    process.kill();
     faults.step_wall_clock(seconds);
-    recovering.does(OK);
+    recovering.set_behavior(OK);
     // The window of the idempotent message ends while no process runs.
     std::thread::sleep((WINDOW + END_SLACK).saturating_sub(attempted_at.elapsed()));
-    rig.start_with(&faults);
+    process.start_with(&faults);
     let ready = Instant::now();
     wait_for("the notifications of the short ones", || {
-        short.iter().all(|id| rig.platform.notice(id).is_some())
+        short
+            .iter()
+            .all(|id| process.platform.notification(id).is_some())
     });
     let overdue = (short_deadline + END_SLACK).max(ready + READY_SLACK);
     let late = Instant::now().saturating_duration_since(overdue);
@@ -61,11 +63,11 @@
     wait_for("the lasting ones' ends", || {
         lasting
             .iter()
-            .all(|id| recovering.calls_of(id) >= 1 || rig.platform.notice(id).is_some())
+            .all(|id| recovering.calls_of(id) >= 1 || process.platform.notification(id).is_some())
     });
     let failed = lasting
         .iter()
-        .filter(|id| rig.platform.notice(id).is_some())
+        .filter(|id| process.platform.notification(id).is_some())
         .count();
     assert_eq!(failed, 0, "{seconds} s: ended with most of their time left");
     assert_eq!(
@@ -84,24 +86,24 @@
 
 #[test]
 fn after_a_reboot_the_wall_clock_measures_the_remaining_time() {
-    let recovering = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 0.5"));
-    let rejecting = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
-    let mut rig = Rig::new(program!(), &[(&recovering, 7), (&rejecting, 8)]);
-    let faults = Faults::new(&rig.folder, 1);
+    let recovering = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 0.5"));
+    let rejecting = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
+    let mut process = DispatcherProcess::new(program!(), &[(&recovering, 7), (&rejecting, 8)]);
+    let faults = Faults::new(&process.folder, 1);
     // The machine of the first process has run for longer than that of the second.
     faults.ask(words::MONOTONIC_SHIFT_SECONDS, 100_000);
-    rig.start_with(&faults);
-    let mut client = rig.client();
+    process.start_with(&faults);
+    let mut client = process.client();
     let lasting = client.message("payment", 7, 20_000, "lasting");
     let short = client.message("notice", 8, 2_000, "short");
-    wait_for("a rejection", || rig.never_ran(&lasting));
-    rig.kill();
+    wait_for("a rejection", || process.never_ran(&lasting));
+    process.kill();
     faults.ask(words::MONOTONIC_SHIFT_SECONDS, 0);
-    recovering.does(OK);
-    rig.start_with(&faults);
+    recovering.set_behavior(OK);
+    process.start_with(&faults);
     let restarted_at = Instant::now();
     wait_for("the end of the short one", || {
-        rig.platform.notice(&short).is_some()
+        process.platform.notification(&short).is_some()
     });
     assert!(
         restarted_at.elapsed() < Duration::from_secs(4),
@@ -109,5 +111,5 @@
         restarted_at.elapsed()
     );
     wait_for("the lasting one", || recovering.calls_of(&lasting) >= 2);
-    assert_eq!(rig.platform.notice(&lasting), None);
+    assert_eq!(process.platform.notification(&lasting), None);
 }
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -3,7 +3,7 @@
 use bellsill_core::interface::MessageId;
 use bellsill_daemon::admin::load_disabled;
 use bellsill_daemon::journal::{JournaledMessage, MessageJournal, Recovered, Resolution};
-use bellsill_test_support::dispatcher_process::Rig;
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::program;
 use std::path::{Path, PathBuf};
 
@@ -180,19 +180,19 @@
 
 #[test]
 fn the_scope_file_is_read() {
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["mgmt"] = rig.mgmt_at(0).into();
-    std::fs::copy(fixture("scope"), rig.folder.join("state/scope")).unwrap();
-    let installation = rig.folder.join("installation.toml");
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["mgmt"] = process.mgmt_at(0).into();
+    std::fs::copy(fixture("scope"), process.folder.join("state/scope")).unwrap();
+    let installation = process.folder.join("installation.toml");
     // No process listens at the control process's address.
     let text = "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [\"127.0.0.1:1\"]\nbuckets_per_region = 4\n\
         cache_destinations = 8\n\
         zones = [{name = \"north\", region = \"a\"}, {name = \"south\", region = \"b\"}]\n";
     std::fs::write(&installation, text).unwrap();
-    let mut command = rig.command("serve");
+    let mut command = process.command("serve");
     command.arg("--installation").arg(&installation);
-    rig.start_by(command);
-    let metric = |name: &str| rig.figure(&format!("scope.{name}"));
+    process.start_by(command);
+    let metric = |name: &str| process.metric(&format!("scope.{name}"));
     assert_eq!((metric("destinations"), metric("cached")), (3, 1));
     assert_eq!((metric("version"), metric("refused_files")), (3, 0));
 }
--- a/crates/daemon/tests/wire_bytes.rs
+++ b/crates/daemon/tests/wire_bytes.rs
@@ -3,8 +3,8 @@
 
 use bellsill_test_support::client::put;
 use bellsill_test_support::control_stand_in::Control;
-use bellsill_test_support::dispatcher_process::Rig;
-use bellsill_test_support::endpoint::{Does, Endpoint, OK, up};
+use bellsill_test_support::dispatcher_process::DispatcherProcess;
+use bellsill_test_support::endpoint::{Behavior, Endpoint, OK, up};
 use bellsill_test_support::program;
 use bellsill_test_support::stand_in::stand_in;
 use bellsill_test_support::wait::wait_for;
@@ -101,10 +101,10 @@
 #[test]
 fn requests_to_endpoints_have_the_recorded_bytes() {
     let endpoint = RecordingServer::start(|_| "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    let mut rig = Rig::new(program!(), &[]);
-    rig.json["known"]["servers"] = json!([up("e0", &endpoint.address, 7)]);
-    rig.start();
-    let mut client = rig.client();
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    process.json["known"]["servers"] = json!([up("e0", &endpoint.address, 7)]);
+    process.start();
+    let mut client = process.client();
     let tagged = put(
         "00000000000000a1",
         "c=notice,d=8000,k=a-key,dest=7",
@@ -115,8 +115,8 @@
         "c=payment,d=9000,dest=7",
         "plain \u{e9}",
     );
-    assert_eq!(client.says(&tagged), "+OK");
-    assert_eq!(client.says(&plain), "+OK");
+    assert_eq!(client.send(&tagged), "+OK");
+    assert_eq!(client.send(&plain), "+OK");
     let requests = ["00000000000000a1", "00000000000000a2"].map(|id| endpoint.request_with(id));
     assert_recorded(
         "calls.txt",
@@ -126,10 +126,10 @@
 
 #[test]
 fn answers_to_clients_have_the_recorded_bytes() {
-    let hung = Endpoint::start(Does::Hangs);
-    let mut rig = Rig::new(program!(), &[(&hung, 7)]);
-    rig.json["settings"]["limits"]["max-open"] = json!(4);
-    rig.start();
+    let hung = Endpoint::start(Behavior::Hangs);
+    let mut process = DispatcherProcess::new(program!(), &[(&hung, 7)]);
+    process.json["settings"]["limits"]["max-open"] = json!(4);
+    process.start();
     let long = "x".repeat(2000);
     let commands: Vec<Vec<u8>> = vec![
         b"PING\r\n".to_vec(),
@@ -169,7 +169,7 @@
         put("00000000000000bd", "c=notice,d=8000,k=d,dest=7", "body"),
     ];
     let answers = commands.iter().map(|command| {
-        let mut client = rig.client();
+        let mut client = process.client();
         client.to.write_all(command).unwrap();
         let mut answer = String::new();
         client.from.read_line(&mut answer).unwrap();
@@ -182,20 +182,20 @@
 
 #[test]
 fn notifications_and_the_plain_watch_have_the_recorded_bytes() {
-    let failing = Endpoint::start(Does::Says("500 Oops"));
-    let full = Endpoint::start(Does::Says("429 Full\r\nRetry-After: 1000"));
+    let failing = Endpoint::start(Behavior::Responds("500 Oops"));
+    let full = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
     let platform = RecordingServer::start(platform_answer);
-    let mut rig = Rig::new(program!(), &[(&failing, 7), (&full, 99)]);
-    rig.json["discovery"] = platform.address.clone().into();
-    rig.start();
-    let mut client = rig.client();
-    client.says(&put(
+    let mut process = DispatcherProcess::new(program!(), &[(&failing, 7), (&full, 99)]);
+    process.json["discovery"] = platform.address.clone().into();
+    process.start();
+    let mut client = process.client();
+    client.send(&put(
         "00000000000000c1",
         "c=payment,d=8000,dest=7",
         "may have run",
     ));
     let failed = platform.request_with("00000000000000c1");
-    client.says(&put(
+    client.send(&put(
         "00000000000000c2",
         "c=notice,d=100,k=a,dest=99",
         "refused",
@@ -212,17 +212,17 @@
 #[test]
 fn the_scoped_watch_has_the_recorded_bytes() {
     let control = RecordingServer::start(|_| WATCH_OPENED);
-    let mut rig = Rig::new(program!(), &[]);
-    start_scoped(&mut rig, &control.address);
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    start_scoped(&mut process, &control.address);
     assert_recorded("scoped_watch.txt", &control.request_with("follow=1"));
 }
 
 #[test]
 fn the_lookup_of_a_destination_has_the_recorded_query() {
     let control = Control::start();
-    let mut rig = Rig::new(program!(), &[]);
-    start_scoped(&mut rig, &control.addr);
-    rig.client().says(&put(
+    let mut process = DispatcherProcess::new(program!(), &[]);
+    start_scoped(&mut process, &control.addr);
+    process.client().send(&put(
         "00000000000000d1",
         "c=notice,d=8000,k=a,dest=47",
         "body",
@@ -232,24 +232,24 @@
 }
 
 /// Starts a dispatcher that holds a part of the configuration and follows this control process.
-fn start_scoped(rig: &mut Rig, control: &str) {
-    let installation = rig.folder.join("installation.toml");
+fn start_scoped(process: &mut DispatcherProcess, control: &str) {
+    let installation = process.folder.join("installation.toml");
     let text = format!(
         "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [{control:?}]\nbuckets_per_region = 4\ncache_destinations = 8\n\
          zones = [{{name = \"north\", region = \"a\"}}, {{name = \"south\", region = \"b\"}}]\n",
     );
     std::fs::write(&installation, text).unwrap();
-    let mut command = rig.command("serve");
+    let mut command = process.command("serve");
     command.arg("--installation").arg(&installation);
-    rig.start_by(command);
+    process.start_by(command);
 }
 
 #[test]
 fn answers_to_operators_have_the_recorded_bytes() {
     let endpoint = Endpoint::start(OK);
-    let mut rig = Rig::new(program!(), &[(&endpoint, 7)]);
-    rig.json["mgmt"] = rig.mgmt_at(0).into();
-    rig.start();
+    let mut process = DispatcherProcess::new(program!(), &[(&endpoint, 7)]);
+    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.start();
     let long = "x".repeat(600);
     let calls = [
         "ready",
@@ -268,7 +268,7 @@
         &long,
     ];
     let answer = |call: &&str| {
-        let mut stream = TcpStream::connect(rig.json["mgmt"].as_str().unwrap()).unwrap();
+        let mut stream = TcpStream::connect(process.json["mgmt"].as_str().unwrap()).unwrap();
         stream.write_all(format!("{call}\n").as_bytes()).unwrap();
         let mut from = BufReader::new(stream);
         let mut answer = String::new();
--- a/crates/test-support/src/admin.rs
+++ b/crates/test-support/src/admin.rs
@@ -21,7 +21,7 @@
 }
 
 /// One of the metrics that `show-stat` lists at this address.
-pub fn figure_at(addr: &str, name: &str) -> u64 {
+pub fn metric_at(addr: &str, name: &str) -> u64 {
     let lines = call_at(addr, "show-stat");
     let value = lines
         .iter()
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -50,7 +50,7 @@
     }
 
     /// Sends these bytes, and returns the first line of the reply.
-    pub fn says(&mut self, bytes: &[u8]) -> String {
+    pub fn send(&mut self, bytes: &[u8]) -> String {
         self.to.write_all(bytes).unwrap();
         self.line()
     }
@@ -58,7 +58,7 @@
     /// Hands in a message that has to be accepted, and returns its id.
     pub fn message(&mut self, class: &str, cell: u64, ms: u64, body: &str) -> String {
         let id = fresh();
-        let answer = self.says(&put(
+        let answer = self.send(&put(
             &id,
             &format!("c={class},d={ms},k=k{id},dest={cell}"),
             body,
--- a/crates/test-support/src/control_stand_in.rs
+++ b/crates/test-support/src/control_stand_in.rs
@@ -87,7 +87,7 @@
     }
 
     /// Sends a line that no dispatcher may take: a snapshot in the middle of a watch.
-    pub fn tell_whole_list(&self) {
+    pub fn send_snapshot_line(&self) {
         self.state.lock().unwrap().whole_list_next = true;
     }
 
--- a/crates/test-support/src/dispatcher_process.rs
+++ b/crates/test-support/src/dispatcher_process.rs
@@ -1,6 +1,6 @@
 //! The dispatcher as a process of its own, spoken to over loopback sockets.
 
-use crate::admin::{call_at, figure_at};
+use crate::admin::{call_at, metric_at};
 use crate::client::{Client, connect};
 use crate::endpoint::Endpoint;
 use crate::faults::Faults;
@@ -38,7 +38,7 @@
 
 /// A dispatcher's process with its configuration, its folder, and its platform. The process and the folder go when it is
 /// dropped.
-pub struct Rig {
+pub struct DispatcherProcess {
     program: Program,
     /// Holds the configuration and, in `state`, what the process keeps.
     pub folder: PathBuf,
@@ -52,13 +52,13 @@
     pub child: Option<Child>,
 }
 
-static RIGS: AtomicU64 = AtomicU64::new(0);
+static PROCESSES: AtomicU64 = AtomicU64::new(0);
 static COPIES: AtomicU64 = AtomicU64::new(0);
 
-impl Rig {
+impl DispatcherProcess {
     /// Sets up a dispatcher that knows these endpoints, each with its destination, and starts nothing yet.
-    pub fn new(program: Program, endpoints: &[(&Endpoint, u64)]) -> Rig {
-        let (n, pid) = (RIGS.fetch_add(1, Ordering::SeqCst), std::process::id());
+    pub fn new(program: Program, endpoints: &[(&Endpoint, u64)]) -> DispatcherProcess {
+        let (n, pid) = (PROCESSES.fetch_add(1, Ordering::SeqCst), std::process::id());
         // An address of its own, so that nothing else is ever given its port.
         let listen = format!("127.{}.{}.{}:6379", 16 + pid % 200, pid / 200 % 250, n + 1);
         let folder = PathBuf::from(program.scratch_folder).join(format!("rig-{pid}-{n}"));
@@ -73,7 +73,7 @@
             .map(|(i, (e, cell))| e.entry(&format!("e{i}"), *cell, "up"))
             .collect::<Vec<_>>()
             .into();
-        Rig {
+        DispatcherProcess {
             program,
             folder,
             listen,
@@ -150,12 +150,12 @@
     }
 
     /// What the journal holds at this moment.
-    pub fn kept(&self) -> Recovered {
-        self.kept_in("mails")
+    pub fn journaled(&self) -> Recovered {
+        self.journaled_in("mails")
     }
 
     /// What that journal of the folder holds at this moment.
-    pub fn kept_in(&self, journal: &str) -> Recovered {
+    pub fn journaled_in(&self, journal: &str) -> Recovered {
         // A folder of its own each time: a process that another test starts just now holds a lock on the last one's file
         // until it is the program, and the journal would be taken for another's and found empty.
         let copy = self
@@ -168,7 +168,7 @@
 
     /// Whether the journal says that an attempt of the message never ran.
     pub fn never_ran(&self, id: &str) -> bool {
-        let messages = self.kept().messages;
+        let messages = self.journaled().messages;
         let message = messages.iter().find(|m| format!("{:016x}", m.id.0) == id);
         message.is_some_and(|m| m.attempts.iter().any(|c| c.may_have_run == Some(false)))
     }
@@ -186,7 +186,7 @@
         rustix::process::kill_process(pid, signal).unwrap();
     }
 
-    /// Where operators call this rig's dispatcher: the n-th process beside others has an address of its own.
+    /// Where operators call this dispatcher: the n-th process beside others has an address of its own.
     pub fn mgmt_at(&self, n: u16) -> String {
         let ip: std::net::SocketAddr = self.listen.parse().unwrap();
         format!("{}:{}", ip.ip(), 9100 + n)
@@ -198,8 +198,8 @@
     }
 
     /// One of the metrics that the process shows to operators now.
-    pub fn figure(&self, name: &str) -> u64 {
-        figure_at(self.json["mgmt"].as_str().unwrap(), name)
+    pub fn metric(&self, name: &str) -> u64 {
+        metric_at(self.json["mgmt"].as_str().unwrap(), name)
     }
 
     /// A new connection of a client.
@@ -208,7 +208,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for DispatcherProcess {
     fn drop(&mut self) {
         if self.child.is_some() {
             self.kill();
--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -29,15 +29,15 @@
 
 /// What an endpoint does with a call.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Does {
+pub enum Behavior {
     /// Answers with this: status line without its version, further headers.
-    Says(&'static str),
+    Responds(&'static str),
     /// Answers, then closes the connection.
-    SaysLast(&'static str),
+    RespondsAndCloses(&'static str),
     /// Reads the request and never answers; the connection stays open.
     Hangs,
     /// Closes the connection with no answer.
-    Breaks,
+    Closes,
     /// Writes just this, and keeps the connection open.
     Writes(&'static str),
 }
@@ -50,16 +50,16 @@
     /// All requests so far, in the order in which they came.
     pub calls: Arc<Mutex<Vec<Call>>>,
     /// What it does with the next request.
-    pub does: Arc<Mutex<Does>>,
+    pub behavior: Arc<Mutex<Behavior>>,
 }
 
 impl Endpoint {
     /// Starts an endpoint on a free port.
-    pub fn start(does: Does) -> Endpoint {
-        let (calls, does) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(does)));
+    pub fn start(behavior: Behavior) -> Endpoint {
+        let (calls, behavior) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(behavior)));
         let (seen, way, conns) = (
             Arc::clone(&calls),
-            Arc::clone(&does),
+            Arc::clone(&behavior),
             Arc::new(AtomicU64::new(0)),
         );
         let addr = stand_in(move |stream| {
@@ -68,27 +68,31 @@
             let mut from = BufReader::new(stream);
             while let Some((head, body)) = request(&mut from) {
                 let body = String::from_utf8(body).unwrap();
-                let does = *way.lock().unwrap();
+                let behavior = *way.lock().unwrap();
                 seen.lock().unwrap().push(Call { head, body, conn });
-                let done = match does {
-                    Does::Says(answer) | Does::SaysLast(answer) => {
+                let done = match behavior {
+                    Behavior::Responds(answer) | Behavior::RespondsAndCloses(answer) => {
                         write!(to, "HTTP/1.1 {answer}\r\nContent-Length: 2\r\n\r\nok")
                     }
-                    Does::Hangs => Ok(()),
-                    Does::Breaks => return,
-                    Does::Writes(text) => to.write_all(text.as_bytes()),
+                    Behavior::Hangs => Ok(()),
+                    Behavior::Closes => return,
+                    Behavior::Writes(text) => to.write_all(text.as_bytes()),
                 };
-                if done.is_err() || matches!(does, Does::SaysLast(_)) {
+                if done.is_err() || matches!(behavior, Behavior::RespondsAndCloses(_)) {
                     return;
                 }
             }
         });
-        Endpoint { addr, calls, does }
+        Endpoint {
+            addr,
+            calls,
+            behavior,
+        }
     }
 
     /// Treats requests like this from now on, on connections that are open too.
-    pub fn does(&self, does: Does) {
-        *self.does.lock().unwrap() = does;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().unwrap() = behavior;
     }
 
     /// A copy of all requests so far.
@@ -111,7 +115,7 @@
 }
 
 /// Accepts every message.
-pub const OK: Does = Does::Says("200 OK");
+pub const OK: Behavior = Behavior::Responds("200 OK");
 
 /// An entry of the list of endpoints; `cell` is the number of its destination.
 pub fn entry(id: &str, addr: &str, cell: u64, state: &str) -> Value {
--- a/crates/test-support/src/installation.rs
+++ b/crates/test-support/src/installation.rs
@@ -2,7 +2,7 @@
 //! link to the control processes that can be cut for each dispatcher.
 
 use crate::client::{fresh, put};
-use crate::dispatcher_process::{Program, Rig};
+use crate::dispatcher_process::{DispatcherProcess, Program};
 use crate::endpoint::Endpoint;
 use crate::stand_in::stand_in;
 use crate::wait::wait_for;
@@ -144,14 +144,14 @@
 /// A dispatcher, and its links to the control processes.
 pub struct Dispatcher {
     /// Its process.
-    pub rig: Rig,
+    pub process: DispatcherProcess,
     links: Vec<Link>,
 }
 
 impl Dispatcher {
     fn new(program: Program, number: usize, control: &[ControlProcess]) -> Dispatcher {
-        let mut rig = Rig::new(program, &[]);
-        rig.json["mgmt"] = rig.mgmt_at(0).into();
+        let mut process = DispatcherProcess::new(program, &[]);
+        process.json["mgmt"] = process.mgmt_at(0).into();
         let links: Vec<Link> = control
             .iter()
             .map(|process| Link::to(process.addr.clone()))
@@ -166,17 +166,17 @@
             addresses.join(", "),
             layout()
         );
-        std::fs::write(rig.folder.join("installation.toml"), text).unwrap();
-        Dispatcher { rig, links }
+        std::fs::write(process.folder.join("installation.toml"), text).unwrap();
+        Dispatcher { process, links }
     }
 
     /// Starts it with the installation that its folder describes.
     pub fn start(&mut self) {
-        let mut command = self.rig.command("serve");
+        let mut command = self.process.command("serve");
         command
             .arg("--installation")
-            .arg(self.rig.folder.join("installation.toml"));
-        self.rig.start_by(command);
+            .arg(self.process.folder.join("installation.toml"));
+        self.process.start_by(command);
     }
 
     /// Cuts or heals the link to all control processes.
@@ -188,7 +188,7 @@
 
     /// One of the metrics of its part of the endpoint list.
     pub fn scope(&self, name: &str) -> u64 {
-        self.rig.figure(&format!("scope.{name}"))
+        self.process.metric(&format!("scope.{name}"))
     }
 
     /// Hands in one message after another until one has reached the endpoint, whatever the answers to the ones before.
@@ -196,7 +196,7 @@
         let came = || endpoint.calls().iter().any(|call| call.body == body);
         wait_for(&format!("the message {body:?} for {destination}"), || {
             let fields = format!("c=payment,d=8000,k=,dest={destination}");
-            self.rig.client().says(&put(&fresh(), &fields, body));
+            self.process.client().send(&put(&fresh(), &fields, body));
             // The room for messages is small.
             std::thread::sleep(Duration::from_millis(50));
             came()
@@ -215,7 +215,9 @@
 impl Installation {
     /// All processes run, and the dispatchers are declared and hold their buckets.
     pub fn start(program: Program) -> Installation {
-        let places: Vec<Rig> = (0..SIZE).map(|_| Rig::new(program, &[])).collect();
+        let places: Vec<DispatcherProcess> = (0..SIZE)
+            .map(|_| DispatcherProcess::new(program, &[]))
+            .collect();
         let addr = |n: usize| places[n].listen.replace(":6379", ":7400");
         let folder = |n: usize| places[n].folder.with_extension("control");
         let mut control: Vec<ControlProcess> = (0..SIZE)
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -18,7 +18,7 @@
     /// The request line of each watch, which says from where the list is followed.
     pub since: Arc<Mutex<Vec<String>>>,
     /// All notifications that were accepted, in order.
-    pub notices: Arc<Mutex<Vec<Value>>>,
+    pub notifications: Arc<Mutex<Vec<Value>>>,
     /// While set, notifications are read and their connection is closed with no answer.
     pub deaf: Arc<AtomicBool>,
 }
@@ -28,12 +28,12 @@
     pub fn start() -> Platform {
         let watches: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
         let since: Arc<Mutex<Vec<String>>> = Arc::default();
-        let notices: Arc<Mutex<Vec<Value>>> = Arc::default();
+        let notifications: Arc<Mutex<Vec<Value>>> = Arc::default();
         let deaf = Arc::new(AtomicBool::new(false));
         let (w, s, n, d) = (
             Arc::clone(&watches),
             Arc::clone(&since),
-            Arc::clone(&notices),
+            Arc::clone(&notifications),
             Arc::clone(&deaf),
         );
         let addr = stand_in(move |stream| {
@@ -64,13 +64,13 @@
             addr,
             watches,
             since,
-            notices,
+            notifications,
             deaf,
         }
     }
 
     /// Sends the text to all watches, each byte in a chunk of its own.
-    pub fn tell(&self, text: &str) {
+    pub fn publish(&self, text: &str) {
         wait_for("a watch", || !self.watches.lock().unwrap().is_empty());
         for watch in self.watches.lock().unwrap().iter_mut() {
             for byte in text.bytes() {
@@ -83,12 +83,12 @@
     }
 
     /// A copy of all notifications accepted so far.
-    pub fn notices(&self) -> Vec<Value> {
-        self.notices.lock().unwrap().clone()
+    pub fn notifications(&self) -> Vec<Value> {
+        self.notifications.lock().unwrap().clone()
     }
 
     /// The first notification of this message.
-    pub fn notice(&self, id: &str) -> Option<Value> {
-        self.notices().into_iter().find(|n| n["ref"] == id)
+    pub fn notification(&self, id: &str) -> Option<Value> {
+        self.notifications().into_iter().find(|n| n["ref"] == id)
     }
 }
--- a/crates/test-support/src/soak/mod.rs
+++ b/crates/test-support/src/soak/mod.rs
@@ -7,7 +7,7 @@
 
 pub use scenario::{Fault, FaultSwitches, Scenario};
 
-use crate::dispatcher_process::{Program, Rig};
+use crate::dispatcher_process::{DispatcherProcess, Program};
 use crate::faults::{EIO, ENOSPC, Faults, words};
 use crate::ledger::Verdict;
 use crate::stand_in::stand_in;
@@ -36,7 +36,7 @@
 /// A dispatcher with all that it is played against.
 pub struct World {
     /// The dispatcher.
-    pub rig: Rig,
+    pub process: DispatcherProcess,
     /// What its system calls do.
     pub faults: Faults,
     scenario: Scenario,
@@ -60,7 +60,7 @@
             stop: AtomicBool::new(false),
             random: Mutex::new(Pcg64::seed_from_u64(scenario.seed ^ 1)),
         });
-        let mut rig = Rig::new(program, &[]);
+        let mut process = DispatcherProcess::new(program, &[]);
         let endpoint = |limiter: usize| {
             let shared = Arc::clone(&shared);
             stand_in(move |stream| serve_calls(stream, limiter, &shared))
@@ -74,17 +74,19 @@
             json!({"id": id, "addr": endpoint(limiter), "zone": "north", "kind": kind, "cell": cell,
                 "state": "up"})
         });
-        rig.json["known"]["servers"] = json!(servers);
+        process.json["known"]["servers"] = json!(servers);
         let platform = Arc::clone(&shared);
-        rig.json["discovery"] = stand_in(move |stream| serve_platform(stream, &platform)).into();
-        rig.json["settings"]["limits"]["max-open"] = json!(400);
-        rig.json["settings"]["family-info"]["workers"] = json!(32);
-        rig.json["settings"]["services"][0]["window-ns"] = json!(scenario.window.as_nanos() as u64);
-        let faults = Faults::new(&rig.folder, scenario.seed);
+        process.json["discovery"] =
+            stand_in(move |stream| serve_platform(stream, &platform)).into();
+        process.json["settings"]["limits"]["max-open"] = json!(400);
+        process.json["settings"]["family-info"]["workers"] = json!(32);
+        process.json["settings"]["services"][0]["window-ns"] =
+            json!(scenario.window.as_nanos() as u64);
+        let faults = Faults::new(&process.folder, scenario.seed);
         let n = WORLDS.fetch_add(1, Ordering::SeqCst);
         let random = Pcg64::seed_from_u64(scenario.seed.wrapping_add(n << 32));
         let mut world = World {
-            rig,
+            process,
             faults,
             scenario,
             shared,
@@ -104,7 +106,7 @@
             .push(std::thread::spawn(move || watch_machine(&shared)));
         for n in 0..CLIENTS {
             let sender = Sender {
-                listen: self.rig.listen.clone(),
+                listen: self.process.listen.clone(),
                 scenario: self.scenario.clone(),
                 shared: Arc::clone(&self.shared),
                 random: Pcg64::seed_from_u64(self.scenario.seed * 1_000 + n),
@@ -113,23 +115,24 @@
             self.clients.push(std::thread::spawn(move || sender.run()));
         }
         for _ in 0..self.scenario.idle_clients {
-            self.idle.extend(TcpStream::connect(&self.rig.listen).ok());
+            self.idle
+                .extend(TcpStream::connect(&self.process.listen).ok());
         }
     }
 
     fn start_process(&mut self) {
-        let mut command = self.rig.command_with(&self.faults);
+        let mut command = self.process.command_with(&self.faults);
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.log_path())
             .unwrap();
         command.arg("--log").arg("debug").stderr(log);
-        self.rig.start_by(command);
+        self.process.start_by(command);
     }
 
     fn log_path(&self) -> std::path::PathBuf {
-        self.rig.folder.join("log")
+        self.process.folder.join("log")
     }
 
     /// What the dispatcher logged of the messages that a breach names, so that each breach comes with its trace.
@@ -155,7 +158,7 @@
     /// Plays on for a while. The dispatcher may not end by itself.
     pub fn play(&mut self, time: Duration) {
         std::thread::sleep(time);
-        if let Some(child) = &mut self.rig.child {
+        if let Some(child) = &mut self.process.child {
             assert_eq!(
                 child.try_wait().unwrap(),
                 None,
@@ -172,7 +175,7 @@
     /// A restart by SIGKILL alone; what happens while the process is down comes between.
     pub fn kill_and_restart(&mut self, between: impl FnOnce(&World)) {
         self.shared.ledger().restart_began();
-        self.rig.kill();
+        self.process.kill();
         self.come_back(between);
     }
 
@@ -187,20 +190,20 @@
 
     /// Holds the process up.
     pub fn stand_still(&self, time: Duration) {
-        self.rig.signal(Signal::STOP);
+        self.process.signal(Signal::STOP);
         std::thread::sleep(time);
-        self.rig.signal(Signal::CONT);
+        self.process.signal(Signal::CONT);
     }
 
     /// A planned restart: signals in series, and the kill at the earliest moment.
     pub fn end_and_restart(&mut self, signals: &[(Signal, Duration)]) {
         self.shared.ledger().restart_began();
-        self.rig.signal(Signal::TERM);
+        self.process.signal(Signal::TERM);
         let began = Instant::now();
         for (signal, after) in signals {
             std::thread::sleep(*after);
             if self
-                .rig
+                .process
                 .child
                 .as_mut()
                 .unwrap()
@@ -208,11 +211,11 @@
                 .unwrap()
                 .is_none()
             {
-                self.rig.signal(*signal);
+                self.process.signal(*signal);
             }
         }
         self.disturb_for(KILL_AFTER_TERM.saturating_sub(began.elapsed()));
-        self.rig.kill();
+        self.process.kill();
         self.come_back(|_| {});
     }
 
@@ -236,7 +239,7 @@
 
     fn disturb_once(&mut self) {
         let runs = self
-            .rig
+            .process
             .child
             .as_mut()
             .is_some_and(|child| child.try_wait().unwrap().is_none());
@@ -314,7 +317,7 @@
 
     /// Waits for a process that is killed in the middle of a write.
     fn await_kill_and_restart(&mut self) {
-        let mut child = self.rig.child.take().unwrap();
+        let mut child = self.process.child.take().unwrap();
         let until = Instant::now() + Duration::from_secs(20);
         while child.try_wait().unwrap().is_none() {
             assert!(Instant::now() < until, "nothing was written");
@@ -338,7 +341,7 @@
         }
         // Calls after the end would come now.
         self.play(Duration::from_millis(700));
-        self.rig.kill();
+        self.process.kill();
         std::thread::sleep(Duration::from_millis(100));
         let verdict = self.shared.ledger().verdict();
         self.trace(&verdict.broken)
