--- a/crates/daemon/src/delivery/recovery.rs
+++ b/crates/daemon/src/delivery/recovery.rs
@@ -16,8 +16,8 @@
 
 impl Adoption {
     /// What the journal reported.
-    pub(crate) fn from_held_by_others(held: bool) -> Adoption {
-        if held {
+    pub(crate) fn from_incomplete(is_incomplete: bool) -> Adoption {
+        if is_incomplete {
             Adoption::MoreLater
         } else {
             Adoption::Complete
@@ -28,9 +28,9 @@
 impl Delivery {
     /// Takes over the journals that other processes have left in the state folder.
     pub(crate) fn adopt_journals(&mut self) -> Adoption {
-        let (recovered, held) = self.runtime.journal.adopt();
-        self.recover(recovered);
-        Adoption::from_held_by_others(held)
+        let adopted = self.runtime.journal.adopt();
+        self.recover(adopted.recovered);
+        Adoption::from_incomplete(adopted.is_incomplete)
     }
 
     /// Takes over what a journal held: messages go to the decisions, and notifications are sent until acknowledged.
--- a/crates/daemon/src/journal/contents.rs
+++ b/crates/daemon/src/journal/contents.rs
@@ -55,3 +55,12 @@
     /// Messages that have ended and whose notification the platform has not confirmed.
     pub pending_notifications: Vec<(MessageId, Resolution)>,
 }
+
+/// What was taken over from the journals of other processes.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct AdoptedJournals {
+    /// Their messages and pending notifications.
+    pub recovered: Recovered,
+    /// Another process still holds a journal, or one cannot be taken over yet: adopting has to be tried again.
+    pub is_incomplete: bool,
+}
--- a/crates/daemon/src/journal/mod.rs
+++ b/crates/daemon/src/journal/mod.rs
@@ -23,7 +23,7 @@
 mod replay;
 mod writer;
 
-pub use contents::{JournaledAttempt, JournaledMessage, Recovered, Resolution};
+pub use contents::{AdoptedJournals, JournaledAttempt, JournaledMessage, Recovered, Resolution};
 pub use error::JournalError;
 
 use bellsill_core::interface::{MessageId, Nanos};
@@ -60,12 +60,14 @@
     }
 
     /// Takes over the journals of the folder that no process holds any more: their messages and pending notifications are
-    /// written into this one, and only then are they removed. The flag says that it has to be called again: another
-    /// process still holds a journal, or one cannot be taken over yet.
-    pub fn adopt(&mut self) -> (Recovered, bool) {
+    /// written into this one, and only then are they removed.
+    pub fn adopt(&mut self) -> AdoptedJournals {
         let adoption = adoption::adopt(&mut self.writer);
         self.resolved.extend(adoption.resolved);
-        (adoption.recovered, adoption.is_incomplete)
+        AdoptedJournals {
+            recovered: adoption.recovered,
+            is_incomplete: adoption.is_incomplete,
+        }
     }
 
     /// The messages that had ended before, by the journals read since the last call.
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -159,17 +159,17 @@
         MessageJournal::open(&start.state, journal_bytes)
     })
     .map_err(in_folder)?;
-    let (adopted, held_by_others) = journal.adopt();
+    let adopted = journal.adopt();
     let disabled = start_retry::wait_out(flags.shutdown(), || load_disabled(&start.state))
         .map_err(in_folder)?;
-    recovered.messages.extend(adopted.messages);
+    recovered.messages.extend(adopted.recovered.messages);
     recovered
         .pending_notifications
-        .extend(adopted.pending_notifications);
+        .extend(adopted.recovered.pending_notifications);
     Ok(Stored {
         journal,
         recovered,
-        adoption: Adoption::from_held_by_others(held_by_others),
+        adoption: Adoption::from_incomplete(adopted.is_incomplete),
         disabled,
     })
 }
--- a/crates/daemon/tests/journal_file.rs
+++ b/crates/daemon/tests/journal_file.rs
@@ -102,6 +102,12 @@
     Ok(())
 }
 
+/// What the journal adopts, and whether it has to try again.
+fn adopt(journal: &mut MessageJournal) -> (Recovered, bool) {
+    let adopted = journal.adopt();
+    (adopted.recovered, adopted.is_incomplete)
+}
+
 #[test]
 fn a_reopened_journal_holds_what_was_written_within_its_quota() {
     fn property(steps: Vec<(u8, u8, u16)>, torn: Vec<u8>) -> bool {
@@ -164,15 +170,15 @@
     let (mut new, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
     assert_eq!(recovered, Recovered::default());
     // While a process holds the old one, nothing of it is adopted.
-    let (adopted, held) = new.adopt();
+    let (adopted, held) = adopt(&mut new);
     assert!(held && adopted == Recovered::default());
     drop(old);
-    let (adopted, held) = new.adopt();
+    let (adopted, held) = adopt(&mut new);
     assert!(!held && adopted == model && !folder.0.join("mails").exists());
     // What was adopted is the new one's own from now on: opened again, it is there once.
     drop(new);
     let (mut again, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    let (adopted, held) = again.adopt();
+    let (adopted, held) = adopt(&mut again);
     assert!(!held && recovered == Recovered::default() && adopted == model);
 }
 
@@ -190,11 +196,11 @@
         step(&mut new, &mut own, (0, n, 4_000)).unwrap();
     }
     drop(old);
-    assert_eq!(new.adopt(), (Recovered::default(), true));
+    assert_eq!(adopt(&mut new), (Recovered::default(), true));
     for n in 8..13 {
         step(&mut new, &mut own, (4, n, 0)).unwrap();
     }
-    assert_eq!(new.adopt(), (model, false));
+    assert_eq!(adopt(&mut new), (model, false));
 }
 
 /// A message whose deadline is far in the future of the dispatcher's clock.
@@ -246,7 +252,7 @@
     journal.append_notified(MessageId(9)).unwrap();
     drop(other);
     let source = std::fs::read(folder.0.join("mails")).unwrap();
-    assert_eq!(journal.adopt().0.messages.len(), 1);
+    assert_eq!(adopt(&mut journal).0.messages.len(), 1);
 
     let accepted_record = |message: &JournaledMessage| {
         let head = numbers(&[message.id.0, 0, 7, message.deadline]);
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -85,6 +85,12 @@
     numbers.map(MessageId).collect()
 }
 
+/// What the journal adopts, and whether it has to try again.
+fn adopt(journal: &mut MessageJournal) -> (Recovered, bool) {
+    let adopted = journal.adopt();
+    (adopted.recovered, adopted.is_incomplete)
+}
+
 #[test]
 fn a_journal_with_every_kind_of_record_is_read() {
     let folder = Copy::of("journal");
@@ -115,7 +121,7 @@
             ),
         ]
     );
-    assert_eq!(journal.adopt(), (Recovered::default(), false));
+    assert_eq!(adopt(&mut journal), (Recovered::default(), false));
     let resolved = journal.take_resolved();
     assert_eq!(&resolved[..4], ids(0x13..0x17));
 }
@@ -144,7 +150,7 @@
     let folder = Copy::of("journal-to-adopt");
     let (mut journal, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
     assert_pending(&recovered.messages, 0x11);
-    let (adopted, others_held) = journal.adopt();
+    let (adopted, others_held) = adopt(&mut journal);
     assert!(!others_held);
     assert_pending(&adopted.messages, 0x21);
     assert_eq!(
