--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -321,7 +321,7 @@
         let interest = Interest {
             readable: !connection.connecting
                 && !connection.ended
-                && connection.input.available() > 0,
+                && connection.input.remaining_capacity() > 0,
             writable: connection.connecting || !connection.output.is_empty(),
         };
         if connection.armed != Some(interest) {
@@ -397,13 +397,13 @@
 
     /// How many bytes the input may hold.
     pub(crate) fn input_bound(&self) -> usize {
-        self.input.len() + self.input.available()
+        self.input.len() + self.input.remaining_capacity()
     }
 
     /// Raises the bound of the input.
     pub(crate) fn grow_input(&mut self, bound: usize) {
         let mut larger = RingBuffer::new(bound);
-        larger.push(self.input.contiguous());
+        larger.push(self.input.make_contiguous());
         self.input = larger;
     }
 }
--- a/crates/control-plane/src/follower.rs
+++ b/crates/control-plane/src/follower.rs
@@ -10,7 +10,7 @@
 use crate::time::SECOND;
 use bellsill_directory::complete_line::MAX_COMPLETE_LINE_BYTES;
 use bellsill_net::Nanos;
-use bellsill_net::http::{self, Body, Malformed};
+use bellsill_net::http::{self, Body, MalformedResponse};
 use bellsill_placement::Layout;
 use std::io;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
     #[error("it was closed by the leader")]
     Closed,
     #[error("{0}")]
-    Malformed(#[from] Malformed),
+    Malformed(#[from] MalformedResponse),
     #[error("the leader answers with status {0}")]
     Status(u16),
     #[error("a line has more than {MAX_COMPLETE_LINE_BYTES} bytes")]
@@ -224,7 +224,7 @@
             return Ok(Vec::new());
         };
         if watch.body.is_none() {
-            let Some(head) = http::take_head(&mut connection.input)? else {
+            let Some(head) = http::take_response_head(&mut connection.input)? else {
                 return Ok(Vec::new());
             };
             if head.status != 200 {
--- a/crates/control-plane/src/http_server.rs
+++ b/crates/control-plane/src/http_server.rs
@@ -46,7 +46,7 @@
 pub(crate) fn receive(input: &mut RingBuffer) -> Received {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let bytes = input.contiguous();
+    let bytes = input.make_contiguous();
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => {
--- a/crates/daemon/src/admin/connections.rs
+++ b/crates/daemon/src/admin/connections.rs
@@ -25,7 +25,7 @@
 
 /// Closes a connection.
 pub(crate) fn close(runtime: &mut Runtime, id: ConnectionId) {
-    runtime.timers.clear(Timer::Connection(id));
+    runtime.timers.cancel(Timer::Connection(id));
     runtime.connections.close(id);
 }
 
@@ -72,7 +72,7 @@
     let Some(conn) = runtime.connections.get_mut(id) else {
         return AdminInput::Closed;
     };
-    let bytes = conn.input.contiguous();
+    let bytes = conn.input.make_contiguous();
     let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
         if conn.input.len() >= MAX_LINE_BYTES {
             let failure = format!("FAILURE {}\n", RequestError::TooLong);
--- a/crates/daemon/src/client/closing.rs
+++ b/crates/daemon/src/client/closing.rs
@@ -16,8 +16,8 @@
 
 /// Closes a client's connection.
 pub(super) fn close(runtime: &mut Runtime, id: ConnectionId) {
-    runtime.timers.clear(Timer::Connection(id));
-    runtime.timers.clear(Timer::ReadClient(id));
+    runtime.timers.cancel(Timer::Connection(id));
+    runtime.timers.cancel(Timer::ReadClient(id));
     runtime.connections.close(id);
 }
 
@@ -29,7 +29,7 @@
 /// A client that has had no answer yet has none to lose and is closed: its first request is not read then, where read and
 /// discarded it would be lost.
 pub(super) fn close_gracefully(runtime: &mut Runtime, id: ConnectionId) {
-    runtime.timers.clear(Timer::ReadClient(id));
+    runtime.timers.cancel(Timer::ReadClient(id));
     let lingers = |c: &Connection| {
         (c.answered || c.protocol_errors > 0)
             && !c.lingering
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -115,12 +115,14 @@
 
 /// Answers the next command of the input, if it is complete.
 fn next_command(conn: &mut Connection, now: Nanos, policy: ClientPolicy) -> Step {
-    if conn.close_after_output || conn.input.is_empty() || conn.output.available() < MIN_ANSWER_ROOM
+    if conn.close_after_output
+        || conn.input.is_empty()
+        || conn.output.remaining_capacity() < MIN_ANSWER_ROOM
     {
         return Step::Wait;
     }
-    let full = conn.input.available() == 0;
-    let bytes = conn.input.contiguous();
+    let full = conn.input.remaining_capacity() == 0;
+    let bytes = conn.input.make_contiguous();
     let (words, taken) = match resp::command(bytes) {
         Ok(Some(command)) => command,
         Ok(None) if !full => return Step::Wait,
--- a/crates/daemon/src/connection/table.rs
+++ b/crates/daemon/src/connection/table.rs
@@ -265,9 +265,12 @@
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
         };
-        let unread = conn.output.len() > conn.output.available();
+        let unread = conn.output.len() > conn.output.remaining_capacity();
         let interest = Interest {
-            read: !conn.connecting && !conn.peer_closed && conn.input.available() > 0 && !unread,
+            read: !conn.connecting
+                && !conn.peer_closed
+                && conn.input.remaining_capacity() > 0
+                && !unread,
             write: conn.connecting || !conn.output.is_empty(),
         };
         if conn.armed != Some(interest) {
--- a/crates/daemon/src/delivery/attempts.rs
+++ b/crates/daemon/src/delivery/attempts.rs
@@ -4,7 +4,7 @@
 use super::runtime::Runtime;
 use crate::connection::{BufferBounds, ConnectionId, Role};
 use crate::endpoint::{RESPONSE_TIMEOUT, ResponseProgress, Reuse, Unassigned, Verdict};
-use crate::http::{self, InvalidLoadReport, Malformed};
+use crate::http::{self, InvalidLoadReport, MalformedResponse};
 use crate::message_slot::MessageSlot;
 use crate::timer::Timer;
 use bellsill_core::interface::{AttemptEnd, EndpointId, Nanos, Outcome};
@@ -85,7 +85,7 @@
         let addr = self.endpoints.addr(attempt.endpoint);
         let zone = self.endpoints.zone(attempt.endpoint);
         let recorded = self.journal.append_attempt(message.id, now, zone);
-        let head = http::event_request(
+        let head = http::delivery_request_head(
             message.id.0,
             &message.idempotency_key,
             addr,
@@ -140,7 +140,7 @@
             attempt.number.0,
             attempt.request_started
         );
-        self.timers.clear(Timer::Attempt(slot));
+        self.timers.cancel(Timer::Attempt(slot));
         let was_final = state.is_final();
         if attempt.request_started && !was_final && outcome != Outcome::Delivered {
             // Until it is written, the message counts as one that may have run.
@@ -194,7 +194,7 @@
         if let Some(conn) = attempt.connection {
             self.attempts.remove(&conn);
             self.responses.remove(&conn);
-            self.timers.clear(Timer::Connection(conn));
+            self.timers.cancel(Timer::Connection(conn));
             self.connections.close(conn);
         }
         self.end_attempt(slot, outcome, false);
@@ -239,7 +239,7 @@
         &mut self,
         id: ConnectionId,
         slot: MessageSlot,
-    ) -> Result<AttemptProgress, Malformed> {
+    ) -> Result<AttemptProgress, MalformedResponse> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(AttemptProgress::Ended);
         };
@@ -286,7 +286,7 @@
             {
                 log::warn!(
                     "a load report has no `{}` between 0 and 1e9; such reports are ignored",
-                    http::LIMIT
+                    http::LIMIT_FIELD
                 )
             }
             _ => {}
--- a/crates/daemon/src/delivery/endpoint_events.rs
+++ b/crates/daemon/src/delivery/endpoint_events.rs
@@ -50,7 +50,7 @@
         if runtime.connections.finish_connect(id).is_err() {
             return runtime.abort_attempt(slot, Outcome::ConnectFailed);
         }
-        runtime.timers.clear(Timer::Connection(id));
+        runtime.timers.cancel(Timer::Connection(id));
         let attempt = runtime
             .messages
             .get(slot)
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -207,7 +207,7 @@
                 Command::ClearTimer(timer) => {
                     self.key(timer)
                         .into_iter()
-                        .for_each(|key| io.timers.clear(key));
+                        .for_each(|key| io.timers.cancel(key));
                 }
             }
         }
--- a/crates/daemon/src/endpoint/exchange.rs
+++ b/crates/daemon/src/endpoint/exchange.rs
@@ -1,7 +1,7 @@
 //! One HTTP exchange with an endpoint: the response, as far as it has arrived, and the outcome that it means.
 
 use crate::connection::Connection;
-use crate::http::{self, Body, Head, InvalidLoadReport, Malformed};
+use crate::http::{self, Body, InvalidLoadReport, MalformedResponse, ResponseHead};
 use bellsill_core::interface::{Nanos, Outcome};
 
 /// The most that a response's body may have.
@@ -12,7 +12,7 @@
 
 /// A response as far as it has arrived.
 pub(crate) struct ResponseProgress {
-    head: Option<Head>,
+    head: Option<ResponseHead>,
     body_bytes_left: u64,
 }
 
@@ -65,9 +65,9 @@
     }
 
     /// Reads on in the response.
-    pub(super) fn read(&mut self, conn: &mut Connection) -> Result<Arrived, Malformed> {
+    pub(super) fn read(&mut self, conn: &mut Connection) -> Result<Arrived, MalformedResponse> {
         if self.head.is_none() {
-            self.head = http::take_head(&mut conn.input)?;
+            self.head = http::take_response_head(&mut conn.input)?;
         }
         let Some(head) = &mut self.head else {
             return Ok(Arrived::Partly);
@@ -76,7 +76,7 @@
             .body
             .discard(&mut conn.input, &mut self.body_bytes_left)?;
         // A body without a length ends with its connection.
-        if whole || (conn.peer_closed && head.body == Body::UntilEnd) {
+        if whole || (conn.peer_closed && head.body == Body::UntilClose) {
             Ok(Arrived::Completely)
         } else {
             Ok(Arrived::Partly)
@@ -92,10 +92,10 @@
 
     /// Reads on, and says what the response means once that is certain. Only a success is believed before the response
     /// is complete and well-formed: a malformed one may stand for a message that ran, which must not be sent again.
-    pub(crate) fn advance(&mut self, conn: &mut Connection) -> Result<Verdict, Malformed> {
+    pub(crate) fn advance(&mut self, conn: &mut Connection) -> Result<Verdict, MalformedResponse> {
         let request_written = conn.output.is_empty();
         let read = self.read(conn);
-        let starts_with_success = http::starts_with_success(conn.input.contiguous());
+        let starts_with_success = http::starts_with_success(conn.input.make_contiguous());
         let delivered = match &self.head {
             Some(head) => head.status == 200,
             None => starts_with_success,
--- a/crates/daemon/src/endpoint/pool.rs
+++ b/crates/daemon/src/endpoint/pool.rs
@@ -26,7 +26,7 @@
         while let Some(conn) = self.row_mut(endpoint).idle.pop() {
             // After the process was suspended its timer may have expired and not been handled yet.
             let in_time = !io.timers.is_expired(Timer::Connection(conn), io.now);
-            io.timers.clear(Timer::Connection(conn));
+            io.timers.cancel(Timer::Connection(conn));
             // The other side may have closed it without the poller having reported that yet; a request would be lost.
             let good = in_time
                 && io.connections.read(conn).is_ok()
@@ -52,7 +52,7 @@
     ) {
         match state {
             Unassigned::Idle => {
-                io.timers.clear(Timer::Connection(id));
+                io.timers.cancel(Timer::Connection(id));
                 self.pool(io, id);
             }
             Unassigned::MoreToRead => {
@@ -94,14 +94,14 @@
             self.row_mut(endpoint).idle.retain(|c| *c != id);
         }
         self.draining.remove(&id);
-        io.timers.clear(Timer::Connection(id));
+        io.timers.cancel(Timer::Connection(id));
         io.connections.close(id);
     }
 
     /// Closes the idle connections to an endpoint.
     pub(crate) fn close_idle(&mut self, io: &mut Io, endpoint: EndpointId) {
         for conn in std::mem::take(&mut self.row_mut(endpoint).idle) {
-            io.timers.clear(Timer::Connection(conn));
+            io.timers.cancel(Timer::Connection(conn));
             io.connections.close(conn);
         }
     }
@@ -142,7 +142,7 @@
             let closes = response.closes_connection();
             match read {
                 Ok(Arrived::Completely) if !closes => {
-                    io.timers.clear(Timer::Connection(id));
+                    io.timers.cancel(Timer::Connection(id));
                     return self.pool(io, id);
                 }
                 Ok(Arrived::Partly) if good && !closes => {
--- a/crates/daemon/src/notification/queue.rs
+++ b/crates/daemon/src/notification/queue.rs
@@ -1,7 +1,7 @@
 //! The pending notifications.
 
 use crate::connection::ConnectionId;
-use crate::http::Head;
+use crate::http::ResponseHead;
 use crate::journal::Resolution;
 use bellsill_core::interface::{MessageId, Nanos};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     pub(super) backing_off: bool,
     /// How long that will be after the next failure.
     pub(super) backoff: Nanos,
-    pub(super) head: Option<Head>,
+    pub(super) head: Option<ResponseHead>,
 }
 
 impl Notifications {
--- a/crates/daemon/src/notification/sender.rs
+++ b/crates/daemon/src/notification/sender.rs
@@ -2,7 +2,7 @@
 
 use super::queue::{MIN_BACKOFF, Notifications};
 use crate::connection::{BufferBounds, ConnectionId, Role};
-use crate::http::{self, Body, Malformed};
+use crate::http::{self, Body, MalformedResponse};
 use crate::io::Io;
 use crate::timer::Timer;
 use bellsill_core::interface::{MessageId, Nanos};
@@ -66,7 +66,7 @@
     /// notification twice.
     pub(crate) fn fail(&mut self, io: &mut Io) {
         if let Some(id) = self.connection.take() {
-            io.timers.clear(Timer::Connection(id));
+            io.timers.cancel(Timer::Connection(id));
             io.connections.close(id);
         }
         self.head = None;
@@ -83,7 +83,7 @@
         if addr != self.addr {
             self.addr = addr;
             self.fail(io);
-            io.timers.clear(Timer::NotificationRetry);
+            io.timers.cancel(Timer::NotificationRetry);
             (self.backing_off, self.backoff) = (false, MIN_BACKOFF);
         }
     }
@@ -108,9 +108,9 @@
         io: &mut Io,
         id: ConnectionId,
         event: &mut NotificationEvent,
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), MalformedResponse> {
         // A broken connection and a malformed answer have the same consequence here.
-        let broken = |_: std::io::Error| Malformed;
+        let broken = |_: std::io::Error| MalformedResponse;
         if io.connections.get(id).is_some_and(|c| c.connecting) {
             io.connections.finish_connect(id).map_err(broken)?;
         }
@@ -119,7 +119,7 @@
             return Ok(());
         };
         if self.head.is_none() {
-            self.head = http::take_head(&mut conn.input)?;
+            self.head = http::take_response_head(&mut conn.input)?;
         }
         if let Some(head) = &mut self.head {
             head.body.take(&mut conn.input, |_| {})?;
@@ -131,22 +131,22 @@
                         "notifications: a request with {} of them was answered with status {status}",
                         self.in_flight.len()
                     );
-                    return Err(Malformed);
+                    return Err(MalformedResponse);
                 }
                 *event = self.acknowledged(io, id);
                 if last {
-                    return Err(Malformed);
+                    return Err(MalformedResponse);
                 }
             }
         }
         if io.connections.get(id).is_some_and(|c| c.peer_closed) {
-            return Err(Malformed);
+            return Err(MalformedResponse);
         }
         io.connections.flush(id).map_err(broken)
     }
 
     fn acknowledged(&mut self, io: &mut Io, id: ConnectionId) -> NotificationEvent {
-        io.timers.clear(Timer::Connection(id));
+        io.timers.cancel(Timer::Connection(id));
         self.backoff = MIN_BACKOFF;
         let batch = std::mem::take(&mut self.in_flight);
         for message in &batch {
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -106,7 +106,7 @@
             ShutdownPhase::ServingClients => {
                 // Clients that wait are accepted: the listener would reset them when it is closed.
                 while clients.accept(&mut delivery.runtime) == AcceptStatus::MoreMayWait {}
-                delivery.runtime.timers.clear(Timer::AcceptClients);
+                delivery.runtime.timers.cancel(Timer::AcceptClients);
                 delivery.runtime.connections.close_listener();
             }
             ShutdownPhase::ClosingClients => {
--- a/crates/discovery-client/src/answer.rs
+++ b/crates/discovery-client/src/answer.rs
@@ -1,6 +1,6 @@
 //! The beginning of the answer to an HTTP request: its head, after which the body follows.
 
-use bellsill_net::http::{self, Body, Malformed};
+use bellsill_net::http::{self, Body, MalformedResponse};
 use bellsill_net::ring_buffer::RingBuffer;
 
 const STATUS_OK: u16 = 200;
@@ -35,10 +35,10 @@
 }
 
 fn read_head(input: &mut RingBuffer, ended: bool) -> Result<Option<Body>, AnswerError> {
-    match http::take_head(input) {
+    match http::take_response_head(input) {
         Ok(Some(head)) if head.status != STATUS_OK => Err(AnswerError::Status(head.status)),
         Ok(Some(head)) => Ok(Some(head.body)),
         Ok(None) if !ended => Ok(None),
-        Ok(None) | Err(Malformed) => Err(AnswerError::Unreadable),
+        Ok(None) | Err(MalformedResponse) => Err(AnswerError::Unreadable),
     }
 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -12,15 +12,15 @@
 
 /// The peer does not speak HTTP/1.1 as it should.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Malformed;
+pub struct MalformedResponse;
 
-impl std::fmt::Display for Malformed {
+impl std::fmt::Display for MalformedResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "the answer is not well-formed HTTP/1.1")
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for MalformedResponse {}
 
 /// What of a body is still to come.
 #[derive(Debug, PartialEq)]
@@ -34,14 +34,14 @@
     /// Behind a chunk's data stands the end of its line.
     ChunkEnd,
     /// All up to the end of the connection.
-    UntilEnd,
+    UntilClose,
     /// Nothing.
     Done,
 }
 
 /// The head of an answer.
 #[derive(Debug, PartialEq)]
-pub struct Head {
+pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// The Retry-After, if there is one.
@@ -61,14 +61,14 @@
 pub struct InvalidLoadReport;
 
 /// The field of a load report that states a limit.
-pub const LIMIT: &str = "x1";
+pub const LIMIT_FIELD: &str = "x1";
 const MAX_LIMIT: f64 = 1e9;
 
 /// Reads the limit from the names and values of a load report.
 fn parse_limit(report: &str) -> Result<f64, InvalidLoadReport> {
     let value = report
         .split(',')
-        .find_map(|pair| pair.trim().strip_prefix(LIMIT)?.strip_prefix('='));
+        .find_map(|pair| pair.trim().strip_prefix(LIMIT_FIELD)?.strip_prefix('='));
     let limit = value.and_then(|v| v.trim().parse::<f64>().ok());
     limit
         .filter(|l| (0.0..=MAX_LIMIT).contains(l))
@@ -88,23 +88,25 @@
     status.is_some_and(|reason| reason.first().is_none_or(|b| *b == b' '))
 }
 
-fn parse_number(digits: &str, radix: u32) -> Result<u64, Malformed> {
+fn parse_number(digits: &str, radix: u32) -> Result<u64, MalformedResponse> {
     let plain = digits.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(digits, radix)
         .ok()
         .filter(|_| plain)
-        .ok_or(Malformed)
+        .ok_or(MalformedResponse)
 }
 
 /// Takes the head of the next answer from the buffer, once all of it has come. Informational answers are skipped.
-pub fn take_head(buffer: &mut RingBuffer) -> Result<Option<Head>, Malformed> {
+pub fn take_response_head(
+    buffer: &mut RingBuffer,
+) -> Result<Option<ResponseHead>, MalformedResponse> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut answer = httparse::Response::new(&mut headers);
-        let length = match answer.parse(buffer.contiguous()) {
+        let length = match answer.parse(buffer.make_contiguous()) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return Ok(None),
-            _ => return Err(Malformed),
+            _ => return Err(MalformedResponse),
         };
         let head = parse_head(&answer)?;
         buffer.consume(length);
@@ -121,18 +123,18 @@
     length: Option<u64>,
 }
 
-fn parse_head(answer: &httparse::Response) -> Result<Head, Malformed> {
+fn parse_head(answer: &httparse::Response) -> Result<ResponseHead, MalformedResponse> {
     let status = answer
         .code
         .filter(|code| (100..600).contains(code))
-        .ok_or(Malformed)?;
-    let mut head = Head {
+        .ok_or(MalformedResponse)?;
+    let mut head = ResponseHead {
         status,
         retry_after: None,
         no_capacity: false,
         load_report: None,
         closes_connection: answer.version == Some(0),
-        body: Body::UntilEnd,
+        body: Body::UntilClose,
     };
     let mut framing = Framing::default();
     for header in answer.headers.iter() {
@@ -141,16 +143,16 @@
     // An informational answer has no body, whatever it says.
     if status >= 200 {
         head.body = framing.body(status)?;
-        head.closes_connection |= head.body == Body::UntilEnd;
+        head.closes_connection |= head.body == Body::UntilClose;
     }
     Ok(head)
 }
 
 fn apply_header(
-    head: &mut Head,
+    head: &mut ResponseHead,
     framing: &mut Framing,
     header: &httparse::Header,
-) -> Result<(), Malformed> {
+) -> Result<(), MalformedResponse> {
     let value = std::str::from_utf8(header.value).unwrap_or("").trim();
     let is = |name: &str| header.name.eq_ignore_ascii_case(name);
     if is("content-length") {
@@ -178,7 +180,7 @@
 }
 
 impl Framing {
-    fn set_length(&mut self, value: &str) -> Result<(), Malformed> {
+    fn set_length(&mut self, value: &str) -> Result<(), MalformedResponse> {
         let length = parse_number(value, 10)?;
         // With two lengths that differ nobody knows where the answer ends.
         if self
@@ -186,28 +188,28 @@
             .replace(length)
             .is_some_and(|other| other != length)
         {
-            return Err(Malformed);
+            return Err(MalformedResponse);
         }
         Ok(())
     }
 
-    fn set_encoding(&mut self, value: &str) -> Result<(), Malformed> {
+    fn set_encoding(&mut self, value: &str) -> Result<(), MalformedResponse> {
         if !value.eq_ignore_ascii_case("chunked") {
-            return Err(Malformed);
+            return Err(MalformedResponse);
         }
         self.chunked = true;
         Ok(())
     }
 
-    fn body(&self, status: u16) -> Result<Body, Malformed> {
+    fn body(&self, status: u16) -> Result<Body, MalformedResponse> {
         Ok(match self.length {
             _ if matches!(status, 204 | 304) => Body::Done,
             // The same holds for a length beside chunks.
-            Some(_) if self.chunked => return Err(Malformed),
+            Some(_) if self.chunked => return Err(MalformedResponse),
             Some(0) => Body::Done,
             Some(length) => Body::Sized(length),
             None if self.chunked => Body::Chunked(0),
-            None => Body::UntilEnd,
+            None => Body::UntilClose,
         })
     }
 }
@@ -218,13 +220,13 @@
         &mut self,
         buffer: &mut RingBuffer,
         budget: &mut u64,
-    ) -> Result<bool, Malformed> {
+    ) -> Result<bool, MalformedResponse> {
         if matches!(self, Body::Sized(size) | Body::Chunked(size) if *size > *budget) {
-            return Err(Malformed);
+            return Err(MalformedResponse);
         }
         let mut discarded = 0;
         self.take(buffer, |bytes| discarded += bytes.len() as u64)?;
-        *budget = budget.checked_sub(discarded).ok_or(Malformed)?;
+        *budget = budget.checked_sub(discarded).ok_or(MalformedResponse)?;
         Ok(*self == Body::Done)
     }
 
@@ -233,7 +235,7 @@
         &mut self,
         buffer: &mut RingBuffer,
         mut sink: impl FnMut(&[u8]),
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), MalformedResponse> {
         while *self != Body::Done {
             match self {
                 Body::Sized(left) | Body::Chunked(left) if *left > 0 => {
@@ -242,8 +244,8 @@
                     }
                     self.take_data(buffer, &mut sink);
                 }
-                Body::UntilEnd => {
-                    sink(buffer.contiguous());
+                Body::UntilClose => {
+                    sink(buffer.make_contiguous());
                     buffer.consume(buffer.len());
                     return Ok(());
                 }
@@ -264,7 +266,7 @@
             return;
         };
         let count = (*left).min(buffer.len() as u64);
-        sink(&buffer.contiguous()[..count as usize]);
+        sink(&buffer.make_contiguous()[..count as usize]);
         buffer.consume(count as usize);
         *left -= count;
         if *left == 0 {
@@ -276,18 +278,18 @@
     }
 
     /// Takes a line of the chunked encoding. Returns whether all of it has come.
-    fn take_line(&mut self, buffer: &mut RingBuffer) -> Result<bool, Malformed> {
-        let bytes = buffer.contiguous();
+    fn take_line(&mut self, buffer: &mut RingBuffer) -> Result<bool, MalformedResponse> {
+        let bytes = buffer.make_contiguous();
         let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
             return match buffer.len() < MAX_HEAD_BYTES {
                 true => Ok(false),
-                false => Err(Malformed),
+                false => Err(MalformedResponse),
             };
         };
         let line = bytes[..end].trim_ascii();
         *self = match self {
             Body::ChunkEnd if line.is_empty() => Body::Chunked(0),
-            Body::ChunkEnd => return Err(Malformed),
+            Body::ChunkEnd => return Err(MalformedResponse),
             Body::Trailers if line.is_empty() => Body::Done,
             Body::Trailers => Body::Trailers,
             _ => match parse_chunk_size(line)? {
@@ -300,14 +302,14 @@
     }
 }
 
-fn parse_chunk_size(line: &[u8]) -> Result<u64, Malformed> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, MalformedResponse> {
     let size = line.split(|&b| b == b';').next().unwrap_or(b"");
-    let size = std::str::from_utf8(size.trim_ascii()).or(Err(Malformed))?;
+    let size = std::str::from_utf8(size.trim_ascii()).or(Err(MalformedResponse))?;
     parse_number(size, 16)
 }
 
 /// The head of the request that delivers a message; its body follows.
-pub fn event_request(
+pub fn delivery_request_head(
     id: u64,
     idempotency_key: &str,
     host: std::net::SocketAddr,
--- a/crates/net/src/ring_buffer.rs
+++ b/crates/net/src/ring_buffer.rs
@@ -32,13 +32,13 @@
     }
 
     /// How many more bytes it takes.
-    pub fn available(&self) -> usize {
+    pub fn remaining_capacity(&self) -> usize {
         self.bound.saturating_sub(self.bytes.len())
     }
 
     /// Appends all of the bytes, or none of them where they exceed the bound. Returns whether they were appended.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        let fits = bytes.len() <= self.available();
+        let fits = bytes.len() <= self.remaining_capacity();
         if fits {
             self.bytes.extend(bytes);
         }
@@ -48,8 +48,8 @@
     /// Reads until the source would block or has ended, or the buffer is full. Returns whether the source has ended.
     pub fn read_from(&mut self, from: &mut impl Read) -> io::Result<bool> {
         let mut part = [0; 16 * 1024];
-        while self.available() > 0 {
-            let most = self.available().min(part.len());
+        while self.remaining_capacity() > 0 {
+            let most = self.remaining_capacity().min(part.len());
             match from.read(&mut part[..most]) {
                 Ok(0) => return Ok(true),
                 Ok(n) => {
@@ -80,7 +80,7 @@
     }
 
     /// All bytes that it holds, moved into one slice.
-    pub fn contiguous(&mut self) -> &[u8] {
+    pub fn make_contiguous(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
--- a/crates/net/src/timer_queue.rs
+++ b/crates/net/src/timer_queue.rs
@@ -21,7 +21,7 @@
 impl<K: Ord + Copy> TimerQueue<K> {
     /// Sets the deadline of a timer, in place of any before.
     pub fn set(&mut self, timer: K, at: Nanos) {
-        self.clear(timer);
+        self.cancel(timer);
         self.at.insert(timer, at);
         self.order.insert((at, timer));
     }
@@ -34,7 +34,7 @@
     }
 
     /// Cancels a timer.
-    pub fn clear(&mut self, timer: K) {
+    pub fn cancel(&mut self, timer: K) {
         if let Some(at) = self.at.remove(&timer) {
             self.order.remove(&(at, timer));
         }
@@ -53,7 +53,7 @@
     /// Removes and returns the timer with the earliest deadline, if that has passed.
     pub fn pop_expired(&mut self, now: Nanos) -> Option<K> {
         let &(_, timer) = self.order.first().filter(|first| first.0 <= now)?;
-        self.clear(timer);
+        self.cancel(timer);
         Some(timer)
     }
 }
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -24,7 +24,7 @@
             let mut ring = RingBuffer::new(64 * 1024);
             ring.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n");
             ring.push(bytes);
-            if let Ok(Some(mut head)) = http::take_head(&mut ring) {
+            if let Ok(Some(mut head)) = http::take_response_head(&mut ring) {
                 head.body.take(&mut ring, |_| {}).ok();
             }
             let mut ring = RingBuffer::new(64 * 1024);
@@ -68,7 +68,7 @@
             ring.push(&rest[..n]);
             rest = &rest[n..];
             if head.is_none() {
-                head = http::take_head(&mut ring).unwrap();
+                head = http::take_response_head(&mut ring).unwrap();
             }
             if let Some(head) = &mut head {
                 head.body
@@ -80,7 +80,7 @@
         head.body == Body::Done
             && !head.closes_connection
             && read == content
-            && ring.contiguous() == b"NEXT"
+            && ring.make_contiguous() == b"NEXT"
     }
     check(200, property as fn(Vec<Vec<u8>>, Vec<u8>, bool) -> bool);
 }
@@ -91,7 +91,7 @@
     ring.push(
         b"HTTP/1.1 429 Busy\r\nretry-after: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
     );
-    let head = http::take_head(&mut ring).unwrap().unwrap();
+    let head = http::take_response_head(&mut ring).unwrap().unwrap();
     assert_eq!(
         (
             head.status,
@@ -108,7 +108,10 @@
     let report = |text: &str| {
         let mut ring = RingBuffer::new(1000);
         ring.push(format!("HTTP/1.1 503 Busy\r\n{text}Content-Length: 0\r\n\r\n").as_bytes());
-        http::take_head(&mut ring).unwrap().unwrap().load_report
+        http::take_response_head(&mut ring)
+            .unwrap()
+            .unwrap()
+            .load_report
     };
     let named = |value: &str| report(&format!("endpoint-load-metrics: {value}\r\n"));
     assert_eq!(report(""), None);
--- a/crates/net/tests/ring_buffer.rs
+++ b/crates/net/tests/ring_buffer.rs
@@ -18,7 +18,7 @@
                 ring.consume(bytes.len());
                 model.drain(..bytes.len().min(model.len()));
             }
-            ring.contiguous() == model && ring.available() == 300 - model.len()
+            ring.make_contiguous() == model && ring.remaining_capacity() == 300 - model.len()
         })
     }
     check(200, property as fn(Vec<(bool, Vec<u8>)>) -> bool);
--- a/crates/net/tests/timer_queue.rs
+++ b/crates/net/tests/timer_queue.rs
@@ -15,7 +15,7 @@
             timers.set(what, Nanos::from(at));
             model.insert(what, Nanos::from(at));
             if at % 7 == 0 {
-                timers.clear(what);
+                timers.cancel(what);
                 model.remove(&what);
             }
         }
