--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -9,7 +9,7 @@
     Timer as WatchTimer, Watch,
 };
 use bellsill_net::Nanos;
-use bellsill_settings::Names;
+use bellsill_settings::PlatformNames;
 use std::net::SocketAddr;
 
 pub use bellsill_discovery_client::watch::LATE_CALL_TIMEOUT;
@@ -29,12 +29,12 @@
 pub(crate) struct Discovery {
     watch: Watch,
     calls: Vec<OpenCall>,
-    names: Names,
+    names: PlatformNames,
 }
 
 impl Discovery {
     /// A watch that is not open yet.
-    pub(crate) fn new(watch: Watch, names: Names) -> Discovery {
+    pub(crate) fn new(watch: Watch, names: PlatformNames) -> Discovery {
         Discovery {
             watch,
             calls: Vec::new(),
@@ -43,7 +43,7 @@
     }
 
     /// The names of classes, zones and kinds.
-    pub(crate) fn names(&self) -> &Names {
+    pub(crate) fn names(&self) -> &PlatformNames {
         &self.names
     }
 
--- a/crates/daemon/src/endpoint/list.rs
+++ b/crates/daemon/src/endpoint/list.rs
@@ -3,7 +3,7 @@
 use super::registry::Endpoints;
 use crate::endpoint_list::{self, EndpointList, ListedEndpoint};
 use bellsill_core::interface::{DestinationId, EndpointEntry, EndpointId, KindId, Nanos, ZoneId};
-use bellsill_settings::Names;
+use bellsill_settings::PlatformNames;
 use std::collections::BTreeMap;
 
 /// What a list has changed; connections and attempts are the caller's to follow up, in this order.
@@ -27,7 +27,7 @@
     pub(crate) fn apply(
         &mut self,
         list: &EndpointList,
-        names: &Names,
+        names: &PlatformNames,
         suspended_until: impl Fn(EndpointId) -> Nanos,
     ) -> ListUpdate {
         let mut update = ListUpdate {
@@ -91,7 +91,7 @@
     fn entry(
         &mut self,
         listed: &ListedEndpoint,
-        names: &Names,
+        names: &PlatformNames,
         relocated: &mut Vec<EndpointId>,
     ) -> Result<Option<EndpointEntry>, UnreadableAddress> {
         let known = self.find(&listed.name);
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use bellsill_directory::line::{EndpointEntry, EndpointState, Version};
 use bellsill_discovery_client::Applied;
-use bellsill_settings::{InvalidWeight, Names};
+use bellsill_settings::{InvalidWeight, PlatformNames};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     pub serving: bool,
     /// The weight as the list has it.
     pub weight: Option<f64>,
-    /// What the weight says, by [`Names::rate`].
+    /// What the weight says, by [`PlatformNames::rate_from_weight`].
     pub rate: Option<f64>,
 }
 
@@ -44,7 +44,7 @@
 struct UnreadableField(&'static str);
 
 /// Reads a list. One without a version or endpoints is logged and skipped, and so is an entry that cannot be read.
-pub fn read(json: &Value, names: &Names) -> Option<EndpointList> {
+pub fn read(json: &Value, names: &PlatformNames) -> Option<EndpointList> {
     let version = json.get("version").and_then(Value::as_u64);
     let servers = json.get("servers").and_then(Value::as_array);
     let (Some(version), Some(servers)) = (version, servers) else {
@@ -121,7 +121,7 @@
     }
 }
 
-fn read_endpoint(server: &Value, names: &Names) -> Result<ListedEndpoint, UnreadableField> {
+fn read_endpoint(server: &Value, names: &PlatformNames) -> Result<ListedEndpoint, UnreadableField> {
     let text = |field: &'static str| {
         let text = server.get(field).and_then(Value::as_str);
         text.ok_or(UnreadableField(field))
@@ -140,7 +140,7 @@
         .map(|weight| weight.as_f64().ok_or(UnreadableField("weight")))
         .transpose()?;
     let rate = names
-        .rate(weight)
+        .rate_from_weight(weight)
         .map_err(|InvalidWeight| UnreadableField("weight"))?;
     let destination = server.get("cell").and_then(Value::as_u64);
     let destination = needed_to_serve(destination.ok_or(UnreadableField("cell")), serving)?;
@@ -176,7 +176,7 @@
 }
 
 /// The changes to the scoped configuration as a list. An entry whose weight makes no sense is logged and skipped.
-pub fn list_of(applied: &Applied, names: &Names) -> EndpointList {
+pub fn list_of(applied: &Applied, names: &PlatformNames) -> EndpointList {
     let changed = applied
         .changed
         .iter()
@@ -197,8 +197,8 @@
     }
 }
 
-fn listed(entry: &EndpointEntry, names: &Names) -> Option<ListedEndpoint> {
-    let Ok(rate) = names.rate(entry.weight) else {
+fn listed(entry: &EndpointEntry, names: &PlatformNames) -> Option<ListedEndpoint> {
+    let Ok(rate) = names.rate_from_weight(entry.weight) else {
         warn_of_entry("weight");
         return None;
     };
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher needs at its start: the platform's configuration file, the state folder and the installation file.
 
 use crate::installation::{Installation, InstallationError};
-use bellsill_settings::{InvalidField, PlatformSettings, Reader};
+use bellsill_settings::{FieldReader, InvalidField, PlatformSettings};
 use serde_json::Value;
 use std::ffi::OsStr;
 use std::io;
@@ -154,7 +154,10 @@
 }
 
 fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, InvalidField> {
-    let reader = Reader { json, place: "" };
+    let reader = FieldReader {
+        json,
+        path_prefix: "",
+    };
     let address = |field: &str| {
         reader.require(field, "an address such as 127.0.0.1:6379", |v| {
             v.as_str()?.parse().ok()
@@ -190,7 +193,7 @@
             Some(_) => Some(address("mgmt")?),
         },
         memory_bytes: (reader.number("limits.memory_mb")? * BYTES_PER_MEGABYTE) as u64,
-        sockets: reader.whole_number_from(MIN_SOCKETS, "limits.sockets")? as usize,
+        sockets: reader.integer_at_least(MIN_SOCKETS, "limits.sockets")? as usize,
         disk_bytes: (reader.number("limits.disk_mb")? * BYTES_PER_MEGABYTE) as u64,
         known: known.clone(),
         boot,
--- a/crates/settings/src/class_settings.rs
+++ b/crates/settings/src/class_settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a message class.
 
 use crate::bounds::MAX_VALUE;
-use crate::reader::{InvalidField, Reader};
+use crate::reader::{FieldReader, InvalidField};
 use bellsill_core::interface::{ClassSettings, DeduplicationScope, DeliverySemantics};
 
 /// A message class with the platform's name for it.
@@ -11,28 +11,28 @@
 }
 
 /// All classes, in their order in the settings.
-pub(crate) fn read_classes(fields: &Reader) -> Result<Vec<NamedClass>, InvalidField> {
+pub(crate) fn read_classes(fields: &FieldReader) -> Result<Vec<NamedClass>, InvalidField> {
     fields
-        .list("services")?
+        .array("services")?
         .iter()
         .enumerate()
         .map(|(index, json)| {
-            let place = format!("{}.services[{index}]", fields.place);
-            read_class(&Reader {
+            let path_prefix = format!("{}.services[{index}]", fields.path_prefix);
+            read_class(&FieldReader {
                 json,
-                place: &place,
+                path_prefix: &path_prefix,
             })
         })
         .collect()
 }
 
-fn read_class(fields: &Reader) -> Result<NamedClass, InvalidField> {
+fn read_class(fields: &FieldReader) -> Result<NamedClass, InvalidField> {
     let semantics = read_semantics(fields)?;
     let settings = ClassSettings {
-        priority_weight: fields.within(0.0, MAX_VALUE, "worth")?,
-        latency_objective: fields.whole_number_from(1, "aim-ns")?,
-        lifetime: fields.count("deadline-ns")?,
-        late_value_share: fields.within(0.0, 1.0, "late-share")?,
+        priority_weight: fields.number_in_range(0.0, MAX_VALUE, "worth")?,
+        latency_objective: fields.integer_at_least(1, "aim-ns")?,
+        lifetime: fields.unsigned_integer("deadline-ns")?,
+        late_value_share: fields.number_in_range(0.0, 1.0, "late-share")?,
         semantics,
         ordered: fields.flag("in-turn"),
     };
@@ -42,11 +42,11 @@
     })
 }
 
-fn read_semantics(fields: &Reader) -> Result<DeliverySemantics, InvalidField> {
+fn read_semantics(fields: &FieldReader) -> Result<DeliverySemantics, InvalidField> {
     match fields.string("repeat")? {
         "idempotent" => Ok(DeliverySemantics::Idempotent),
         "deduplicated" => Ok(DeliverySemantics::IdempotencyKey {
-            window: fields.count("window-ns")?,
+            window: fields.unsigned_integer("window-ns")?,
             scope: match fields.string("dedup-scope")? {
                 "all" => DeduplicationScope::Destination,
                 _ => DeduplicationScope::Zone,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,6 +7,6 @@
 mod platform_settings;
 mod reader;
 
-pub use names::{InvalidWeight, Names};
+pub use names::{InvalidWeight, PlatformNames};
 pub use platform_settings::{PlatformSettings, read};
-pub use reader::{InvalidField, Reader};
+pub use reader::{FieldReader, InvalidField};
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,7 +1,7 @@
 //! The platform's names for what the decisions know by number, and the meaning of its weights.
 
 use crate::bounds::MAX_VALUE;
-use crate::reader::{InvalidField, Reader};
+use crate::reader::{FieldReader, InvalidField};
 use serde_json::Value;
 use std::error::Error;
 use std::fmt;
@@ -19,7 +19,7 @@
 impl Error for InvalidWeight {}
 
 /// The platform's names, by the numbers that the decisions use, and the meaning of the weights in its endpoint lists.
-pub struct Names {
+pub struct PlatformNames {
     /// Message classes.
     pub classes: Vec<String>,
     /// Kinds of endpoints.
@@ -32,10 +32,10 @@
     pub weights_are_rates: bool,
 }
 
-impl Names {
+impl PlatformNames {
     /// `classes` are already read with their settings.
-    pub(crate) fn read(fields: &Reader, classes: Vec<String>) -> Result<Self, InvalidField> {
-        Ok(Names {
+    pub(crate) fn read(fields: &FieldReader, classes: Vec<String>) -> Result<Self, InvalidField> {
+        Ok(PlatformNames {
             classes,
             kinds: fields.strings("flavors")?,
             zones: fields.strings("dcs")?,
@@ -45,7 +45,7 @@
     }
 
     /// The rate that the weight of an endpoint states, if it states one.
-    pub fn rate(&self, weight: Option<f64>) -> Result<Option<f64>, InvalidWeight> {
+    pub fn rate_from_weight(&self, weight: Option<f64>) -> Result<Option<f64>, InvalidWeight> {
         match weight {
             Some(weight) if self.weights_are_rates => {
                 if !(0.0..=MAX_VALUE).contains(&weight) {
@@ -58,7 +58,7 @@
     }
 }
 
-fn read_tenants(fields: &Reader) -> Result<Vec<String>, InvalidField> {
+fn read_tenants(fields: &FieldReader) -> Result<Vec<String>, InvalidField> {
     let Some(tenants) = fields.get("realms").and_then(Value::as_array) else {
         return Ok(Vec::new());
     };
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -2,8 +2,8 @@
 
 use crate::bounds::{MAX_VALUE, MIN_SHARE};
 use crate::class_settings::read_classes;
-use crate::names::Names;
-use crate::reader::{InvalidField, Reader};
+use crate::names::PlatformNames;
+use crate::reader::{FieldReader, InvalidField};
 use bellsill_core::interface::{ClassSettings, Nanos, Settings, ValueDecay};
 use serde_json::Value;
 
@@ -17,7 +17,7 @@
     /// What the decisions start with.
     pub settings: Settings,
     /// The platform's names for what the decisions know by number.
-    pub names: Names,
+    pub names: PlatformNames,
     /// For how long an idle connection to an endpoint stays usable.
     pub keep_alive: Nanos,
     /// For how long after an endpoint is reported as draining it may still get new messages; 0 where the settings do not
@@ -27,49 +27,49 @@
     pub reports_limits: bool,
 }
 
-/// Reads the settings; `place` names the object in errors.
-pub fn read(json: &Value, seed: u64, place: &str) -> Result<PlatformSettings, InvalidField> {
-    let fields = &Reader { json, place };
+/// Reads the settings; `path_prefix` names the object in errors.
+pub fn read(json: &Value, seed: u64, path_prefix: &str) -> Result<PlatformSettings, InvalidField> {
+    let fields = &FieldReader { json, path_prefix };
     let (class_names, classes) = read_classes(fields)?
         .into_iter()
         .map(|class| (class.name, class.settings))
         .unzip();
-    let names = Names::read(fields, class_names)?;
+    let names = PlatformNames::read(fields, class_names)?;
     check_prices(fields)?;
     Ok(PlatformSettings {
         settings: read_settings(fields, seed, classes)?,
         names,
-        keep_alive: fields.count("limits.keepalive-ns")?,
+        keep_alive: fields.unsigned_integer("limits.keepalive-ns")?,
         drain_grace: match fields.get("guarantees.drain-grace-ns") {
             None => 0,
-            Some(_) => fields.count("guarantees.drain-grace-ns")?,
+            Some(_) => fields.unsigned_integer("guarantees.drain-grace-ns")?,
         },
         reports_limits: reports_limits(fields),
     })
 }
 
 /// The decisions use no price, but one that makes no sense is an error of the settings.
-fn check_prices(fields: &Reader) -> Result<(), InvalidField> {
+fn check_prices(fields: &FieldReader) -> Result<(), InvalidField> {
     let prices = fields.get("penalties").and_then(Value::as_object);
     for name in prices.into_iter().flat_map(|prices| prices.keys()) {
-        fields.within(0.0, MAX_VALUE, &format!("penalties.{name}"))?;
+        fields.number_in_range(0.0, MAX_VALUE, &format!("penalties.{name}"))?;
     }
     Ok(())
 }
 
 fn read_settings(
-    fields: &Reader,
+    fields: &FieldReader,
     seed: u64,
     classes: Vec<ClassSettings>,
 ) -> Result<Settings, InvalidField> {
     let per_endpoint_limits = fields
-        .list("family-info.own-limits")?
+        .array("family-info.own-limits")?
         .iter()
         .map(|limit| limit.as_bool().unwrap_or(false))
         .collect();
     let batch_sizes = match fields.get(BATCH_SIZES) {
         None => &[],
-        Some(_) => fields.list(BATCH_SIZES)?,
+        Some(_) => fields.array(BATCH_SIZES)?,
     };
     Ok(Settings {
         seed,
@@ -89,27 +89,31 @@
             "halves" => ValueDecay::Halving,
             _ => ValueDecay::Linear,
         },
-        max_in_flight: fields.whole_number_from(1, "family-info.workers")? as usize,
-        queue_capacity: fields.whole_number_from(1, "limits.max-open")? as usize,
+        max_in_flight: fields.integer_at_least(1, "family-info.workers")? as usize,
+        queue_capacity: fields.integer_at_least(1, "limits.max-open")? as usize,
         caller_admission: false,
-        max_attempts: fields.whole_number_from(1, "limits.max-attempts")? as u32,
-        connect_timeout: fields.count("limits.connect-timeout-ns")?,
+        max_attempts: fields.integer_at_least(1, "limits.max-attempts")? as u32,
+        connect_timeout: fields.unsigned_integer("limits.connect-timeout-ns")?,
         max_retry_after: read_max_retry_after(fields)?,
-        cold_capacity_share: fields.within(MIN_SHARE, 1.0, "guarantees.cold-share")?,
-        slow_start: fields.count("guarantees.ramp-time-ns")?,
-        overload_multiple: fields.within(MIN_SHARE, MAX_VALUE, "guarantees.tip-multiple")?,
-        overload_window: fields.count("guarantees.overload-for-ns")?,
+        cold_capacity_share: fields.number_in_range(MIN_SHARE, 1.0, "guarantees.cold-share")?,
+        slow_start: fields.unsigned_integer("guarantees.ramp-time-ns")?,
+        overload_multiple: fields.number_in_range(
+            MIN_SHARE,
+            MAX_VALUE,
+            "guarantees.tip-multiple",
+        )?,
+        overload_window: fields.unsigned_integer("guarantees.overload-for-ns")?,
         key_cooldown: fields
             .get("guarantees.turn-gap-ns")
             .and_then(Value::as_u64)
             .unwrap_or(0),
         watch_request_limit: read_watch_request_limit(fields)?,
-        clock_resolution: fields.whole_number_from(1, "tick-ns")?,
+        clock_resolution: fields.integer_at_least(1, "tick-ns")?,
     })
 }
 
 /// How many messages a request to an endpoint may carry, by kind.
-fn read_max_batch(fields: &Reader, sizes: &[Value]) -> Result<Vec<usize>, InvalidField> {
+fn read_max_batch(fields: &FieldReader, sizes: &[Value]) -> Result<Vec<usize>, InvalidField> {
     let size = |value: &Value| {
         let size = value
             .as_u64()
@@ -120,27 +124,29 @@
     sizes.iter().map(size).collect()
 }
 
-fn read_max_retry_after(fields: &Reader) -> Result<Option<Nanos>, InvalidField> {
+fn read_max_retry_after(fields: &FieldReader) -> Result<Option<Nanos>, InvalidField> {
     if fields.flag("limits.retry-after") {
-        fields.count("limits.max-retry-after-ns").map(Some)
+        fields
+            .unsigned_integer("limits.max-retry-after-ns")
+            .map(Some)
     } else {
         Ok(None)
     }
 }
 
 /// Within what time a watch has to be requested, where the platform does not push endpoint lists.
-fn read_watch_request_limit(fields: &Reader) -> Result<Option<Nanos>, InvalidField> {
+fn read_watch_request_limit(fields: &FieldReader) -> Result<Option<Nanos>, InvalidField> {
     match fields.get("discovery").map(Value::as_str) {
         None | Some(Some("pushed")) => Ok(None),
         Some(Some("on_request")) => fields
-            .whole_number_from(1, "guarantees.ask-within-ns")
+            .integer_at_least(1, "guarantees.ask-within-ns")
             .map(Some),
         _ => Err(fields.invalid("discovery", "pushed or on_request")),
     }
 }
 
 /// Settings of a platform without load reports may leave their description out.
-fn reports_limits(fields: &Reader) -> bool {
+fn reports_limits(fields: &FieldReader) -> bool {
     let columns = fields.get("report.columns").and_then(Value::as_array);
     columns.is_some_and(|all| all.iter().any(|name| name.as_str() == Some(LIMIT_COLUMN)))
         && matches!(fields.string("report.how"), Ok("inline"))
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -22,19 +22,19 @@
 impl Error for InvalidField {}
 
 /// Reads values by paths such as `limits.max-open`.
-pub struct Reader<'a> {
+pub struct FieldReader<'a> {
     /// The object that paths start from.
     pub json: &'a Value,
     /// The path of `json` itself, which comes first in errors.
-    pub place: &'a str,
+    pub path_prefix: &'a str,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> FieldReader<'a> {
     /// The error that a field is not as expected.
     pub fn invalid(&self, path: &str, expected: &str) -> InvalidField {
-        let dot = if self.place.is_empty() { "" } else { "." };
+        let dot = if self.path_prefix.is_empty() { "" } else { "." };
         InvalidField {
-            field: format!("{}{dot}{path}", self.place),
+            field: format!("{}{dot}{path}", self.path_prefix),
             expected: expected.to_string(),
         }
     }
@@ -63,7 +63,7 @@
     }
 
     /// A number in this range, its ends included.
-    pub fn within(&self, least: f64, most: f64, path: &str) -> Result<f64, InvalidField> {
+    pub fn number_in_range(&self, least: f64, most: f64, path: &str) -> Result<f64, InvalidField> {
         let expected = format!("a number from {least} to {most}");
         self.require(path, &expected, |value| {
             value.as_f64().filter(|n| (least..=most).contains(n))
@@ -71,12 +71,12 @@
     }
 
     /// A whole number that is not negative.
-    pub fn count(&self, path: &str) -> Result<u64, InvalidField> {
+    pub fn unsigned_integer(&self, path: &str) -> Result<u64, InvalidField> {
         self.require(path, "a whole number", Value::as_u64)
     }
 
     /// A whole number of at least `least`.
-    pub fn whole_number_from(&self, least: u64, path: &str) -> Result<u64, InvalidField> {
+    pub fn integer_at_least(&self, least: u64, path: &str) -> Result<u64, InvalidField> {
         let expected = format!("a whole number from {least}");
         self.require(path, &expected, |value| {
             value.as_u64().filter(|n| *n >= least)
@@ -94,7 +94,7 @@
     }
 
     /// An array.
-    pub fn list(&self, path: &str) -> Result<&'a [Value], InvalidField> {
+    pub fn array(&self, path: &str) -> Result<&'a [Value], InvalidField> {
         self.require(path, "a list", |value| value.as_array().map(Vec::as_slice))
     }
 
@@ -106,6 +106,6 @@
                 .map(str::to_string)
                 .ok_or_else(|| self.invalid(path, "words"))
         };
-        self.list(path)?.iter().map(word).collect()
+        self.array(path)?.iter().map(word).collect()
     }
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -9,7 +9,7 @@
     AttemptEnd, AttemptNumber, ClassId, DestinationId, KeyId, MessageHistory, MessageId, Nanos,
     NewMessage, Outcome,
 };
-use bellsill_settings::{Names, PlatformSettings};
+use bellsill_settings::{PlatformNames, PlatformSettings};
 
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 /// What a load report calls the limit of an endpoint.
@@ -67,7 +67,7 @@
     pub(crate) fn parse(
         kind: EventKind,
         line: &Line,
-        names: &Names,
+        names: &PlatformNames,
         lists: &'a EndpointLists,
     ) -> Result<Self, LineError> {
         Ok(match kind {
@@ -99,7 +99,7 @@
         .map_err(|error| line.invalid(&error.field, &error.expected))
 }
 
-fn parse_new_message(line: &Line, names: &Names) -> Result<NewMessage, LineError> {
+fn parse_new_message(line: &Line, names: &PlatformNames) -> Result<NewMessage, LineError> {
     check_tenant(line, names)?;
     Ok(NewMessage {
         id: line.message_id("txn")?,
@@ -111,7 +111,7 @@
     })
 }
 
-fn parse_class(line: &Line, names: &Names) -> Result<ClassId, LineError> {
+fn parse_class(line: &Line, names: &PlatformNames) -> Result<ClassId, LineError> {
     let name = line.text("tier-class")?;
     match names.classes.iter().position(|known| known == name) {
         Some(class) => Ok(ClassId(class)),
@@ -120,7 +120,7 @@
 }
 
 /// The decisions have no use for the tenant, but one that the settings do not name is an error of the line.
-fn check_tenant(line: &Line, names: &Names) -> Result<(), LineError> {
+fn check_tenant(line: &Line, names: &PlatformNames) -> Result<(), LineError> {
     match line.get("client-group") {
         Some(name) if !names.tenants.is_empty() && !names.tenants.iter().any(|n| n == name) => {
             Err(line.invalid("client-group", "a name given in the settings"))
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -5,7 +5,7 @@
 use crate::events::Event;
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::{EndpointEntry, EndpointId, KindId, Nanos, ZoneId};
-use bellsill_settings::{InvalidWeight, Names, PlatformSettings};
+use bellsill_settings::{InvalidWeight, PlatformNames, PlatformSettings};
 use std::any::Any;
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -26,7 +26,7 @@
 
 pub(crate) struct Instance {
     dispatcher: Dispatcher,
-    names: Names,
+    names: PlatformNames,
     endpoints: EndpointNames,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(crate) fn names(&self) -> &Names {
+    pub(crate) fn names(&self) -> &PlatformNames {
         &self.names
     }
 
@@ -92,7 +92,7 @@
             zone: ZoneId(position(&self.names.zones, &listed.zone)),
             kind: KindId(position(&self.names.kinds, &listed.kind)),
             serving: listed.serving,
-            rate: self.names.rate(listed.weight)?,
+            rate: self.names.rate_from_weight(listed.weight)?,
             retry_after_until: None,
         })
     }
