--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every program of the installation that speaks over sockets needs, itself without sockets, clock or decisions:
-//! ring buffers, tables with generational ids, a timer queue and an HTTP/1.1 codec.
+//! Building blocks for the network programs of an installation: ring buffers, slot tables with generational ids, a
+//! timer queue and an HTTP/1.1 client codec. Nothing in this crate opens sockets, reads the clock or makes decisions.
 
 pub mod http;
 pub mod ring_buffer;
 pub mod slot_table;
 pub mod timer_queue;
 
-/// A time or a duration, in whole nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/net/src/ring_buffer.rs
+++ b/crates/net/src/ring_buffer.rs
@@ -1,42 +1,42 @@
-//! A bounded ring buffer of bytes, one for each direction of a connection; small when it is empty.
+//! A bounded byte ring buffer for one direction of a connection; an empty buffer keeps little memory allocated.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
 
-/// How much memory an empty buffer may keep.
-const EMPTY_CAPACITY: usize = 1024;
+/// Memory that an empty buffer may keep allocated, in bytes.
+const MAX_EMPTY_ALLOCATION: usize = 1024;
 
-/// A buffer that grows up to a bound.
+/// A byte buffer that grows on demand up to a fixed capacity.
 pub struct RingBuffer {
     bytes: VecDeque<u8>,
-    bound: usize,
+    capacity: usize,
 }
 
 impl RingBuffer {
-    /// An empty buffer for this many bytes at most.
-    pub fn new(bound: usize) -> Self {
+    /// Creates an empty buffer that holds at most `capacity` bytes. Nothing is allocated yet.
+    pub fn new(capacity: usize) -> Self {
         RingBuffer {
             bytes: VecDeque::new(),
-            bound,
+            capacity,
         }
     }
 
-    /// How many bytes it holds.
+    /// Returns the number of buffered bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether it holds no bytes.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// How many more bytes it takes.
+    /// Returns the number of bytes that can still be appended.
     pub fn remaining_capacity(&self) -> usize {
-        self.bound.saturating_sub(self.bytes.len())
+        self.capacity.saturating_sub(self.bytes.len())
     }
 
-    /// Appends all of the bytes, or none of them where they exceed the bound. Returns whether they were appended.
+    /// Appends all of the bytes, or none of them if they do not fit. Returns whether they were appended.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         let fits = bytes.len() <= self.remaining_capacity();
         if fits {
@@ -45,17 +45,18 @@
         fits
     }
 
-    /// Reads until the source would block or has ended, or the buffer is full. Returns whether the source has ended.
-    pub fn read_from(&mut self, from: &mut impl Read) -> io::Result<bool> {
-        let mut part = [0; 16 * 1024];
+    /// Reads until the source would block, reaches end of file, or the buffer is full. Returns whether it reached end of
+    /// file.
+    pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<bool> {
+        let mut chunk = [0; 16 * 1024];
         while self.remaining_capacity() > 0 {
-            let most = self.remaining_capacity().min(part.len());
-            match from.read(&mut part[..most]) {
+            let limit = self.remaining_capacity().min(chunk.len());
+            match source.read(&mut chunk[..limit]) {
                 Ok(0) => return Ok(true),
                 Ok(n) => {
-                    // Doubling would hold twice the bound for each connection.
+                    // The default doubling could allocate twice the capacity for each connection.
                     self.bytes.reserve_exact(n);
-                    self.bytes.extend(&part[..n]);
+                    self.bytes.extend(&chunk[..n]);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -65,10 +66,10 @@
         Ok(false)
     }
 
-    /// Writes as much as the sink takes without blocking.
-    pub fn write_to(&mut self, to: &mut impl Write) -> io::Result<()> {
+    /// Writes until the buffer is empty or the sink would block.
+    pub fn write_to(&mut self, sink: &mut impl Write) -> io::Result<()> {
         while !self.is_empty() {
-            match to.write(self.bytes.as_slices().0) {
+            match sink.write(self.bytes.as_slices().0) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => self.consume(n),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -79,16 +80,16 @@
         Ok(())
     }
 
-    /// All bytes that it holds, moved into one slice.
+    /// Rearranges the buffered bytes into one contiguous slice and returns it.
     pub fn make_contiguous(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
-    /// Removes this many bytes from the front, or all where it holds fewer.
+    /// Removes up to `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
         if self.bytes.is_empty() {
-            self.bytes.shrink_to(EMPTY_CAPACITY);
+            self.bytes.shrink_to(MAX_EMPTY_ALLOCATION);
         }
     }
 }
--- a/crates/net/src/slot_table.rs
+++ b/crates/net/src/slot_table.rs
@@ -1,105 +1,108 @@
-//! Tables of entries under generational ids: an id is never reused, so what refers to a removed entry finds nothing.
+//! A table with generational ids: the id of a removed entry does not resolve, even after its slot is reused.
 
 use std::marker::PhantomData;
 
-/// An id of a table: the index of a slot and the generation of its entry.
+/// A table id. Its raw value holds the slot index in the low 32 bits and the generation of the entry above them.
 pub trait SlotId: Copy {
-    /// The id with this number.
+    /// Creates an id from its raw value.
     fn from_raw(raw: u64) -> Self;
-    /// Its number.
+    /// Returns the raw value.
     fn raw(self) -> u64;
 }
 
-/// Entries by id.
+/// Entries by generational id.
 pub struct SlotTable<I, T> {
-    rows: Vec<(u32, Option<T>)>,
-    free: Vec<u32>,
+    slots: Vec<(u32, Option<T>)>,
+    free_slots: Vec<u32>,
     id: PhantomData<I>,
 }
 
 impl<I: SlotId, T> Default for SlotTable<I, T> {
     fn default() -> Self {
         SlotTable {
-            rows: Vec::new(),
-            free: Vec::new(),
+            slots: Vec::new(),
+            free_slots: Vec::new(),
             id: PhantomData,
         }
     }
 }
 
-fn parts(raw: u64) -> (usize, u32) {
+fn split_raw_id(raw: u64) -> (usize, u32) {
     ((raw & u64::from(u32::MAX)) as usize, (raw >> 32) as u32)
 }
 
 impl<I: SlotId, T> SlotTable<I, T> {
-    /// Inserts the entry that is made for the new id.
+    /// Allocates an id, inserts the entry that `make` returns for it, and returns the id.
     pub fn insert(&mut self, make: impl FnOnce(I) -> T) -> I {
-        let index = self.free.pop().unwrap_or_else(|| {
-            self.rows.push((0, None));
-            self.rows.len() as u32 - 1
+        let index = self.free_slots.pop().unwrap_or_else(|| {
+            self.slots.push((0, None));
+            self.slots.len() as u32 - 1
         });
-        let row = &mut self.rows[index as usize];
-        // Raw numbers stay below those that the poller reserves.
-        row.0 = (row.0 + 1) & 0x3fff_ffff;
-        let id = I::from_raw(u64::from(row.0) << 32 | u64::from(index));
-        row.1 = Some(make(id));
+        let slot = &mut self.slots[index as usize];
+        // Generations wrap at 30 bits, which keeps raw ids below the keys that the poller reserves.
+        slot.0 = (slot.0 + 1) & 0x3fff_ffff;
+        let id = I::from_raw(u64::from(slot.0) << 32 | u64::from(index));
+        slot.1 = Some(make(id));
         id
     }
 
-    /// The entry of an id.
+    /// Returns the entry with this id.
     pub fn get(&self, id: I) -> Option<&T> {
-        let (index, generation) = parts(id.raw());
-        self.rows
+        let (index, generation) = split_raw_id(id.raw());
+        self.slots
             .get(index)
-            .filter(|row| row.0 == generation)?
+            .filter(|slot| slot.0 == generation)?
             .1
             .as_ref()
     }
 
-    /// The entry of an id, for changes.
+    /// Returns a mutable reference to the entry with this id.
     pub fn get_mut(&mut self, id: I) -> Option<&mut T> {
-        let (index, generation) = parts(id.raw());
-        self.rows
+        let (index, generation) = split_raw_id(id.raw());
+        self.slots
             .get_mut(index)
-            .filter(|row| row.0 == generation)?
+            .filter(|slot| slot.0 == generation)?
             .1
             .as_mut()
     }
 
-    /// Removes the entry of an id.
+    /// Removes and returns the entry with this id.
     pub fn remove(&mut self, id: I) -> Option<T> {
-        let (index, generation) = parts(id.raw());
-        let gone = self
-            .rows
+        let (index, generation) = split_raw_id(id.raw());
+        let removed = self
+            .slots
             .get_mut(index)
-            .filter(|row| row.0 == generation)?
+            .filter(|slot| slot.0 == generation)?
             .1
             .take();
-        if gone.is_some() {
-            self.free.push(index as u32);
+        if removed.is_some() {
+            self.free_slots.push(index as u32);
         }
-        gone
+        removed
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
-        self.rows.len() - self.free.len()
+        self.slots.len() - self.free_slots.len()
     }
 
-    /// Whether there are no entries.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All entries, in the order of their slots.
+    /// Iterates over all entries in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (I, &T)> {
-        self.rows
+        self.slots
             .iter()
             .enumerate()
             .filter_map(|(index, (generation, entry))| {
-                entry
-                    .as_ref()
-                    .map(|t| (I::from_raw(u64::from(*generation) << 32 | index as u64), t))
+                entry.as_ref().map(|entry| {
+                    (
+                        I::from_raw(u64::from(*generation) << 32 | index as u64),
+                        entry,
+                    )
+                })
             })
     }
 }
--- a/crates/net/src/timer_queue.rs
+++ b/crates/net/src/timer_queue.rs
@@ -3,56 +3,58 @@
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Timers by their keys; each key has one deadline at most.
+/// Timers by key, with at most one deadline per key.
 pub struct TimerQueue<K> {
-    order: BTreeSet<(Nanos, K)>,
-    at: BTreeMap<K, Nanos>,
+    by_deadline: BTreeSet<(Nanos, K)>,
+    deadlines: BTreeMap<K, Nanos>,
 }
 
 impl<K> Default for TimerQueue<K> {
     fn default() -> Self {
         TimerQueue {
-            order: BTreeSet::new(),
-            at: BTreeMap::new(),
+            by_deadline: BTreeSet::new(),
+            deadlines: BTreeMap::new(),
         }
     }
 }
 
 impl<K: Ord + Copy> TimerQueue<K> {
-    /// Sets the deadline of a timer, in place of any before.
-    pub fn set(&mut self, timer: K, at: Nanos) {
+    /// Sets the deadline of a timer and replaces an earlier setting.
+    pub fn set(&mut self, timer: K, deadline: Nanos) {
         self.cancel(timer);
-        self.at.insert(timer, at);
-        self.order.insert((at, timer));
+        self.deadlines.insert(timer, deadline);
+        self.by_deadline.insert((deadline, timer));
     }
 
-    /// Sets the deadline of a timer, unless it has one.
-    pub fn set_if_unset(&mut self, timer: K, at: Nanos) {
-        if !self.at.contains_key(&timer) {
-            self.set(timer, at);
+    /// Sets the deadline of a timer that is not set; otherwise does nothing.
+    pub fn set_if_unset(&mut self, timer: K, deadline: Nanos) {
+        if !self.deadlines.contains_key(&timer) {
+            self.set(timer, deadline);
         }
     }
 
-    /// Cancels a timer.
+    /// Cancels a timer, if it is set.
     pub fn cancel(&mut self, timer: K) {
-        if let Some(at) = self.at.remove(&timer) {
-            self.order.remove(&(at, timer));
+        if let Some(deadline) = self.deadlines.remove(&timer) {
+            self.by_deadline.remove(&(deadline, timer));
         }
     }
 
-    /// Whether a timer is set and its deadline has passed.
+    /// Whether a timer is set and its deadline has been reached.
     pub fn is_expired(&self, timer: K, now: Nanos) -> bool {
-        self.at.get(&timer).is_some_and(|&at| at <= now)
+        self.deadlines
+            .get(&timer)
+            .is_some_and(|&deadline| deadline <= now)
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     pub fn next_deadline(&self) -> Option<Nanos> {
-        self.order.first().map(|first| first.0)
+        self.by_deadline.first().map(|first| first.0)
     }
 
-    /// Removes and returns the timer with the earliest deadline, if that has passed.
+    /// Removes and returns the timer with the earliest deadline, if that deadline has been reached.
     pub fn pop_expired(&mut self, now: Nanos) -> Option<K> {
-        let &(_, timer) = self.order.first().filter(|first| first.0 <= now)?;
+        let &(_, timer) = self.by_deadline.first().filter(|first| first.0 <= now)?;
         self.cancel(timer);
         Some(timer)
     }
