--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,70 +1,71 @@
-//! HTTP/1.1 as endpoints and discovery speak it: requests out, answers in.
+//! The client side of HTTP/1.1 for endpoints, discovery and notifications: formats requests and parses responses.
 
 use crate::Nanos;
 use crate::ring_buffer::RingBuffer;
 
-/// The longest head of an answer, and the longest line of a chunked body, in bytes.
+/// The maximum size of a response head, and of a line in the chunked encoding, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most headers of an answer.
+/// The maximum number of headers in a response.
 const MAX_HEADERS: usize = 64;
-/// A longer Retry-After is taken for this one.
+/// Longer Retry-After delays are reduced to this one.
 const MAX_RETRY_AFTER_SECONDS: f64 = 1e6;
 
-/// The peer does not speak HTTP/1.1 as it should.
+/// A response that is not well-formed HTTP/1.1, or that exceeds a size limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MalformedResponse;
 
 impl std::fmt::Display for MalformedResponse {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "the answer is not well-formed HTTP/1.1")
+        write!(f, "the response is not well-formed HTTP/1.1")
     }
 }
 
 impl std::error::Error for MalformedResponse {}
 
-/// What of a body is still to come.
+/// The decoding state of a response body: which part comes next.
 #[derive(Debug, PartialEq)]
 pub enum Body {
-    /// This many bytes.
+    /// This many bytes of a body with a Content-Length.
     Sized(u64),
-    /// Inside a chunk (what is left of it), or before the line of the next one.
+    /// The remaining bytes of a chunk, or the size line of the next chunk where none remain.
     Chunked(u64),
-    /// After the last chunk: trailers up to an empty line.
+    /// The trailers after the last chunk, up to an empty line.
     Trailers,
-    /// Behind a chunk's data stands the end of its line.
+    /// The line end after the data of a chunk.
     ChunkEnd,
-    /// All up to the end of the connection.
+    /// All bytes until the peer closes the connection.
     UntilClose,
-    /// Nothing.
+    /// Nothing; the body is complete.
     Done,
 }
 
-/// The head of an answer.
+/// The status and the evaluated headers of a response.
 #[derive(Debug, PartialEq)]
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// The Retry-After, if there is one.
+    /// The delay from Retry-After, if it is a positive number of seconds.
     pub retry_after: Option<Nanos>,
-    /// The peer had no capacity for the call: `X-Over-Slots: 1`.
+    /// Whether the peer had no capacity for the call (`X-Over-Slots: 1`).
     pub no_capacity: bool,
-    /// The calls a second that the limiter takes from all dispatchers, by the load report if there is one.
+    /// The limit from the load report, if there is one: the calls per second that the limiter accepts from all
+    /// dispatchers together.
     pub load_report: Option<Result<f64, InvalidLoadReport>>,
-    /// The peer closes the connection after this answer.
+    /// Whether the peer closes the connection after this response.
     pub closes_connection: bool,
-    /// What of the body is still to come.
+    /// The decoding state of the body.
     pub body: Body,
 }
 
-/// A load report without a limit, or with one out of range.
+/// A load report whose limit is missing, not a number or out of range.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InvalidLoadReport;
 
-/// The field of a load report that states a limit.
+/// The field of a load report that holds the limit.
 pub const LIMIT_FIELD: &str = "x1";
 const MAX_LIMIT: f64 = 1e9;
 
-/// Reads the limit from the names and values of a load report.
+/// Parses the limit from the comma-separated `name=value` pairs of a load report.
 fn parse_limit(report: &str) -> Result<f64, InvalidLoadReport> {
     let value = report
         .split(',')
@@ -75,8 +76,8 @@
         .ok_or(InvalidLoadReport)
 }
 
-/// Whether the first line of an answer has come and says that the message was delivered. That line counts whatever
-/// follows it.
+/// Whether the buffer starts with a complete status line with code 200. The status line alone confirms the delivery of a
+/// message, even if the rest of the response is missing or malformed.
 pub fn starts_with_success(bytes: &[u8]) -> bool {
     let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
         return false;
@@ -89,26 +90,28 @@
 }
 
 fn parse_number(digits: &str, radix: u32) -> Result<u64, MalformedResponse> {
-    let plain = digits.bytes().all(|b| b.is_ascii_hexdigit());
+    // `from_str_radix` accepts a leading plus sign as well.
+    let only_digits = digits.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(digits, radix)
         .ok()
-        .filter(|_| plain)
+        .filter(|_| only_digits)
         .ok_or(MalformedResponse)
 }
 
-/// Takes the head of the next answer from the buffer, once all of it has come. Informational answers are skipped.
+/// Removes the next response head from the buffer and returns it; `None` while it is incomplete. Informational (1xx)
+/// responses are skipped.
 pub fn take_response_head(
     buffer: &mut RingBuffer,
 ) -> Result<Option<ResponseHead>, MalformedResponse> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut answer = httparse::Response::new(&mut headers);
-        let length = match answer.parse(buffer.make_contiguous()) {
+        let mut response = httparse::Response::new(&mut headers);
+        let length = match response.parse(buffer.make_contiguous()) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return Ok(None),
             _ => return Err(MalformedResponse),
         };
-        let head = parse_head(&answer)?;
+        let head = parse_head(&response)?;
         buffer.consume(length);
         if head.status >= 200 {
             return Ok(Some(head));
@@ -116,15 +119,15 @@
     }
 }
 
-/// How an answer says where its body ends.
+/// The headers that determine where the body of a response ends.
 #[derive(Default)]
 struct Framing {
     chunked: bool,
-    length: Option<u64>,
+    content_length: Option<u64>,
 }
 
-fn parse_head(answer: &httparse::Response) -> Result<ResponseHead, MalformedResponse> {
-    let status = answer
+fn parse_head(response: &httparse::Response) -> Result<ResponseHead, MalformedResponse> {
+    let status = response
         .code
         .filter(|code| (100..600).contains(code))
         .ok_or(MalformedResponse)?;
@@ -133,14 +136,14 @@
         retry_after: None,
         no_capacity: false,
         load_report: None,
-        closes_connection: answer.version == Some(0),
+        closes_connection: response.version == Some(0),
         body: Body::UntilClose,
     };
     let mut framing = Framing::default();
-    for header in answer.headers.iter() {
+    for header in response.headers.iter() {
         apply_header(&mut head, &mut framing, header)?;
     }
-    // An informational answer has no body, whatever it says.
+    // An informational response has no body, whatever its headers say.
     if status >= 200 {
         head.body = framing.body(status)?;
         head.closes_connection |= head.body == Body::UntilClose;
@@ -154,20 +157,20 @@
     header: &httparse::Header,
 ) -> Result<(), MalformedResponse> {
     let value = std::str::from_utf8(header.value).unwrap_or("").trim();
-    let is = |name: &str| header.name.eq_ignore_ascii_case(name);
-    if is("content-length") {
-        framing.set_length(value)?;
-    } else if is("transfer-encoding") {
-        framing.set_encoding(value)?;
-    } else if is("connection") {
-        let stays_open = value == "keep-alive";
+    let has_name = |name: &str| header.name.eq_ignore_ascii_case(name);
+    if has_name("content-length") {
+        framing.set_content_length(value)?;
+    } else if has_name("transfer-encoding") {
+        framing.set_transfer_encoding(value)?;
+    } else if has_name("connection") {
+        let keeps_alive = value == "keep-alive";
         head.closes_connection =
-            value.eq_ignore_ascii_case("close") || (head.closes_connection && !stays_open);
-    } else if is("retry-after") {
+            value.eq_ignore_ascii_case("close") || (head.closes_connection && !keeps_alive);
+    } else if has_name("retry-after") {
         head.retry_after = parse_retry_after(value);
-    } else if is("x-over-slots") {
+    } else if has_name("x-over-slots") {
         head.no_capacity = value == "1";
-    } else if is("endpoint-load-metrics") {
+    } else if has_name("endpoint-load-metrics") {
         head.load_report = Some(parse_limit(value));
     }
     Ok(())
@@ -175,16 +178,16 @@
 
 fn parse_retry_after(value: &str) -> Option<Nanos> {
     let seconds: f64 = value.parse().unwrap_or(0.0);
-    let wait = (seconds.clamp(0.0, MAX_RETRY_AFTER_SECONDS) * 1e9) as Nanos;
-    Some(wait).filter(|&wait| wait > 0)
+    let delay = (seconds.clamp(0.0, MAX_RETRY_AFTER_SECONDS) * 1e9) as Nanos;
+    Some(delay).filter(|&delay| delay > 0)
 }
 
 impl Framing {
-    fn set_length(&mut self, value: &str) -> Result<(), MalformedResponse> {
+    fn set_content_length(&mut self, value: &str) -> Result<(), MalformedResponse> {
         let length = parse_number(value, 10)?;
-        // With two lengths that differ nobody knows where the answer ends.
+        // Content-Length headers that differ leave the end of the response ambiguous.
         if self
-            .length
+            .content_length
             .replace(length)
             .is_some_and(|other| other != length)
         {
@@ -193,7 +196,7 @@
         Ok(())
     }
 
-    fn set_encoding(&mut self, value: &str) -> Result<(), MalformedResponse> {
+    fn set_transfer_encoding(&mut self, value: &str) -> Result<(), MalformedResponse> {
         if !value.eq_ignore_ascii_case("chunked") {
             return Err(MalformedResponse);
         }
@@ -202,9 +205,9 @@
     }
 
     fn body(&self, status: u16) -> Result<Body, MalformedResponse> {
-        Ok(match self.length {
+        Ok(match self.content_length {
             _ if matches!(status, 204 | 304) => Body::Done,
-            // The same holds for a length beside chunks.
+            // A Content-Length beside the chunked encoding is ambiguous as well.
             Some(_) if self.chunked => return Err(MalformedResponse),
             Some(0) => Body::Done,
             Some(length) => Body::Sized(length),
@@ -215,7 +218,8 @@
 }
 
 impl Body {
-    /// Discards what has come of the body, `budget` bytes at the most. Returns whether all of the body has come.
+    /// Discards the buffered part of the body and subtracts its size from `budget`. Fails if the declared or the received
+    /// size exceeds the budget. Returns whether the body is complete.
     pub fn discard(
         &mut self,
         buffer: &mut RingBuffer,
@@ -230,7 +234,7 @@
         Ok(*self == Body::Done)
     }
 
-    /// Takes what has come of the body from the buffer and hands it to the sink.
+    /// Removes the buffered part of the body from the buffer and passes its data to `sink`.
     pub fn take(
         &mut self,
         buffer: &mut RingBuffer,
@@ -238,7 +242,7 @@
     ) -> Result<(), MalformedResponse> {
         while *self != Body::Done {
             match self {
-                Body::Sized(left) | Body::Chunked(left) if *left > 0 => {
+                Body::Sized(remaining) | Body::Chunked(remaining) if *remaining > 0 => {
                     if buffer.is_empty() {
                         return Ok(());
                     }
@@ -260,16 +264,16 @@
         Ok(())
     }
 
-    /// Takes bytes of a sized body or of a chunk.
+    /// Removes data of a sized body or of a chunk from the buffer and passes it to `sink`.
     fn take_data(&mut self, buffer: &mut RingBuffer, sink: &mut impl FnMut(&[u8])) {
-        let (Body::Sized(left) | Body::Chunked(left)) = self else {
+        let (Body::Sized(remaining) | Body::Chunked(remaining)) = self else {
             return;
         };
-        let count = (*left).min(buffer.len() as u64);
+        let count = (*remaining).min(buffer.len() as u64);
         sink(&buffer.make_contiguous()[..count as usize]);
         buffer.consume(count as usize);
-        *left -= count;
-        if *left == 0 {
+        *remaining -= count;
+        if *remaining == 0 {
             *self = match self {
                 Body::Sized(_) => Body::Done,
                 _ => Body::ChunkEnd,
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Takes a line of the chunked encoding. Returns whether all of it has come.
+    /// Removes a line of the chunked encoding from the buffer and evaluates it. Returns whether the line was complete.
     fn take_line(&mut self, buffer: &mut RingBuffer) -> Result<bool, MalformedResponse> {
         let bytes = buffer.make_contiguous();
         let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
@@ -308,13 +312,14 @@
     parse_number(size, 16)
 }
 
-/// The head of the request that delivers a message; its body follows.
+/// Formats the head of the request that delivers a message; the caller appends the body. An empty idempotency key is left
+/// out.
 pub fn delivery_request_head(
-    id: u64,
+    message_id: u64,
     idempotency_key: &str,
     host: std::net::SocketAddr,
-    wait: Nanos,
-    length: usize,
+    expires_in: Nanos,
+    content_length: usize,
 ) -> String {
     let key_header = if idempotency_key.is_empty() {
         String::new()
@@ -322,23 +327,23 @@
         format!("Idempotency-Key: {idempotency_key}\r\n")
     };
     format!(
-        "POST /events HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {id:016x}\r\n{key_header}X-Expires-In: {}u\r\n\
-         Content-Length: {length}\r\n\r\n",
-        wait / 1_000
+        "POST /events HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {message_id:016x}\r\n{key_header}X-Expires-In: {}u\r\n\
+         Content-Length: {content_length}\r\n\r\n",
+        expires_in / 1_000
     )
 }
 
-/// The request for a watch on the endpoint list.
+/// Formats a request that watches the endpoint list for changes since a version.
 pub fn watch_request(host: std::net::SocketAddr, since: u64) -> String {
     get_request(host, &format!("/api/targets?follow=1&since={since}"))
 }
 
-/// A GET request for a target, which is a path with its query.
+/// Formats a GET request; `target` is the path with its query.
 pub fn get_request(host: std::net::SocketAddr, target: &str) -> String {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n")
 }
 
-/// A request that carries notifications.
+/// Formats a request that carries notifications, one JSON object per line.
 pub fn notification_request(host: std::net::SocketAddr, lines: &str) -> String {
     format!(
         "POST /v2/finals HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/x-ndjson\r\n\
