--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -1,4 +1,4 @@
-//! The parser of HTTP responses: random input in random pieces, and the headers that it reads.
+//! Tests of the HTTP response parser: arbitrary input, bodies that arrive in pieces, and the evaluated headers.
 
 mod property;
 
@@ -8,28 +8,29 @@
 
 #[test]
 fn arbitrary_bytes_do_not_panic_the_parser() {
-    fn property(bytes: Vec<u8>, mut similar: Vec<u8>) -> bool {
-        // Like commands but for a few bytes, so that the parser gets past the first ones.
+    fn property(arbitrary: Vec<u8>, mut patterned: Vec<u8>) -> bool {
+        // Repeated RESP commands in which about one byte in eight stays random, meant to get the parser past the first
+        // bytes.
         for (i, pattern) in b"*2\r\n$3\r\nabc\r\n$1\r\n"
             .iter()
             .cycle()
-            .take(similar.len())
+            .take(patterned.len())
             .enumerate()
         {
-            if !similar[i].is_multiple_of(8) {
-                similar[i] = *pattern;
+            if !patterned[i].is_multiple_of(8) {
+                patterned[i] = *pattern;
             }
         }
-        for bytes in [&bytes, &similar] {
-            let mut ring = RingBuffer::new(64 * 1024);
-            ring.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n");
-            ring.push(bytes);
-            if let Ok(Some(mut head)) = http::take_response_head(&mut ring) {
-                head.body.take(&mut ring, |_| {}).ok();
+        for bytes in [&arbitrary, &patterned] {
+            let mut buffer = RingBuffer::new(64 * 1024);
+            buffer.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n");
+            buffer.push(bytes);
+            if let Ok(Some(mut head)) = http::take_response_head(&mut buffer) {
+                head.body.take(&mut buffer, |_| {}).ok();
             }
-            let mut ring = RingBuffer::new(64 * 1024);
-            ring.push(bytes);
-            Body::Chunked(0).take(&mut ring, |_| {}).ok();
+            let mut buffer = RingBuffer::new(64 * 1024);
+            buffer.push(bytes);
+            Body::Chunked(0).take(&mut buffer, |_| {}).ok();
         }
         true
     }
@@ -37,17 +38,17 @@
 }
 
 #[test]
-fn a_body_is_read_the_same_however_it_is_chunked_and_split() {
-    fn property(parts: Vec<Vec<u8>>, pieces: Vec<u8>, chunked: bool) -> bool {
-        let content: Vec<u8> = parts.concat();
+fn a_body_decodes_the_same_for_any_chunk_sizes_and_read_sizes() {
+    fn property(chunks: Vec<Vec<u8>>, read_sizes: Vec<u8>, chunked: bool) -> bool {
+        let content: Vec<u8> = chunks.concat();
         let mut wire = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-A: b\r\n".to_vec();
         if chunked {
             wire.extend(b"Transfer-Encoding: chunked\r\n\r\n");
-            for part in parts.iter().filter(|p| !p.is_empty()) {
+            for chunk in chunks.iter().filter(|chunk| !chunk.is_empty()) {
                 wire.extend(
-                    format!("{:x};x=y\r\n", part.len())
+                    format!("{:x};x=y\r\n", chunk.len())
                         .bytes()
-                        .chain(part.iter().copied())
+                        .chain(chunk.iter().copied())
                         .chain(*b"\r\n"),
                 );
             }
@@ -57,41 +58,42 @@
             wire.extend(&content);
         }
         wire.extend(b"NEXT");
-        let (mut ring, mut head, mut read) = (RingBuffer::new(1 << 20), None, Vec::<u8>::new());
-        let mut sizes = pieces.iter().cycle();
-        let mut rest = wire.as_slice();
-        while !rest.is_empty() {
+        let (mut buffer, mut head, mut decoded) =
+            (RingBuffer::new(1 << 20), None, Vec::<u8>::new());
+        let mut sizes = read_sizes.iter().cycle();
+        let mut unread = wire.as_slice();
+        while !unread.is_empty() {
             let n = sizes
                 .next()
                 .map_or(1, |n| usize::from(*n) + 1)
-                .min(rest.len());
-            ring.push(&rest[..n]);
-            rest = &rest[n..];
+                .min(unread.len());
+            buffer.push(&unread[..n]);
+            unread = &unread[n..];
             if head.is_none() {
-                head = http::take_response_head(&mut ring).unwrap();
+                head = http::take_response_head(&mut buffer).unwrap();
             }
             if let Some(head) = &mut head {
                 head.body
-                    .take(&mut ring, |bytes| read.extend(bytes))
+                    .take(&mut buffer, |bytes| decoded.extend(bytes))
                     .unwrap();
             }
         }
         let head = head.unwrap();
         head.body == Body::Done
             && !head.closes_connection
-            && read == content
-            && ring.make_contiguous() == b"NEXT"
+            && decoded == content
+            && buffer.make_contiguous() == b"NEXT"
     }
     check(200, property as fn(Vec<Vec<u8>>, Vec<u8>, bool) -> bool);
 }
 
 #[test]
-fn retry_after_is_read_with_its_decimals() {
-    let mut ring = RingBuffer::new(1000);
-    ring.push(
+fn retry_after_accepts_fractional_seconds() {
+    let mut buffer = RingBuffer::new(1000);
+    buffer.push(
         b"HTTP/1.1 429 Busy\r\nretry-after: 0.25\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
     );
-    let head = http::take_response_head(&mut ring).unwrap().unwrap();
+    let head = http::take_response_head(&mut buffer).unwrap().unwrap();
     assert_eq!(
         (
             head.status,
@@ -105,23 +107,27 @@
 
 #[test]
 fn a_load_report_has_a_limit_or_is_invalid() {
-    let report = |text: &str| {
-        let mut ring = RingBuffer::new(1000);
-        ring.push(format!("HTTP/1.1 503 Busy\r\n{text}Content-Length: 0\r\n\r\n").as_bytes());
-        http::take_response_head(&mut ring)
+    let parse = |headers: &str| {
+        let mut buffer = RingBuffer::new(1000);
+        buffer.push(format!("HTTP/1.1 503 Busy\r\n{headers}Content-Length: 0\r\n\r\n").as_bytes());
+        http::take_response_head(&mut buffer)
             .unwrap()
             .unwrap()
             .load_report
     };
-    let named = |value: &str| report(&format!("endpoint-load-metrics: {value}\r\n"));
-    assert_eq!(report(""), None);
+    let report = |value: &str| parse(&format!("endpoint-load-metrics: {value}\r\n"));
+    assert_eq!(parse(""), None);
     assert_eq!(
-        (named("x0=0.4,x1=25"), named("x1=0")),
+        (report("x0=0.4,x1=25"), report("x1=0")),
         (Some(Ok(25.0)), Some(Ok(0.0)))
     );
-    for bad in [
+    for invalid in [
         "", "x0=0.4", "x1=", "x1=-1", "x1=NaN", "x1=inf", "x1=2e9", "x11=3", "x1:25",
     ] {
-        assert_eq!(named(bad), Some(Err(http::InvalidLoadReport)), "{bad}");
+        assert_eq!(
+            report(invalid),
+            Some(Err(http::InvalidLoadReport)),
+            "{invalid}"
+        );
     }
 }
--- a/crates/net/tests/ring_buffer.rs
+++ b/crates/net/tests/ring_buffer.rs
@@ -1,4 +1,4 @@
-//! The ring buffer against a vector of bytes.
+//! Compares the ring buffer with a plain vector under random operations.
 
 mod property;
 
@@ -8,17 +8,17 @@
 #[test]
 fn a_ring_buffer_keeps_order_and_capacity() {
     fn property(steps: Vec<(bool, Vec<u8>)>) -> bool {
-        let (mut ring, mut model) = (RingBuffer::new(300), Vec::<u8>::new());
+        let (mut buffer, mut model) = (RingBuffer::new(300), Vec::<u8>::new());
         steps.into_iter().all(|(push, bytes)| {
             if push {
                 let fits = model.len() + bytes.len() <= 300;
-                assert_eq!(ring.push(&bytes), fits);
+                assert_eq!(buffer.push(&bytes), fits);
                 model.extend(bytes.iter().filter(|_| fits));
             } else {
-                ring.consume(bytes.len());
+                buffer.consume(bytes.len());
                 model.drain(..bytes.len().min(model.len()));
             }
-            ring.make_contiguous() == model && ring.remaining_capacity() == 300 - model.len()
+            buffer.make_contiguous() == model && buffer.remaining_capacity() == 300 - model.len()
         })
     }
     check(200, property as fn(Vec<(bool, Vec<u8>)>) -> bool);
--- a/crates/net/tests/slot_table.rs
+++ b/crates/net/tests/slot_table.rs
@@ -1,4 +1,4 @@
-//! The slot table against lists of ids that are in use and ids that are not any more.
+//! Compares the slot table with lists of live and stale ids under random operations.
 
 mod property;
 
@@ -18,21 +18,21 @@
 }
 
 #[test]
-fn an_id_of_a_removed_slot_finds_nothing() {
+fn an_id_of_a_removed_entry_does_not_resolve() {
     fn property(steps: Vec<(bool, usize)>) -> bool {
-        let (mut slots, mut open, mut stale) =
+        let (mut table, mut live, mut stale) =
             (SlotTable::<Id, usize>::default(), Vec::new(), Vec::new());
         steps.into_iter().all(|(add, n)| {
-            if add || open.is_empty() {
-                open.push((slots.insert(|_| n), n));
+            if add || live.is_empty() {
+                live.push((table.insert(|_| n), n));
             } else {
-                let (id, n) = open.swap_remove(n % open.len());
-                assert_eq!(slots.remove(id), Some(n));
+                let (id, n) = live.swap_remove(n % live.len());
+                assert_eq!(table.remove(id), Some(n));
                 stale.push(id);
             }
-            open.iter().all(|(id, n)| slots.get(*id) == Some(n))
-                && stale.iter().all(|id| slots.get(*id).is_none())
-                && slots.len() == open.len()
+            live.iter().all(|(id, n)| table.get(*id) == Some(n))
+                && stale.iter().all(|id| table.get(*id).is_none())
+                && table.len() == live.len()
         })
     }
     check(200, property as fn(Vec<(bool, usize)>) -> bool);
--- a/crates/net/tests/timer_queue.rs
+++ b/crates/net/tests/timer_queue.rs
@@ -1,4 +1,4 @@
-//! The timer queue against a sorted map.
+//! Compares the timer queue with a map of deadlines.
 
 mod property;
 
@@ -8,24 +8,26 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn timers_expire_in_order_once_at_the_time_set_last() {
+fn each_timer_expires_once_at_its_last_deadline_in_order() {
     fn property(sets: Vec<(u8, u16)>) -> bool {
         let (mut timers, mut model) = (TimerQueue::default(), BTreeMap::new());
-        for &(what, at) in &sets {
-            timers.set(what, Nanos::from(at));
-            model.insert(what, Nanos::from(at));
-            if at % 7 == 0 {
-                timers.cancel(what);
-                model.remove(&what);
+        for &(timer, deadline) in &sets {
+            timers.set(timer, Nanos::from(deadline));
+            model.insert(timer, Nanos::from(deadline));
+            if deadline % 7 == 0 {
+                timers.cancel(timer);
+                model.remove(&timer);
             }
         }
-        let mut expected: Vec<(Nanos, u8)> =
-            model.into_iter().map(|(what, at)| (at, what)).collect();
+        let mut expected: Vec<(Nanos, u8)> = model
+            .into_iter()
+            .map(|(timer, deadline)| (deadline, timer))
+            .collect();
         expected.sort();
-        expected.into_iter().all(|(at, what)| {
-            timers.next_deadline() == Some(at)
-                && (at == 0 || timers.pop_expired(at - 1).is_none())
-                && timers.pop_expired(at) == Some(what)
+        expected.into_iter().all(|(deadline, timer)| {
+            timers.next_deadline() == Some(deadline)
+                && (deadline == 0 || timers.pop_expired(deadline - 1).is_none())
+                && timers.pop_expired(deadline) == Some(timer)
         }) && timers.next_deadline().is_none()
     }
     check(200, property as fn(Vec<(u8, u16)>) -> bool);
