--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,6 +1,6 @@
-//! The range of values that make sense.
+//! Bounds that configured values are checked against.
 
-/// The most of any rate, price, weight or multiple.
+/// The maximum of any rate, penalty, weight or multiple.
 pub(crate) const MAX_VALUE: f64 = 1e9;
-/// The least share of a capacity.
+/// The minimum of a share and of the overload multiple, which have to be positive.
 pub(crate) const MIN_SHARE: f64 = 1e-6;
--- a/crates/settings/src/class_settings.rs
+++ b/crates/settings/src/class_settings.rs
@@ -1,16 +1,16 @@
-//! The settings of a message class.
+//! Parses the settings of the message classes.
 
 use crate::bounds::MAX_VALUE;
 use crate::reader::{FieldReader, InvalidField};
 use bellsill_core::interface::{ClassSettings, DeduplicationScope, DeliverySemantics};
 
-/// A message class with the platform's name for it.
+/// The settings of a message class, with its name on the platform.
 pub(crate) struct NamedClass {
     pub(crate) name: String,
     pub(crate) settings: ClassSettings,
 }
 
-/// All classes, in their order in the settings.
+/// Reads all message classes, in the order of the settings.
 pub(crate) fn read_classes(fields: &FieldReader) -> Result<Vec<NamedClass>, InvalidField> {
     fields
         .array("services")?
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings that an instance gets at its start: JSON under the platform's names, read into
+//! Parses the settings that an instance receives at startup, JSON with the platform's field names, into the core's
 //! [`Settings`](bellsill_core::interface::Settings).
 
 mod bounds;
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,4 +1,4 @@
-//! The platform's names for what the decisions know by number, and the meaning of its weights.
+//! The platform's names for the core's numeric ids, and the interpretation of endpoint weights.
 
 use crate::bounds::MAX_VALUE;
 use crate::reader::{FieldReader, InvalidField};
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::fmt;
 
-/// A weight in an endpoint list that is not a rate.
+/// A weight in an endpoint list that should state a rate and is negative, too large or not a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidWeight;
 
@@ -18,7 +18,7 @@
 
 impl Error for InvalidWeight {}
 
-/// The platform's names, by the numbers that the decisions use, and the meaning of the weights in its endpoint lists.
+/// The platform's names, indexed by the core's numeric ids, and the interpretation of the weights in endpoint lists.
 pub struct PlatformNames {
     /// Message classes.
     pub classes: Vec<String>,
@@ -26,14 +26,14 @@
     pub kinds: Vec<String>,
     /// Availability zones.
     pub zones: Vec<String>,
-    /// Tenants that share the service; empty where the settings name none.
+    /// Tenants that share the service; empty if the settings name none.
     pub tenants: Vec<String>,
-    /// Whether the weight of an endpoint states its rate; otherwise it states nothing.
+    /// Whether the weight of an endpoint states its rate; otherwise weights are ignored.
     pub weights_are_rates: bool,
 }
 
 impl PlatformNames {
-    /// `classes` are already read with their settings.
+    /// Reads all names but those of the classes, which are read with the settings of the classes.
     pub(crate) fn read(fields: &FieldReader, classes: Vec<String>) -> Result<Self, InvalidField> {
         Ok(PlatformNames {
             classes,
@@ -44,7 +44,7 @@
         })
     }
 
-    /// The rate that the weight of an endpoint states, if it states one.
+    /// Returns the rate that the weight of an endpoint states. A weight of 0 states none.
     pub fn rate_from_weight(&self, weight: Option<f64>) -> Result<Option<f64>, InvalidWeight> {
         match weight {
             Some(weight) if self.weights_are_rates => {
@@ -62,9 +62,11 @@
     let Some(tenants) = fields.get("realms").and_then(Value::as_array) else {
         return Ok(Vec::new());
     };
-    let name = |tenant: &Value| Some(tenant.get("name")?.as_str()?.to_string());
+    let tenant_name = |tenant: &Value| Some(tenant.get("name")?.as_str()?.to_string());
     tenants
         .iter()
-        .map(|tenant| name(tenant).ok_or_else(|| fields.invalid("realms", "a name for each")))
+        .map(|tenant| {
+            tenant_name(tenant).ok_or_else(|| fields.invalid("realms", "a name for each realm"))
+        })
         .collect()
 }
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -1,4 +1,4 @@
-//! All that the platform's settings say.
+//! Parses the platform's settings as a whole.
 
 use crate::bounds::{MAX_VALUE, MIN_SHARE};
 use crate::class_settings::read_classes;
@@ -7,27 +7,26 @@
 use bellsill_core::interface::{ClassSettings, Nanos, Settings, ValueDecay};
 use serde_json::Value;
 
-/// The field with the number of messages that a request may carry, which may be left out.
-const BATCH_SIZES: &str = "family-info.per-call";
-/// What a load report calls the limit of an endpoint.
+/// The optional field with the maximum number of messages per request, for each kind of endpoint.
+const BATCH_SIZES_FIELD: &str = "family-info.per-call";
+/// The column of a load report that holds the limit of an endpoint.
 const LIMIT_COLUMN: &str = "x1";
 
-/// All that the settings say.
+/// The parsed settings of the platform.
 pub struct PlatformSettings {
-    /// What the decisions start with.
+    /// The settings of the core.
     pub settings: Settings,
-    /// The platform's names for what the decisions know by number.
+    /// The platform's names for the core's numeric ids.
     pub names: PlatformNames,
-    /// For how long an idle connection to an endpoint stays usable.
+    /// How long an idle connection to an endpoint stays usable.
     pub keep_alive: Nanos,
-    /// For how long after an endpoint is reported as draining it may still get new messages; 0 where the settings do not
-    /// say.
+    /// How long an endpoint may still receive new messages after it is reported as draining; 0 if the settings do not say.
     pub drain_grace: Nanos,
-    /// Whether answers hold load reports with the endpoint's limit.
+    /// Whether responses carry load reports with the limit of the endpoint.
     pub reports_limits: bool,
 }
 
-/// Reads the settings; `path_prefix` names the object in errors.
+/// Parses the settings; error messages start with `path_prefix`.
 pub fn read(json: &Value, seed: u64, path_prefix: &str) -> Result<PlatformSettings, InvalidField> {
     let fields = &FieldReader { json, path_prefix };
     let (class_names, classes) = read_classes(fields)?
@@ -35,7 +34,7 @@
         .map(|class| (class.name, class.settings))
         .unzip();
     let names = PlatformNames::read(fields, class_names)?;
-    check_prices(fields)?;
+    check_penalties(fields)?;
     Ok(PlatformSettings {
         settings: read_settings(fields, seed, classes)?,
         names,
@@ -48,10 +47,10 @@
     })
 }
 
-/// The decisions use no price, but one that makes no sense is an error of the settings.
-fn check_prices(fields: &FieldReader) -> Result<(), InvalidField> {
-    let prices = fields.get("penalties").and_then(Value::as_object);
-    for name in prices.into_iter().flat_map(|prices| prices.keys()) {
+/// Checks that all penalties are in range. The core does not use them, but an invalid one is still a settings error.
+fn check_penalties(fields: &FieldReader) -> Result<(), InvalidField> {
+    let penalties = fields.get("penalties").and_then(Value::as_object);
+    for name in penalties.into_iter().flat_map(|penalties| penalties.keys()) {
         fields.number_in_range(0.0, MAX_VALUE, &format!("penalties.{name}"))?;
     }
     Ok(())
@@ -67,9 +66,9 @@
         .iter()
         .map(|limit| limit.as_bool().unwrap_or(false))
         .collect();
-    let batch_sizes = match fields.get(BATCH_SIZES) {
+    let batch_sizes = match fields.get(BATCH_SIZES_FIELD) {
         None => &[],
-        Some(_) => fields.array(BATCH_SIZES)?,
+        Some(_) => fields.array(BATCH_SIZES_FIELD)?,
     };
     Ok(Settings {
         seed,
@@ -112,14 +111,14 @@
     })
 }
 
-/// How many messages a request to an endpoint may carry, by kind.
+/// Reads the maximum number of messages per request to an endpoint, for each kind of endpoint.
 fn read_max_batch(fields: &FieldReader, sizes: &[Value]) -> Result<Vec<usize>, InvalidField> {
     let size = |value: &Value| {
         let size = value
             .as_u64()
             .filter(|n| (1..=MAX_VALUE as u64).contains(n));
         size.map(|n| n as usize)
-            .ok_or_else(|| fields.invalid(BATCH_SIZES, "whole numbers from 1"))
+            .ok_or_else(|| fields.invalid(BATCH_SIZES_FIELD, "an array of whole numbers from 1"))
     };
     sizes.iter().map(size).collect()
 }
@@ -134,7 +133,7 @@
     }
 }
 
-/// Within what time a watch has to be requested, where the platform does not push endpoint lists.
+/// Reads the time within which a watch has to be requested; `None` if the platform pushes endpoint lists.
 fn read_watch_request_limit(fields: &FieldReader) -> Result<Option<Nanos>, InvalidField> {
     match fields.get("discovery").map(Value::as_str) {
         None | Some(Some("pushed")) => Ok(None),
@@ -145,9 +144,13 @@
     }
 }
 
-/// Settings of a platform without load reports may leave their description out.
+/// Whether load reports have the limit column and arrive in responses. A platform without load reports may omit the
+/// `report` section.
 fn reports_limits(fields: &FieldReader) -> bool {
     let columns = fields.get("report.columns").and_then(Value::as_array);
-    columns.is_some_and(|all| all.iter().any(|name| name.as_str() == Some(LIMIT_COLUMN)))
-        && matches!(fields.string("report.how"), Ok("inline"))
+    columns.is_some_and(|columns| {
+        columns
+            .iter()
+            .any(|name| name.as_str() == Some(LIMIT_COLUMN))
+    }) && matches!(fields.string("report.how"), Ok("inline"))
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,15 +1,15 @@
-//! Reads fields of JSON by their paths, with an error that says what is missing.
+//! Reads typed JSON fields by path; errors name the field and the expected type.
 
 use serde_json::Value;
 use std::error::Error;
 use std::fmt;
 
-/// A field of the settings that is missing or of the wrong form.
+/// A field of the settings that is missing, of the wrong type or out of range.
 #[derive(Debug, PartialEq)]
 pub struct InvalidField {
     /// The path from the root of the settings, such as `limits.max-open`.
     pub field: String,
-    /// The form that the field has to have, as a noun.
+    /// What the field has to hold, as a noun phrase.
     pub expected: String,
 }
 
@@ -21,16 +21,16 @@
 
 impl Error for InvalidField {}
 
-/// Reads values by paths such as `limits.max-open`.
+/// Reads fields of a JSON object by paths such as `limits.max-open`.
 pub struct FieldReader<'a> {
-    /// The object that paths start from.
+    /// The object that paths are relative to.
     pub json: &'a Value,
-    /// The path of `json` itself, which comes first in errors.
+    /// The path of `json` itself, which is prepended to the field in errors.
     pub path_prefix: &'a str,
 }
 
 impl<'a> FieldReader<'a> {
-    /// The error that a field is not as expected.
+    /// Creates the error for a field that does not hold what is expected.
     pub fn invalid(&self, path: &str, expected: &str) -> InvalidField {
         let dot = if self.path_prefix.is_empty() { "" } else { "." };
         InvalidField {
@@ -39,73 +39,75 @@
         }
     }
 
-    /// The value of a field, if it is there.
+    /// Returns the value of a field, if it is present.
     pub fn get(&self, path: &str) -> Option<&'a Value> {
         path.split('.')
             .try_fold(self.json, |value, part| value.get(part))
     }
 
-    /// The value of a field that `read` accepts; `expected` names the form that it accepts.
+    /// Converts the value of a field with `convert`; `expected` describes the accepted values in errors.
     pub fn require<T>(
         &self,
         path: &str,
         expected: &str,
-        read: impl Fn(&'a Value) -> Option<T>,
+        convert: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, InvalidField> {
         self.get(path)
-            .and_then(read)
+            .and_then(convert)
             .ok_or_else(|| self.invalid(path, expected))
     }
 
-    /// Any number.
+    /// Reads any number.
     pub fn number(&self, path: &str) -> Result<f64, InvalidField> {
         self.require(path, "a number", Value::as_f64)
     }
 
-    /// A number in this range, its ends included.
-    pub fn number_in_range(&self, least: f64, most: f64, path: &str) -> Result<f64, InvalidField> {
-        let expected = format!("a number from {least} to {most}");
+    /// Reads a number from `min` to `max`, both included.
+    pub fn number_in_range(&self, min: f64, max: f64, path: &str) -> Result<f64, InvalidField> {
+        let expected = format!("a number from {min} to {max}");
         self.require(path, &expected, |value| {
-            value.as_f64().filter(|n| (least..=most).contains(n))
+            value.as_f64().filter(|n| (min..=max).contains(n))
         })
     }
 
-    /// A whole number that is not negative.
+    /// Reads an integer that is not negative.
     pub fn unsigned_integer(&self, path: &str) -> Result<u64, InvalidField> {
         self.require(path, "a whole number", Value::as_u64)
     }
 
-    /// A whole number of at least `least`.
-    pub fn integer_at_least(&self, least: u64, path: &str) -> Result<u64, InvalidField> {
-        let expected = format!("a whole number from {least}");
+    /// Reads an integer of at least `min`.
+    pub fn integer_at_least(&self, min: u64, path: &str) -> Result<u64, InvalidField> {
+        let expected = format!("a whole number from {min}");
         self.require(path, &expected, |value| {
-            value.as_u64().filter(|n| *n >= least)
+            value.as_u64().filter(|n| *n >= min)
         })
     }
 
-    /// A string.
+    /// Reads a string.
     pub fn string(&self, path: &str) -> Result<&'a str, InvalidField> {
-        self.require(path, "a word", Value::as_str)
+        self.require(path, "a string", Value::as_str)
     }
 
-    /// A boolean; false where there is none.
+    /// Reads a boolean; false if the field is absent or of another type.
     pub fn flag(&self, path: &str) -> bool {
         self.get(path).and_then(Value::as_bool).unwrap_or(false)
     }
 
-    /// An array.
+    /// Reads an array.
     pub fn array(&self, path: &str) -> Result<&'a [Value], InvalidField> {
-        self.require(path, "a list", |value| value.as_array().map(Vec::as_slice))
+        self.require(path, "an array", |value| {
+            value.as_array().map(Vec::as_slice)
+        })
     }
 
-    /// An array of strings.
+    /// Reads an array of strings.
     pub fn strings(&self, path: &str) -> Result<Vec<String>, InvalidField> {
-        let word = |value: &Value| {
+        let string = |value: &Value| {
             value
                 .as_str()
                 .map(str::to_string)
-                .ok_or_else(|| self.invalid(path, "words"))
+                .ok_or_else(|| self.invalid(path, "an array of strings"))
         };
-        self.array(path)?.iter().map(word).collect()
+        self.array(path)?.iter().map(string).collect()
     }
 }
