--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -76,8 +76,8 @@
         .ok_or(InvalidLoadReport)
 }
 
-/// Whether the buffer starts with a complete status line with code 200. The status line alone confirms the delivery of a
-/// message, even if the rest of the response is missing or malformed.
+/// Whether the buffer starts with a complete status line with code 200. The status line alone confirms the delivery of
+/// a message, even if the rest of the response is missing or malformed.
 pub fn starts_with_success(bytes: &[u8]) -> bool {
     let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
         return false;
@@ -218,8 +218,8 @@
 }
 
 impl Body {
-    /// Discards the buffered part of the body and subtracts its size from `budget`. Fails if the declared or the received
-    /// size exceeds the budget. Returns whether the body is complete.
+    /// Discards the buffered part of the body and subtracts its size from `budget`. Fails if the declared or the
+    /// received size exceeds the budget. Returns whether the body is complete.
     pub fn discard(
         &mut self,
         buffer: &mut RingBuffer,
@@ -312,8 +312,8 @@
     parse_number(size, 16)
 }
 
-/// Formats the head of the request that delivers a message; the caller appends the body. An empty idempotency key is left
-/// out.
+/// Formats the head of the request that delivers a message; the caller appends the body. An empty idempotency key is
+/// left out.
 pub fn delivery_request_head(
     message_id: u64,
     idempotency_key: &str,
--- a/crates/net/src/ring_buffer.rs
+++ b/crates/net/src/ring_buffer.rs
@@ -45,8 +45,8 @@
         fits
     }
 
-    /// Reads until the source would block, reaches end of file, or the buffer is full. Returns whether it reached end of
-    /// file.
+    /// Reads until the source would block, reaches end of file, or the buffer is full. Returns whether it reached end
+    /// of file.
     pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<bool> {
         let mut chunk = [0; 16 * 1024];
         while self.remaining_capacity() > 0 {
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -20,7 +20,8 @@
     pub names: PlatformNames,
     /// How long an idle connection to an endpoint stays usable.
     pub keep_alive: Nanos,
-    /// How long an endpoint may still receive new messages after it is reported as draining; 0 if the settings do not say.
+    /// How long an endpoint may still receive new messages after it is reported as draining; 0 if the settings do not
+    /// say.
     pub drain_grace: Nanos,
     /// Whether responses carry load reports with the limit of the endpoint.
     pub reports_limits: bool,
