--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings that an instance gets at its start: JSON under the platform's names, read into
+//! Parses the settings that an instance receives at startup, JSON with the platform's field names, into the core's
 //! [`Settings`](bellsill_core::interface::Settings).
 
 mod bounds;
@@ -7,6 +7,6 @@
 mod platform_settings;
 mod reader;
 
-pub use names::{InvalidWeight, Names};
+pub use names::{InvalidWeight, PlatformNames};
 pub use platform_settings::{PlatformSettings, read};
-pub use reader::{InvalidField, Reader};
+pub use reader::{FieldReader, InvalidField};
