--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -23,7 +23,7 @@
 
 /// Watches with what the list knows until it is at this version with all buckets; the number of buckets that were gained on the way.
 fn watch_until(list: &mut ScopedList, address: SocketAddr, version: u64) -> usize {
-    let mut watch = Watch::open(address, &list.query("north-a"));
+    let mut watch = Watch::open(address, &list.watch_query("north-a"));
     let mut gained = 0;
     while list.version().0 < version || list.complete_buckets().count() < 8 {
         let line = watch.next_line().expect("a line");
@@ -67,7 +67,7 @@
     leader.stop().expect("an end");
     second.stop().expect("an end");
     let first = places[1].start_follower(states[1].path(), places[0].address);
-    let mut behind = Watch::open(places[1].address, &list.query("north-a"));
+    let mut behind = Watch::open(places[1].address, &list.watch_query("north-a"));
     let leader = places[0].start_leader(states[0].path());
     first.wait_for_version(version);
     let line = behind.next_line().expect("a line");
--- a/crates/control-plane/tests/list_convergence.rs
+++ b/crates/control-plane/tests/list_convergence.rs
@@ -146,7 +146,7 @@
 
     fn ask(&mut self, is_leader: bool) {
         self.break_watch();
-        let query = format!("follow=1&{}", self.list.query(DISPATCHER));
+        let query = format!("follow=1&{}", self.list.watch_query(DISPATCHER));
         self.list.watch_requested();
         let Ok(TargetsRequest::Watch(request)) = TargetsRequest::parse(&query) else {
             panic!("{query}")
@@ -191,7 +191,7 @@
             return;
         }
         self.list
-            .look_up(destination, &|_| false)
+            .request_lookup(destination, &|_| false)
             .expect("room in the cache");
         let forget = self.list.evicted();
         let target = ScopedList::lookup_target(DISPATCHER, &[destination], &forget);
@@ -208,7 +208,7 @@
             .change_cached_destinations(&request)
             .is_err()
         {
-            self.list.cancel(destination);
+            self.list.cancel_lookup(destination);
             return;
         }
         let line = ScopedLine {
@@ -217,7 +217,7 @@
             servers: server.directory.look_up(&[destination]),
             ..ScopedLine::default()
         };
-        self.list.evictions_sent(&forget);
+        self.list.mark_released(&forget);
         self.list
             .apply_lookup(&[destination], line)
             .expect("an answer that can be applied");
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -122,7 +122,7 @@
 
     /// Destinations are to be looked up again.
     pub(crate) fn retry_lookups(&mut self, io: &mut Io) {
-        self.timer_expired(io, WatchTimer::LookUp);
+        self.timer_expired(io, WatchTimer::LookupRetry);
     }
 
     /// A connection of the watch has been without an expected answer for too long.
@@ -235,7 +235,7 @@
     fn key(&self, timer: WatchTimer) -> Option<Timer> {
         Some(match timer {
             WatchTimer::Reconnect => Timer::WatchReconnect,
-            WatchTimer::LookUp => Timer::LookupRetry,
+            WatchTimer::LookupRetry => Timer::LookupRetry,
             WatchTimer::Call(call) => Timer::Connection(self.conn_of(call)?),
         })
     }
--- a/crates/daemon/src/installation.rs
+++ b/crates/daemon/src/installation.rs
@@ -2,7 +2,7 @@
 //! it a dispatcher has a part of the configuration (`docs/configuration.md`); without it, everything that discovery sends.
 
 use bellsill_directory::entry::is_member_name;
-use bellsill_discovery_client::scoped_list::{CACHE_DESTINATIONS, MAX_DESTINATIONS};
+use bellsill_discovery_client::scoped_list::{DEFAULT_CACHE_DESTINATIONS, MAX_CACHED_DESTINATIONS};
 use bellsill_placement::{DEFAULT_BUCKETS_PER_REGION, Layout, LayoutError, RegionName, ZoneName};
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -94,7 +94,7 @@
 }
 
 fn default_cache_destinations() -> usize {
-    CACHE_DESTINATIONS
+    DEFAULT_CACHE_DESTINATIONS
 }
 
 impl Installation {
@@ -160,10 +160,10 @@
             "each address once",
         )?;
         expect(
-            (1..=MAX_DESTINATIONS).contains(&self.cache_destinations),
+            (1..=MAX_CACHED_DESTINATIONS).contains(&self.cache_destinations),
             "cache_destinations",
             &format!(
-                "a whole number from 1 to {MAX_DESTINATIONS}, as many as a control process tells"
+                "a whole number from 1 to {MAX_CACHED_DESTINATIONS}, as many as a control process tells"
             ),
         )?;
         expect(
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -128,7 +128,7 @@
         let mut list =
             ScopedList::new(installation.layout.clone(), installation.cache_destinations);
         if let Some(known) = endpoint_list::read(&start.known, &start.boot.names) {
-            list.adopt(endpoint_list::entries_of(&known));
+            list.import_entries(endpoint_list::entries_of(&known));
         }
         list
     });
--- a/crates/daemon/tests/discovery_backoff.rs
+++ b/crates/daemon/tests/discovery_backoff.rs
@@ -14,10 +14,9 @@
     for dispatchers in [1, 3, 30, 100, 300, u32::MAX] {
         for seed in 0..200 {
             let mut backoff = Backoff::new(seed, dispatchers);
-            assert!(
-                (0..40)
-                    .all(|_| backoff.rest(0) + CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT < 6 * SECOND)
-            );
+            assert!((0..40).all(
+                |_| backoff.next_delay(0) + CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT < 6 * SECOND
+            ));
             for spent in [
                 0,
                 FIRST_LINE_TIMEOUT,
@@ -25,10 +24,10 @@
                 SILENCE_TIMEOUT,
                 20 * SECOND,
             ] {
-                backoff.served();
+                backoff.reset();
                 let most =
                     6 * SECOND - (CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT + spent).min(6 * SECOND - 2);
-                assert!((0..40).all(|_| backoff.rest(spent) < most));
+                assert!((0..40).all(|_| backoff.next_delay(spent) < most));
             }
             // Until then messages are routed by a list that may be old.
             assert!(
@@ -63,7 +62,7 @@
             }
             if free_at > at + FIRST_LINE_TIMEOUT {
                 due.insert((
-                    at + FIRST_LINE_TIMEOUT + backoffs[n].rest(FIRST_LINE_TIMEOUT),
+                    at + FIRST_LINE_TIMEOUT + backoffs[n].next_delay(FIRST_LINE_TIMEOUT),
                     n,
                 ));
             }
--- a/crates/discovery-client/src/backoff.rs
+++ b/crates/discovery-client/src/backoff.rs
@@ -24,8 +24,8 @@
 /// What a delay leaves for the program itself.
 const MARGIN: Nanos = 100_000_000;
 /// The longest delay, after a call that took no time, and the longest that a call may take to fail.
-pub const LONGEST: Nanos = KNOWN_WITHIN - CONNECT_TIMEOUT - FIRST_LINE_TIMEOUT - MARGIN;
-const _: () = assert!(SILENCE_TIMEOUT + 500_000_000 < LONGEST);
+pub const MAX_DELAY: Nanos = KNOWN_WITHIN - CONNECT_TIMEOUT - FIRST_LINE_TIMEOUT - MARGIN;
+const _: () = assert!(SILENCE_TIMEOUT + 500_000_000 < MAX_DELAY);
 
 /// Keeps a fleet of dispatchers that was cut off from asking in step. The price: a server that is back is noticed up to
 /// one delay late.
@@ -40,7 +40,7 @@
     /// The delays of one of this many dispatchers.
     pub fn new(seed: u64, dispatchers: u32) -> Backoff {
         let first_delay =
-            (u64::from(dispatchers) * FIRST_DELAY_PER_DISPATCHER).clamp(MIN_FIRST_DELAY, LONGEST);
+            (u64::from(dispatchers) * FIRST_DELAY_PER_DISPATCHER).clamp(MIN_FIRST_DELAY, MAX_DELAY);
         Backoff {
             rng: Pcg64Mcg::seed_from_u64(seed),
             first_delay,
@@ -57,19 +57,19 @@
 
     /// How long to wait before the next call; `spent` is how long the last call, or the silence of a watch, took to fail.
     /// The whole fleet may have failed at the same moment, so the first delay is spread from zero on.
-    pub fn rest(&mut self, spent: Nanos) -> Nanos {
-        let most = LONGEST.saturating_sub(spent).max(1);
+    pub fn next_delay(&mut self, spent: Nanos) -> Nanos {
+        let most = MAX_DELAY.saturating_sub(spent).max(1);
         let Some(longest) = self.longest else {
             self.longest = Some(self.first_delay);
             return self.rng.random_range(0..self.first_delay.min(most));
         };
         let delay = longest.min(most);
-        self.longest = Some((longest * 2).min(LONGEST));
+        self.longest = Some((longest * 2).min(MAX_DELAY));
         self.rng.random_range(delay / 4 * 3..=delay)
     }
 
     /// The server serves.
-    pub fn served(&mut self) {
+    pub fn reset(&mut self) {
         self.longest = None;
     }
 }
--- a/crates/discovery-client/src/command.rs
+++ b/crates/discovery-client/src/command.rs
@@ -13,7 +13,7 @@
     /// A call has timed out: before its connection was up, before its first line, or between two lines.
     Call(CallId),
     /// Destinations are looked up again after a lookup has failed.
-    LookUp,
+    LookupRetry,
 }
 
 /// A command for the owner of the sockets and timers.
--- a/crates/discovery-client/src/counters.rs
+++ b/crates/discovery-client/src/counters.rs
@@ -13,7 +13,7 @@
     pub timed_out: u64,
     /// Calls answered with another status than 200.
     pub rejected: u64,
-    /// Calls that failed by a line over [`LONGEST_SCOPED_LINE`](crate::watch::LONGEST_SCOPED_LINE).
+    /// Calls that failed by a line over [`MAX_SCOPED_LINE_BYTES`](crate::watch::MAX_SCOPED_LINE_BYTES).
     pub overlong_lines: u64,
     /// Lookups made.
     pub lookups: u64,
@@ -35,11 +35,11 @@
     /// Entries in a version that was known already.
     pub duplicate_entries: u64,
     /// Entries of destinations that are neither in a held bucket nor cached.
-    pub entries_out_of_scope: u64,
+    pub out_of_scope_entries: u64,
     /// Entries that were dropped because their bucket was sent again without them.
     pub dropped_entries: u64,
     /// Destinations that were evicted from the cache.
     pub evicted_destinations: u64,
     /// How often another log began.
-    pub other_logs: u64,
+    pub log_changes: u64,
 }
--- a/crates/discovery-client/src/destination_cache.rs
+++ b/crates/discovery-client/src/destination_cache.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The most destinations outside of a dispatcher's buckets that a control process sends; the cache is never larger.
-pub const MAX_DESTINATIONS: usize = 4_096;
+pub const MAX_CACHED_DESTINATIONS: usize = 4_096;
 
 /// Numbers the uses of the cache, so that they have an order.
 type UseNumber = u64;
@@ -84,7 +84,7 @@
     }
 
     /// Notes a use of a destination that has to be looked up, which sends it from then on.
-    pub(crate) fn request(&mut self, destination: u64) {
+    pub(crate) fn request_lookup(&mut self, destination: u64) {
         self.touch(destination);
         self.evicted.remove(&destination);
     }
@@ -103,13 +103,13 @@
     }
 
     /// The control process does not send these destinations any more.
-    pub(crate) fn released(&mut self, destinations: &[u64]) {
+    pub(crate) fn mark_released(&mut self, destinations: &[u64]) {
         self.evicted
             .retain(|destination| !destinations.contains(destination));
     }
 
     /// The control process sends no evicted destination any more.
-    pub(crate) fn released_all(&mut self) {
+    pub(crate) fn mark_all_released(&mut self) {
         self.evicted.clear();
     }
 
--- a/crates/discovery-client/src/error.rs
+++ b/crates/discovery-client/src/error.rs
@@ -8,36 +8,36 @@
 #[derive(Debug)]
 pub enum ScopedLineError {
     /// It is not the JSON of a line.
-    NotALine(serde_json::Error),
+    Malformed(serde_json::Error),
     /// It claims to be a complete list, as that of a plain discovery server: what it does not name would be gone.
     FullList,
     /// Its version is before the one that was received already.
-    VersionWentBack {
+    VersionRegressed {
         /// The version that was received already.
         known: Version,
         /// The version of the line.
         found: Version,
     },
     /// The answer to a lookup is of another log than the watch.
-    OtherLog(String),
+    LogMismatch(String),
 }
 
 impl fmt::Display for ScopedLineError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ScopedLineError::NotALine(error) => {
+            ScopedLineError::Malformed(error) => {
                 write!(f, "it is not a line of a scoped watch: {error}")
             }
             ScopedLineError::FullList => write!(
                 f,
                 "it is a complete list: the address is that of a plain discovery server, not of a control process"
             ),
-            ScopedLineError::VersionWentBack { known, found } => write!(
+            ScopedLineError::VersionRegressed { known, found } => write!(
                 f,
                 "its version {} is before {}, which was received already",
                 found.0, known.0
             ),
-            ScopedLineError::OtherLog(log) => {
+            ScopedLineError::LogMismatch(log) => {
                 write!(f, "it is of log {log}, and the watch is of another one")
             }
         }
@@ -47,7 +47,7 @@
 impl Error for ScopedLineError {
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
-            ScopedLineError::NotALine(error) => Some(error),
+            ScopedLineError::Malformed(error) => Some(error),
             _ => None,
         }
     }
--- a/crates/discovery-client/src/lookup.rs
+++ b/crates/discovery-client/src/lookup.rs
@@ -103,7 +103,7 @@
 enum LookupState {
     Idle,
     InFlight(Lookup),
-    /// The last lookup has failed, and [`Timer::LookUp`] is set.
+    /// The last lookup has failed, and [`Timer::LookupRetry`] is set.
     BackingOff,
 }
 
@@ -171,7 +171,7 @@
         let mut commands = self.cancel();
         self.state = LookupState::BackingOff;
         let retry_at = now + self.backoff.next_delay();
-        commands.push(Command::SetTimer(Timer::LookUp, retry_at));
+        commands.push(Command::SetTimer(Timer::LookupRetry, retry_at));
         commands
     }
 
@@ -184,7 +184,7 @@
         close_commands(id).into()
     }
 
-    /// [`Timer::LookUp`] has fired.
+    /// [`Timer::LookupRetry`] has fired.
     pub(crate) fn backoff_over(&mut self) {
         if matches!(self.state, LookupState::BackingOff) {
             self.state = LookupState::Idle;
--- a/crates/discovery-client/src/plain_source.rs
+++ b/crates/discovery-client/src/plain_source.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// The longest line of a plain watch that is read, in bytes; a longer one is skipped.
-pub const LONGEST_PLAIN_LINE: usize = 8 * 1024 * 1024;
+pub const MAX_PLAIN_LINE_BYTES: usize = 8 * 1024 * 1024;
 /// How long a call of a plain watch whose first line is late stays open while others are made, from when it was made. A
 /// discovery server that serves few calls a second answers them in turn, and serves an abandoned call all the same: if
 /// each call were abandoned before its turn, nobody would get the list.
@@ -41,16 +41,16 @@
     pub(crate) fn relocate(&mut self, address: SocketAddr) {
         self.address = address;
         self.version = 0;
-        self.backoff.served();
+        self.backoff.reset();
     }
 
     pub(crate) fn request(&self) -> WatchRequest {
         WatchRequest {
             address: self.address,
             bytes: http::watch_request(self.address, self.version).into_bytes(),
-            documents: DocumentReader::indented(LONGEST_PLAIN_LINE),
+            documents: DocumentReader::indented(MAX_PLAIN_LINE_BYTES),
             line_limit: LineLimit {
-                bytes: LONGEST_PLAIN_LINE,
+                bytes: MAX_PLAIN_LINE_BYTES,
                 overlong: OverlongLine::Skip,
             },
         }
@@ -62,10 +62,10 @@
 
     /// How long to wait after a call that took `spent` to fail.
     pub(crate) fn retry_delay(&mut self, spent: Nanos) -> Nanos {
-        self.backoff.rest(spent)
+        self.backoff.next_delay(spent)
     }
 
     pub(crate) fn serves(&mut self) {
-        self.backoff.served();
+        self.backoff.reset();
     }
 }
--- a/crates/discovery-client/src/scope.rs
+++ b/crates/discovery-client/src/scope.rs
@@ -4,7 +4,7 @@
 use crate::bucket_map::BucketMap;
 use crate::bucket_set::{BucketSet, BucketState};
 use crate::counters::ListCounters;
-use crate::destination_cache::{DestinationCache, LookupState, MAX_DESTINATIONS};
+use crate::destination_cache::{DestinationCache, LookupState, MAX_CACHED_DESTINATIONS};
 use crate::endpoint_table::{CachedEntry, EndpointTable};
 use crate::error::CacheFull;
 use crate::removed_endpoints::RemovedEndpoints;
@@ -184,7 +184,7 @@
         }
         if !self.in_scope(&entry) {
             applied.dropped.extend(self.take_entry(&entry.id));
-            self.counters.entries_out_of_scope += 1;
+            self.counters.out_of_scope_entries += 1;
         } else if entry.state == EndpointState::Removed {
             applied.dropped.extend(self.take_entry(&entry.id));
             self.removed.remember(entry.id, entry.version);
@@ -254,7 +254,7 @@
     }
 
     /// Adds a destination to the cache that has to be looked up, and evicts others for it that are not in use.
-    pub(crate) fn request(
+    pub(crate) fn request_lookup(
         &mut self,
         destination: u64,
         in_use: &dyn Fn(u64) -> bool,
@@ -267,16 +267,16 @@
             self.counters.evicted_destinations += 1;
             self.evict(oldest, &mut applied);
         }
-        if self.cache.len() >= MAX_DESTINATIONS {
+        if self.cache.len() >= MAX_CACHED_DESTINATIONS {
             return Err(CacheFull);
         }
         self.revision += 1;
-        self.cache.request(destination);
+        self.cache.request_lookup(destination);
         Ok(applied)
     }
 
     /// Adds an entry that is not from a control process, with its destination.
-    pub(crate) fn adopt_entry(&mut self, entry: EndpointEntry) {
+    pub(crate) fn import_entry(&mut self, entry: EndpointEntry) {
         if self.cache.is_full() && !self.cache.contains(entry.destination) {
             log::warn!(
                 "configuration: endpoint {} skipped: too many destinations",
@@ -291,7 +291,7 @@
     }
 
     /// Evicts a destination whose lookup has not been answered.
-    pub(crate) fn cancel(&mut self, destination: u64) -> Applied {
+    pub(crate) fn cancel_lookup(&mut self, destination: u64) -> Applied {
         let mut applied = Applied::default();
         if self.cache.state(destination) == Some(LookupState::Pending) {
             self.evict(destination, &mut applied);
@@ -311,12 +311,12 @@
     }
 
     /// The control process does not send these evicted destinations any more.
-    pub(crate) fn released(&mut self, destinations: &[u64]) {
-        self.cache.released(destinations);
+    pub(crate) fn mark_released(&mut self, destinations: &[u64]) {
+        self.cache.mark_released(destinations);
     }
 
     /// The control process sends no evicted destination any more.
-    pub(crate) fn released_all(&mut self) {
-        self.cache.released_all();
+    pub(crate) fn mark_all_released(&mut self) {
+        self.cache.mark_all_released();
     }
 }
--- a/crates/discovery-client/src/scoped_list.rs
+++ b/crates/discovery-client/src/scoped_list.rs
@@ -13,10 +13,10 @@
 use bellsill_placement::{BucketId, Epoch};
 use std::sync::Arc;
 
-pub use crate::destination_cache::MAX_DESTINATIONS;
+pub use crate::destination_cache::MAX_CACHED_DESTINATIONS;
 
 /// How many destinations outside of a dispatcher's buckets are cached, unless the installation says otherwise.
-pub const CACHE_DESTINATIONS: usize = 1_024;
+pub const DEFAULT_CACHE_DESTINATIONS: usize = 1_024;
 /// The most evicted destinations that one request names.
 const MAX_EVICTED_IN_REQUEST: usize = 256;
 
@@ -158,7 +158,7 @@
     }
 
     /// The query of the request for a watch.
-    pub fn query(&self, dispatcher: &str) -> String {
+    pub fn watch_query(&self, dispatcher: &str) -> String {
         query::watch_query(
             self.version.0,
             &self.log,
@@ -174,7 +174,7 @@
             Ok(line) => self.apply(line),
             Err(error) => {
                 self.scope.counters_mut().rejected_lines += 1;
-                Err(ScopedLineError::NotALine(error))
+                Err(ScopedLineError::Malformed(error))
             }
         }
     }
@@ -221,7 +221,7 @@
     /// Another log begins, whose versions cannot be compared with the old ones.
     fn begin_log(&mut self, log: &str, applied: &mut Applied) {
         if !self.log.is_empty() {
-            self.scope.counters_mut().other_logs += 1;
+            self.scope.counters_mut().log_changes += 1;
             log::warn!(
                 "configuration: the log has changed from {} to {log}",
                 self.log
@@ -237,7 +237,7 @@
             return Err(ScopedLineError::FullList);
         }
         if !other_log && line.version < self.version {
-            return Err(ScopedLineError::VersionWentBack {
+            return Err(ScopedLineError::VersionRegressed {
                 known: self.version,
                 found: line.version,
             });
@@ -252,26 +252,26 @@
 
     /// Has a destination looked up that is neither held nor cached. Where the cache is full, the least recently used
     /// destination that is not in use is evicted; what is dropped with it is returned. Where all are in use the cache
-    /// grows, up to [`MAX_DESTINATIONS`].
-    pub fn look_up(
+    /// grows, up to [`MAX_CACHED_DESTINATIONS`].
+    pub fn request_lookup(
         &mut self,
         destination: u64,
         in_use: &dyn Fn(u64) -> bool,
     ) -> Result<Applied, CacheFull> {
-        self.scope.request(destination, in_use)
+        self.scope.request_lookup(destination, in_use)
     }
 
     /// Adds entries that are not from a control process, as if they had been looked up: the first line of a watch drops
     /// what it does not have. Entries beyond the capacity of the cache are skipped.
-    pub fn adopt(&mut self, entries: impl IntoIterator<Item = EndpointEntry>) {
+    pub fn import_entries(&mut self, entries: impl IntoIterator<Item = EndpointEntry>) {
         for entry in entries {
-            self.scope.adopt_entry(entry);
+            self.scope.import_entry(entry);
         }
     }
 
     /// A destination is not wanted any more; nothing happens if it is known already.
-    pub fn cancel(&mut self, destination: u64) -> Applied {
-        self.scope.cancel(destination)
+    pub fn cancel_lookup(&mut self, destination: u64) -> Applied {
+        self.scope.cancel_lookup(destination)
     }
 
     /// The destinations that have to be looked up, by number.
@@ -286,13 +286,13 @@
     }
 
     /// The control process does not send these destinations any more.
-    pub fn evictions_sent(&mut self, destinations: &[u64]) {
-        self.scope.released(destinations);
+    pub fn mark_released(&mut self, destinations: &[u64]) {
+        self.scope.mark_released(destinations);
     }
 
     /// A new watch has been requested. Its scope is what the request says, so no evicted destination is sent any more.
     pub fn watch_requested(&mut self) {
-        self.scope.released_all();
+        self.scope.mark_all_released();
     }
 
     /// The target of a request that looks up `destinations`, and releases those in `forget`.
@@ -313,7 +313,7 @@
         }
         if line.log != self.log {
             self.scope.counters_mut().rejected_lines += 1;
-            return Err(ScopedLineError::OtherLog(line.log));
+            return Err(ScopedLineError::LogMismatch(line.log));
         }
         let mut applied = Applied::default();
         for entry in line.servers {
--- a/crates/discovery-client/src/scoped_source.rs
+++ b/crates/discovery-client/src/scoped_source.rs
@@ -14,7 +14,7 @@
 
 /// The longest line of a scoped watch that is read, in bytes. Control processes write shorter ones; twice that length
 /// leaves space for the fields of a later version.
-pub const LONGEST_SCOPED_LINE: usize = 2 * LONGEST_LINE;
+pub const MAX_SCOPED_LINE_BYTES: usize = 2 * LONGEST_LINE;
 /// A scoped watch without a complete line for this long is lost: three of the empty lines that are sent every 500 ms.
 pub const SCOPED_SILENCE_TIMEOUT: Nanos = 1_500_000_000;
 
@@ -72,7 +72,7 @@
 
     pub(crate) fn request(&mut self) -> WatchRequest {
         let address = self.servers.current();
-        let query = self.list.query(&self.dispatcher);
+        let query = self.list.watch_query(&self.dispatcher);
         self.list.watch_requested();
         WatchRequest {
             address,
@@ -80,7 +80,7 @@
                 .into_bytes(),
             documents: DocumentReader::Lines,
             line_limit: LineLimit {
-                bytes: LONGEST_SCOPED_LINE,
+                bytes: MAX_SCOPED_LINE_BYTES,
                 overlong: OverlongLine::Fail,
             },
         }
@@ -168,7 +168,7 @@
         };
         match self.list.apply_lookup(lookup.destinations(), line) {
             Ok(looked_up) => {
-                self.list.evictions_sent(lookup.evicted());
+                self.list.mark_released(lookup.evicted());
                 finished_lookup(self.lookups.finish(), looked_up)
             }
             Err(error) => {
--- a/crates/discovery-client/src/state_file.rs
+++ b/crates/discovery-client/src/state_file.rs
@@ -18,24 +18,24 @@
 #[derive(Debug)]
 pub enum StateFileError {
     /// They are not a list in this version of the format.
-    Format,
+    UnknownFormat,
     /// They are incomplete or damaged.
     Checksum,
     /// They hold other JSON than that of a list.
     Content(serde_json::Error),
     /// They are those of the dispatcher with this name.
-    OtherDispatcher(String),
+    DispatcherMismatch(String),
 }
 
 impl fmt::Display for StateFileError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            StateFileError::Format => {
+            StateFileError::UnknownFormat => {
                 write!(f, "it is not a saved configuration of this version")
             }
             StateFileError::Checksum => write!(f, "it is incomplete or damaged"),
             StateFileError::Content(error) => write!(f, "its content cannot be read: {error}"),
-            StateFileError::OtherDispatcher(name) => {
+            StateFileError::DispatcherMismatch(name) => {
                 write!(f, "it is that of the dispatcher `{name}`")
             }
         }
@@ -94,7 +94,9 @@
         layout: Arc<dyn BucketMap>,
         cache_destinations: usize,
     ) -> Result<ScopedList, StateFileError> {
-        let rest = bytes.strip_prefix(MAGIC).ok_or(StateFileError::Format)?;
+        let rest = bytes
+            .strip_prefix(MAGIC)
+            .ok_or(StateFileError::UnknownFormat)?;
         let (checksum, content) = rest.split_first_chunk().ok_or(StateFileError::Checksum)?;
         if crc32fast::hash(content) != u32::from_le_bytes(*checksum) {
             return Err(StateFileError::Checksum);
@@ -102,7 +104,7 @@
         let saved: Content<Vec<EndpointEntry>> =
             serde_json::from_slice(content).map_err(StateFileError::Content)?;
         if saved.dispatcher != dispatcher {
-            return Err(StateFileError::OtherDispatcher(saved.dispatcher));
+            return Err(StateFileError::DispatcherMismatch(saved.dispatcher));
         }
         let list = SavedList {
             log: saved.log,
--- a/crates/discovery-client/src/watch.rs
+++ b/crates/discovery-client/src/watch.rs
@@ -16,9 +16,9 @@
 use bellsill_net::ring_buffer::RingBuffer;
 use std::net::SocketAddr;
 
-pub use crate::plain_source::{LATE_CALL_TIMEOUT, LONGEST_PLAIN_LINE};
+pub use crate::plain_source::{LATE_CALL_TIMEOUT, MAX_PLAIN_LINE_BYTES};
 use crate::scoped_source::ScopedOptions;
-pub use crate::scoped_source::{LONGEST_SCOPED_LINE, SCOPED_SILENCE_TIMEOUT};
+pub use crate::scoped_source::{MAX_SCOPED_LINE_BYTES, SCOPED_SILENCE_TIMEOUT};
 
 /// A watch on the configuration.
 pub struct Watch {
@@ -126,7 +126,7 @@
             Timer::Reconnect => self.connect(now),
             Timer::Call(call) if self.is_lookup(call) => self.lookup_failed(now),
             Timer::Call(call) => self.call_overdue(now, call),
-            Timer::LookUp => {
+            Timer::LookupRetry => {
                 if let Some(source) = self.source.scoped_mut() {
                     source.lookups_mut().backoff_over();
                 }
@@ -201,7 +201,7 @@
         let Some(source) = self.source.scoped_mut() else {
             return Ok(LookupRequested::default());
         };
-        let applied = source.list_mut().look_up(destination, in_use)?;
+        let applied = source.list_mut().request_lookup(destination, in_use)?;
         Ok(LookupRequested {
             applied,
             commands: self.look_up(now),
--- a/crates/discovery-client/tests/discovery/liveness.rs
+++ b/crates/discovery-client/tests/discovery/liveness.rs
@@ -140,7 +140,7 @@
         if let Some(list) = self.watch.list() {
             assert!(watches <= 1, "one watch at a time");
             let is_pending = list.pending().next().is_some() && self.watch.serving().is_some();
-            let is_due = lookups == 1 || self.timers.contains_key(&Timer::LookUp);
+            let is_due = lookups == 1 || self.timers.contains_key(&Timer::LookupRetry);
             assert!(
                 !is_pending || is_due,
                 "a pending destination is never looked up"
--- a/crates/discovery-client/tests/discovery/lookups.rs
+++ b/crates/discovery-client/tests/discovery/lookups.rs
@@ -67,7 +67,7 @@
         let (lookup, ..) = connects(&wanted.commands).unwrap();
         let received = receives(&mut watch, SECOND, lookup, answer);
         assert!(received.commands.contains(&Command::Close(lookup)));
-        let retry_at = timer(&received.commands, Timer::LookUp).unwrap();
+        let retry_at = timer(&received.commands, Timer::LookupRetry).unwrap();
         assert!(
             watch
                 .request_lookup(SECOND, 48, &nothing_in_use)
@@ -76,7 +76,7 @@
                 .is_empty(),
             "it backs off"
         );
-        let again = watch.timer_fired(retry_at, Timer::LookUp);
+        let again = watch.timer_fired(retry_at, Timer::LookupRetry);
         assert!(connects(&again).unwrap().2.contains("&cells=47,48 "));
         assert_eq!(
             (watch.counters().lookups, watch.counters().failed_lookups),
--- a/crates/discovery-client/tests/discovery/scoped_list.rs
+++ b/crates/discovery-client/tests/discovery/scoped_list.rs
@@ -3,7 +3,7 @@
 use crate::driver::nothing_in_use;
 use crate::tens_layout::{TensLayout, empty_list};
 use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
-use bellsill_discovery_client::scoped_list::MAX_DESTINATIONS;
+use bellsill_discovery_client::scoped_list::MAX_CACHED_DESTINATIONS;
 use bellsill_discovery_client::{DestinationStatus, ScopedLineError, ScopedList, StateFileError};
 use bellsill_placement::BucketId;
 use quickcheck::{Gen, QuickCheck};
@@ -78,22 +78,22 @@
 
 #[test]
 fn a_first_watch_requests_everything_and_later_ones_from_the_known_version() {
-    assert_eq!(empty_list(2).query("d1"), "since=0&dispatcher=d1");
+    assert_eq!(empty_list(2).watch_query("d1"), "since=0&dispatcher=d1");
     let mut list = started();
     assert_eq!(
-        list.query("d1"),
+        list.watch_query("d1"),
         "since=5&log=c0ffee&dispatcher=d1&buckets=1"
     );
-    list.look_up(47, &nothing_in_use).unwrap();
+    list.request_lookup(47, &nothing_in_use).unwrap();
     assert_eq!(
-        list.query("d1"),
+        list.watch_query("d1"),
         "since=5&log=c0ffee&dispatcher=d1&buckets=1",
         "it is not known yet"
     );
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 2)]))
         .unwrap();
     assert_eq!(
-        list.query("d1"),
+        list.watch_query("d1"),
         "since=5&log=c0ffee&dispatcher=d1&buckets=1&cells=47"
     );
 }
@@ -118,7 +118,7 @@
 #[test]
 fn a_removed_endpoint_is_not_restored_by_a_late_lookup_answer() {
     let mut list = started();
-    list.look_up(47, &nothing_in_use).unwrap();
+    list.request_lookup(47, &nothing_in_use).unwrap();
     list.apply(line(9, vec![removed("x", 47, 9)])).unwrap();
     let late = list
         .apply_lookup(&[47], answer(8, vec![entry("x", 47, 8), entry("y", 47, 2)]))
@@ -145,7 +145,7 @@
     })
     .unwrap();
     assert_eq!(names(&list), ["a", "b"], "served until it is sent again");
-    assert_eq!(list.query("d1"), "since=9&log=c0ffee&dispatcher=d1");
+    assert_eq!(list.watch_query("d1"), "since=9&log=c0ffee&dispatcher=d1");
     list.apply(line(9, vec![entry("b", 12, 4), entry("c", 13, 8)]))
         .unwrap();
     let filled = list
@@ -197,7 +197,7 @@
 #[test]
 fn another_log_begins_empty_and_held_entries_serve_until_sent_again() {
     let mut list = started();
-    list.look_up(47, &nothing_in_use).unwrap();
+    list.request_lookup(47, &nothing_in_use).unwrap();
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4), entry("y", 47, 4)]))
         .unwrap();
     let first = ScopedLine {
@@ -217,11 +217,11 @@
     })
     .unwrap();
     assert_eq!(
-        (names(&list), list.counters().other_logs),
+        (names(&list), list.counters().log_changes),
         (vec!["a", "x"], 1)
     );
     assert_eq!(
-        list.query("d1"),
+        list.watch_query("d1"),
         "since=2&log=beef&dispatcher=d1&buckets=1&cells=47"
     );
 }
@@ -236,7 +236,7 @@
     })
     .unwrap();
     assert_eq!(
-        list.query("d1"),
+        list.watch_query("d1"),
         "since=2&log=beef&dispatcher=d1",
         "nothing is complete"
     );
@@ -252,7 +252,10 @@
 fn a_line_of_an_older_version_or_a_complete_list_is_rejected_as_a_whole() {
     let mut list = started();
     let back = list.apply(line(4, vec![entry("c", 13, 4)]));
-    assert!(matches!(back, Err(ScopedLineError::VersionWentBack { .. })));
+    assert!(matches!(
+        back,
+        Err(ScopedLineError::VersionRegressed { .. })
+    ));
     let full = list.apply(ScopedLine {
         full: true,
         ..line(6, vec![entry("c", 13, 6)])
@@ -260,7 +263,7 @@
     assert!(matches!(full, Err(ScopedLineError::FullList)));
     assert!(matches!(
         list.apply_document(b"{\"version\":"),
-        Err(ScopedLineError::NotALine(_))
+        Err(ScopedLineError::Malformed(_))
     ));
     assert_eq!(
         (names(&list), list.counters().rejected_lines),
@@ -272,7 +275,7 @@
 fn the_least_recently_used_destination_is_evicted_unless_in_use() {
     let mut list = started();
     for destination in [41, 42] {
-        list.look_up(destination, &nothing_in_use).unwrap();
+        list.request_lookup(destination, &nothing_in_use).unwrap();
         let name = format!("e{destination}");
         list.apply_lookup(
             &[destination],
@@ -281,25 +284,28 @@
         .unwrap();
     }
     list.touch(41);
-    let evicted = list.look_up(43, &nothing_in_use).unwrap();
+    let evicted = list.request_lookup(43, &nothing_in_use).unwrap();
     assert_eq!(evicted.dropped, [entry("e42", 42, 1)]);
     assert_eq!((list.evicted(), list.cached_destinations()), (vec![42], 2));
-    let evicted = list.look_up(44, &|destination| destination == 41).unwrap();
+    let evicted = list
+        .request_lookup(44, &|destination| destination == 41)
+        .unwrap();
     assert!(evicted.dropped.is_empty(), "43 had no entries yet");
     assert_eq!(list.status(41), DestinationStatus::Cached);
     let target = ScopedList::lookup_target("d1", &[44], &list.evicted());
     assert_eq!(target, "/api/targets?dispatcher=d1&cells=44&forget=42,43");
-    list.evictions_sent(&[42, 43]);
+    list.mark_released(&[42, 43]);
     assert!(list.evicted().is_empty());
     // A destination that is wanted again is not released by the same request.
-    list.look_up(42, &nothing_in_use).unwrap();
-    list.look_up(45, &nothing_in_use).unwrap();
-    list.look_up(42, &nothing_in_use).unwrap();
+    list.request_lookup(42, &nothing_in_use).unwrap();
+    list.request_lookup(45, &nothing_in_use).unwrap();
+    list.request_lookup(42, &nothing_in_use).unwrap();
     assert!(!list.evicted().contains(&42));
-    list.look_up(46, &|destination| destination != 42).unwrap();
+    list.request_lookup(46, &|destination| destination != 42)
+        .unwrap();
     // Entries of an evicted destination are skipped.
     list.apply(line(6, vec![entry("e42", 42, 6)])).unwrap();
-    assert_eq!(list.counters().entries_out_of_scope, 1);
+    assert_eq!(list.counters().out_of_scope_entries, 1);
     assert_eq!(list.status(42), DestinationStatus::Unknown);
 }
 
@@ -313,11 +319,11 @@
         "it may be of another region"
     );
     assert_eq!(list.status(47), DestinationStatus::Unknown);
-    list.look_up(47, &nothing_in_use).unwrap();
+    list.request_lookup(47, &nothing_in_use).unwrap();
     assert_eq!(list.status(47), DestinationStatus::Pending);
     list.apply_lookup(&[47], answer(5, vec![])).unwrap();
     assert_eq!(list.status(47), DestinationStatus::Cached);
-    list.look_up(48, &nothing_in_use).unwrap();
+    list.request_lookup(48, &nothing_in_use).unwrap();
     list.apply_lookup(&[48], answer(5, vec![entry("p", 48, 3)]))
         .unwrap();
     list.apply(ScopedLine {
@@ -342,12 +348,12 @@
 fn a_cancelled_lookup_is_not_made_and_known_destinations_stay() {
     let mut list = started();
     for destination in [47, 48] {
-        list.look_up(destination, &nothing_in_use).unwrap();
+        list.request_lookup(destination, &nothing_in_use).unwrap();
     }
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
         .unwrap();
     for destination in [47, 48] {
-        list.cancel(destination);
+        list.cancel_lookup(destination);
     }
     assert_eq!(
         (list.status(47), list.status(48)),
@@ -360,19 +366,19 @@
 fn with_all_in_use_the_cache_grows_to_the_limit_of_a_control_process() {
     let mut list = started();
     let grown = (100..)
-        .take_while(|destination| list.look_up(*destination, &|_| true).is_ok())
+        .take_while(|destination| list.request_lookup(*destination, &|_| true).is_ok())
         .count();
     assert_eq!(
         (grown, list.cached_destinations()),
-        (MAX_DESTINATIONS, MAX_DESTINATIONS)
+        (MAX_CACHED_DESTINATIONS, MAX_CACHED_DESTINATIONS)
     );
-    assert!(list.look_up(9_999, &nothing_in_use).is_ok() && list.cached_destinations() == 2);
+    assert!(list.request_lookup(9_999, &nothing_in_use).is_ok() && list.cached_destinations() == 2);
 }
 
 #[test]
 fn an_adopted_list_serves_until_the_first_line() {
     let mut list = empty_list(2);
-    list.adopt([
+    list.import_entries([
         entry("x", 47, 3),
         entry("y", 47, 0),
         entry("z", 48, 0),
@@ -383,7 +389,7 @@
         ["x", "y", "z"],
         "the cache has capacity for two destinations"
     );
-    assert_eq!(list.query("d1"), "since=0&dispatcher=d1&cells=47,48");
+    assert_eq!(list.watch_query("d1"), "since=0&dispatcher=d1&cells=47,48");
     let first = list
         .apply(ScopedLine {
             log: "c0ffee".into(),
@@ -396,14 +402,14 @@
 #[test]
 fn a_lookup_answer_of_another_log_is_rejected() {
     let mut list = started();
-    list.look_up(47, &nothing_in_use).unwrap();
+    list.request_lookup(47, &nothing_in_use).unwrap();
     let other = ScopedLine {
         log: "beef".into(),
         ..line(5, vec![entry("x", 47, 4)])
     };
     assert!(matches!(
         list.apply_lookup(&[47], other),
-        Err(ScopedLineError::OtherLog(_))
+        Err(ScopedLineError::LogMismatch(_))
     ));
     assert_eq!(
         (list.status(47), list.counters().rejected_lines),
@@ -414,19 +420,19 @@
 #[test]
 fn a_saved_list_is_the_same_after_a_restart() {
     let mut list = started();
-    list.look_up(47, &nothing_in_use).unwrap();
+    list.request_lookup(47, &nothing_in_use).unwrap();
     list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
         .unwrap();
-    list.look_up(48, &nothing_in_use).unwrap();
+    list.request_lookup(48, &nothing_in_use).unwrap();
     let bytes = list.to_bytes("d1");
     let again = ScopedList::from_bytes(&bytes, "d1", Arc::new(TensLayout), 2).unwrap();
     assert_eq!(
-        (names(&again), again.query("d1")),
-        (names(&list), list.query("d1"))
+        (names(&again), again.watch_query("d1")),
+        (names(&list), list.watch_query("d1"))
     );
     assert_eq!(again.to_bytes("d1"), bytes);
     let other = ScopedList::from_bytes(&bytes, "d2", Arc::new(TensLayout), 2);
-    assert!(matches!(other, Err(StateFileError::OtherDispatcher(_))));
+    assert!(matches!(other, Err(StateFileError::DispatcherMismatch(_))));
 }
 
 #[test]
--- a/crates/discovery-client/tests/discovery/scoped_watch.rs
+++ b/crates/discovery-client/tests/discovery/scoped_watch.rs
@@ -1,7 +1,7 @@
 //! The calls of a scoped watch: events in, commands out.
 
 use crate::driver::{HEAD, SECOND, begin, chunk, connects, plain, receives, scoped, timer};
-use bellsill_discovery_client::watch::{LONGEST_SCOPED_LINE, SCOPED_SILENCE_TIMEOUT};
+use bellsill_discovery_client::watch::{MAX_SCOPED_LINE_BYTES, SCOPED_SILENCE_TIMEOUT};
 use bellsill_discovery_client::{Command, Timer};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -73,8 +73,8 @@
 #[test]
 fn an_overlong_line_fails_a_scoped_call() {
     for text in [
-        "x".repeat(LONGEST_SCOPED_LINE + 1),
-        format!("{}\n", "x".repeat(LONGEST_SCOPED_LINE + 1)),
+        "x".repeat(MAX_SCOPED_LINE_BYTES + 1),
+        format!("{}\n", "x".repeat(MAX_SCOPED_LINE_BYTES + 1)),
     ] {
         let mut watch = scoped(1);
         let (call, ..) = begin(&mut watch);
--- a/crates/testbed/src/capacity/model/full_size.rs
+++ b/crates/testbed/src/capacity/model/full_size.rs
@@ -100,7 +100,7 @@
     pub change_seconds: f64,
     /// For messages, a dispatcher: assumed, since the daemon is one thread; what control may take is its own.
     pub message_cores: f64,
-    /// The longest line of a list that a dispatcher reads (`LONGEST_PLAIN_LINE` of `crates/discovery-client/src/plain_source.rs`).
+    /// The longest line of a list that a dispatcher reads (`MAX_PLAIN_LINE_BYTES` of `crates/discovery-client/src/plain_source.rs`).
     pub line_bytes: f64,
 }
 
--- a/crates/testbed/src/hollow/bad_server.rs
+++ b/crates/testbed/src/hollow/bad_server.rs
@@ -1,7 +1,7 @@
 //! A server that answers watches with lines that must be refused, one kind after the other.
 
 use anyhow::Result;
-use bellsill_discovery_client::watch::LONGEST_SCOPED_LINE;
+use bellsill_discovery_client::watch::MAX_SCOPED_LINE_BYTES;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -44,7 +44,7 @@
         match self {
             BadAnswer::OverlongLine => {
                 let mut text = line(99_999_999, false);
-                text.splice(0..0, vec![b' '; LONGEST_SCOPED_LINE + 1]);
+                text.splice(0..0, vec![b' '; MAX_SCOPED_LINE_BYTES + 1]);
                 text
             }
             BadAnswer::FlippedBit => {
--- a/crates/testbed/src/hollow/dispatcher.rs
+++ b/crates/testbed/src/hollow/dispatcher.rs
@@ -7,7 +7,7 @@
 use super::traffic::TrafficMeter;
 use bellsill_core::interface::Nanos;
 use bellsill_directory::line::{EndpointEntry, Version};
-use bellsill_discovery_client::scoped_list::CACHE_DESTINATIONS;
+use bellsill_discovery_client::scoped_list::DEFAULT_CACHE_DESTINATIONS;
 use bellsill_discovery_client::{
     Applied, BucketMap, CallId, Command, ScopedList, ScopedOptions, Timer, Watch,
 };
@@ -74,14 +74,19 @@
         let name = plan.dispatcher_name(index);
         let layout: Arc<dyn BucketMap> = Arc::clone(plan) as Arc<dyn BucketMap>;
         let restored = saved.map(|bytes| {
-            ScopedList::from_bytes(bytes, &name, Arc::clone(&layout), CACHE_DESTINATIONS)
+            ScopedList::from_bytes(
+                bytes,
+                &name,
+                Arc::clone(&layout),
+                DEFAULT_CACHE_DESTINATIONS,
+            )
         });
         let refused = restored
             .as_ref()
             .and_then(|list| list.as_ref().err().map(ToString::to_string));
         let list = restored.and_then(Result::ok);
         let known = list.is_some();
-        let list = list.unwrap_or_else(|| ScopedList::new(layout, CACHE_DESTINATIONS));
+        let list = list.unwrap_or_else(|| ScopedList::new(layout, DEFAULT_CACHE_DESTINATIONS));
         let options = ScopedOptions {
             dispatcher: name.clone(),
             servers: surroundings.servers.clone(),
