--- a/crates/discovery-client/src/applied.rs
+++ b/crates/discovery-client/src/applied.rs
@@ -1,19 +1,20 @@
-//! What a line has changed.
+//! The changes of a list.
 
 use bellsill_directory::line::EndpointEntry;
 use bellsill_placement::BucketId;
 
-/// What a line, a lookup or an eviction has changed in a list.
+/// The changes of a list by a line, a lookup or an eviction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Applied {
-    /// Entries that are new or differ from before.
+    /// Entries that were added or replaced.
     pub changed: Vec<EndpointEntry>,
-    /// Entries that are not in the list any more, as they were last: removed, or out of this dispatcher's scope.
+    /// The last state of entries that were removed from the list, because the endpoint was removed or is out of the
+    /// dispatcher's scope.
     pub dropped: Vec<EndpointEntry>,
-    /// Buckets that are held from now on, or sent again.
+    /// Buckets that were assigned to the dispatcher, or that are being resent.
     pub gained: Vec<BucketId>,
-    /// Buckets that are not held any more.
+    /// Buckets that are no longer held.
     pub lost: Vec<BucketId>,
-    /// Buckets of which every entry is known from now on.
+    /// Buckets that are now complete: every entry of theirs is known.
     pub filled: Vec<BucketId>,
 }
--- a/crates/discovery-client/src/bucket_map.rs
+++ b/crates/discovery-client/src/bucket_map.rs
@@ -1,10 +1,10 @@
-//! Which bucket a destination is in.
+//! The mapping of destinations to buckets.
 
 use bellsill_placement::{BucketId, Layout, ZoneName};
 
-/// Maps destinations to buckets; the layout of the installation.
+/// Maps destinations to buckets, as the layout of the installation does.
 pub trait BucketMap: Send + Sync {
-    /// The bucket of a destination in the region of this zone; none where the zone is not part of a region.
+    /// The bucket of a destination in the region of this zone; `None` if the zone is not part of a region.
     fn bucket_of(&self, zone: &str, destination: u64) -> Option<BucketId>;
 }
 
--- a/crates/discovery-client/src/bucket_set.rs
+++ b/crates/discovery-client/src/bucket_set.rs
@@ -1,10 +1,10 @@
-//! The buckets that one dispatcher holds, and how far their entries are known.
+//! The buckets that one dispatcher holds, and whether their entries are complete.
 
 use bellsill_directory::line::ScopedLine;
 use bellsill_placement::BucketId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a held bucket is known.
+/// Whether the entries of a held bucket are complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BucketState {
     /// Its entries are being received.
@@ -16,8 +16,8 @@
 #[derive(Default)]
 pub(crate) struct BucketSet {
     states: BTreeMap<BucketId, BucketState>,
-    /// Buckets that were filling when the last connection broke, and that the present one has not named yet.
-    unnamed: BTreeSet<BucketId>,
+    /// Buckets that were filling when the last connection was lost, and that the current one has not named so far.
+    unconfirmed: BTreeSet<BucketId>,
 }
 
 impl BucketSet {
@@ -30,7 +30,7 @@
             .map(|bucket| (bucket, BucketState::Filling));
         BucketSet {
             states: complete.chain(filling).collect(),
-            unnamed: BTreeSet::new(),
+            unconfirmed: BTreeSet::new(),
         }
     }
 
@@ -42,7 +42,7 @@
         self.states.get(&bucket).copied()
     }
 
-    /// The buckets in that state, by number.
+    /// The buckets in this state, in ascending order.
     pub(crate) fn in_state(&self, state: BucketState) -> impl Iterator<Item = BucketId> {
         self.states
             .iter()
@@ -63,22 +63,24 @@
         self.states.insert(bucket, BucketState::Complete);
     }
 
-    /// Another log begins: all buckets are sent again.
+    /// Marks all buckets as filling, because a new log resends them.
     pub(crate) fn refill(&mut self) {
         self.states
             .values_mut()
             .for_each(|state| *state = BucketState::Filling);
     }
 
-    /// The buckets that are lost because this line ends the naming of gained ones without them. A connection begins with
-    /// the buckets that are assigned and were not complete, on as many lines as they need. Its first line has the log.
-    pub(crate) fn take_unnamed(&mut self, line: &ScopedLine) -> BTreeSet<BucketId> {
+    /// Returns the buckets that are no longer assigned. A connection starts with the assigned buckets that are not
+    /// complete, as gained buckets on one or more lines, of which the first has the log id. The first line without
+    /// gained buckets ends this sequence, and a filling bucket that was not named by then is lost.
+    pub(crate) fn take_unconfirmed(&mut self, line: &ScopedLine) -> BTreeSet<BucketId> {
         if !line.log.is_empty() {
-            self.unnamed = self.in_state(BucketState::Filling).collect();
+            self.unconfirmed = self.in_state(BucketState::Filling).collect();
         }
-        self.unnamed.retain(|bucket| !line.gained.contains(bucket));
+        self.unconfirmed
+            .retain(|bucket| !line.gained.contains(bucket));
         if line.gained.is_empty() {
-            std::mem::take(&mut self.unnamed)
+            std::mem::take(&mut self.unconfirmed)
         } else {
             BTreeSet::new()
         }
--- a/crates/discovery-client/src/call.rs
+++ b/crates/discovery-client/src/call.rs
@@ -1,17 +1,17 @@
-//! One connection attempt to a server of the watch, and the lines of the answer on it.
+//! A call of a watch: one connection to a server, the request on it, and the lines of the response.
 
-use crate::answer::{Answer, AnswerError};
 use crate::documents::DocumentReader;
+use crate::response::{Response, ResponseError};
 use bellsill_net::Nanos;
 use bellsill_net::http::Body;
 use bellsill_net::ring_buffer::RingBuffer;
 use std::net::SocketAddr;
 
-/// Identifies one connection attempt of a watch; never reused.
+/// Identifies one call or lookup of a watch. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Assigns the ids of calls.
+/// Assigns call ids.
 #[derive(Default)]
 pub(crate) struct CallIds {
     next: u64,
@@ -25,23 +25,23 @@
     }
 }
 
-/// What happens to a line that is longer than its limit.
+/// The handling of a line that exceeds the length limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OverlongLine {
-    /// What has been received of it is dropped. The rest is not JSON, and is skipped as such.
+    /// Discard the part that has been received. The rest of the line is then skipped because it is not JSON.
     Skip,
-    /// The call fails: a change that was skipped would never be sent again.
+    /// Fail the call, because a skipped change would never be sent again.
     Fail,
 }
 
-/// How long a line may be.
+/// The length limit of lines, and the handling of longer ones.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LineLimit {
     pub(crate) bytes: usize,
     pub(crate) overlong: OverlongLine,
 }
 
-/// A request for a watch, and how the answer to it is read.
+/// A watch request, and the settings for reading its response.
 pub(crate) struct WatchRequest {
     pub(crate) address: SocketAddr,
     pub(crate) bytes: Vec<u8>,
@@ -49,26 +49,26 @@
     pub(crate) line_limit: LineLimit,
 }
 
-/// Why a call has failed by what was received on it.
+/// The reason why a call fails because of the bytes received on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    Answer(AnswerError),
+    Response(ResponseError),
     OverlongLine,
 }
 
-impl From<AnswerError> for CallError {
-    fn from(error: AnswerError) -> Self {
-        CallError::Answer(error)
+impl From<ResponseError> for CallError {
+    fn from(error: ResponseError) -> Self {
+        CallError::Response(error)
     }
 }
 
-/// What was read from a call.
+/// The data read from a call.
 #[derive(Default)]
 pub(crate) struct CallInput {
     pub(crate) documents: Vec<Vec<u8>>,
-    /// At least one line is complete, if only an empty one.
+    /// At least one line is complete, possibly an empty one.
     pub(crate) has_line: bool,
-    /// Nothing more will be received.
+    /// The response has ended.
     pub(crate) ended: bool,
 }
 
@@ -76,23 +76,23 @@
 enum CallState {
     Connecting,
     AwaitingFirstLine,
-    /// The first line is late, and another call is made meanwhile.
+    /// The first line has timed out. The call stays open while another call is made.
     Late,
-    /// A line has been received.
+    /// A line has been received: the call serves the watch.
     Serving,
 }
 
-/// A call that has not failed yet.
+/// A call that has not failed.
 pub(crate) struct Call {
     id: CallId,
     state: CallState,
-    /// When the call was made, or its last line was completed. Bytes alone do not count: a server that never completes a
-    /// line would hide changes for good, though its connection never ends.
-    alive_at: Nanos,
+    /// The time at which the call was made or its last line was completed. Bytes of an incomplete line do not count as
+    /// activity: a server that never completes a line would otherwise keep the watch alive and withhold all changes.
+    last_active_at: Nanos,
     documents: DocumentReader,
     line_limit: LineLimit,
-    answer: Answer,
-    /// What has been received of the next line.
+    response: Response,
+    /// The received part of an incomplete line.
     line: Vec<u8>,
 }
 
@@ -106,10 +106,10 @@
         Call {
             id,
             state: CallState::Connecting,
-            alive_at: now,
+            last_active_at: now,
             documents,
             line_limit,
-            answer: Answer::default(),
+            response: Response::default(),
             line: Vec::new(),
         }
     }
@@ -118,8 +118,8 @@
         self.id
     }
 
-    pub(crate) fn alive_at(&self) -> Nanos {
-        self.alive_at
+    pub(crate) fn last_active_at(&self) -> Nanos {
+        self.last_active_at
     }
 
     pub(crate) fn is_serving(&self) -> bool {
@@ -146,17 +146,17 @@
 
     pub(crate) fn mark_serving(&mut self, now: Nanos) {
         self.state = CallState::Serving;
-        self.alive_at = now;
+        self.last_active_at = now;
     }
 
-    /// Takes what was received from `input`; `ended` says that nothing follows it.
+    /// Consumes the bytes in `input`. `ended` is set if no more bytes will follow.
     pub(crate) fn read(
         &mut self,
         input: &mut RingBuffer,
         ended: bool,
     ) -> Result<CallInput, CallError> {
         let limit = self.line_limit;
-        let Some(body) = self.answer.body(input, ended)? else {
+        let Some(body) = self.response.body(input, ended)? else {
             return Ok(CallInput::default());
         };
         let line = &mut self.line;
@@ -179,13 +179,13 @@
         {
             return Err(CallError::OverlongLine);
         }
-        // Lines before the end count: the rest is sent again after the version of the last one.
+        // Lines before the end are applied: the next request continues from the version of the last one.
         let ended = taken.is_err() || ended || *body == Body::Done;
         Ok(CallInput {
             has_line: !lines.is_empty(),
             documents: lines
                 .iter()
-                .filter_map(|line| self.documents.line(line))
+                .filter_map(|line| self.documents.push_line(line))
                 .collect(),
             ended,
         })
--- a/crates/discovery-client/src/call_table.rs
+++ b/crates/discovery-client/src/call_table.rs
@@ -1,4 +1,4 @@
-//! The calls of a watch that have not failed yet.
+//! The open calls of a watch.
 
 use crate::call::{Call, CallId};
 use crate::command::{Command, Timer};
@@ -22,14 +22,14 @@
         self.calls.iter_mut().find(|call| call.id() == id)
     }
 
-    /// The call whose lines are applied, if there is one.
+    /// The call that serves the watch, if any.
     pub(crate) fn serving(&self) -> Option<CallId> {
         let call = self.calls.iter().find(|call| call.is_serving())?;
         Some(call.id())
     }
 
-    /// A line has been received on this call: the others are closed.
-    pub(crate) fn serve(&mut self, now: Nanos, id: CallId) -> Vec<Command> {
+    /// Makes this call the one that serves the watch, and closes all others.
+    pub(crate) fn promote(&mut self, now: Nanos, id: CallId) -> Vec<Command> {
         let commands = self.close_where(|call| call.id() != id);
         for call in &mut self.calls {
             call.mark_serving(now);
@@ -53,7 +53,7 @@
     }
 }
 
-/// What closes the connection of a call.
+/// The commands that close the connection of a call.
 pub(crate) fn close_commands(call: CallId) -> [Command; 2] {
     [Command::ClearTimer(Timer::Call(call)), Command::Close(call)]
 }
--- a/crates/discovery-client/src/command.rs
+++ b/crates/discovery-client/src/command.rs
@@ -1,57 +1,57 @@
-//! What a watch answers with: commands for the owner of the sockets and timers, and what was received.
+//! The output of a watch: commands for the owner of the sockets and timers, and received documents.
 
 use crate::applied::Applied;
 use crate::call::CallId;
 use bellsill_net::Nanos;
 use std::net::SocketAddr;
 
-/// The timers of a watch; each has one time at most.
+/// The timers of a watch. Each is set to at most one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
     /// The next call is due.
     Reconnect,
-    /// A call has timed out: before its connection was up, before its first line, or between two lines.
+    /// The timeout of a call: for its connection to be established, its first line, or the next line.
     Call(CallId),
-    /// Destinations are looked up again after a lookup has failed.
+    /// The backoff after a failed lookup is over.
     LookupRetry,
 }
 
 /// A command for the owner of the sockets and timers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Connect, and send the request once the connection is up.
+    /// Connect, and send the request once the connection is established.
     Connect {
-        /// The id under which the connection is reported.
+        /// Identifies the connection in reports to the watch.
         call: CallId,
-        /// The server.
+        /// The address of the server.
         address: SocketAddr,
         /// The bytes to send.
         request: Vec<u8>,
     },
-    /// Close the connection of a call, and report nothing of it any more.
+    /// Close the connection of a call, and stop reporting its events.
     Close(CallId),
-    /// Set when a timer fires, in place of what was set before.
+    /// Set the time at which a timer fires; replaces an earlier time of the same timer.
     SetTimer(Timer, Nanos),
-    /// Stop a timer, if it is set.
+    /// Cancel a timer, if it is set.
     ClearTimer(Timer),
 }
 
-/// What came of bytes that were received.
+/// The result of received bytes.
 #[derive(Debug, Default, PartialEq)]
 pub struct Received {
-    /// Complete JSON documents, in their order.
+    /// Complete JSON documents, in the order received.
     pub documents: Vec<Vec<u8>>,
-    /// What is to be done next.
+    /// The commands to execute.
     pub commands: Vec<Command>,
-    /// What a lookup has changed in the list of a scoped watch.
+    /// The changes of the list of a scoped watch by the response to a lookup.
     pub looked_up: Applied,
 }
 
-/// What came of a request for a destination to be looked up.
+/// The result of a request to look up a destination.
 #[derive(Debug, Default, PartialEq)]
 pub struct LookupRequested {
-    /// What was evicted for it.
+    /// The changes of the list by evictions from the cache.
     pub applied: Applied,
-    /// What is to be done next.
+    /// The commands to execute.
     pub commands: Vec<Command>,
 }
--- a/crates/discovery-client/src/destination_cache.rs
+++ b/crates/discovery-client/src/destination_cache.rs
@@ -1,36 +1,37 @@
-//! The destinations outside of a dispatcher's buckets that it has looked up: a least-recently-used order of them.
+//! An LRU cache of the destinations outside of a dispatcher's buckets that it has looked up.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most destinations outside of a dispatcher's buckets that a control process sends; the cache is never larger.
+/// The maximum number of destinations outside of its buckets for which a control process sends entries to a dispatcher.
+/// The cache never exceeds it.
 pub const MAX_CACHED_DESTINATIONS: usize = 4_096;
 
-/// Numbers the uses of the cache, so that they have an order.
-type UseNumber = u64;
+/// Orders the uses of cached destinations.
+type UseSequence = u64;
 
 /// Whether the entries of a cached destination are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LookupState {
-    /// The lookup has not been answered yet.
+    /// The lookup is not complete.
     Pending,
     Known,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct CachedDestination {
-    last_use: UseNumber,
+    last_use: UseSequence,
     state: LookupState,
 }
 
 /// The cached destinations, without their entries.
 #[derive(Clone, Debug)]
 pub(crate) struct DestinationCache {
-    /// How many destinations are cached while some of them are not in use.
+    /// The soft limit, which is exceeded only while all cached destinations are in use.
     capacity: usize,
     destinations: BTreeMap<u64, CachedDestination>,
-    by_use: BTreeMap<UseNumber, u64>,
-    uses: UseNumber,
-    /// Destinations that are not cached any more, and that the control process still sends.
+    by_use: BTreeMap<UseSequence, u64>,
+    uses: UseSequence,
+    /// Destinations that are no longer cached, but for which the control process still sends entries.
     evicted: BTreeSet<u64>,
 }
 
@@ -58,12 +59,12 @@
         self.destinations.len()
     }
 
-    /// Whether another destination has to be evicted before one is added.
+    /// Whether the capacity is reached, so that adding a destination requires an eviction.
     pub(crate) fn is_full(&self) -> bool {
         self.len() >= self.capacity
     }
 
-    /// Notes a use of a destination, which is added as [`LookupState::Pending`] where it is new.
+    /// Marks a destination as the most recently used one. A new destination is added as [`LookupState::Pending`].
     pub(crate) fn touch(&mut self, destination: u64) {
         self.uses += 1;
         let new = CachedDestination {
@@ -76,20 +77,21 @@
         self.by_use.insert(self.uses, destination);
     }
 
-    /// The entries of a destination are known, if it is cached.
+    /// Marks the entries of a destination as known, if it is cached.
     pub(crate) fn mark_known(&mut self, destination: u64) {
         if let Some(cached) = self.destinations.get_mut(&destination) {
             cached.state = LookupState::Known;
         }
     }
 
-    /// Notes a use of a destination that has to be looked up, which sends it from then on.
+    /// Adds a destination to look up. The lookup makes the control process send its entries, so it no longer
+    /// counts as evicted.
     pub(crate) fn request_lookup(&mut self, destination: u64) {
         self.touch(destination);
         self.evicted.remove(&destination);
     }
 
-    /// Removes a destination, if it is cached; the control process sends it until it is released.
+    /// Removes a destination, if it is cached. The control process continues to send its entries until it is released.
     pub(crate) fn evict(&mut self, destination: u64) {
         if let Some(cached) = self.destinations.remove(&destination) {
             self.by_use.remove(&cached.last_use);
@@ -97,31 +99,31 @@
         }
     }
 
-    /// The evicted destinations that the control process still sends, by number.
+    /// The evicted destinations for which the control process still sends entries, in ascending order.
     pub(crate) fn evicted(&self) -> impl Iterator<Item = u64> {
         self.evicted.iter().copied()
     }
 
-    /// The control process does not send these destinations any more.
+    /// Notes that the control process has stopped sending entries of these destinations.
     pub(crate) fn mark_released(&mut self, destinations: &[u64]) {
         self.evicted
             .retain(|destination| !destinations.contains(destination));
     }
 
-    /// The control process sends no evicted destination any more.
+    /// Notes that the control process has stopped sending entries of all evicted destinations.
     pub(crate) fn mark_all_released(&mut self) {
         self.evicted.clear();
     }
 
-    /// The least recently used destination that is not in use now.
-    pub(crate) fn oldest_unused(&self, in_use: &dyn Fn(u64) -> bool) -> Option<u64> {
+    /// The least recently used destination that is not in use.
+    pub(crate) fn eviction_candidate(&self, in_use: &dyn Fn(u64) -> bool) -> Option<u64> {
         self.by_use
             .values()
             .copied()
             .find(|destination| !in_use(*destination))
     }
 
-    /// The destinations in that state, by number.
+    /// The destinations in this state, in ascending order.
     pub(crate) fn in_state(&self, state: LookupState) -> impl Iterator<Item = u64> {
         self.destinations
             .iter()
@@ -129,8 +131,8 @@
             .map(|(destination, _)| *destination)
     }
 
-    /// All destinations, the least recently used one first.
-    pub(crate) fn by_use(&self) -> impl Iterator<Item = u64> {
+    /// All destinations, least recently used first.
+    pub(crate) fn least_recently_used_first(&self) -> impl Iterator<Item = u64> {
         self.by_use.values().copied()
     }
 }
--- a/crates/discovery-client/src/documents.rs
+++ b/crates/discovery-client/src/documents.rs
@@ -1,16 +1,16 @@
-//! The JSON documents in the lines of a watch.
+//! Assembles the JSON documents in the lines of a watch.
 
 use serde::de::IgnoredAny;
 
-/// Assembles JSON documents from the lines of a call.
+/// Splits the lines of a call into JSON documents.
 pub(crate) enum DocumentReader {
-    /// Each line that is not empty is a document.
+    /// Each non-empty line is a document.
     Lines,
-    /// A document may take several lines, as an indented list does.
+    /// A document may span several lines, as a pretty-printed list does.
     Indented {
         /// The lines of an incomplete document.
         partial: Vec<u8>,
-        /// The most bytes that an incomplete document may take.
+        /// The size limit of an incomplete document.
         max_bytes: usize,
     },
 }
@@ -23,8 +23,9 @@
         }
     }
 
-    /// The document that ends with this line, if one does. A line that cannot be part of a document is logged and skipped.
-    pub(crate) fn line(&mut self, line: &[u8]) -> Option<Vec<u8>> {
+    /// Adds a line, and returns the document that it completes, if any. A line that cannot be part of a document is
+    /// logged and skipped.
+    pub(crate) fn push_line(&mut self, line: &[u8]) -> Option<Vec<u8>> {
         let line = line.trim_ascii();
         if line.is_empty() {
             return None;
@@ -38,14 +39,16 @@
             match check_json(partial) {
                 Ok(()) => return Some(std::mem::take(partial)),
                 Err(error) if error.is_eof() && partial.len() < *max_bytes => return None,
-                Err(error) => log::warn!("discovery: skipped lines that are not JSON: {error}"),
+                Err(error) => {
+                    log::warn!("discovery: skipped lines that are not valid JSON: {error}")
+                }
             }
             partial.clear();
         }
         match check_json(line) {
             Ok(()) => return Some(line.to_vec()),
             Err(error) if error.is_eof() => *partial = line.to_vec(),
-            Err(error) => log::warn!("discovery: skipped a line that is not JSON: {error}"),
+            Err(error) => log::warn!("discovery: skipped a line that is not valid JSON: {error}"),
         }
         None
     }
--- a/crates/discovery-client/src/endpoint_table.rs
+++ b/crates/discovery-client/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The entries of a list, by name, destination and bucket.
+//! The entries of a list, indexed by name, destination and bucket.
 
 use bellsill_directory::line::{EndpointEntry, Version};
 use bellsill_placement::BucketId;
@@ -8,13 +8,14 @@
 pub(crate) struct CachedEntry {
     pub(crate) entry: EndpointEntry,
     pub(crate) bucket: Option<BucketId>,
-    /// It was received since its bucket was gained last. An entry that was not when the bucket is filled is gone.
+    /// The entry was received since its bucket was last gained. Unconfirmed entries are removed when the bucket is
+    /// complete.
     pub(crate) confirmed: bool,
 }
 
 #[derive(Default)]
 pub(crate) struct EndpointTable {
-    /// The endpoints of each destination, by their names.
+    /// The endpoints of each destination, by name.
     destinations: BTreeMap<u64, BTreeMap<String, CachedEntry>>,
     destination_of: BTreeMap<String, u64>,
     names_by_bucket: BTreeMap<BucketId, BTreeSet<String>>,
@@ -40,7 +41,7 @@
         names.flatten().cloned().collect()
     }
 
-    /// How many destinations have entries.
+    /// The number of destinations that have entries.
     pub(crate) fn destinations(&self) -> usize {
         self.destinations.len()
     }
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Another log begins, whose versions cannot be compared with the old ones.
+    /// Resets all versions, because those of a new log are not comparable with those of the old one.
     pub(crate) fn reset_versions(&mut self) {
         for endpoints in self.destinations.values_mut() {
             for cached in endpoints.values_mut() {
--- a/crates/discovery-client/src/error.rs
+++ b/crates/discovery-client/src/error.rs
@@ -1,24 +1,25 @@
-//! Why a line or a destination is rejected by a list.
+//! Errors of applying a line to a list and of caching a destination.
 
 use bellsill_directory::line::Version;
 use std::error::Error;
 use std::fmt;
 
-/// Why a line of the watch cannot be applied. Nothing of it is.
+/// The reason why a line of the watch was rejected. A rejected line is not applied in part.
 #[derive(Debug)]
 pub enum ScopedLineError {
-    /// It is not the JSON of a line.
+    /// The line is not the JSON form of a [`ScopedLine`](bellsill_directory::line::ScopedLine).
     Malformed(serde_json::Error),
-    /// It claims to be a complete list, as that of a plain discovery server: what it does not name would be gone.
+    /// The line is marked as a complete list, as a plain discovery server sends it. Applying it would remove every
+    /// entry that it does not contain.
     FullList,
-    /// Its version is before the one that was received already.
+    /// The version of the line is lower than the version that is already applied.
     VersionRegressed {
-        /// The version that was received already.
+        /// The version that is already applied.
         known: Version,
         /// The version of the line.
         found: Version,
     },
-    /// The answer to a lookup is of another log than the watch.
+    /// The response to a lookup is from another log than the watch.
     LogMismatch(String),
 }
 
@@ -26,19 +27,22 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ScopedLineError::Malformed(error) => {
-                write!(f, "it is not a line of a scoped watch: {error}")
+                write!(f, "malformed line of a scoped watch: {error}")
             }
             ScopedLineError::FullList => write!(
                 f,
-                "it is a complete list: the address is that of a plain discovery server, not of a control process"
+                "received a complete list: the server is a plain discovery server, not a control process"
             ),
             ScopedLineError::VersionRegressed { known, found } => write!(
                 f,
-                "its version {} is before {}, which was received already",
+                "version {} is lower than version {}, which is already applied",
                 found.0, known.0
             ),
             ScopedLineError::LogMismatch(log) => {
-                write!(f, "it is of log {log}, and the watch is of another one")
+                write!(
+                    f,
+                    "the response is from log {log}, the watch from another one"
+                )
             }
         }
     }
@@ -53,7 +57,7 @@
     }
 }
 
-/// There is no capacity for one more destination outside of the buckets: all that are cached are in use.
+/// The cache of destinations outside of the buckets is at its limit, and all of them are in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheFull;
 
@@ -61,7 +65,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
-            "the cache of destinations is full, and all of them are in use"
+            "the destination cache is full and every cached destination is in use"
         )
     }
 }
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -1,12 +1,12 @@
-//! A dispatcher's watch on its configuration: a state machine without sockets, clock or threads. The owner of the sockets
-//! reports what happened to connections and timers, and carries out the [`Command`]s that the watch answers with.
+//! A dispatcher's watch on its configuration, as a state machine that performs no I/O, reads no clock and starts no
+//! threads. The caller owns the sockets and timers: it reports their events to the watch and executes the [`Command`]s
+//! that the watch returns.
 //!
-//! [`Watch::plain`] follows one discovery server and the complete list of endpoints. [`Watch::scoped`] follows one of several
-//! control processes, and with it the buckets of one dispatcher, in a [`ScopedList`]; `docs/configuration.md` has the
-//! contract.
+//! [`Watch::plain`] receives the complete list of endpoints from one discovery server. [`Watch::scoped`] connects to
+//! one of several control processes and maintains the entries of one dispatcher's buckets in a [`ScopedList`]. The
+//! protocol is specified in `docs/configuration.md`.
 #![forbid(unsafe_code)]
 
-mod answer;
 mod applied;
 pub mod backoff;
 mod bucket_map;
@@ -22,13 +22,14 @@
 mod lookup;
 mod plain_source;
 mod query;
-mod removed_endpoints;
+mod response;
 mod scope;
 pub mod scoped_list;
 mod scoped_source;
 mod server_order;
 mod source;
 mod state_file;
+mod tombstones;
 pub mod watch;
 
 pub use applied::Applied;
--- a/crates/discovery-client/src/lookup.rs
+++ b/crates/discovery-client/src/lookup.rs
@@ -1,10 +1,10 @@
-//! Looks up destinations outside of a dispatcher's buckets: one request at a time to the control process that serves the
-//! watch, for all destinations that are pending by then.
+//! Looks up destinations outside of a dispatcher's buckets. One request at a time is sent to the control process that
+//! serves the watch, and names all destinations that are pending when it is sent.
 
-use crate::answer::{Answer, AnswerError};
 use crate::call::CallId;
 use crate::call_table::close_commands;
 use crate::command::{Command, Timer};
+use crate::response::{Response, ResponseError};
 use bellsill_directory::line::ScopedLine;
 use bellsill_net::Nanos;
 use bellsill_net::http::Body;
@@ -12,52 +12,52 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The most destinations of one request; others wait for the next one.
+/// The maximum number of destinations in one request. Further ones wait for the next request.
 pub(crate) const MAX_LOOKUP_DESTINATIONS: usize = 256;
-/// How long a lookup may take, from the start of its connection on.
+/// The time limit of a lookup, including its connection.
 pub(crate) const LOOKUP_TIMEOUT: Nanos = 1_500_000_000;
-/// The longest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
-/// The longest delay after a first failure.
+/// The size limit of a response body.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+/// The upper bound of the delay after a first failure.
 const FIRST_DELAY: Nanos = 50_000_000;
-/// The longest delay after many failures.
+/// The upper bound of the delay after any number of failures.
 const MAX_DELAY: Nanos = 2_000_000_000;
 
-/// Why a lookup has failed; it is tried again.
+/// The reason why a lookup failed. Failed lookups are retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LookupError {
-    /// The answer cannot be read, or the connection ended before its end.
-    Unreadable,
-    /// Another status than 200.
+    /// The response is malformed, too large, or incomplete at the end of the connection.
+    Malformed,
+    /// The status is not 200.
     Status(u16),
 }
 
-impl From<AnswerError> for LookupError {
-    fn from(error: AnswerError) -> Self {
+impl From<ResponseError> for LookupError {
+    fn from(error: ResponseError) -> Self {
         match error {
-            AnswerError::Unreadable => LookupError::Unreadable,
-            AnswerError::Status(status) => LookupError::Status(status),
+            ResponseError::Malformed => LookupError::Malformed,
+            ResponseError::Status(status) => LookupError::Status(status),
         }
     }
 }
 
-/// A lookup that has no complete answer yet.
+/// A lookup whose response is not complete.
 pub(crate) struct Lookup {
     id: CallId,
     destinations: Vec<u64>,
     evicted: Vec<u64>,
-    answer: Answer,
+    response: Response,
     content: Vec<u8>,
 }
 
 impl Lookup {
-    /// `evicted` are the destinations that the same request releases.
+    /// `evicted` are the destinations that the same request asks the control process to stop sending.
     pub(crate) fn new(id: CallId, destinations: Vec<u64>, evicted: Vec<u64>) -> Lookup {
         Lookup {
             id,
             destinations,
             evicted,
-            answer: Answer::default(),
+            response: Response::default(),
             content: Vec::new(),
         }
     }
@@ -74,32 +74,33 @@
         &self.evicted
     }
 
-    /// Takes what was received from `input`; `ended` says that nothing follows it. Returns the answer once it is complete.
+    /// Consumes the bytes in `input`. `ended` is set if no more bytes will follow. Returns the response once it is
+    /// complete.
     pub(crate) fn read(
         &mut self,
         input: &mut RingBuffer,
         ended: bool,
     ) -> Result<Option<ScopedLine>, LookupError> {
-        let Some(body) = self.answer.body(input, ended)? else {
+        let Some(body) = self.response.body(input, ended)? else {
             return Ok(None);
         };
         let content = &mut self.content;
         let taken = body.take(input, |bytes| content.extend(bytes));
         let complete = *body == Body::Done;
-        if taken.is_err() || content.len() > MAX_ANSWER_BYTES || (ended && !complete) {
-            return Err(LookupError::Unreadable);
+        if taken.is_err() || content.len() > MAX_RESPONSE_BYTES || (ended && !complete) {
+            return Err(LookupError::Malformed);
         }
         if !complete {
             return Ok(None);
         }
         match serde_json::from_slice(content) {
             Ok(line) => Ok(Some(line)),
-            Err(_) => Err(LookupError::Unreadable),
+            Err(_) => Err(LookupError::Malformed),
         }
     }
 }
 
-/// Whether a lookup may be made.
+/// Whether a lookup may be started.
 enum LookupState {
     Idle,
     InFlight(Lookup),
@@ -125,12 +126,12 @@
         }
     }
 
-    /// How many lookups were made.
+    /// The number of lookups made.
     pub(crate) fn made(&self) -> u64 {
         self.made
     }
 
-    /// How many lookups have failed.
+    /// The number of lookups that failed.
     pub(crate) fn failed(&self) -> u64 {
         self.failed
     }
@@ -153,19 +154,19 @@
         }
     }
 
-    /// A lookup begins; its connection has to be made.
+    /// Registers a lookup as in flight. The caller connects and sends its request.
     pub(crate) fn begin(&mut self, lookup: Lookup) {
         self.made += 1;
         self.state = LookupState::InFlight(lookup);
     }
 
-    /// The lookup in flight is answered.
+    /// Ends the lookup in flight, whose response was applied.
     pub(crate) fn finish(&mut self) -> Vec<Command> {
         self.backoff.reset();
         self.cancel()
     }
 
-    /// The lookup in flight has failed, and may be tried again after a delay.
+    /// Ends the lookup in flight, which has failed, and schedules the end of the backoff.
     pub(crate) fn fail(&mut self, now: Nanos) -> Vec<Command> {
         self.failed += 1;
         let mut commands = self.cancel();
@@ -175,7 +176,7 @@
         commands
     }
 
-    /// Closes the lookup in flight, if there is one.
+    /// Closes the connection of the lookup in flight, if any.
     pub(crate) fn cancel(&mut self) -> Vec<Command> {
         let Some(id) = self.in_flight().map(Lookup::id) else {
             return Vec::new();
@@ -185,34 +186,34 @@
     }
 
     /// [`Timer::LookupRetry`] has fired.
-    pub(crate) fn backoff_over(&mut self) {
+    pub(crate) fn backoff_elapsed(&mut self) {
         if matches!(self.state, LookupState::BackingOff) {
             self.state = LookupState::Idle;
         }
     }
 }
 
-/// The delays after failed lookups: longer with each failure in a row, and out of step with other dispatchers.
+/// Bounded exponential backoff with jitter for failed lookups, so that dispatchers do not retry in lockstep.
 struct LookupBackoff {
-    longest: Nanos,
+    max_delay: Nanos,
     rng: Pcg64Mcg,
 }
 
 impl LookupBackoff {
     fn new(seed: u64) -> LookupBackoff {
         LookupBackoff {
-            longest: FIRST_DELAY,
+            max_delay: FIRST_DELAY,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
     fn next_delay(&mut self) -> Nanos {
-        let longest = self.longest;
-        self.longest = (longest * 2).min(MAX_DELAY);
-        self.rng.random_range(longest / 2..=longest)
+        let max_delay = self.max_delay;
+        self.max_delay = (max_delay * 2).min(MAX_DELAY);
+        self.rng.random_range(max_delay / 2..=max_delay)
     }
 
     fn reset(&mut self) {
-        self.longest = FIRST_DELAY;
+        self.max_delay = FIRST_DELAY;
     }
 }
--- a/crates/discovery-client/src/plain_source.rs
+++ b/crates/discovery-client/src/plain_source.rs
@@ -6,16 +6,16 @@
 use bellsill_net::{Nanos, http};
 use std::net::SocketAddr;
 
-/// The longest line of a plain watch that is read, in bytes; a longer one is skipped.
+/// The length limit of a line of a plain watch. Longer lines are skipped.
 pub const MAX_PLAIN_LINE_BYTES: usize = 8 * 1024 * 1024;
-/// How long a call of a plain watch whose first line is late stays open while others are made, from when it was made. A
-/// discovery server that serves few calls a second answers them in turn, and serves an abandoned call all the same: if
-/// each call were abandoned before its turn, nobody would get the list.
+/// The time limit, from the start of the call, for a call of a plain watch whose first line is late and that stays open
+/// while others are made. A discovery server that serves only a few calls per second queues them and also serves those
+/// whose client has given up. If every call were closed while it is queued, no dispatcher would receive the list.
 pub const LATE_CALL_TIMEOUT: Nanos = 9_000_000_000;
 
 pub(crate) struct PlainSource {
     address: SocketAddr,
-    /// The version of the last document that was applied; 0 before the first.
+    /// The version of the last applied document; 0 if there is none.
     version: u64,
     backoff: Backoff,
 }
@@ -33,11 +33,11 @@
         self.address
     }
 
-    pub(crate) fn applied(&mut self, version: u64) {
+    pub(crate) fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// The versions of another server are its own: it is asked for everything.
+    /// Changes the address. Each server counts its own versions, so the complete list is requested from the new one.
     pub(crate) fn relocate(&mut self, address: SocketAddr) {
         self.address = address;
         self.version = 0;
@@ -56,16 +56,16 @@
         }
     }
 
-    pub(crate) fn first_delay(&mut self, drain_grace: Nanos) -> Nanos {
+    pub(crate) fn initial_delay(&mut self, drain_grace: Nanos) -> Nanos {
         self.backoff.first_delay(drain_grace)
     }
 
-    /// How long to wait after a call that took `spent` to fail.
-    pub(crate) fn retry_delay(&mut self, spent: Nanos) -> Nanos {
-        self.backoff.next_delay(spent)
+    /// The delay before the next call, after one that took `elapsed` to fail.
+    pub(crate) fn retry_delay(&mut self, elapsed: Nanos) -> Nanos {
+        self.backoff.next_delay(elapsed)
     }
 
-    pub(crate) fn serves(&mut self) {
+    pub(crate) fn mark_serving(&mut self) {
         self.backoff.reset();
     }
 }
--- a/crates/discovery-client/src/query.rs
+++ b/crates/discovery-client/src/query.rs
@@ -1,6 +1,6 @@
-//! The queries of requests to a control process. The wire's word for a destination is `cell`.
+//! Builds the query strings of requests to a control process. On the wire a destination is called `cell`.
 
-/// The target of a lookup request, which also releases the destinations that were evicted.
+/// The target of a lookup request. The control process also stops sending updates for the `evicted` destinations.
 pub(crate) fn lookup_target(dispatcher: &str, destinations: &[u64], evicted: &[u64]) -> String {
     let mut target = format!("/api/targets?dispatcher={dispatcher}");
     push_numbers(&mut target, "cells", destinations.iter().copied());
@@ -8,8 +8,9 @@
     target
 }
 
-/// The query of a watch request, which says what the dispatcher knows: all up to `version` of `log` (empty before the
-/// first line of a control process), every entry of the `complete` buckets and of the `cached` destinations.
+/// The query of a watch request, which describes the state of the dispatcher: it has applied `log` up to `version`
+/// (`log` is empty before the first line of a control process), and has every entry of the `complete` buckets and of
+/// the `cached` destinations.
 pub(crate) fn watch_query(
     version: u64,
     log: &str,
@@ -27,7 +28,7 @@
     query
 }
 
-/// Appends a field with a list of numbers, if there are any.
+/// Appends a field with a comma-separated list of numbers, unless the list is empty.
 fn push_numbers(query: &mut String, field: &str, numbers: impl Iterator<Item = u64>) {
     for (position, number) in numbers.enumerate() {
         match position {
--- a/crates/discovery-client/src/answer.rs
+++ b/crates/discovery-client/src/response.rs
@@ -1,32 +1,33 @@
-//! The beginning of the answer to an HTTP request: its head, after which the body follows.
+//! Reads the head of an HTTP response and gives access to the body that follows it.
 
 use bellsill_net::http::{self, Body, Malformed};
 use bellsill_net::ring_buffer::RingBuffer;
 
 const STATUS_OK: u16 = 200;
 
-/// Why an answer cannot be used.
+/// The reason why a response is unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerError {
-    /// The head is malformed, or the connection ended before it.
-    Unreadable,
-    /// Another status than 200.
+pub(crate) enum ResponseError {
+    /// The head is malformed, or the connection ended before it was complete.
+    Malformed,
+    /// The status is not 200.
     Status(u16),
 }
 
-/// An answer of which nothing, or some of the body, has been read.
+/// A response that is being received.
 #[derive(Default)]
-pub(crate) struct Answer {
+pub(crate) struct Response {
+    /// `None` until the head is complete.
     body: Option<Body>,
 }
 
-impl Answer {
-    /// The body, once the head has been received; `ended` says that nothing follows what is in `input`.
+impl Response {
+    /// The body, once the head is complete. `ended` is set if no more bytes will follow those in `input`.
     pub(crate) fn body(
         &mut self,
         input: &mut RingBuffer,
         ended: bool,
-    ) -> Result<Option<&mut Body>, AnswerError> {
+    ) -> Result<Option<&mut Body>, ResponseError> {
         if self.body.is_none() {
             self.body = read_head(input, ended)?;
         }
@@ -34,11 +35,11 @@
     }
 }
 
-fn read_head(input: &mut RingBuffer, ended: bool) -> Result<Option<Body>, AnswerError> {
+fn read_head(input: &mut RingBuffer, ended: bool) -> Result<Option<Body>, ResponseError> {
     match http::take_head(input) {
-        Ok(Some(head)) if head.status != STATUS_OK => Err(AnswerError::Status(head.status)),
+        Ok(Some(head)) if head.status != STATUS_OK => Err(ResponseError::Status(head.status)),
         Ok(Some(head)) => Ok(Some(head.body)),
         Ok(None) if !ended => Ok(None),
-        Ok(None) | Err(Malformed) => Err(AnswerError::Unreadable),
+        Ok(None) | Err(Malformed) => Err(ResponseError::Malformed),
     }
 }
--- a/crates/discovery-client/src/scope.rs
+++ b/crates/discovery-client/src/scope.rs
@@ -1,4 +1,4 @@
-//! The entries in a dispatcher's scope: those of the buckets that it holds and of the destinations that it caches.
+//! The entries in a dispatcher's scope: those of its held buckets and of its cached destinations.
 
 use crate::applied::Applied;
 use crate::bucket_map::BucketMap;
@@ -7,7 +7,7 @@
 use crate::destination_cache::{DestinationCache, LookupState, MAX_CACHED_DESTINATIONS};
 use crate::endpoint_table::{CachedEntry, EndpointTable};
 use crate::error::CacheFull;
-use crate::removed_endpoints::RemovedEndpoints;
+use crate::tombstones::Tombstones;
 use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
 use bellsill_placement::BucketId;
 use std::collections::BTreeSet;
@@ -18,9 +18,9 @@
     buckets: BucketSet,
     endpoints: EndpointTable,
     cache: DestinationCache,
-    removed: RemovedEndpoints,
+    tombstones: Tombstones,
     counters: ListCounters,
-    /// Counts the changes.
+    /// Incremented with each change of the saved state.
     revision: u64,
 }
 
@@ -31,13 +31,13 @@
             buckets: BucketSet::default(),
             endpoints: EndpointTable::default(),
             cache: DestinationCache::new(cache_destinations),
-            removed: RemovedEndpoints::default(),
+            tombstones: Tombstones::default(),
             counters: ListCounters::default(),
             revision: 0,
         }
     }
 
-    /// Fills an empty scope with what was saved; `cached` are destinations whose entries are known.
+    /// Restores an empty scope from the saved state; `cached` are the destinations whose entries are known.
     pub(crate) fn restore(
         &mut self,
         complete: Vec<BucketId>,
@@ -51,7 +51,7 @@
             self.cache.mark_known(destination);
         }
         for entry in entries {
-            self.put_entry(entry, false);
+            self.insert_entry(entry, false);
         }
     }
 
@@ -79,27 +79,28 @@
         self.revision
     }
 
-    /// What is saved beside the entries has changed.
-    pub(crate) fn note_change(&mut self) {
+    /// Notes a change of the saved state that the other methods do not count.
+    pub(crate) fn mark_changed(&mut self) {
         self.revision += 1;
     }
 
-    /// Another log begins. What is in buckets stays until it is sent again. What is cached is sent at once, and dropped
-    /// here, so that no old entry of it stays for good.
+    /// Starts a new log. Entries in held buckets stay until the buckets are resent. Entries of cached destinations are
+    /// resent at once, so the old ones are dropped here; an entry that the new log does not have would otherwise never
+    /// be removed.
     pub(crate) fn begin_log(&mut self, applied: &mut Applied) {
         self.revision += 1;
-        self.removed.clear();
+        self.tombstones.clear();
         self.buckets.refill();
         self.endpoints.reset_versions();
-        let cached: Vec<u64> = self.cache.by_use().collect();
+        let cached: Vec<u64> = self.cache.least_recently_used_first().collect();
         for destination in cached {
             self.drop_destination(destination, applied);
         }
     }
 
-    /// The buckets that are lost with this line because it does not name them; see [`BucketSet::take_unnamed`].
-    pub(crate) fn take_unnamed(&mut self, line: &ScopedLine) -> BTreeSet<BucketId> {
-        self.buckets.take_unnamed(line)
+    /// Returns the buckets that are no longer assigned; see [`BucketSet::take_unconfirmed`].
+    pub(crate) fn take_unconfirmed(&mut self, line: &ScopedLine) -> BTreeSet<BucketId> {
+        self.buckets.take_unconfirmed(line)
     }
 
     pub(crate) fn gain_bucket(&mut self, bucket: BucketId) {
@@ -120,13 +121,13 @@
         for name in self.endpoints.names_in(bucket) {
             let destination = self.endpoints.destination_of(&name);
             if destination.is_none_or(|destination| !self.cache.contains(destination)) {
-                applied.dropped.extend(self.take_entry(&name));
+                applied.dropped.extend(self.remove_entry(&name));
             }
         }
     }
 
-    /// All of a bucket has been received: what was not is gone, and cached destinations that are in complete buckets are
-    /// not cached any more.
+    /// Marks a bucket as complete. Entries of the bucket that were not received since it was gained are dropped, and
+    /// destinations whose entries are all in complete buckets are evicted from the cache.
     pub(crate) fn complete_bucket(&mut self, bucket: BucketId, applied: &mut Applied) {
         if self.buckets.state(bucket) != Some(BucketState::Filling) {
             return;
@@ -137,7 +138,7 @@
             let endpoint = self.endpoints.get_mut(&name);
             if endpoint.is_some_and(|cached| !cached.confirmed) {
                 self.counters.dropped_entries += 1;
-                applied.dropped.extend(self.take_entry(&name));
+                applied.dropped.extend(self.remove_entry(&name));
             } else if let Some(destination) = self.endpoints.destination_of(&name)
                 && self.all_in_complete_buckets(destination)
             {
@@ -146,8 +147,9 @@
         }
     }
 
-    /// Whether changes of every known endpoint of a destination are sent with its buckets. A destination may have endpoints
-    /// in several regions, and a bucket has those of one: the others are sent for as long as the destination is cached.
+    /// Whether every known endpoint of a destination is in a complete bucket, so that its changes are sent without the
+    /// cache. A destination may have endpoints in several regions, but a bucket contains those of one region: changes
+    /// of the others are only sent while the destination is cached.
     fn all_in_complete_buckets(&self, destination: u64) -> bool {
         let complete = |bucket| self.buckets.state(bucket) == Some(BucketState::Complete);
         self.endpoints
@@ -155,7 +157,7 @@
             .all(|cached| cached.bucket.is_some_and(complete))
     }
 
-    /// Adds or replaces an entry, if it is newer than what is known.
+    /// Adds, replaces or removes an entry, if its version is higher than the known one.
     pub(crate) fn apply_entry(
         &mut self,
         mut entry: EndpointEntry,
@@ -167,11 +169,11 @@
         }
         let known = self.endpoints.get_mut(&entry.id);
         let known_version = known.as_ref().map(|cached| cached.entry.version);
-        // Any version shows that the endpoint is still in its bucket.
+        // Even a stale version confirms that the endpoint is still in its bucket.
         if let Some(cached) = known {
             cached.confirmed = true;
         }
-        match known_version.max(self.removed.version(&entry.id)) {
+        match known_version.max(self.tombstones.version(&entry.id)) {
             Some(version) if entry.version < version => {
                 self.counters.stale_entries += 1;
                 return;
@@ -183,11 +185,11 @@
             _ => {}
         }
         if !self.in_scope(&entry) {
-            applied.dropped.extend(self.take_entry(&entry.id));
+            applied.dropped.extend(self.remove_entry(&entry.id));
             self.counters.out_of_scope_entries += 1;
         } else if entry.state == EndpointState::Removed {
-            applied.dropped.extend(self.take_entry(&entry.id));
-            self.removed.remember(entry.id, entry.version);
+            applied.dropped.extend(self.remove_entry(&entry.id));
+            self.tombstones.insert(entry.id, entry.version);
         } else {
             self.replace_entry(entry, applied);
         }
@@ -196,26 +198,26 @@
     fn replace_entry(&mut self, entry: EndpointEntry, applied: &mut Applied) {
         self.revision += 1;
         self.counters.applied_entries += 1;
-        // An endpoint that has moved to another destination is dropped from the old one.
+        // An endpoint that has moved to another destination is removed from the old one.
         let known = self.endpoints.destination_of(&entry.id);
         if known.is_some_and(|destination| destination != entry.destination) {
-            applied.dropped.extend(self.take_entry(&entry.id));
+            applied.dropped.extend(self.remove_entry(&entry.id));
         }
         applied.changed.push(entry.clone());
-        self.put_entry(entry, true);
+        self.insert_entry(entry, true);
     }
 
-    /// Whether an entry is of a bucket that is held, or of a cached destination.
+    /// Whether an entry is in a held bucket or of a cached destination.
     fn in_scope(&self, entry: &EndpointEntry) -> bool {
         let bucket = self.layout.bucket_of(&entry.zone, entry.destination);
         bucket.is_some_and(|bucket| self.buckets.holds(bucket))
             || self.cache.contains(entry.destination)
     }
 
-    fn put_entry(&mut self, entry: EndpointEntry, confirmed: bool) {
-        // It may have been in another zone or of another destination.
-        self.take_entry(&entry.id);
-        self.removed.forget(&entry.id);
+    fn insert_entry(&mut self, entry: EndpointEntry, confirmed: bool) {
+        // The known entry may be in another zone or of another destination, and so in another bucket.
+        self.remove_entry(&entry.id);
+        self.tombstones.remove(&entry.id);
         let bucket = self.layout.bucket_of(&entry.zone, entry.destination);
         self.endpoints.insert(CachedEntry {
             entry,
@@ -224,13 +226,13 @@
         });
     }
 
-    fn take_entry(&mut self, name: &str) -> Option<EndpointEntry> {
+    fn remove_entry(&mut self, name: &str) -> Option<EndpointEntry> {
         let entry = self.endpoints.remove(name)?;
         self.revision += 1;
         Some(entry)
     }
 
-    /// Drops the entries of a destination, except those of buckets that are held.
+    /// Drops the entries of a destination, except those in held buckets.
     fn drop_destination(&mut self, destination: u64, applied: &mut Applied) {
         let held = |cached: &&CachedEntry| {
             let bucket = cached.bucket;
@@ -242,18 +244,18 @@
             .map(|cached| cached.entry.id.clone())
             .collect();
         for name in names {
-            applied.dropped.extend(self.take_entry(&name));
+            applied.dropped.extend(self.remove_entry(&name));
         }
     }
 
-    /// Notes a use of a destination, if it is cached.
+    /// Marks a destination as the most recently used one, if it is cached.
     pub(crate) fn touch(&mut self, destination: u64) {
         if self.cache.contains(destination) {
             self.cache.touch(destination);
         }
     }
 
-    /// Adds a destination to the cache that has to be looked up, and evicts others for it that are not in use.
+    /// Adds a destination to look up to the cache, and evicts destinations that are not in use if the cache is full.
     pub(crate) fn request_lookup(
         &mut self,
         destination: u64,
@@ -261,7 +263,7 @@
     ) -> Result<Applied, CacheFull> {
         let mut applied = Applied::default();
         while self.cache.is_full() {
-            let Some(oldest) = self.cache.oldest_unused(in_use) else {
+            let Some(oldest) = self.cache.eviction_candidate(in_use) else {
                 break;
             };
             self.counters.evicted_destinations += 1;
@@ -275,11 +277,11 @@
         Ok(applied)
     }
 
-    /// Adds an entry that is not from a control process, with its destination.
+    /// Adds an entry that is not from a control process, and caches its destination as known.
     pub(crate) fn import_entry(&mut self, entry: EndpointEntry) {
         if self.cache.is_full() && !self.cache.contains(entry.destination) {
             log::warn!(
-                "configuration: endpoint {} skipped: too many destinations",
+                "configuration: skipped endpoint {}: the destination cache is full",
                 entry.id
             );
             return;
@@ -287,10 +289,10 @@
         self.cache.touch(entry.destination);
         self.cache.mark_known(entry.destination);
         let version = Version(0);
-        self.put_entry(EndpointEntry { version, ..entry }, false);
+        self.insert_entry(EndpointEntry { version, ..entry }, false);
     }
 
-    /// Evicts a destination whose lookup has not been answered.
+    /// Evicts a destination whose lookup is not complete.
     pub(crate) fn cancel_lookup(&mut self, destination: u64) -> Applied {
         let mut applied = Applied::default();
         if self.cache.state(destination) == Some(LookupState::Pending) {
@@ -305,17 +307,17 @@
         self.drop_destination(destination, applied);
     }
 
-    /// The entries of a destination are known, if it is cached.
+    /// Marks the entries of a destination as known, if it is cached.
     pub(crate) fn mark_known(&mut self, destination: u64) {
         self.cache.mark_known(destination);
     }
 
-    /// The control process does not send these evicted destinations any more.
+    /// Notes that the control process has stopped sending entries of these destinations.
     pub(crate) fn mark_released(&mut self, destinations: &[u64]) {
         self.cache.mark_released(destinations);
     }
 
-    /// The control process sends no evicted destination any more.
+    /// Notes that the control process has stopped sending entries of all evicted destinations.
     pub(crate) fn mark_all_released(&mut self) {
         self.cache.mark_all_released();
     }
--- a/crates/discovery-client/src/scoped_list.rs
+++ b/crates/discovery-client/src/scoped_list.rs
@@ -1,5 +1,5 @@
-//! One dispatcher's part of the scoped configuration: the entries of its buckets, and for a while those of other
-//! destinations that it has looked up. No sockets, clock or threads.
+//! One dispatcher's part of the scoped configuration: the entries of its buckets, and a cache of the entries of other
+//! destinations that it has looked up. Performs no I/O and reads no clock.
 
 use crate::applied::Applied;
 use crate::bucket_map::BucketMap;
@@ -15,39 +15,39 @@
 
 pub use crate::destination_cache::MAX_CACHED_DESTINATIONS;
 
-/// How many destinations outside of a dispatcher's buckets are cached, unless the installation says otherwise.
+/// The default capacity of the cache of destinations outside of a dispatcher's buckets.
 pub const DEFAULT_CACHE_DESTINATIONS: usize = 1_024;
-/// The most evicted destinations that one request names.
+/// The maximum number of evicted destinations that one request names.
 const MAX_EVICTED_IN_REQUEST: usize = 256;
 
-/// What a dispatcher knows of a destination.
+/// The state of a destination in a dispatcher's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DestinationStatus {
-    /// Its endpoints are known with the bucket that they are in.
+    /// Not cached, but with endpoints in held buckets.
     Held,
-    /// It is in the cache, with all of its endpoints.
+    /// Cached, with all of its endpoints known.
     Cached,
-    /// It is being looked up.
+    /// Its lookup is not complete.
     Pending,
-    /// It has to be looked up.
+    /// Neither cached nor with known endpoints; it must be looked up.
     Unknown,
 }
 
-/// What of a list outlasts a restart.
+/// The state of a list that is saved and restored after a restart.
 pub(crate) struct SavedList {
     pub(crate) log: String,
     pub(crate) version: Version,
     pub(crate) epoch: Option<Epoch>,
     pub(crate) complete: Vec<BucketId>,
     pub(crate) filling: Vec<BucketId>,
-    /// The cached destinations whose entries are known, the least recently used one first.
+    /// The cached destinations whose entries are known, least recently used first.
     pub(crate) cached: Vec<u64>,
     pub(crate) entries: Vec<EndpointEntry>,
 }
 
 /// One dispatcher's part of the configuration.
 pub struct ScopedList {
-    /// Empty before the first line of a control process.
+    /// The log id; empty before the first line of a control process.
     log: String,
     version: Version,
     epoch: Option<Epoch>,
@@ -55,7 +55,7 @@
 }
 
 impl ScopedList {
-    /// An empty list, as at a first start.
+    /// Creates an empty list.
     pub fn new(layout: Arc<dyn BucketMap>, cache_destinations: usize) -> ScopedList {
         ScopedList {
             log: String::new(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The list that was saved.
+    /// Creates a list from its saved state.
     pub(crate) fn restore(
         layout: Arc<dyn BucketMap>,
         cache_destinations: usize,
@@ -78,37 +78,38 @@
         list
     }
 
-    /// The log whose changes `version` counts; empty before the first line of a control process.
+    /// The id of the log that [`version`](ScopedList::version) refers to; empty before the first line of a control
+    /// process.
     pub fn log(&self) -> &str {
         &self.log
     }
 
-    /// The version up to which changes are applied.
+    /// The version up to which changes have been applied.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The epoch of the assignment of buckets, once one is known.
+    /// The epoch of the bucket assignment, once known.
     pub fn epoch(&self) -> Option<Epoch> {
         self.epoch
     }
 
-    /// What has happened to the list.
+    /// The counters of lines and entries.
     pub fn counters(&self) -> ListCounters {
         self.scope.counters()
     }
 
-    /// A number that differs from an earlier one if the list has changed since.
+    /// A number that changes with every change of the list.
     pub fn revision(&self) -> u64 {
         self.scope.revision()
     }
 
-    /// The buckets of which every entry is known.
+    /// The held buckets of which every entry is known.
     pub fn complete_buckets(&self) -> impl Iterator<Item = BucketId> {
         self.scope.buckets().in_state(BucketState::Complete)
     }
 
-    /// The buckets whose entries are being received.
+    /// The held buckets whose entries are being received.
     pub fn filling_buckets(&self) -> impl Iterator<Item = BucketId> {
         self.scope.buckets().in_state(BucketState::Filling)
     }
@@ -124,7 +125,7 @@
         endpoints.map(|cached| &cached.entry)
     }
 
-    /// How many destinations have entries.
+    /// The number of destinations that have entries.
     pub fn len(&self) -> usize {
         self.scope.endpoints().destinations()
     }
@@ -134,20 +135,20 @@
         self.len() == 0
     }
 
-    /// How many destinations outside of the buckets are cached or being looked up.
+    /// The number of destinations that are cached or being looked up.
     pub fn cached_destinations(&self) -> usize {
         self.scope.cache().len()
     }
 
-    /// The cached destinations whose entries are known, the least recently used one first.
+    /// The cached destinations whose entries are known, least recently used first.
     pub(crate) fn known_destinations(&self) -> impl Iterator<Item = u64> {
         let cache = self.scope.cache();
         cache
-            .by_use()
+            .least_recently_used_first()
             .filter(|destination| cache.state(*destination) == Some(LookupState::Known))
     }
 
-    /// What is known of a destination.
+    /// The state of a destination in the list.
     pub fn status(&self, destination: u64) -> DestinationStatus {
         match self.scope.cache().state(destination) {
             Some(LookupState::Known) => DestinationStatus::Cached,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The query of the request for a watch.
+    /// The query of a watch request that continues from this list.
     pub fn watch_query(&self, dispatcher: &str) -> String {
         query::watch_query(
             self.version.0,
@@ -168,7 +169,7 @@
         )
     }
 
-    /// Applies a line of the watch, as it was received.
+    /// Parses a line of the watch and applies it.
     pub fn apply_document(&mut self, document: &[u8]) -> Result<Applied, ScopedLineError> {
         match serde_json::from_slice(document) {
             Ok(line) => self.apply(line),
@@ -191,12 +192,12 @@
         if other_log {
             self.begin_log(&line.log, &mut applied);
         }
-        for bucket in self.scope.take_unnamed(&line) {
+        for bucket in self.scope.take_unconfirmed(&line) {
             self.scope.lose_bucket(bucket, &mut applied);
         }
         if line.epoch.is_some() && line.epoch != self.epoch {
             self.epoch = line.epoch;
-            self.scope.note_change();
+            self.scope.mark_changed();
         }
         for bucket in &line.lost {
             self.scope.lose_bucket(*bucket, &mut applied);
@@ -212,13 +213,13 @@
         }
         if line.version != self.version {
             self.version = line.version;
-            self.scope.note_change();
+            self.scope.mark_changed();
         }
         (applied.gained, applied.lost, applied.filled) = (line.gained, line.lost, line.filled);
         Ok(applied)
     }
 
-    /// Another log begins, whose versions cannot be compared with the old ones.
+    /// Starts a new log, whose versions are not comparable with those of the old one.
     fn begin_log(&mut self, log: &str, applied: &mut Applied) {
         if !self.log.is_empty() {
             self.scope.counters_mut().log_changes += 1;
@@ -245,14 +246,14 @@
         Ok(())
     }
 
-    /// Notes that a cached destination is used, which postpones its eviction.
+    /// Marks a cached destination as the most recently used one, which postpones its eviction.
     pub fn touch(&mut self, destination: u64) {
         self.scope.touch(destination);
     }
 
-    /// Has a destination looked up that is neither held nor cached. Where the cache is full, the least recently used
-    /// destination that is not in use is evicted; what is dropped with it is returned. Where all are in use the cache
-    /// grows, up to [`MAX_CACHED_DESTINATIONS`].
+    /// Adds a destination that is neither held nor cached to the pending lookups. If the cache is full, the least
+    /// recently used destination that is not in use is evicted, and its dropped entries are returned. If all are in
+    /// use, the cache grows up to [`MAX_CACHED_DESTINATIONS`].
     pub fn request_lookup(
         &mut self,
         destination: u64,
@@ -261,47 +262,51 @@
         self.scope.request_lookup(destination, in_use)
     }
 
-    /// Adds entries that are not from a control process, as if they had been looked up: the first line of a watch drops
-    /// what it does not have. Entries beyond the capacity of the cache are skipped.
+    /// Adds entries that are not from a control process, as if they had been looked up. The first line of a watch
+    /// starts a log and drops the entries that it does not contain. Entries of destinations beyond the capacity of the
+    /// cache are skipped.
     pub fn import_entries(&mut self, entries: impl IntoIterator<Item = EndpointEntry>) {
         for entry in entries {
             self.scope.import_entry(entry);
         }
     }
 
-    /// A destination is not wanted any more; nothing happens if it is known already.
+    /// Cancels the lookup of a destination. Does nothing if the lookup is complete.
     pub fn cancel_lookup(&mut self, destination: u64) -> Applied {
         self.scope.cancel_lookup(destination)
     }
 
-    /// The destinations that have to be looked up, by number.
+    /// The destinations to look up, in ascending order.
     pub fn pending(&self) -> impl Iterator<Item = u64> {
         self.scope.cache().in_state(LookupState::Pending)
     }
 
-    /// Evicted destinations that the control process still sends, as many as one request may name.
+    /// Evicted destinations for which the control process still sends entries, at most as many as one request may name.
     pub fn evicted(&self) -> Vec<u64> {
         let evicted = self.scope.cache().evicted();
         evicted.take(MAX_EVICTED_IN_REQUEST).collect()
     }
 
-    /// The control process does not send these destinations any more.
+    /// Notes that the control process has stopped sending entries of these destinations.
     pub fn mark_released(&mut self, destinations: &[u64]) {
         self.scope.mark_released(destinations);
     }
 
-    /// A new watch has been requested. Its scope is what the request says, so no evicted destination is sent any more.
+    /// Notes that a new watch was requested. The request defines its scope, so entries of evicted destinations are no
+    /// longer sent.
     pub fn watch_requested(&mut self) {
         self.scope.mark_all_released();
     }
 
-    /// The target of a request that looks up `destinations`, and releases those in `forget`.
+    /// The target of a request that looks up `destinations`, and makes the control process stop sending entries of
+    /// those in `forget`.
     pub fn lookup_target(dispatcher: &str, destinations: &[u64], forget: &[u64]) -> String {
         query::lookup_target(dispatcher, destinations, forget)
     }
 
-    /// Applies the answer to a lookup of these destinations: from now on all of their entries are known. Its version is not
-    /// that of the watch, which may be ahead: an entry that the watch has in a newer version stays.
+    /// Applies the response to a lookup of these destinations, whose entries are all known afterwards. The version of
+    /// the response does not become that of the list, since the watch may be ahead: entries with a newer version are
+    /// kept.
     pub fn apply_lookup(
         &mut self,
         destinations: &[u64],
@@ -322,7 +327,7 @@
         for destination in destinations {
             self.scope.mark_known(*destination);
         }
-        self.scope.note_change();
+        self.scope.mark_changed();
         Ok(applied)
     }
 }
--- a/crates/discovery-client/src/scoped_source.rs
+++ b/crates/discovery-client/src/scoped_source.rs
@@ -1,4 +1,4 @@
-//! The control processes of a scoped watch, and what they have sent.
+//! The control processes of a scoped watch, the list received from them, and the lookups at them.
 
 use crate::applied::Applied;
 use crate::call::{CallId, CallIds, LineLimit, OverlongLine, WatchRequest};
@@ -12,20 +12,21 @@
 use bellsill_net::{Nanos, http};
 use std::net::SocketAddr;
 
-/// The longest line of a scoped watch that is read, in bytes. Control processes write shorter ones; twice that length
-/// leaves space for the fields of a later version.
+/// The length limit of a line of a scoped watch. Twice the limit that control processes keep to, which leaves space for
+/// fields that later versions add.
 pub const MAX_SCOPED_LINE_BYTES: usize = 2 * LONGEST_LINE;
-/// A scoped watch without a complete line for this long is lost: three of the empty lines that are sent every 500 ms.
+/// A scoped watch fails after this time without a complete line: three intervals of the heartbeats, which are sent
+/// every 500 ms.
 pub const SCOPED_SILENCE_TIMEOUT: Nanos = 1_500_000_000;
 
-/// What a scoped watch begins with.
+/// The options of a scoped watch.
 #[derive(Clone, Debug)]
 pub struct ScopedOptions {
-    /// The dispatcher's name, in characters that a query may hold unescaped.
+    /// The dispatcher's name. Must consist of characters that need no escaping in a URL query.
     pub dispatcher: String,
-    /// The control processes; at least one.
+    /// The control processes. Must not be empty.
     pub servers: Vec<SocketAddr>,
-    /// Decides the order of the servers and the delays.
+    /// Determines the order of the servers and the delays.
     pub seed: u64,
 }
 
@@ -34,8 +35,8 @@
     servers: ServerOrder,
     list: ScopedList,
     lookups: Lookups,
-    /// The status with which a call was rejected last, until one serves.
-    rejected_with: Option<u16>,
+    /// The status of the last rejected call; `None` once a call has served.
+    last_rejection: Option<u16>,
 }
 
 impl ScopedSource {
@@ -45,7 +46,7 @@
             servers: ServerOrder::new(options.servers, options.seed),
             list,
             lookups: Lookups::new(options.seed),
-            rejected_with: None,
+            last_rejection: None,
         }
     }
 
@@ -65,7 +66,7 @@
         &mut self.lookups
     }
 
-    /// The control process that is asked now.
+    /// The control process that is connected to now, or was last.
     pub(crate) fn address(&self) -> SocketAddr {
         self.servers.current()
     }
@@ -86,35 +87,38 @@
         }
     }
 
-    pub(crate) fn first_delay(&mut self, drain_grace: Nanos) -> Nanos {
-        self.servers.first_delay(drain_grace / 2)
+    pub(crate) fn initial_delay(&mut self, drain_grace: Nanos) -> Nanos {
+        self.servers.initial_delay(drain_grace / 2)
     }
 
-    /// The current process has failed: how long to wait before the next one is asked.
+    /// Moves to the next control process after the current one has failed, and returns the delay before the call.
     pub(crate) fn retry_delay(&mut self) -> Nanos {
         self.servers.advance()
     }
 
-    pub(crate) fn serves(&mut self) {
-        self.servers.serves();
-        self.rejected_with = None;
+    pub(crate) fn mark_serving(&mut self) {
+        self.servers.mark_serving();
+        self.last_rejection = None;
     }
 
-    /// Logs that a control process has rejected the watch, once for each status until one serves.
-    pub(crate) fn rejected(&mut self, status: u16) {
-        if self.rejected_with.replace(status) == Some(status) {
+    /// Logs that a control process rejected the watch. A status is not logged again while it repeats, until a call
+    /// serves.
+    pub(crate) fn log_rejection(&mut self, status: u16) {
+        if self.last_rejection.replace(status) == Some(status) {
             return;
         }
         let (server, dispatcher) = (self.servers.current(), &self.dispatcher);
         match status {
             404 => log::warn!(
-                "configuration: {server} does not know dispatcher `{dispatcher}`: declare it there"
+                "configuration: {server} does not know dispatcher `{dispatcher}`; declare it at the control process"
+            ),
+            _ => log::warn!(
+                "configuration: {server} rejected the watch request with status {status}"
             ),
-            _ => log::warn!("configuration: {server} answered the watch request with {status}"),
         }
     }
 
-    /// Begins a lookup at the server of the watch, if destinations are pending and no other lookup is in flight.
+    /// Starts a lookup at the server of the watch, if destinations are pending and no other lookup is in flight.
     pub(crate) fn look_up(
         &mut self,
         now: Nanos,
@@ -148,7 +152,7 @@
             .is_some_and(|lookup| lookup.id() == call)
     }
 
-    /// Takes what was received on the lookup in flight.
+    /// Consumes bytes received on the lookup in flight.
     pub(crate) fn lookup_received(
         &mut self,
         now: Nanos,
@@ -172,7 +176,7 @@
                 finished_lookup(self.lookups.finish(), looked_up)
             }
             Err(error) => {
-                log::warn!("configuration: lookup answer rejected: {error}");
+                log::warn!("configuration: rejected the response to a lookup: {error}");
                 self.lookup_failed(now)
             }
         }
--- a/crates/discovery-client/src/server_order.rs
+++ b/crates/discovery-client/src/server_order.rs
@@ -1,5 +1,6 @@
-//! Which control process is asked next, and after what delay. Each dispatcher has an order and delays of its own, so that
-//! those that lose one process at the same moment neither move to the same other one nor ask in step.
+//! Selects the next control process to connect to, and the delay before it. Each dispatcher shuffles the processes and
+//! draws its delays from its own seed, so that dispatchers that lose a process at the same moment neither all move to
+//! the same one nor reconnect in lockstep.
 
 use bellsill_net::Nanos;
 use rand::seq::SliceRandom;
@@ -7,24 +8,24 @@
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
 
-/// Dispatchers that lose a process together ask the next one spread over this time.
-const FIRST_DELAY_WITHIN: Nanos = 500_000_000;
-/// The longest delay, when every process has failed several times in a row.
+/// Dispatchers that lose a process together spread their next connection attempts over this time.
+const INITIAL_DELAY_SPREAD: Nanos = 500_000_000;
+/// The upper bound of the delay, reached once every process has failed several times in a row.
 const MAX_DELAY: Nanos = 4_000_000_000;
-/// Delays stop doubling after this many rounds.
+/// The delay stops doubling after this many rounds over all processes.
 const MAX_DOUBLINGS: usize = 16;
 
 /// The control processes in the order in which one dispatcher tries them.
 pub(crate) struct ServerOrder {
     servers: Vec<SocketAddr>,
     next: usize,
-    /// Failures since a process served last.
+    /// Failures since a process last served the watch.
     failures: usize,
     rng: Pcg64Mcg,
 }
 
 impl ServerOrder {
-    /// `servers` holds at least one.
+    /// `servers` must not be empty.
     pub(crate) fn new(mut servers: Vec<SocketAddr>, seed: u64) -> ServerOrder {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         servers.shuffle(&mut rng);
@@ -36,29 +37,29 @@
         }
     }
 
-    /// The process that is asked now or was asked last.
+    /// The process that is connected to now, or was last.
     pub(crate) fn current(&self) -> SocketAddr {
         self.servers[self.next]
     }
 
-    /// How long to wait before the first call.
-    pub(crate) fn first_delay(&mut self, longest: Nanos) -> Nanos {
-        self.rng.random_range(0..=longest.min(FIRST_DELAY_WITHIN))
+    /// The random delay before the first call, at most `max`.
+    pub(crate) fn initial_delay(&mut self, max: Nanos) -> Nanos {
+        self.rng.random_range(0..=max.min(INITIAL_DELAY_SPREAD))
     }
 
-    /// The current process has failed: moves to the next one, and returns after what delay to ask it. Each is tried once
-    /// before delays grow.
+    /// Moves to the next process after the current one has failed, and returns the delay before connecting to it. Each
+    /// process is tried once before the delay grows.
     pub(crate) fn advance(&mut self) -> Nanos {
         self.next = (self.next + 1) % self.servers.len();
         let rounds = (self.failures / self.servers.len()).min(MAX_DOUBLINGS) as u32;
         self.failures += 1;
-        let longest = (FIRST_DELAY_WITHIN << rounds).min(MAX_DELAY);
-        let shortest = if rounds == 0 { 0 } else { longest / 2 };
-        self.rng.random_range(shortest..=longest)
+        let max = (INITIAL_DELAY_SPREAD << rounds).min(MAX_DELAY);
+        let min = if rounds == 0 { 0 } else { max / 2 };
+        self.rng.random_range(min..=max)
     }
 
-    /// The current process serves.
-    pub(crate) fn serves(&mut self) {
+    /// The current process serves the watch: the delays start from the beginning.
+    pub(crate) fn mark_serving(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/discovery-client/src/source.rs
+++ b/crates/discovery-client/src/source.rs
@@ -1,4 +1,4 @@
-//! Where a watch gets its configuration from: one discovery server, or several control processes.
+//! The source of a watch's configuration: one discovery server, or one of several control processes.
 
 use crate::backoff::{FIRST_LINE_TIMEOUT, SILENCE_TIMEOUT};
 use crate::call::WatchRequest;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The server that is asked now.
+    /// The server that is connected to now, or was last.
     pub(crate) fn address(&self) -> SocketAddr {
         match self {
             Source::Plain(source) => source.address(),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The request for a watch from what is known on.
+    /// The request for a watch that continues from the known state.
     pub(crate) fn request(&mut self) -> WatchRequest {
         match self {
             Source::Plain(source) => source.request(),
@@ -50,39 +50,39 @@
         }
     }
 
-    /// How long to wait before the first call.
-    pub(crate) fn first_delay(&mut self, drain_grace: Nanos) -> Nanos {
+    /// The delay before the first call.
+    pub(crate) fn initial_delay(&mut self, drain_grace: Nanos) -> Nanos {
         match self {
-            Source::Plain(source) => source.first_delay(drain_grace),
-            Source::Scoped(source) => source.first_delay(drain_grace),
+            Source::Plain(source) => source.initial_delay(drain_grace),
+            Source::Scoped(source) => source.initial_delay(drain_grace),
         }
     }
 
-    /// How long to wait after a call that has failed now, and was alive last at `alive_at`.
-    pub(crate) fn retry_delay(&mut self, now: Nanos, alive_at: Nanos) -> Nanos {
+    /// The delay before the next call, after one that failed at `now` and was last active at `last_active_at`.
+    pub(crate) fn retry_delay(&mut self, now: Nanos, last_active_at: Nanos) -> Nanos {
         match self {
-            Source::Plain(source) => source.retry_delay(now - alive_at),
+            Source::Plain(source) => source.retry_delay(now - last_active_at),
             Source::Scoped(source) => source.retry_delay(),
         }
     }
 
-    /// A line has been received from the current server.
-    pub(crate) fn serves(&mut self) {
+    /// Notes that the current server serves the watch, which resets the delays.
+    pub(crate) fn mark_serving(&mut self) {
         match self {
-            Source::Plain(source) => source.serves(),
-            Source::Scoped(source) => source.serves(),
+            Source::Plain(source) => source.mark_serving(),
+            Source::Scoped(source) => source.mark_serving(),
         }
     }
 
-    /// A call is rejected with this status.
-    pub(crate) fn rejected(&mut self, status: u16) {
+    /// Logs that the current server rejected a call with this status.
+    pub(crate) fn log_rejection(&mut self, status: u16) {
         match self {
             Source::Plain(_) => {}
-            Source::Scoped(source) => source.rejected(status),
+            Source::Scoped(source) => source.log_rejection(status),
         }
     }
 
-    /// How long the first line may take once the connection is up.
+    /// The time limit from the established connection to the first line.
     pub(crate) fn first_line_timeout(&self) -> Nanos {
         match self {
             Source::Plain(_) => FIRST_LINE_TIMEOUT,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// How long a watch that serves may be without another line.
+    /// The time limit from one line to the next.
     pub(crate) fn silence_timeout(&self) -> Nanos {
         match self {
             Source::Plain(_) => SILENCE_TIMEOUT,
@@ -98,8 +98,8 @@
         }
     }
 
-    /// How long a call whose first line is late stays open beside others, from when it was made; none where it fails at
-    /// once.
+    /// The time limit, from the start of the call, for a call whose first line is late and that stays open while others
+    /// are made. `None` if such a call fails at once.
     pub(crate) fn late_call_timeout(&self) -> Option<Nanos> {
         match self {
             Source::Plain(_) => Some(LATE_CALL_TIMEOUT),
--- a/crates/discovery-client/src/state_file.rs
+++ b/crates/discovery-client/src/state_file.rs
@@ -1,5 +1,5 @@
-//! The bytes in which a [`ScopedList`] outlasts a restart: a magic word with the version of the format, a checksum, and the
-//! list as JSON.
+//! The file format of a saved [`ScopedList`]: magic bytes with the format version, a CRC-32 checksum, and the list as
+//! JSON.
 
 use crate::bucket_map::BucketMap;
 use crate::scoped_list::{SavedList, ScopedList};
@@ -10,20 +10,20 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What the file begins with; the digit is the version of the format.
+/// The magic bytes at the start of the file. The digit is the format version.
 const MAGIC: &[u8; 8] = b"BSSCOPE1";
 const CHECKSUM_BYTES: usize = 4;
 
-/// Why saved bytes are rejected.
+/// The reason why a saved list was rejected.
 #[derive(Debug)]
 pub enum StateFileError {
-    /// They are not a list in this version of the format.
+    /// The file does not start with the magic bytes of this format version.
     UnknownFormat,
-    /// They are incomplete or damaged.
+    /// The file is truncated or corrupted.
     Checksum,
-    /// They hold other JSON than that of a list.
+    /// The content is not the JSON of a list.
     Content(serde_json::Error),
-    /// They are those of the dispatcher with this name.
+    /// The file was saved by the dispatcher with this name.
     DispatcherMismatch(String),
 }
 
@@ -31,12 +31,14 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             StateFileError::UnknownFormat => {
-                write!(f, "it is not a saved configuration of this version")
+                write!(f, "not a saved configuration in this format version")
             }
-            StateFileError::Checksum => write!(f, "it is incomplete or damaged"),
-            StateFileError::Content(error) => write!(f, "its content cannot be read: {error}"),
+            StateFileError::Checksum => {
+                write!(f, "checksum mismatch: the file is truncated or corrupted")
+            }
+            StateFileError::Content(error) => write!(f, "invalid content: {error}"),
             StateFileError::DispatcherMismatch(name) => {
-                write!(f, "it is that of the dispatcher `{name}`")
+                write!(f, "saved by another dispatcher, `{name}`")
             }
         }
     }
@@ -66,7 +68,7 @@
 }
 
 impl ScopedList {
-    /// The bytes to save.
+    /// Serializes the list of this dispatcher.
     pub fn to_bytes(&self, dispatcher: &str) -> Vec<u8> {
         let saved = Content {
             dispatcher: dispatcher.to_string(),
@@ -80,14 +82,15 @@
         };
         let mut bytes = MAGIC.to_vec();
         bytes.extend([0; CHECKSUM_BYTES]);
-        serde_json::to_writer(&mut bytes, &saved).expect("plain fields are always written");
+        serde_json::to_writer(&mut bytes, &saved)
+            .expect("a list serializes to JSON without errors");
         let content = MAGIC.len() + CHECKSUM_BYTES;
         let checksum = crc32fast::hash(&bytes[content..]);
         bytes[MAGIC.len()..content].copy_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
-    /// The list that was saved by this dispatcher.
+    /// Deserializes a list that was saved by this dispatcher.
     pub fn from_bytes(
         bytes: &[u8],
         dispatcher: &str,
--- a/crates/discovery-client/src/removed_endpoints.rs
+++ b/crates/discovery-client/src/tombstones.rs
@@ -1,29 +1,29 @@
-//! The versions of endpoints that were removed last: an answer to a lookup that was made before a removal may be received
-//! after it.
+//! The versions of recently removed endpoints. The response to a lookup may be received after the removal of an
+//! endpoint that it still contains, and must not restore it.
 
 use bellsill_directory::line::Version;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many removed endpoints are remembered.
-const MAX_REMEMBERED: usize = 4_096;
+/// The maximum number of tombstones; the oldest ones are discarded.
+const MAX_TOMBSTONES: usize = 4_096;
 
 #[derive(Default)]
-pub(crate) struct RemovedEndpoints {
+pub(crate) struct Tombstones {
     versions: BTreeMap<String, Version>,
-    /// The names, the oldest first.
+    /// The names, oldest first.
     order: VecDeque<String>,
 }
 
-impl RemovedEndpoints {
+impl Tombstones {
     pub(crate) fn version(&self, name: &str) -> Option<Version> {
         self.versions.get(name).copied()
     }
 
-    pub(crate) fn remember(&mut self, name: String, version: Version) {
+    pub(crate) fn insert(&mut self, name: String, version: Version) {
         if self.versions.insert(name.clone(), version).is_none() {
             self.order.push_back(name);
         }
-        while self.order.len() > MAX_REMEMBERED {
+        while self.order.len() > MAX_TOMBSTONES {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
@@ -31,8 +31,8 @@
         }
     }
 
-    /// The endpoint exists again.
-    pub(crate) fn forget(&mut self, name: &str) {
+    /// Removes the tombstone of an endpoint that exists again.
+    pub(crate) fn remove(&mut self, name: &str) {
         self.versions.remove(name);
     }
 
--- a/crates/discovery-client/src/watch.rs
+++ b/crates/discovery-client/src/watch.rs
@@ -1,6 +1,5 @@
-//! The watch: when a call is made, which of several calls serves, and when a call has failed.
+//! The watch: decides when to make a call, which of several calls serves, and when a call has failed.
 
-use crate::answer::AnswerError;
 use crate::applied::Applied;
 use crate::backoff::{Backoff, CONNECT_TIMEOUT};
 use crate::call::{Call, CallError, CallId, CallIds};
@@ -9,6 +8,7 @@
 use crate::counters::Counters;
 use crate::error::{CacheFull, ScopedLineError};
 use crate::plain_source::PlainSource;
+use crate::response::ResponseError;
 use crate::scoped_list::ScopedList;
 use crate::scoped_source::ScopedSource;
 use crate::source::Source;
@@ -23,19 +23,19 @@
 /// A watch on the configuration.
 pub struct Watch {
     source: Source,
-    /// Either one of them is not late, or [`Timer::Reconnect`] is set.
+    /// Invariant: either one of the calls is not late, or [`Timer::Reconnect`] is set.
     calls: CallTable,
     ids: CallIds,
     counters: Counters,
 }
 
 impl Watch {
-    /// A watch on the complete list of one discovery server.
+    /// Creates a watch on the complete list of one discovery server.
     pub fn plain(address: SocketAddr, backoff: Backoff) -> Watch {
         Watch::new(Source::Plain(PlainSource::new(address, backoff)))
     }
 
-    /// A watch on one dispatcher's part of the configuration, beginning from `list`.
+    /// Creates a watch on one dispatcher's part of the configuration, with `list` as the known state.
     pub fn scoped(options: ScopedOptions, list: ScopedList) -> Watch {
         let source = ScopedSource::new(options, list);
         Watch::new(Source::Scoped(Box::new(source)))
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What has happened to the calls.
+    /// The counters of calls and lookups.
     pub fn counters(&self) -> Counters {
         let mut counters = self.counters;
         if let Some(source) = self.source.scoped() {
@@ -60,83 +60,85 @@
         counters
     }
 
-    /// The list of a scoped watch; a plain watch has none.
+    /// The list of a scoped watch; `None` for a plain watch.
     pub fn list(&self) -> Option<&ScopedList> {
         self.source.scoped().map(ScopedSource::list)
     }
 
-    /// The list of a scoped watch, to be changed.
+    /// Mutable access to the list of a scoped watch.
     pub fn list_mut(&mut self) -> Option<&mut ScopedList> {
         self.source.scoped_mut().map(ScopedSource::list_mut)
     }
 
-    /// The call and the server that serve the watch now, if there are any.
+    /// The call that serves the watch, and its server, if any.
     pub fn serving(&self) -> Option<(CallId, SocketAddr)> {
         Some((self.calls.serving()?, self.source.address()))
     }
 
-    /// Starts the watch. The configuration counts as known from the start: half of the grace of a drain is left for the
-    /// first answer.
+    /// Starts the watch. Until the first response the dispatcher routes by the configuration that it started with, so
+    /// the first call is made within half of `drain_grace` at the latest.
     pub fn start(&mut self, now: Nanos, drain_grace: Nanos) -> Vec<Command> {
-        match self.source.first_delay(drain_grace) {
+        match self.source.initial_delay(drain_grace) {
             0 => self.connect(now),
             delay => vec![Command::SetTimer(Timer::Reconnect, now + delay)],
         }
     }
 
-    /// The connection of a call is up.
+    /// Reports that the connection of a call is established.
     pub fn connected(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
-        // A lookup has one timeout for all of it.
-        let Some(found) = self.calls.get_mut(call) else {
+        // The timeout of a lookup covers its connection and its response, and is set already.
+        let Some(watch_call) = self.calls.get_mut(call) else {
             return Vec::new();
         };
-        found.connected();
+        watch_call.connected();
         let timeout = self.source.first_line_timeout();
         vec![Command::SetTimer(Timer::Call(call), now + timeout)]
     }
 
-    /// A call has failed: it could not be made, its connection broke, or what was received on it cannot be used.
+    /// Reports that a call has failed: its connection could not be established or was lost, or the received data is
+    /// unusable.
     pub fn call_failed(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
         if self.is_lookup(call) {
             return self.lookup_failed(now);
         }
-        let Some(found) = self.calls.get(call) else {
+        let Some(watch_call) = self.calls.get(call) else {
             return Vec::new();
         };
-        let (alive_at, late) = (found.alive_at(), found.is_late());
-        if found.is_serving() {
+        let (last_active_at, late) = (watch_call.last_active_at(), watch_call.is_late());
+        if watch_call.is_serving() {
             self.counters.broken += 1;
         } else {
             self.counters.failed += 1;
         }
         let mut commands = self.calls.close(call);
-        // The next request names what is known by then; what is not is looked up at the next server.
+        // The next watch request names the destinations that are known; pending ones are looked up at the next server.
         if let Some(source) = self.source.scoped_mut() {
             commands.extend(source.lookups_mut().cancel());
         }
         if !late {
-            commands.push(self.reconnect_later(now, alive_at));
+            commands.push(self.schedule_reconnect(now, last_active_at));
         }
         commands
     }
 
-    /// A timer that was set has fired.
+    /// Reports that a timer has fired.
     pub fn timer_fired(&mut self, now: Nanos, timer: Timer) -> Vec<Command> {
         match timer {
             Timer::Reconnect => self.connect(now),
             Timer::Call(call) if self.is_lookup(call) => self.lookup_failed(now),
-            Timer::Call(call) => self.call_overdue(now, call),
+            Timer::Call(call) => self.call_timed_out(now, call),
             Timer::LookupRetry => {
                 if let Some(source) = self.source.scoped_mut() {
-                    source.lookups_mut().backoff_over();
+                    source.lookups_mut().backoff_elapsed();
                 }
                 self.look_up(now)
             }
         }
     }
 
-    /// The discovery server of a plain watch has another address. It is asked for everything at once: it counts versions
-    /// of its own, and changes before the old server's last version would be missed. The servers of a scoped watch stay.
+    /// Changes the address of the discovery server of a plain watch, and connects to it at once. The new server counts
+    /// its own versions, so the complete list is requested: changes with versions up to the last one of the old server
+    /// would be missed otherwise. The servers of a scoped watch are fixed.
     pub fn relocate(&mut self, now: Nanos, address: SocketAddr) -> Vec<Command> {
         let Some(source) = self.source.plain_mut() else {
             return Vec::new();
@@ -151,8 +153,8 @@
         commands
     }
 
-    /// Takes what was received on a call; `ended` says that nothing follows it. The commands may be carried out before the
-    /// documents are applied.
+    /// Consumes bytes received on a call. `ended` is set if no more bytes will follow. The commands may be executed
+    /// before the documents are applied.
     pub fn received(
         &mut self,
         now: Nanos,
@@ -163,13 +165,13 @@
         if self.is_lookup(call) {
             return self.lookup_received(now, input, ended);
         }
-        let Some(found) = self.calls.get_mut(call) else {
+        let Some(watch_call) = self.calls.get_mut(call) else {
             return Received::default();
         };
-        let read = match found.read(input, ended) {
+        let read = match watch_call.read(input, ended) {
             Ok(read) => read,
             Err(error) => {
-                self.note_error(error);
+                self.count_error(error);
                 return Received {
                     commands: self.call_failed(now, call),
                     ..Received::default()
@@ -178,7 +180,7 @@
         };
         let mut commands = Vec::new();
         if read.has_line {
-            commands.extend(self.call_serves(now, call));
+            commands.extend(self.promote_call(now, call));
         }
         if read.ended {
             commands.extend(self.call_failed(now, call));
@@ -190,8 +192,8 @@
         }
     }
 
-    /// Has a destination looked up that the list of a scoped watch does not have; `in_use` says which of the cached ones
-    /// must not be evicted for it.
+    /// Requests the lookup of a destination that the list of a scoped watch does not contain. Cached destinations for
+    /// which `in_use` returns true are not evicted to make space for it.
     pub fn request_lookup(
         &mut self,
         now: Nanos,
@@ -208,15 +210,15 @@
         })
     }
 
-    /// The document with this version has been applied by the caller; for a plain watch.
+    /// Reports that the caller has applied the document with this version; only for a plain watch.
     pub fn set_version(&mut self, version: u64) {
         if let Some(source) = self.source.plain_mut() {
-            source.applied(version);
+            source.set_version(version);
         }
     }
 
-    /// Applies a document of a scoped watch to its list. After an error the call that it was received on has to be reported
-    /// as [`Watch::broken`]: a change that was skipped would never be sent again.
+    /// Applies a document of a scoped watch to its list. After an error the caller must report the call that it was
+    /// received on to [`Watch::call_failed`], because a skipped change would never be sent again.
     pub fn apply(&mut self, document: &[u8]) -> Result<Applied, ScopedLineError> {
         match self.source.scoped_mut() {
             None => Ok(Applied::default()),
@@ -240,45 +242,45 @@
         ]
     }
 
-    /// Has the next call made after a delay; `alive_at` is when the failed call was alive last.
-    fn reconnect_later(&mut self, now: Nanos, alive_at: Nanos) -> Command {
-        let delay = self.source.retry_delay(now, alive_at);
+    /// Schedules the next call; `last_active_at` is the time of the last activity of the failed one.
+    fn schedule_reconnect(&mut self, now: Nanos, last_active_at: Nanos) -> Command {
+        let delay = self.source.retry_delay(now, last_active_at);
         Command::SetTimer(Timer::Reconnect, now + delay)
     }
 
-    fn call_overdue(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
-        let Some(found) = self.calls.get_mut(call) else {
+    fn call_timed_out(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
+        let Some(watch_call) = self.calls.get_mut(call) else {
             return Vec::new();
         };
         if let Some(timeout) = self.source.late_call_timeout()
-            && found.is_awaiting_first_line()
+            && watch_call.is_awaiting_first_line()
         {
-            found.mark_late();
-            let alive_at = found.alive_at();
-            let closes = Command::SetTimer(Timer::Call(call), alive_at + timeout);
-            return vec![closes, self.reconnect_later(now, alive_at)];
+            watch_call.mark_late();
+            let last_active_at = watch_call.last_active_at();
+            let set_timeout = Command::SetTimer(Timer::Call(call), last_active_at + timeout);
+            return vec![set_timeout, self.schedule_reconnect(now, last_active_at)];
         }
         self.counters.timed_out += 1;
         self.call_failed(now, call)
     }
 
-    /// Lines have been received on a call: it is the one that serves, and the others are not needed.
-    fn call_serves(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
-        self.source.serves();
+    /// Makes a call on which a line was received the one that serves the watch, and closes the others.
+    fn promote_call(&mut self, now: Nanos, call: CallId) -> Vec<Command> {
+        self.source.mark_serving();
         let timeout = self.source.silence_timeout();
         let mut commands = vec![Command::SetTimer(Timer::Call(call), now + timeout)];
-        commands.extend(self.calls.serve(now, call));
+        commands.extend(self.calls.promote(now, call));
         commands.push(Command::ClearTimer(Timer::Reconnect));
         commands.extend(self.look_up(now));
         commands
     }
 
-    fn note_error(&mut self, error: CallError) {
+    fn count_error(&mut self, error: CallError) {
         match error {
-            CallError::Answer(AnswerError::Unreadable) => {}
-            CallError::Answer(AnswerError::Status(status)) => {
+            CallError::Response(ResponseError::Malformed) => {}
+            CallError::Response(ResponseError::Status(status)) => {
                 self.counters.rejected += 1;
-                self.source.rejected(status);
+                self.source.log_rejection(status);
             }
             CallError::OverlongLine => self.counters.overlong_lines += 1,
         }
@@ -289,7 +291,7 @@
         source.is_some_and(|source| source.is_lookup(call))
     }
 
-    /// Looks up the pending destinations, where the watch is served and no other lookup is in flight.
+    /// Looks up the pending destinations, if the watch is served and no other lookup is in flight.
     fn look_up(&mut self, now: Nanos) -> Vec<Command> {
         let Some((_, server)) = self.serving() else {
             return Vec::new();
