--- a/crates/discovery-client/tests/discovery/driver.rs
+++ b/crates/discovery-client/tests/discovery/fixtures.rs
@@ -1,6 +1,6 @@
-//! Watches, and what happens to their calls.
+//! Watches, and helpers that feed events to them and search the commands that they return.
 
-use crate::tens_layout::empty_list;
+use crate::layout::empty_list;
 use bellsill_discovery_client::backoff::Backoff;
 use bellsill_discovery_client::{CallId, Command, Received, ScopedOptions, Timer, Watch};
 use bellsill_net::Nanos;
@@ -8,17 +8,17 @@
 use std::net::SocketAddr;
 
 pub(crate) const SECOND: Nanos = 1_000_000_000;
-pub(crate) const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub(crate) const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub(crate) fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-pub(crate) fn plain() -> Watch {
+pub(crate) fn plain_watch() -> Watch {
     Watch::plain(address(1), Backoff::new(7, 3))
 }
 
-pub(crate) fn scoped(seed: u64) -> Watch {
+pub(crate) fn scoped_watch(seed: u64) -> Watch {
     let servers = (1..=9).map(address).collect();
     Watch::scoped(
         ScopedOptions {
@@ -30,8 +30,8 @@
     )
 }
 
-/// The call that is connected, with its address and request.
-pub(crate) fn connects(commands: &[Command]) -> Option<(CallId, SocketAddr, String)> {
+/// The first [`Command::Connect`]: the call, its address and its request.
+pub(crate) fn find_connect(commands: &[Command]) -> Option<(CallId, SocketAddr, String)> {
     commands.iter().find_map(|command| match command {
         Command::Connect {
             call,
@@ -42,44 +42,47 @@
     })
 }
 
-pub(crate) fn timer(commands: &[Command], which: Timer) -> Option<Nanos> {
+/// The time to which `wanted` is set, if it is.
+pub(crate) fn find_timer(commands: &[Command], wanted: Timer) -> Option<Nanos> {
     commands.iter().find_map(|command| match command {
-        Command::SetTimer(timer, at) if *timer == which => Some(*at),
+        Command::SetTimer(timer, at) if *timer == wanted => Some(*at),
         _ => None,
     })
 }
 
-/// Makes the first call of a watch.
-pub(crate) fn begin(watch: &mut Watch) -> (CallId, SocketAddr, String) {
-    connects(&watch.start(0, 0)).expect("without a grace the call is made at once")
+/// Starts a watch, and returns its first call.
+pub(crate) fn start(watch: &mut Watch) -> (CallId, SocketAddr, String) {
+    find_connect(&watch.start(0, 0))
+        .expect("without a drain grace period the first call is made at once")
 }
 
+/// A chunk of a body in chunked transfer encoding.
 pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-pub(crate) fn receives(watch: &mut Watch, now: Nanos, call: CallId, text: &str) -> Received {
+pub(crate) fn receive(watch: &mut Watch, now: Nanos, call: CallId, text: &str) -> Received {
     let mut input = RingBuffer::new(text.len().max(1));
     assert!(input.push(text.as_bytes()));
     watch.received(now, call, &mut input, false)
 }
 
-/// A scoped watch that is served, with the call and the address that serve it.
-pub(crate) fn served() -> (Watch, CallId, SocketAddr) {
-    let mut watch = scoped(1);
-    let (call, at, _) = begin(&mut watch);
+/// A scoped watch that is served, with the serving call and the address of its server.
+pub(crate) fn serving_watch() -> (Watch, CallId, SocketAddr) {
+    let mut watch = scoped_watch(1);
+    let (call, at, _) = start(&mut watch);
     let text = r#"{"version":4,"full":false,"log":"c0ffee","servers":[]}"#;
-    let received = receives(
+    let received = receive(
         &mut watch,
         SECOND,
         call,
-        &format!("{HEAD}{}", chunk(&format!("{text}\n"))),
+        &format!("{RESPONSE_HEAD}{}", chunk(&format!("{text}\n"))),
     );
     watch.apply(&received.documents[0]).unwrap();
     (watch, call, at)
 }
 
-pub(crate) fn lookup_answer(servers: &str) -> String {
+pub(crate) fn lookup_response(servers: &str) -> String {
     let text = format!(r#"{{"version":4,"full":false,"log":"c0ffee","servers":[{servers}]}}"#);
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
--- a/crates/discovery-client/tests/discovery/tens_layout.rs
+++ b/crates/discovery-client/tests/discovery/layout.rs
@@ -1,18 +1,18 @@
-//! A list with a layout of ten destinations a bucket.
+//! A layout with ten destinations per bucket.
 
 use bellsill_discovery_client::{BucketMap, ScopedList};
 use bellsill_placement::BucketId;
 use std::sync::Arc;
 
-/// Destination 17 is in bucket 1.
-pub(crate) struct TensLayout;
+/// Bucket `n` contains destinations `10 * n` to `10 * n + 9`, in every zone.
+pub(crate) struct TenPerBucketLayout;
 
-impl BucketMap for TensLayout {
+impl BucketMap for TenPerBucketLayout {
     fn bucket_of(&self, _zone: &str, destination: u64) -> Option<BucketId> {
         Some(BucketId(u32::try_from(destination / 10).ok()?))
     }
 }
 
 pub(crate) fn empty_list(cache_destinations: usize) -> ScopedList {
-    ScopedList::new(Arc::new(TensLayout), cache_destinations)
+    ScopedList::new(Arc::new(TenPerBucketLayout), cache_destinations)
 }
--- a/crates/discovery-client/tests/discovery/main.rs
+++ b/crates/discovery-client/tests/discovery/main.rs
@@ -1,9 +1,9 @@
-//! The watch, its lookups and its list.
+//! Tests of the watch, its lookups and its list.
 
-mod driver;
+mod fixtures;
+mod layout;
 mod liveness;
 mod lookups;
 mod plain_watch;
 mod scoped_list;
 mod scoped_watch;
-mod tens_layout;
--- a/crates/discovery-client/tests/discovery/plain_watch.rs
+++ b/crates/discovery-client/tests/discovery/plain_watch.rs
@@ -1,14 +1,16 @@
-//! The calls of a plain watch: events in, commands out.
+//! Tests of the calls of a plain watch: events in, commands out.
 
-use crate::driver::{HEAD, SECOND, address, begin, chunk, connects, plain, receives, timer};
+use crate::fixtures::{
+    RESPONSE_HEAD, SECOND, address, chunk, find_connect, find_timer, plain_watch, receive, start,
+};
 use bellsill_discovery_client::backoff::{CONNECT_TIMEOUT, FIRST_LINE_TIMEOUT, SILENCE_TIMEOUT};
 use bellsill_discovery_client::watch::LATE_CALL_TIMEOUT;
 use bellsill_discovery_client::{Command, Received, Timer};
 
 #[test]
 fn a_plain_watch_request_has_fixed_bytes_and_the_last_applied_version() {
-    let mut watch = plain();
-    let (call, at, request) = begin(&mut watch);
+    let mut watch = plain_watch();
+    let (call, at, request) = start(&mut watch);
     assert_eq!(at, address(1));
     assert_eq!(
         request,
@@ -16,85 +18,86 @@
     );
     watch.set_version(41);
     let commands = watch.call_failed(SECOND, call);
-    let retry_at = timer(&commands, Timer::Reconnect).unwrap();
-    let (_, _, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
+    let retry_at = find_timer(&commands, Timer::Reconnect).unwrap();
+    let (_, _, request) = find_connect(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
     assert!(request.starts_with("GET /api/targets?follow=1&since=41 HTTP/1.1\r\n"));
 }
 
 #[test]
 fn a_late_plain_call_stays_open_and_the_first_with_a_line_serves() {
-    let mut watch = plain();
-    let (first, ..) = begin(&mut watch);
-    let up = watch.connected(SECOND, first);
+    let mut watch = plain_watch();
+    let (first, ..) = start(&mut watch);
+    let commands = watch.connected(SECOND, first);
     assert_eq!(
-        timer(&up, Timer::Call(first)),
+        find_timer(&commands, Timer::Call(first)),
         Some(SECOND + FIRST_LINE_TIMEOUT)
     );
     let late = watch.timer_fired(SECOND + FIRST_LINE_TIMEOUT, Timer::Call(first));
     assert_eq!(
-        timer(&late, Timer::Call(first)),
+        find_timer(&late, Timer::Call(first)),
         Some(LATE_CALL_TIMEOUT),
-        "counted from when it was made"
+        "the timeout counts from the start of the call"
     );
     assert!(!late.contains(&Command::Close(first)));
-    let retry_at = timer(&late, Timer::Reconnect).unwrap();
-    let (second, ..) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
-    let received = receives(
+    let retry_at = find_timer(&late, Timer::Reconnect).unwrap();
+    let (second, ..) = find_connect(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
+    let received = receive(
         &mut watch,
         retry_at,
         first,
-        &format!("{HEAD}{}", chunk("\n")),
+        &format!("{RESPONSE_HEAD}{}", chunk("\n")),
     );
     assert!(received.documents.is_empty());
     assert!(received.commands.contains(&Command::Close(second)));
     assert_eq!(
-        timer(&received.commands, Timer::Call(first)),
+        find_timer(&received.commands, Timer::Call(first)),
         Some(retry_at + SILENCE_TIMEOUT)
     );
 }
 
 #[test]
-fn a_plain_call_that_does_not_connect_is_abandoned() {
-    let mut watch = plain();
-    let (first, ..) = begin(&mut watch);
+fn a_plain_call_that_does_not_connect_in_time_is_closed() {
+    let mut watch = plain_watch();
+    let (first, ..) = start(&mut watch);
     let commands = watch.timer_fired(CONNECT_TIMEOUT, Timer::Call(first));
     assert!(
-        commands.contains(&Command::Close(first)) && timer(&commands, Timer::Reconnect).is_some()
+        commands.contains(&Command::Close(first))
+            && find_timer(&commands, Timer::Reconnect).is_some()
     );
     assert_eq!(watch.counters().timed_out, 1);
     assert!(
         watch.call_failed(CONNECT_TIMEOUT, first).is_empty(),
-        "it is gone"
+        "a closed call is ignored"
     );
 }
 
 #[test]
-fn a_relocated_plain_watch_reconnects_at_once_from_version_zero() {
-    let mut watch = plain();
-    let (first, ..) = begin(&mut watch);
+fn a_plain_watch_with_a_new_address_reconnects_at_once_from_version_zero() {
+    let mut watch = plain_watch();
+    let (first, ..) = start(&mut watch);
     watch.set_version(41);
     assert!(
         watch.relocate(SECOND, address(1)).is_empty(),
-        "it has that address already"
+        "the address is unchanged"
     );
     let commands = watch.relocate(SECOND, address(2));
     assert!(commands.contains(&Command::Close(first)));
-    let (_, at, request) = connects(&commands).unwrap();
+    let (_, at, request) = find_connect(&commands).unwrap();
     assert!(at == address(2) && request.contains("since=0 "));
 }
 
 #[test]
-fn bytes_without_a_complete_line_do_not_show_that_a_watch_is_alive() {
-    let mut watch = plain();
-    let (call, ..) = begin(&mut watch);
-    let received = receives(
+fn bytes_without_a_complete_line_do_not_count_as_activity() {
+    let mut watch = plain_watch();
+    let (call, ..) = start(&mut watch);
+    let received = receive(
         &mut watch,
         SECOND,
         call,
-        &format!("{HEAD}{}", chunk("{\"version\":")),
+        &format!("{RESPONSE_HEAD}{}", chunk("{\"version\":")),
     );
     assert_eq!(received, Received::default());
-    let received = receives(&mut watch, SECOND, call, &chunk("3}\n{\"a\":\n1}\n"));
+    let received = receive(&mut watch, SECOND, call, &chunk("3}\n{\"a\":\n1}\n"));
     assert_eq!(
         received.documents,
         [b"{\"version\":3}".to_vec(), b"{\"a\":\n1}".to_vec()]
--- a/crates/discovery-client/tests/discovery/scoped_list.rs
+++ b/crates/discovery-client/tests/discovery/scoped_list.rs
@@ -1,7 +1,7 @@
-//! A dispatcher's part of the scoped configuration, against lines as control processes write them.
+//! Tests of a dispatcher's part of the scoped configuration with lines as control processes send them.
 
-use crate::driver::nothing_in_use;
-use crate::tens_layout::{TensLayout, empty_list};
+use crate::fixtures::nothing_in_use;
+use crate::layout::{TenPerBucketLayout, empty_list};
 use bellsill_directory::line::{EndpointEntry, EndpointState, ScopedLine, Version};
 use bellsill_discovery_client::scoped_list::MAX_CACHED_DESTINATIONS;
 use bellsill_discovery_client::{DestinationStatus, ScopedLineError, ScopedList, StateFileError};
@@ -42,15 +42,15 @@
     numbers.iter().map(|number| BucketId(*number)).collect()
 }
 
-/// The names of all endpoints in the list, in order.
+/// The names of all endpoints in the list, sorted.
 fn names(list: &ScopedList) -> Vec<&str> {
     let mut names: Vec<&str> = list.entries().map(|entry| entry.id.as_str()).collect();
     names.sort();
     names
 }
 
-/// A list with bucket 1 complete: `a` of 11 and `b` of 12, at version 5.
-fn started() -> ScopedList {
+/// A list at version 5 with bucket 1 complete: endpoint `a` of destination 11, and `b` of 12.
+fn list_with_bucket_1() -> ScopedList {
     let mut list = empty_list(2);
     let gained = buckets(&[1]);
     list.apply(ScopedLine {
@@ -68,8 +68,8 @@
     list
 }
 
-/// The answer to a lookup.
-fn answer(version: u64, servers: Vec<EndpointEntry>) -> ScopedLine {
+/// The response to a lookup.
+fn lookup_response(version: u64, servers: Vec<EndpointEntry>) -> ScopedLine {
     ScopedLine {
         log: "c0ffee".into(),
         ..line(version, servers)
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn a_first_watch_requests_everything_and_later_ones_from_the_known_version() {
+fn the_first_watch_requests_everything_and_later_ones_continue_from_the_known_version() {
     assert_eq!(empty_list(2).watch_query("d1"), "since=0&dispatcher=d1");
-    let mut list = started();
+    let mut list = list_with_bucket_1();
     assert_eq!(
         list.watch_query("d1"),
         "since=5&log=c0ffee&dispatcher=d1&buckets=1"
@@ -88,9 +88,9 @@
     assert_eq!(
         list.watch_query("d1"),
         "since=5&log=c0ffee&dispatcher=d1&buckets=1",
-        "it is not known yet"
+        "a pending destination is not named"
     );
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 2)]))
+    list.apply_lookup(&[47], lookup_response(5, vec![entry("x", 47, 2)]))
         .unwrap();
     assert_eq!(
         list.watch_query("d1"),
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_older_or_equal_entry_is_counted_and_never_applied() {
-    let mut list = started();
+    let mut list = list_with_bucket_1();
     let same = list.apply(line(6, vec![entry("a", 11, 3)])).unwrap();
     let older = list.apply(line(6, vec![entry("b", 12, 3)])).unwrap();
     assert!(same.changed.is_empty() && older.changed.is_empty());
@@ -116,12 +116,15 @@
 }
 
 #[test]
-fn a_removed_endpoint_is_not_restored_by_a_late_lookup_answer() {
-    let mut list = started();
+fn a_removed_endpoint_is_not_restored_by_a_late_lookup_response() {
+    let mut list = list_with_bucket_1();
     list.request_lookup(47, &nothing_in_use).unwrap();
     list.apply(line(9, vec![removed("x", 47, 9)])).unwrap();
     let late = list
-        .apply_lookup(&[47], answer(8, vec![entry("x", 47, 8), entry("y", 47, 2)]))
+        .apply_lookup(
+            &[47],
+            lookup_response(8, vec![entry("x", 47, 8), entry("y", 47, 2)]),
+        )
         .unwrap();
     assert_eq!(late.changed, [entry("y", 47, 2)]);
     assert_eq!(
@@ -131,20 +134,24 @@
     assert_eq!(
         list.version(),
         Version(9),
-        "the answer's version is not that of the watch"
+        "the version of the response is not that of the list"
     );
 }
 
 #[test]
-fn a_bucket_that_is_sent_again_drops_missing_entries_when_filled() {
-    let mut list = started();
+fn a_resent_bucket_drops_missing_entries_when_complete() {
+    let mut list = list_with_bucket_1();
     list.apply(ScopedLine {
         log: "c0ffee".into(),
         gained: buckets(&[1]),
         ..line(9, vec![])
     })
     .unwrap();
-    assert_eq!(names(&list), ["a", "b"], "served until it is sent again");
+    assert_eq!(
+        names(&list),
+        ["a", "b"],
+        "the entries are kept until the bucket is resent"
+    );
     assert_eq!(list.watch_query("d1"), "since=9&log=c0ffee&dispatcher=d1");
     list.apply(line(9, vec![entry("b", 12, 4), entry("c", 13, 8)]))
         .unwrap();
@@ -162,8 +169,8 @@
 }
 
 #[test]
-fn a_lost_bucket_is_dropped_and_a_filling_one_is_lost_unless_named_again() {
-    let mut list = started();
+fn a_lost_bucket_is_dropped_and_a_filling_one_is_lost_unless_gained_again() {
+    let mut list = list_with_bucket_1();
     let lost = list
         .apply(ScopedLine {
             lost: buckets(&[1]),
@@ -185,7 +192,7 @@
     };
     assert!(
         list.apply(next).unwrap().dropped.is_empty(),
-        "the next line may name more"
+        "the next line may name more buckets"
     );
     assert_eq!(
         list.apply(line(6, vec![])).unwrap().dropped,
@@ -195,11 +202,14 @@
 }
 
 #[test]
-fn another_log_begins_empty_and_held_entries_serve_until_sent_again() {
-    let mut list = started();
+fn a_new_log_drops_cached_entries_and_keeps_held_ones_until_resent() {
+    let mut list = list_with_bucket_1();
     list.request_lookup(47, &nothing_in_use).unwrap();
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4), entry("y", 47, 4)]))
-        .unwrap();
+    list.apply_lookup(
+        &[47],
+        lookup_response(5, vec![entry("x", 47, 4), entry("y", 47, 4)]),
+    )
+    .unwrap();
     let first = ScopedLine {
         log: "beef".into(),
         gained: buckets(&[1]),
@@ -209,7 +219,7 @@
     assert_eq!(
         names(&list),
         ["a", "b", "x"],
-        "the cache has only what was received"
+        "cached entries that the new log has not sent are dropped"
     );
     list.apply(ScopedLine {
         filled: buckets(&[1]),
@@ -227,8 +237,8 @@
 }
 
 #[test]
-fn buckets_that_another_log_does_not_assign_are_lost() {
-    let mut list = started();
+fn buckets_that_a_new_log_does_not_assign_are_lost() {
+    let mut list = list_with_bucket_1();
     list.apply(ScopedLine {
         log: "beef".into(),
         gained: buckets(&[2]),
@@ -238,7 +248,7 @@
     assert_eq!(
         list.watch_query("d1"),
         "since=2&log=beef&dispatcher=d1",
-        "nothing is complete"
+        "no bucket is complete"
     );
     let filled = ScopedLine {
         filled: buckets(&[2]),
@@ -249,11 +259,11 @@
 }
 
 #[test]
-fn a_line_of_an_older_version_or_a_complete_list_is_rejected_as_a_whole() {
-    let mut list = started();
-    let back = list.apply(line(4, vec![entry("c", 13, 4)]));
+fn a_line_with_a_lower_version_and_a_complete_list_are_rejected_as_a_whole() {
+    let mut list = list_with_bucket_1();
+    let regressed = list.apply(line(4, vec![entry("c", 13, 4)]));
     assert!(matches!(
-        back,
+        regressed,
         Err(ScopedLineError::VersionRegressed { .. })
     ));
     let full = list.apply(ScopedLine {
@@ -273,13 +283,13 @@
 
 #[test]
 fn the_least_recently_used_destination_is_evicted_unless_in_use() {
-    let mut list = started();
+    let mut list = list_with_bucket_1();
     for destination in [41, 42] {
         list.request_lookup(destination, &nothing_in_use).unwrap();
         let name = format!("e{destination}");
         list.apply_lookup(
             &[destination],
-            answer(5, vec![entry(&name, destination, 1)]),
+            lookup_response(5, vec![entry(&name, destination, 1)]),
         )
         .unwrap();
     }
@@ -290,13 +300,13 @@
     let evicted = list
         .request_lookup(44, &|destination| destination == 41)
         .unwrap();
-    assert!(evicted.dropped.is_empty(), "43 had no entries yet");
+    assert!(evicted.dropped.is_empty(), "43 had no entries");
     assert_eq!(list.status(41), DestinationStatus::Cached);
     let target = ScopedList::lookup_target("d1", &[44], &list.evicted());
     assert_eq!(target, "/api/targets?dispatcher=d1&cells=44&forget=42,43");
     list.mark_released(&[42, 43]);
     assert!(list.evicted().is_empty());
-    // A destination that is wanted again is not released by the same request.
+    // The request that looks up a destination again does not release it as well.
     list.request_lookup(42, &nothing_in_use).unwrap();
     list.request_lookup(45, &nothing_in_use).unwrap();
     list.request_lookup(42, &nothing_in_use).unwrap();
@@ -310,21 +320,22 @@
 }
 
 #[test]
-fn the_lookup_state_of_a_destination() {
-    let mut list = started();
+fn a_destination_is_held_cached_pending_or_unknown() {
+    let mut list = list_with_bucket_1();
     assert_eq!(list.status(11), DestinationStatus::Held);
     assert_eq!(
         list.status(19),
         DestinationStatus::Unknown,
-        "it may be of another region"
+        "it has no known endpoints, but may have some in another region"
     );
     assert_eq!(list.status(47), DestinationStatus::Unknown);
     list.request_lookup(47, &nothing_in_use).unwrap();
     assert_eq!(list.status(47), DestinationStatus::Pending);
-    list.apply_lookup(&[47], answer(5, vec![])).unwrap();
+    list.apply_lookup(&[47], lookup_response(5, vec![]))
+        .unwrap();
     assert_eq!(list.status(47), DestinationStatus::Cached);
     list.request_lookup(48, &nothing_in_use).unwrap();
-    list.apply_lookup(&[48], answer(5, vec![entry("p", 48, 3)]))
+    list.apply_lookup(&[48], lookup_response(5, vec![entry("p", 48, 3)]))
         .unwrap();
     list.apply(ScopedLine {
         gained: buckets(&[4]),
@@ -339,18 +350,18 @@
     assert_eq!(
         (list.status(48), list.cached_destinations()),
         (DestinationStatus::Held, 1),
-        "the bucket has it now"
+        "the complete bucket replaces the cached destination"
     );
     assert_eq!(list.evicted(), [48]);
 }
 
 #[test]
 fn a_cancelled_lookup_is_not_made_and_known_destinations_stay() {
-    let mut list = started();
+    let mut list = list_with_bucket_1();
     for destination in [47, 48] {
         list.request_lookup(destination, &nothing_in_use).unwrap();
     }
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
+    list.apply_lookup(&[47], lookup_response(5, vec![entry("x", 47, 4)]))
         .unwrap();
     for destination in [47, 48] {
         list.cancel_lookup(destination);
@@ -363,8 +374,8 @@
 }
 
 #[test]
-fn with_all_in_use_the_cache_grows_to_the_limit_of_a_control_process() {
-    let mut list = started();
+fn the_cache_grows_to_the_limit_of_a_control_process_while_all_are_in_use() {
+    let mut list = list_with_bucket_1();
     let grown = (100..)
         .take_while(|destination| list.request_lookup(*destination, &|_| true).is_ok())
         .count();
@@ -376,7 +387,7 @@
 }
 
 #[test]
-fn an_adopted_list_serves_until_the_first_line() {
+fn imported_entries_are_kept_until_the_first_line() {
     let mut list = empty_list(2);
     list.import_entries([
         entry("x", 47, 3),
@@ -387,7 +398,7 @@
     assert_eq!(
         names(&list),
         ["x", "y", "z"],
-        "the cache has capacity for two destinations"
+        "the capacity of the cache is two destinations"
     );
     assert_eq!(list.watch_query("d1"), "since=0&dispatcher=d1&cells=47,48");
     let first = list
@@ -400,8 +411,8 @@
 }
 
 #[test]
-fn a_lookup_answer_of_another_log_is_rejected() {
-    let mut list = started();
+fn a_lookup_response_from_another_log_is_rejected() {
+    let mut list = list_with_bucket_1();
     list.request_lookup(47, &nothing_in_use).unwrap();
     let other = ScopedLine {
         log: "beef".into(),
@@ -419,44 +430,44 @@
 
 #[test]
 fn a_saved_list_is_the_same_after_a_restart() {
-    let mut list = started();
+    let mut list = list_with_bucket_1();
     list.request_lookup(47, &nothing_in_use).unwrap();
-    list.apply_lookup(&[47], answer(5, vec![entry("x", 47, 4)]))
+    list.apply_lookup(&[47], lookup_response(5, vec![entry("x", 47, 4)]))
         .unwrap();
     list.request_lookup(48, &nothing_in_use).unwrap();
     let bytes = list.to_bytes("d1");
-    let again = ScopedList::from_bytes(&bytes, "d1", Arc::new(TensLayout), 2).unwrap();
+    let restored = ScopedList::from_bytes(&bytes, "d1", Arc::new(TenPerBucketLayout), 2).unwrap();
     assert_eq!(
-        (names(&again), again.watch_query("d1")),
+        (names(&restored), restored.watch_query("d1")),
         (names(&list), list.watch_query("d1"))
     );
-    assert_eq!(again.to_bytes("d1"), bytes);
-    let other = ScopedList::from_bytes(&bytes, "d2", Arc::new(TensLayout), 2);
+    assert_eq!(restored.to_bytes("d1"), bytes);
+    let other = ScopedList::from_bytes(&bytes, "d2", Arc::new(TenPerBucketLayout), 2);
     assert!(matches!(other, Err(StateFileError::DispatcherMismatch(_))));
 }
 
 #[test]
-fn a_saved_list_that_is_truncated_or_damaged_anywhere_is_rejected() {
-    let bytes = started().to_bytes("d1");
-    let read = |bytes: &[u8]| ScopedList::from_bytes(bytes, "d1", Arc::new(TensLayout), 2);
+fn a_saved_list_that_is_truncated_or_corrupted_anywhere_is_rejected() {
+    let bytes = list_with_bucket_1().to_bytes("d1");
+    let read = |bytes: &[u8]| ScopedList::from_bytes(bytes, "d1", Arc::new(TenPerBucketLayout), 2);
     for end in 0..bytes.len() {
         assert!(read(&bytes[..end]).is_err(), "truncated after {end} bytes");
     }
-    for place in 0..bytes.len() * 8 {
+    for bit in 0..bytes.len() * 8 {
         let mut flipped = bytes.clone();
-        flipped[place / 8] ^= 1 << (place % 8);
-        assert!(read(&flipped).is_err(), "bit {place} flipped");
+        flipped[bit / 8] ^= 1 << (bit % 8);
+        assert!(read(&flipped).is_err(), "bit {bit} flipped");
     }
 }
 
-/// Changes in any order, repeated at will, end in the newest of each endpoint.
+/// Entries may be received in any order and repeatedly; the list keeps the newest version of each endpoint.
 #[test]
-fn entries_received_repeatedly_or_late_leave_the_newest_of_each_endpoint() {
+fn repeated_and_reordered_entries_leave_the_newest_version_of_each_endpoint() {
     fn property(received: Vec<(u8, u8, bool)>) -> bool {
-        let mut list = started();
+        let mut list = list_with_bucket_1();
         let mut newest = BTreeMap::new();
         for (name, version, up) in received {
-            // Endpoints `0` to `7` of bucket 1; a version determines the entry.
+            // Endpoints `0` to `7` of bucket 1. The first entry with a version determines its state.
             let (name, version) = (name % 8, u64::from(version) + 6);
             let up = up && !version.is_multiple_of(3);
             let up = *newest.entry((name, version)).or_insert(up);
@@ -468,7 +479,7 @@
             };
             list.apply(line(1_000, vec![changed])).unwrap();
         }
-        // The map is in the order of versions, so the last one of each name stays.
+        // The map is sorted by version within a name, so the state of the highest version remains.
         let last: BTreeMap<u8, bool> = newest.iter().map(|((name, _), up)| (*name, *up)).collect();
         let expected: Vec<String> = last
             .into_iter()
--- a/crates/discovery-client/tests/discovery/scoped_watch.rs
+++ b/crates/discovery-client/tests/discovery/scoped_watch.rs
@@ -1,6 +1,9 @@
-//! The calls of a scoped watch: events in, commands out.
+//! Tests of the calls of a scoped watch: events in, commands out.
 
-use crate::driver::{HEAD, SECOND, begin, chunk, connects, plain, receives, scoped, timer};
+use crate::fixtures::{
+    RESPONSE_HEAD, SECOND, chunk, find_connect, find_timer, plain_watch, receive, scoped_watch,
+    start,
+};
 use bellsill_discovery_client::watch::{MAX_SCOPED_LINE_BYTES, SCOPED_SILENCE_TIMEOUT};
 use bellsill_discovery_client::{Command, Timer};
 use std::collections::BTreeSet;
@@ -8,9 +11,9 @@
 
 #[test]
 fn an_answer_other_than_200_fails_the_call() {
-    let mut watch = scoped(1);
-    let (call, ..) = begin(&mut watch);
-    let received = receives(
+    let mut watch = scoped_watch(1);
+    let (call, ..) = start(&mut watch);
+    let received = receive(
         &mut watch,
         SECOND,
         call,
@@ -21,31 +24,31 @@
 }
 
 #[test]
-fn a_scoped_watch_requests_what_its_list_lacks() {
-    let mut watch = scoped(1);
-    let (call, at, request) = begin(&mut watch);
+fn a_silent_scoped_watch_continues_from_its_list_at_another_server() {
+    let mut watch = scoped_watch(1);
+    let (call, at, request) = start(&mut watch);
     assert_eq!(
         request,
         format!("GET /api/targets?follow=1&since=0&dispatcher=d1 HTTP/1.1\r\nHost: {at}\r\n\r\n")
     );
     let text =
         r#"{"version":4,"full":false,"log":"c0ffee","gained":[1],"filled":[1],"servers":[]}"#;
-    let received = receives(
+    let received = receive(
         &mut watch,
         SECOND,
         call,
-        &format!("{HEAD}{}", chunk(&format!("{text}\n\n"))),
+        &format!("{RESPONSE_HEAD}{}", chunk(&format!("{text}\n\n"))),
     );
     assert_eq!(
-        timer(&received.commands, Timer::Call(call)),
+        find_timer(&received.commands, Timer::Call(call)),
         Some(SECOND + SCOPED_SILENCE_TIMEOUT)
     );
     assert_eq!(received.documents, [text.as_bytes()]);
     watch.apply(&received.documents[0]).unwrap();
     let commands = watch.timer_fired(SECOND + SCOPED_SILENCE_TIMEOUT, Timer::Call(call));
-    let retry_at = timer(&commands, Timer::Reconnect).unwrap();
+    let retry_at = find_timer(&commands, Timer::Reconnect).unwrap();
     assert!(retry_at <= SECOND + SCOPED_SILENCE_TIMEOUT + SECOND / 2);
-    let (_, next, request) = connects(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
+    let (_, next, request) = find_connect(&watch.timer_fired(retry_at, Timer::Reconnect)).unwrap();
     assert_ne!(next, at);
     assert!(request.contains("since=4&log=c0ffee&dispatcher=d1&buckets=1 HTTP"));
 }
@@ -53,13 +56,13 @@
 #[test]
 fn each_server_is_tried_once_before_any_is_retried_in_an_order_per_dispatcher() {
     let order = |seed: u64| -> Vec<SocketAddr> {
-        let mut watch = scoped(seed);
-        let mut tried = vec![begin(&mut watch)];
+        let mut watch = scoped_watch(seed);
+        let mut tried = vec![start(&mut watch)];
         let mut now = 0;
         for _ in 1..18 {
             let commands = watch.call_failed(now, tried.last().unwrap().0);
-            now = timer(&commands, Timer::Reconnect).unwrap();
-            tried.push(connects(&watch.timer_fired(now, Timer::Reconnect)).unwrap());
+            now = find_timer(&commands, Timer::Reconnect).unwrap();
+            tried.push(find_connect(&watch.timer_fired(now, Timer::Reconnect)).unwrap());
         }
         tried.into_iter().map(|(_, at, _)| at).collect()
     };
@@ -76,24 +79,29 @@
         "x".repeat(MAX_SCOPED_LINE_BYTES + 1),
         format!("{}\n", "x".repeat(MAX_SCOPED_LINE_BYTES + 1)),
     ] {
-        let mut watch = scoped(1);
-        let (call, ..) = begin(&mut watch);
-        let received = receives(&mut watch, SECOND, call, &format!("{HEAD}{}", chunk(&text)));
+        let mut watch = scoped_watch(1);
+        let (call, ..) = start(&mut watch);
+        let received = receive(
+            &mut watch,
+            SECOND,
+            call,
+            &format!("{RESPONSE_HEAD}{}", chunk(&text)),
+        );
         assert!(received.documents.is_empty() && received.commands.contains(&Command::Close(call)));
         assert_eq!(watch.counters().overlong_lines, 1);
     }
 }
 
 #[test]
-fn the_end_of_a_body_ends_the_watch() {
-    for mut watch in [plain(), scoped(1)] {
-        let (call, ..) = begin(&mut watch);
-        let text = format!("{HEAD}{}0\r\n\r\n", chunk("{\"version\":4}\n"));
-        let received = receives(&mut watch, SECOND, call, &text);
+fn the_end_of_the_response_body_closes_the_call() {
+    for mut watch in [plain_watch(), scoped_watch(1)] {
+        let (call, ..) = start(&mut watch);
+        let text = format!("{RESPONSE_HEAD}{}0\r\n\r\n", chunk("{\"version\":4}\n"));
+        let received = receive(&mut watch, SECOND, call, &text);
         assert_eq!(
             received.documents.len(),
             1,
-            "documents before the end count"
+            "documents before the end are returned"
         );
         assert!(received.commands.contains(&Command::Close(call)));
     }
