--- a/crates/discovery-client/src/error.rs
+++ b/crates/discovery-client/src/error.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// The cache of destinations outside of the buckets is at its limit, and all of them are in use.
+/// The destination cache is at its maximum size, and all cached destinations are in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheFull;
 
