--- a/crates/core/src/control/admission.rs
+++ b/crates/core/src/control/admission.rs
@@ -34,7 +34,7 @@
     pub fn may_start_attempt(&self, now: Nanos, message: MessageId, endpoint: EndpointId) -> bool {
         let repeatable =
             |message: &Message| retries::is_repeatable(&self.settings, message, None, now);
-        self.is_open(now, endpoint) && self.messages.get(&message).is_some_and(repeatable)
+        self.accepts_attempts(now, endpoint) && self.messages.get(&message).is_some_and(repeatable)
     }
 
     /// While the queue is full, the destination with the longest backlog gives up its least
--- a/crates/core/src/control/discovery.rs
+++ b/crates/core/src/control/discovery.rs
@@ -18,7 +18,7 @@
     /// Schedules the next request for a watch, spread over the time that the settings allow. Its
     /// cost: until then a draining endpoint goes unnoticed.
     fn schedule(&mut self, settings: &Settings, now: Nanos, random: &mut Random) {
-        let Some(within) = settings.watch_request_limit else {
+        let Some(within) = settings.max_watch_request_delay else {
             return;
         };
         // After a failed request four times as long is allowed; requests at shorter intervals would
--- a/crates/core/src/control/outcomes.rs
+++ b/crates/core/src/control/outcomes.rs
@@ -70,7 +70,7 @@
         actions: &mut impl Actions,
     ) {
         let (route, outcome) = (attempt.route, end.outcome);
-        if let Some(rate) = end.reported_limit {
+        if let Some(rate) = end.reported_rate_limit {
             self.routes
                 .observe_reported_rate(&self.settings, route, rate);
         }
--- a/crates/core/src/control/pacing.rs
+++ b/crates/core/src/control/pacing.rs
@@ -49,7 +49,7 @@
     /// The time in which the limiter, at its known rate, takes one attempt of each dispatcher.
     pub(super) fn fair_interval(&self, settings: &Settings) -> Option<f64> {
         self.entry
-            .rate
+            .rate_limit
             .map(|rate| f64::from(settings.dispatchers) * 1e9 / rate)
             .filter(|&interval| interval > 0.0)
     }
@@ -58,7 +58,7 @@
     fn contended_interval(&self, settings: &Settings) -> Option<f64> {
         self.fair_interval(settings).filter(|_| {
             self.entry
-                .rate
+                .rate_limit
                 .is_some_and(|rate| is_contended(settings, rate))
         })
     }
@@ -95,7 +95,7 @@
             let sharing = self.sharing_limiter(route);
             sharing
                 .into_iter()
-                .for_each(|sibling| self[sibling].entry.rate = Some(rate));
+                .for_each(|sibling| self[sibling].entry.rate_limit = Some(rate));
         }
     }
 
--- a/crates/core/src/interface/attempts.rs
+++ b/crates/core/src/interface/attempts.rs
@@ -61,5 +61,5 @@
     /// The time since the attempt was sent.
     pub elapsed: Nanos,
     /// The attempts a second that the limiter takes from all dispatchers, as the answer reports.
-    pub reported_limit: Option<f64>,
+    pub reported_rate_limit: Option<f64>,
 }
--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -28,7 +28,7 @@
     pub serving: bool,
     /// The attempts a second that its limiter takes from all dispatchers together, as listed: up to
     /// half too high or too low. `None` where nothing is listed.
-    pub rate: Option<f64>,
+    pub rate_limit: Option<f64>,
     /// Until when a Retry-After binds that the endpoint gave under an entry of other contents.
     pub retry_after_until: Option<Nanos>,
 }
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -97,7 +97,7 @@
     pub key_cooldown: Nanos,
     /// Where endpoint lists come only on request: the time within which a watch has to be
     /// requested.
-    pub watch_request_limit: Option<Nanos>,
+    pub max_watch_request_delay: Option<Nanos>,
     /// The resolution of the caller's clock.
     pub clock_resolution: Nanos,
 }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether an endpoint serves and is not suspended.
-    pub fn is_open(&self, now: Nanos, endpoint: EndpointId) -> bool {
+    pub fn accepts_attempts(&self, now: Nanos, endpoint: EndpointId) -> bool {
         let route = self
             .routes
             .find(endpoint)
--- a/crates/core/src/state/routes.rs
+++ b/crates/core/src/state/routes.rs
@@ -48,8 +48,8 @@
     /// Applies what the list says of the endpoint.
     pub(crate) fn apply(&mut self, entry: &EndpointEntry, disabled: bool, now: Nanos) {
         self.listed = entry.serving;
-        if entry.rate.is_some() {
-            self.entry.rate = entry.rate; // Without a listed rate, one that an answer reported stays.
+        if entry.rate_limit.is_some() {
+            self.entry.rate_limit = entry.rate_limit; // Without a listed rate, one that an answer reported stays.
         }
         let serving = entry.serving && !disabled;
         if std::mem::replace(&mut self.entry.serving, serving) != serving {
--- a/crates/core/tests/decisions/discovery.rs
+++ b/crates/core/tests/decisions/discovery.rs
@@ -43,7 +43,7 @@
     for seed in 0..40 {
         let mut sim = Simulation::new(Settings {
             seed,
-            watch_request_limit: Some(within),
+            max_watch_request_delay: Some(within),
             dispatchers: 300,
             ..settings()
         });
--- a/crates/core/tests/decisions/fleet.rs
+++ b/crates/core/tests/decisions/fleet.rs
@@ -105,7 +105,7 @@
     sim.env
         .entries
         .iter_mut()
-        .for_each(|entry| entry.rate = rate);
+        .for_each(|entry| entry.rate_limit = rate);
     sim.publish_endpoints(EndpointUpdate::Snapshot);
 }
 
@@ -331,12 +331,12 @@
 /// dispatcher returned by the size of the fleet alone.
 #[test]
 fn a_reported_limit_replaces_a_listed_rate() {
-    let interval = |reported_limit| {
+    let interval = |reported_rate_limit| {
         let mut sim = Simulation::with_single_endpoint(Settings {
             dispatchers: 100,
             ..settings()
         });
-        sim.env.reported_limit = reported_limit;
+        sim.env.reported_rate_limit = reported_rate_limit;
         sim.submit(0, 2);
         sim.advance(SEC);
         sim.env.behaviors[8] = Behavior::RateLimitsLate;
--- a/crates/core/tests/decisions/routing.rs
+++ b/crates/core/tests/decisions/routing.rs
@@ -95,7 +95,7 @@
 #[test]
 fn an_endpoint_is_not_open_while_it_drains_or_is_suspended() {
     let mut sim = Simulation::new(settings());
-    assert!((0..12).all(|e| sim.dispatcher.is_open(sim.env.now, EndpointId(e))));
+    assert!((0..12).all(|e| sim.dispatcher.accepts_attempts(sim.env.now, EndpointId(e))));
     sim.set_serving(0, false, EndpointUpdate::Delta);
     sim.env.behaviors[8] = Behavior::RateLimits(Some(3 * SEC));
     for _ in 0..4 {
@@ -104,7 +104,7 @@
     sim.advance(SEC);
     let open = |sim: &Simulation| {
         (0..13)
-            .filter(|e| sim.dispatcher.is_open(sim.env.now, EndpointId(*e)))
+            .filter(|e| sim.dispatcher.accepts_attempts(sim.env.now, EndpointId(*e)))
             .collect::<Vec<_>>()
     };
     assert_eq!(open(&sim), [1, 2, 3, 4, 5, 6, 7, 9, 10, 11]);
--- a/crates/core/tests/decisions/simulation/environment.rs
+++ b/crates/core/tests/decisions/simulation/environment.rs
@@ -110,7 +110,7 @@
     /// When a watch was requested.
     pub(crate) watch_requests: Vec<Nanos>,
     /// The limit that each answer reports.
-    pub(crate) reported_limit: Option<f64>,
+    pub(crate) reported_rate_limit: Option<f64>,
     pub(super) messages: BTreeMap<MessageId, MessageRecord>,
     pub(super) key_order: BTreeMap<KeyId, Vec<MessageId>>,
     /// Until when a key cools down, and after an attempt of which message.
@@ -137,7 +137,7 @@
             closed_idle: vec![],
             removed: vec![],
             watch_requests: vec![],
-            reported_limit: None,
+            reported_rate_limit: None,
             messages: BTreeMap::new(),
             key_order: BTreeMap::new(),
             key_cooldowns: BTreeMap::new(),
--- a/crates/core/tests/decisions/simulation/mod.rs
+++ b/crates/core/tests/decisions/simulation/mod.rs
@@ -43,7 +43,7 @@
             zone: ZoneId((number % 2) as usize),
             kind: KindId(usize::from(number >= 8)),
             serving: true,
-            rate: None,
+            rate_limit: None,
             name_hash: number.wrapping_mul(0x9e37_79b9),
             retry_after_until: None,
         };
@@ -255,7 +255,7 @@
             outcome,
             message_ended: ended_before || outcome == Outcome::Delivered,
             elapsed: now - sent_at,
-            reported_limit: self.env.reported_limit,
+            reported_rate_limit: self.env.reported_rate_limit,
         };
         self.dispatcher.attempt_ended(now, end, &mut self.env);
     }
--- a/crates/core/tests/decisions/simulation/settings.rs
+++ b/crates/core/tests/decisions/simulation/settings.rs
@@ -47,7 +47,7 @@
         overload_multiple: 2.0,
         overload_window: 2 * SEC,
         key_cooldown: 100 * MS,
-        watch_request_limit: None,
+        max_watch_request_delay: None,
         clock_resolution: 5 * MS,
     }
 }
--- a/crates/daemon/src/delivery/attempts.rs
+++ b/crates/daemon/src/delivery/attempts.rs
@@ -160,7 +160,7 @@
             outcome,
             message_ended,
             elapsed: self.now - attempt.started_at,
-            reported_limit: attempt.reported_limit,
+            reported_rate_limit: attempt.reported_limit,
         });
     }
 
--- a/crates/daemon/src/endpoint/list.rs
+++ b/crates/daemon/src/endpoint/list.rs
@@ -118,7 +118,7 @@
             zone: ZoneId(find(&names.zones, &listed.zone)),
             kind: KindId(find(&names.kinds, &listed.kind)),
             serving: listed.serving,
-            rate: listed.rate,
+            rate_limit: listed.rate,
             retry_after_until: None,
         }))
     }
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -103,7 +103,7 @@
             .get("guarantees.turn-gap-ns")
             .and_then(Value::as_u64)
             .unwrap_or(0),
-        watch_request_limit: read_watch_request_limit(fields)?,
+        max_watch_request_delay: read_watch_request_limit(fields)?,
         clock_resolution: fields.whole_number_from(1, "tick-ns")?,
     })
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -137,7 +137,7 @@
         outcome: parse_outcome(line, note)?,
         message_ended: line.get("over") == Some("1"),
         elapsed: line.optional_number("wait-time-ns")?.unwrap_or(0),
-        reported_limit: parse_reported_limit(line)?,
+        reported_rate_limit: parse_reported_limit(line)?,
     })
 }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -92,7 +92,7 @@
             zone: ZoneId(position(&self.names.zones, &listed.zone)),
             kind: KindId(position(&self.names.kinds, &listed.kind)),
             serving: listed.serving,
-            rate: self.names.rate(listed.weight)?,
+            rate_limit: self.names.rate(listed.weight)?,
             retry_after_until: None,
         })
     }
--- a/crates/testbed/src/capacity/decisions.rs
+++ b/crates/testbed/src/capacity/decisions.rs
@@ -115,7 +115,7 @@
                 outcome,
                 message_ended: over,
                 elapsed: took,
-                reported_limit: None,
+                reported_rate_limit: None,
             };
             self.dispatcher
                 .attempt_ended(self.now, end, &mut self.actions);
--- a/crates/testbed/src/capacity/wasted.rs
+++ b/crates/testbed/src/capacity/wasted.rs
@@ -159,7 +159,7 @@
                     outcome,
                     message_ended: relayed,
                     elapsed: took,
-                    reported_limit: None,
+                    reported_rate_limit: None,
                 };
                 self.ask(dispatcher, |d, out| d.attempt_ended(now, end, out));
             }
--- a/crates/testbed/src/hollow/routes.rs
+++ b/crates/testbed/src/hollow/routes.rs
@@ -183,7 +183,7 @@
         zone: route.zone,
         kind: KindId(0),
         serving: route.serving,
-        rate: None,
+        rate_limit: None,
         ..EndpointEntry::default()
     }
 }
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -170,7 +170,7 @@
             outcome,
             message_ended,
             elapsed: self.now - attempt.started_at,
-            reported_limit: None,
+            reported_rate_limit: None,
         };
         self.ended.push_back((dispatcher, end));
     }
--- a/crates/testbed/src/virtual_time/lifecycle.rs
+++ b/crates/testbed/src/virtual_time/lifecycle.rs
@@ -117,7 +117,7 @@
             zone: ZoneId(plan.zone),
             kind: KindId(plan.kind),
             serving,
-            rate: None,
+            rate_limit: None,
             retry_after_until: None,
         }
     }
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -378,7 +378,7 @@
             overload_multiple: r.tip_multiple,
             overload_window: ms(r.tip_window_ms),
             key_cooldown: ms(r.key_rest_ms),
-            watch_request_limit: None,
+            max_watch_request_delay: None,
             clock_resolution: 5 * MS,
         }
     }
--- a/crates/testbed/tests/subset.rs
+++ b/crates/testbed/tests/subset.rs
@@ -85,7 +85,7 @@
             outcome,
             message_ended: outcome == Outcome::Delivered,
             elapsed: 50 * MS,
-            reported_limit: None,
+            reported_rate_limit: None,
         };
         self.dispatcher.attempt_ended(self.now, end, &mut self.out);
     }
