--- a/crates/core/src/control/admission.rs
+++ b/crates/core/src/control/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which messages are admitted, and which are given up when the queue is full.
+//! Admission control, and load shedding when the queue is full.
 
 use super::retries;
 use crate::interface::{Actions, ClassId, DestinationId, EndpointId, MessageId, Nanos, Settings};
@@ -6,14 +6,15 @@
 use crate::state::messages::Message;
 use crate::state::queues::{QueueEntry, WaitingQueues};
 
-/// What one destination's messages of the most important class may take of the queue, as a multiple
-/// of the free capacity (the dynamic threshold of a shared buffer).
+/// The queue space that one destination's backlog may occupy, as a multiple of the free capacity,
+/// for messages of the class with the highest priority weight (the dynamic threshold algorithm for
+/// shared buffers).
 const ADMISSION_SHARE: f64 = 4.0;
 
 impl Dispatcher {
-    /// Whether a caller that controls admission may accept one more message. A destination may take
-    /// a part of the free capacity, by priority weight, so that one that hangs leaves capacity for
-    /// the others.
+    /// Whether a caller that does its own admission control may accept one more message. Each
+    /// destination is limited to a share of the free capacity, scaled by priority weight, so that a
+    /// hanging destination leaves capacity for the others.
     pub fn admits(&self, class: ClassId, destination: DestinationId) -> bool {
         let free = self
             .settings
@@ -29,19 +30,21 @@
         (self.waiting.backlog(destination) as f64) < free * share
     }
 
-    /// Whether an attempt whose connection came up now may still be written: since it was decided
-    /// its route may have been drained or suspended, or its deduplication window may have ended.
+    /// Whether an attempt may still be written now that its connection is established. Since the
+    /// decision, its route may have started draining or been suspended, or its deduplication window
+    /// may have ended.
     pub fn may_start_attempt(&self, now: Nanos, message: MessageId, endpoint: EndpointId) -> bool {
         let repeatable =
             |message: &Message| retries::is_repeatable(&self.settings, message, None, now);
         self.accepts_attempts(now, endpoint) && self.messages.get(&message).is_some_and(repeatable)
     }
 
-    /// While the queue is full, the destination with the longest backlog gives up its least
-    /// valuable message.
+    /// While the queue is full, gives up the least valuable message of the destination with the
+    /// longest backlog.
     pub(super) fn shed_excess_messages(&mut self, actions: &mut impl Actions) {
-        let pending = |all: &Self| {
-            all.messages
+        let pending = |dispatcher: &Self| {
+            dispatcher
+                .messages
                 .values()
                 .filter(|message| !message.state.ended())
                 .count()
@@ -57,10 +60,11 @@
 
 fn least_valuable(settings: &Settings, now: Nanos, waiting: &WaitingQueues) -> Option<MessageId> {
     let destinations = waiting.iter().map(|(group, _)| group.destination);
-    let longest = destinations.max_by_key(|&destination| waiting.backlog(destination))?;
+    let longest_backlog = destinations.max_by_key(|&destination| waiting.backlog(destination))?;
     let value = |class, entry: &QueueEntry| (settings.value_at(class, entry.deadline, now), *entry);
-    let queues = waiting.of(longest);
-    let all = queues.flat_map(|(group, queue)| queue.iter().map(|entry| value(group.class, entry)));
-    let least = all.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    least.map(|(_, entry)| entry.id)
+    let queues = waiting.of(longest_backlog);
+    let candidates =
+        queues.flat_map(|(group, queue)| queue.iter().map(|entry| value(group.class, entry)));
+    let lowest = candidates.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    lowest.map(|(_, entry)| entry.id)
 }
--- a/crates/core/src/control/discovery.rs
+++ b/crates/core/src/control/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: which endpoints there are, when to request a watch on their list, which are disabled.
+//! Endpoint discovery: updates of the endpoint list, the timing of watch requests, and endpoints
+//! that an operator disabled.
 
 use super::suspension::FIRST_BACKOFF;
 use crate::interface::{
@@ -11,28 +12,28 @@
 use crate::state::watch_request::WatchRequest;
 use crate::units::MS;
 
-/// How long the state of an unlisted endpoint is kept, in case it returns.
+/// How long the state of an endpoint is kept after it left the list, in case it is listed again.
 const UNLISTED_RETENTION: Nanos = 60_000 * MS;
 
 impl WatchRequest {
-    /// Schedules the next request for a watch, spread over the time that the settings allow. Its
-    /// cost: until then a draining endpoint goes unnoticed.
+    /// Schedules the next watch request at a random time within the delay that the settings allow.
+    /// Trade-off: a draining endpoint goes unnoticed until then.
     fn schedule(&mut self, settings: &Settings, now: Nanos, random: &mut Random) {
-        let Some(within) = settings.max_watch_request_delay else {
+        let Some(max_delay) = settings.max_watch_request_delay else {
             return;
         };
-        // After a failed request four times as long is allowed; requests at shorter intervals would
-        // only queue up.
+        // The settings allow four times the delay after a failed request. Retrying at shorter
+        // intervals would only make requests queue up.
         let spread = self.spread;
-        let (least, most) = (spread / 2, (spread * 3 / 2).max(within / 4 * 3));
-        self.at = Some(now + random.range(least..most.max(least + 1)));
-        self.spread = (spread * 2).clamp(within, 2 * within);
+        let (earliest, latest) = (spread / 2, (spread * 3 / 2).max(max_delay / 4 * 3));
+        self.at = Some(now + random.range(earliest..latest.max(earliest + 1)));
+        self.spread = (spread * 2).clamp(max_delay, 2 * max_delay);
     }
 }
 
 impl Routes {
-    /// A route whose number may be reused, so that memory does not grow with the endpoints that
-    /// ever were.
+    /// Finds a route whose number can be reused, so that memory use does not grow with the number
+    /// of endpoints ever listed.
     fn reusable_route(
         &self,
         now: Nanos,
@@ -53,8 +54,9 @@
         self.of(destination).iter().copied().find(reusable)
     }
 
-    /// A suspension of its limiter binds a new route too. Listed in an outage it returns with the
-    /// same slow start as the others, because all backlogs meet there.
+    /// Applies a suspension of the limiter to a new route as well. A route that is listed during an
+    /// outage recovers with the same slow start as its siblings, because all dispatchers send their
+    /// backlogs to it.
     fn inherit_limiter_state(&mut self, number: usize) {
         let siblings = self.sharing_limiter(number);
         let suspended_until = siblings
@@ -73,26 +75,26 @@
             .schedule(&self.settings, self.now, &mut self.random);
     }
 
-    /// The watch on the list was lost, or a request for one failed.
+    /// Handles the loss of the watch on the endpoint list, or a failed watch request.
     pub fn watch_lost(&mut self, now: Nanos, actions: &mut impl Actions) {
         self.now = now;
         self.schedule_watch_request();
         self.decide(actions);
     }
 
-    /// Discovery sent entries of the list.
+    /// Applies an update of the endpoint list from discovery.
     pub fn update_endpoints(
         &mut self,
         now: Nanos,
-        scope: EndpointUpdate,
+        update: EndpointUpdate,
         entries: &[EndpointEntry],
         actions: &mut impl Actions,
     ) {
         self.now = now;
         if self.watch_request.at.is_none() {
-            self.watch_request.spread = 0; // The watch is active, so the next failure is a first one.
+            self.watch_request.spread = 0; // The watch is active: the next failure starts over.
         }
-        if scope == EndpointUpdate::Snapshot {
+        if update == EndpointUpdate::Snapshot {
             self.routes.mark_all_unlisted(now);
         }
         entries
@@ -111,7 +113,7 @@
         self.routes[route].apply(entry, disabled, self.now);
     }
 
-    /// An operator disables an endpoint, or enables it again.
+    /// Disables an endpoint on an operator's request, or enables it again.
     pub fn set_disabled(
         &mut self,
         now: Nanos,
@@ -130,8 +132,8 @@
         self.now = now;
         if let Some(route) = self.routes.find(endpoint) {
             self.routes[route].set_disabled(disabled, now);
-            // An endpoint is usually restarted while it is disabled, so it returns with a slow
-            // start.
+            // Endpoints are usually restarted while they are disabled, so an endpoint that is
+            // enabled again gets a slow start.
             self.routes[route].ejected |= !disabled;
             actions.close_idle_connections(endpoint);
         }
@@ -170,8 +172,8 @@
         self.routes.inherit_limiter_state(number);
         let route = &mut self.routes[number];
         route.jitter = self.random.range(0.5..1.5);
-        let bound_until = entry.retry_after_until.unwrap_or(0);
-        route.suspended_until = route.suspended_until.max(bound_until);
+        let retry_after_until = entry.retry_after_until.unwrap_or(0);
+        route.suspended_until = route.suspended_until.max(retry_after_until);
         number
     }
 }
--- a/crates/core/src/control/idle_connections.rs
+++ b/crates/core/src/control/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Whether idle connections are kept. They fill connection tables, and what is sent on one that was
-//! dropped unnoticed is lost; new connections cost handshakes.
+//! Whether to keep idle connections. They occupy connection table entries, and an attempt on a
+//! connection that was silently dropped is lost; new connections cost a handshake each.
 
 use crate::interface::{Actions, Nanos};
 use crate::state::Dispatcher;
@@ -7,65 +7,71 @@
 use crate::state::idle_connections::IdleConnections;
 use crate::units::MS;
 
-/// For how long no idle connections to a kind of destinations are kept.
-const AVOID_SPAN: Nanos = 60_000 * MS;
-/// The share of dropped connections at which that begins.
+/// How long no idle connections are kept to destinations of a kind after drops were detected.
+const AVOIDANCE_PERIOD: Nanos = 60_000 * MS;
+/// The share of dropped connections above which idle connections are avoided.
 const DROP_THRESHOLD: f64 = 0.15;
-/// The least weight of one attempt in the share.
+/// The minimum weight of one attempt in the share of dropped connections.
 const DROP_WEIGHT: f64 = 0.05;
-/// After a pause of this length one drop is enough.
-const LONG_IDLE: Nanos = 2_000 * MS;
+/// After a connection has been idle this long, a single drop is enough to avoid idle connections.
+const LONG_IDLE_TIME: Nanos = 2_000 * MS;
 
-/// What an attempt shows of idle connections.
+/// What an attempt reveals about idle connections.
 pub(super) struct ConnectionObservation {
-    /// The connection broke.
+    /// The connection was reset.
     pub(super) reset: bool,
-    /// The attempt met a dropped idle connection or a full connection table.
+    /// The attempt used a dropped idle connection, or the endpoint's connection table was full.
     pub(super) dropped: bool,
 }
 
 impl IdleConnections {
-    fn are_avoided(&self, now: Nanos) -> bool {
+    fn is_avoidance_active(&self, now: Nanos) -> bool {
         now < self.avoided_until
     }
 
-    /// Counts an attempt. Returns whether idle connections are avoided from now on and were not
-    /// before.
-    fn observe(&mut self, now: Nanos, attempt: &Attempt, seen: &ConnectionObservation) -> bool {
-        self.count(seen.dropped, DROP_WEIGHT);
-        if attempt.fresh_connection && seen.reset {
-            // New connections break as well, so idle ones are not the reason.
+    /// Counts an attempt. Returns true if it starts a period in which idle connections are avoided.
+    fn observe(
+        &mut self,
+        now: Nanos,
+        attempt: &Attempt,
+        observation: &ConnectionObservation,
+    ) -> bool {
+        self.count(observation.dropped, DROP_WEIGHT);
+        if attempt.fresh_connection && observation.reset {
+            // New connections are reset as well, so idleness is not the cause.
             *self = IdleConnections {
                 drop_share: 0.0,
                 samples: 1.0 / DROP_WEIGHT,
                 avoided_until: now,
             };
         }
-        let many = self.drop_share > DROP_THRESHOLD || attempt.idle_for > LONG_IDLE;
-        seen.dropped && many && std::mem::replace(&mut self.avoided_until, now + AVOID_SPAN) <= now
+        let drops_likely = self.drop_share > DROP_THRESHOLD || attempt.idle_for > LONG_IDLE_TIME;
+        observation.dropped
+            && drops_likely
+            && std::mem::replace(&mut self.avoided_until, now + AVOIDANCE_PERIOD) <= now
     }
 }
 
 impl Dispatcher {
-    /// Whether no idle connections are kept to the endpoint of a route.
+    /// Whether idle connections to the endpoint of a route are currently avoided.
     pub(super) fn avoids_idle_connections(&self, route: usize) -> bool {
         let kind = self.idle_connections.get(&self.routes[route].entry.kind.0);
-        kind.is_some_and(|kind| kind.are_avoided(self.now))
+        kind.is_some_and(|kind| kind.is_avoidance_active(self.now))
     }
 
-    /// Counts an attempt for the kind of its destination, and closes the idle connections where
-    /// they are to be avoided.
+    /// Counts an attempt for the kind of its destination, and closes that kind's idle connections
+    /// if they are to be avoided from now on.
     pub(super) fn observe_idle_connections(
         &mut self,
         attempt: &Attempt,
-        seen: &ConnectionObservation,
+        observation: &ConnectionObservation,
         actions: &mut impl Actions,
     ) {
         let kind = self.routes[attempt.route].entry.kind.0;
         let idle = self.idle_connections.entry(kind).or_default();
-        if idle.observe(self.now, attempt, seen) {
+        if idle.observe(self.now, attempt, observation) {
             actions.log(&format!(
-                "kind {kind}: idle connections are no longer kept, {:.2} of attempts met a dropped one",
+                "kind {kind}: stopped keeping idle connections; share of dropped connections {:.2}",
                 idle.drop_share
             ));
             let routes = self
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! All decisions of a dispatcher: which message goes next, by which route, and when one is given
-//! up. Every event comes with the clock and an [`Actions`] that acts at once. `docs/design.md`
-//! gives the reasons.
+//! The decision logic of a dispatcher: which message to send next, over which route, and when to
+//! give up on one. Every event handler takes the current time and an [`Actions`] that carries out
+//! each decision immediately. The rationale is in `docs/design.md`.
 //!
-//! Rules that work on one part of the state are methods of that part, so that their signatures show
-//! what they touch; the methods of [`Dispatcher`] combine the parts.
+//! Rules that use a single part of the state are methods of that part, so that their signatures
+//! show what they read and change; the methods of [`Dispatcher`] combine the parts.
 
 mod admission;
 mod discovery;
@@ -25,14 +25,14 @@
 use crate::state::messages::MessageState;
 
 impl Dispatcher {
-    /// Starts an instance.
+    /// Creates a dispatcher instance and schedules its first watch request.
     pub fn new(now: Nanos, settings: Settings) -> Self {
         let mut dispatcher = Self::with_latency(now, settings, timeouts::INITIAL_LATENCY_NANOS);
         dispatcher.schedule_watch_request();
         dispatcher
     }
 
-    /// Messages were accepted from clients, or found in the journal.
+    /// Handles messages that were accepted from clients or recovered from the journal.
     pub fn accept(
         &mut self,
         now: Nanos,
@@ -48,11 +48,12 @@
     fn accept_one(&mut self, new: NewMessage, actions: &mut impl Actions) {
         self.add_message(new);
         if !retries::may_retry(&self.settings, self.now, &self.messages[&new.id]) {
-            self.give_up(new.id, actions); // A former process used up its attempts or its time.
+            // An earlier process used up its attempts or its lifetime.
+            self.give_up(new.id, actions);
         }
     }
 
-    /// An attempt has its outcome.
+    /// Handles the outcome of an attempt.
     pub fn attempt_ended(&mut self, now: Nanos, end: AttemptEnd, actions: &mut impl Actions) {
         self.now = now;
         let Some(attempt) = self.in_flight.remove(end.message, end.number) else {
@@ -62,8 +63,8 @@
             return;
         }
         self.record_possible_run(&attempt, end.outcome);
-        // A call is one observation, made with its last answer; a Retry-After binds from the first
-        // answer on.
+        // A call counts as one observation, made when its last answer arrives. A Retry-After
+        // applies as soon as the first answer reports it.
         let call_ended = self
             .in_flight
             .count_calls(|other| other.call == attempt.call)
@@ -71,7 +72,7 @@
         if call_ended || matches!(end.outcome, Outcome::RateLimited { .. }) {
             self.observe(attempt, &end, actions);
         }
-        self.uncount_unstarted(&end);
+        self.revert_unstarted_attempt(&end);
         let message = &self.messages[&end.message];
         self.keys.cool_down(&self.settings, now, message, &end);
         self.continue_message(&end, actions);
@@ -81,17 +82,17 @@
         }
     }
 
-    /// The wakeup that was requested is due.
+    /// Handles the wakeup requested with [`Actions::schedule_wakeup`].
     pub fn wakeup(&mut self, now: Nanos, actions: &mut impl Actions) {
         self.now = now;
-        // A wakeup may come a little early; if it were ignored as outdated, no other one would be
-        // requested.
+        // A wakeup may fire slightly early. If `wakeup_at` were kept as still pending, no further
+        // wakeup would be requested.
         let due_by = now + self.settings.clock_resolution;
         self.wakeup_at = self.wakeup_at.filter(|&at| at > due_by);
         self.decide(actions);
     }
 
-    /// The client no longer wants an answer.
+    /// Handles a client's withdrawal of a message: no final answer is due any more.
     pub fn message_withdrawn(
         &mut self,
         now: Nanos,
@@ -109,7 +110,7 @@
         self.decide(actions);
     }
 
-    /// Takes every decision that the latest event may have changed.
+    /// Re-evaluates every decision that the latest event may have changed.
     fn decide(&mut self, actions: &mut impl Actions) {
         if self.watch_request.at.is_some_and(|at| self.now >= at) {
             self.watch_request.at = None;
--- a/crates/core/src/control/outcomes.rs
+++ b/crates/core/src/control/outcomes.rs
@@ -1,34 +1,34 @@
-//! What the outcome of an attempt shows of its route.
+//! Updates the state of a route from the outcomes of its attempts.
 
 use super::idle_connections::ConnectionObservation;
-use super::suspension::DOWN_AFTER;
+use super::suspension::REFUSALS_UNTIL_DOWN;
 use crate::interface::{Actions, AttemptEnd, Nanos, Outcome, Settings};
 use crate::state::Dispatcher;
 use crate::state::attempts::Attempt;
 use crate::state::routes::Route;
 
-/// The weight of one outcome in a route's failure share.
+/// The weight of one outcome in a route's moving failure share.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// The failure share above which a route is suspect.
+/// The failure share above which a route becomes suspect.
 const FAILURE_THRESHOLD: f64 = 0.4;
-/// For how long nothing is sent after the caller had no capacity, contrary to the count here: in
-/// steps of the caller's clock.
-const NO_CAPACITY_CLOCK_STEPS: u64 = 10;
+/// How long sending pauses after the caller reported that it has no capacity although the in-flight
+/// count allowed one more call, in steps of the caller's clock.
+const NO_CAPACITY_PAUSE_CLOCK_STEPS: u64 = 10;
 
 impl Route {
-    /// Counts a failure in the failure share.
+    /// Adds a failure of the given weight to the failure share.
     fn count_failure(&mut self, weight: f64) {
         self.failure_share = self.failure_share * (1.0 - weight) + weight;
     }
 
-    /// A connection was refused at once: the endpoint's connection table is full, or it is down.
-    /// Only this route is suspended, not those that share its limiter.
+    /// Handles a connection that was refused immediately: the endpoint is down or its connection
+    /// table is full. Suspends this route only, not the others that share its limiter.
     fn connection_refused(&mut self, settings: &Settings, now: Nanos) {
         self.suspend(settings, now, None);
         self.refused_connections += 1;
-        // Each dispatcher of a large fleet uses a route seldom, so one refusal fewer is enough.
-        let seldom_used = u32::from(self.fleet_factor(settings) > 1.0);
-        if self.refused_connections + seldom_used >= DOWN_AFTER {
+        // In a large fleet each dispatcher uses a route rarely, so one refusal fewer is enough.
+        let rarely_used = u32::from(self.fleet_factor(settings) > 1.0);
+        if self.refused_connections + rarely_used >= REFUSALS_UNTIL_DOWN {
             self.eject(now);
         }
     }
@@ -40,19 +40,19 @@
         outcome: Outcome,
         actions: &mut impl Actions,
     ) {
-        // Any route's answer may be garbled on the way; a route that garbles all exceeds the
-        // threshold later.
-        let garbled = outcome == Outcome::MalformedResponse;
-        self.count_failure(if garbled {
+        // An answer of any route may be corrupted in transit, so a malformed one has a lower
+        // weight. A route whose answers are all malformed still exceeds the threshold, only later.
+        let malformed = outcome == Outcome::MalformedResponse;
+        self.count_failure(if malformed {
             FAILURE_WEIGHT / 4.0
         } else {
             FAILURE_WEIGHT
         });
         let share = self.failure_share;
-        // Each dispatcher of a large fleet uses a route seldom: one connection that timed out
-        // counts as an outage.
+        // In a large fleet each dispatcher uses a route rarely, so a single connect timeout counts
+        // as an outage.
         let down = outcome == Outcome::ConnectFailed && self.fleet_factor(settings) > 1.0;
-        if (garbled || self.is_warm()) && share <= FAILURE_THRESHOLD && !down {
+        if (malformed || self.is_warm()) && share <= FAILURE_THRESHOLD && !down {
             return;
         }
         self.eject(now);
@@ -62,7 +62,7 @@
 }
 
 impl Dispatcher {
-    /// Draws the conclusions from one observation: the last outcome of a call, or a Retry-After.
+    /// Processes one observation: the last outcome of a call, or a rate-limited attempt.
     pub(super) fn observe(
         &mut self,
         attempt: Attempt,
@@ -78,17 +78,17 @@
             .answer_times
             .silent_after(&self.routes, route, attempt.class);
         let late = end.elapsed > silent_after;
-        self.answer_times.observe_promptness(outcome, late);
+        self.answer_times.observe_lateness(outcome, late);
         self.pause_trials(route, end, late);
-        let at_once =
+        let refused =
             outcome == Outcome::ConnectFailed && end.elapsed < self.settings.connect_timeout / 2;
         let early_reset = self.is_early_reset(&attempt, end);
-        // A connection that is refused again is no sign of a full table.
+        // Repeated refusals indicate that the endpoint is down rather than a full connection table.
         let dropped = !attempt.fresh_connection
-            && ((at_once && self.routes[route].is_healthy()) || early_reset);
+            && ((refused && self.routes[route].is_healthy()) || early_reset);
         let reset = outcome == Outcome::ConnectionReset;
-        let seen = ConnectionObservation { reset, dropped };
-        self.observe_idle_connections(&attempt, &seen, actions);
+        let observation = ConnectionObservation { reset, dropped };
+        self.observe_idle_connections(&attempt, &observation, actions);
         match outcome {
             Outcome::Delivered => self.observe_delivery(attempt, end.elapsed, late, actions),
             Outcome::RateLimited { retry_after } => self.routes.observe_rate_limited(
@@ -97,14 +97,14 @@
                 &attempt,
                 retry_after.filter(|&wait| wait > 0),
             ),
-            Outcome::ConnectFailed if at_once => {
+            Outcome::ConnectFailed if refused => {
                 self.routes[route].connection_refused(&self.settings, self.now)
             }
-            // Perhaps the connection was dropped while idle.
+            // The connection was probably dropped while idle, which is no failure of the route.
             Outcome::ConnectionReset if !attempt.fresh_connection && early_reset => {}
             Outcome::NotSent { no_capacity: true } | Outcome::NotStarted => {
                 self.no_capacity_until =
-                    self.now + NO_CAPACITY_CLOCK_STEPS * self.settings.clock_resolution
+                    self.now + NO_CAPACITY_PAUSE_CLOCK_STEPS * self.settings.clock_resolution
             }
             Outcome::NotSent { no_capacity: false } | Outcome::Cancelled => {}
             outcome => {
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Whether a connection broke sooner than an answer usually comes. A later reset is no dropped
-    /// idle connection.
+    /// Whether a connection was reset well before an answer usually arrives. A later reset is not
+    /// attributed to a dropped idle connection.
     fn is_early_reset(&self, attempt: &Attempt, end: &AttemptEnd) -> bool {
         let destination = self.routes[attempt.route].entry.destination;
         let usual = self
--- a/crates/core/src/control/ranking.rs
+++ b/crates/core/src/control/ranking.rs
@@ -1,28 +1,28 @@
-//! Ranking: which of the waiting messages goes first.
+//! Ranking: which waiting message is sent next, and which messages share a call.
 
 use crate::interface::{MessageId, Nanos, Settings};
 use crate::state::Dispatcher;
 use crate::state::queues::QueueEntry;
 use crate::units::MS;
 
-/// How far ahead the ranking looks at least.
+/// The minimum look-ahead of the ranking.
 const MIN_HORIZON: Nanos = 1_500 * MS;
-/// How much less far ahead it looks than a long backlog takes.
+/// Subtracted from the time needed to send a long backlog to obtain the look-ahead.
 const SHORT_BACKLOG_NANOS: f64 = 2e9;
-/// The weight of the value itself beside what waiting would lose of it.
+/// The weight of a message's value itself, relative to the value lost by waiting.
 const VALUE_WEIGHT: f64 = 0.03;
 
-/// A class of messages, and how long each of them is in flight.
+/// The in-flight time that a message of a class takes up.
 #[derive(Clone, Copy)]
 struct Cost {
     class: usize,
-    /// In nanoseconds.
+    /// The usual answer time, in nanoseconds.
     time_in_flight: f64,
 }
 
 impl Cost {
-    /// What waiting for the horizon would lose of a message's value, for each nanosecond that it is
-    /// in flight.
+    /// The value that a message loses if it is sent one horizon later, per nanosecond that it is in
+    /// flight.
     fn loss_rate(self, settings: &Settings, now: Nanos, deadline: Nanos, horizon: Nanos) -> f64 {
         let at = now + self.time_in_flight as Nanos;
         let (sent_now, sent_later) = (
@@ -34,8 +34,9 @@
 }
 
 impl Dispatcher {
-    /// With a fixed horizon all messages of a long backlog would go just before their deadline. The
-    /// cost of the longer horizon: a burst is late.
+    /// The look-ahead, which grows with the backlog: with a fixed one, all messages of a long
+    /// backlog would be sent just before their deadline. Trade-off: the messages of a burst are
+    /// late.
     fn horizon(&self) -> Nanos {
         let total_time =
             |class: usize, count: usize| self.answer_times.by_class[class] * count as f64;
@@ -49,8 +50,8 @@
         )
     }
 
-    /// The message that loses most by waiting, of those that have an eligible route and are next of
-    /// their key.
+    /// The message that loses most value by waiting, among those that have an eligible route and
+    /// are first in line for their key.
     pub(super) fn next_message(&self) -> Option<MessageId> {
         let horizon = self.horizon();
         let mut best: Option<(f64, QueueEntry)> = None;
@@ -69,7 +70,7 @@
             };
             for &entry in queue.iter().filter(|entry| self.is_key_ready(entry.id)) {
                 let loss = cost.loss_rate(&self.settings, self.now, entry.deadline, horizon);
-                if best.is_none_or(|(most, first)| loss > most || (loss == most && entry < first)) {
+                if best.is_none_or(|(max, first)| loss > max || (loss == max && entry < first)) {
                     best = Some((loss, entry));
                 }
             }
@@ -77,25 +78,26 @@
         best.map(|(_, entry)| entry.id)
     }
 
-    /// Whether the order of its key lets a message be sent now.
+    /// Whether the order of its key allows a message to be sent now.
     pub(super) fn is_key_ready(&self, id: MessageId) -> bool {
         self.key_ready_at(id).is_some_and(|at| at <= self.now)
     }
 
-    /// The messages that share a call with the first, as its kind allows. A half-open trial goes
-    /// alone.
+    /// The messages to send in one call with `first`, itself included, up to the batch size of the
+    /// kind. A half-open trial is sent alone.
     pub(super) fn batch(&self, first: MessageId, route: usize) -> Vec<MessageId> {
-        let most = self
+        let max_batch = self
             .settings
             .max_batch
             .get(self.routes[route].entry.kind.0)
             .copied()
             .unwrap_or(1);
-        if most < 2 || self.routes[route].suspect {
+        if max_batch < 2 || self.routes[route].suspect {
             return vec![first];
         }
         let destination = self.messages[&first].destination;
-        let may_go = |id| self.is_key_ready(id) && self.is_eligible(route, &self.messages[&id]);
+        let is_sendable =
+            |id| self.is_key_ready(id) && self.is_eligible(route, &self.messages[&id]);
         let mut rest: Vec<(f64, QueueEntry)> = vec![];
         for (group, queue) in self.waiting.of(destination) {
             let class = group.class;
@@ -107,13 +109,13 @@
             let loss = |deadline| cost.loss_rate(&self.settings, self.now, deadline, MIN_HORIZON);
             let others = queue
                 .iter()
-                .filter(|entry| entry.id != first && may_go(entry.id));
+                .filter(|entry| entry.id != first && is_sendable(entry.id));
             rest.extend(others.map(|&entry| (loss(entry.deadline), entry)));
         }
         rest.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         std::iter::once(first)
             .chain(rest.into_iter().map(|(_, entry)| entry.id))
-            .take(most)
+            .take(max_batch)
             .collect()
     }
 }
--- a/crates/core/src/control/retries.rs
+++ b/crates/core/src/control/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: whether a message is sent again, when it is given up, and with which final answer.
+//! Retries: whether a message is sent again, when it is given up, and the final answer it gets.
 
 use crate::interface::{
     Actions, AttemptEnd, DeduplicationScope, DeliverySemantics, DestinationId, MessageId, Nanos,
@@ -11,27 +11,27 @@
 use crate::units::MS;
 use std::collections::BTreeSet;
 
-/// How long before the end of its lifetime a message is given up, in steps of the caller's clock.
+/// How long before its deadline a message is given up, in steps of the caller's clock.
 const DEADLINE_MARGIN_CLOCK_STEPS: u64 = 2;
-/// For this long a dispatcher may stall between reading its clock and writing: a repeat that begins
-/// later than this before the end of its window may come after it. Its cost: the last repeats of
-/// short windows.
-const LONGEST_STALL: Nanos = 150 * MS;
+/// The longest assumed stall of the process between reading its clock and writing. A retry that
+/// starts less than this before the end of its deduplication window could arrive after it.
+/// Trade-off: short windows lose their last retries.
+const MAX_PROCESS_STALL: Nanos = 150 * MS;
 
-/// How long before the end of its lifetime a message is given up.
+/// How long before its deadline a message is given up.
 pub(super) fn deadline_margin(settings: &Settings) -> Nanos {
     DEADLINE_MARGIN_CLOCK_STEPS * settings.clock_resolution
 }
 
-/// Whether attempts, lifetime and deduplication window allow one more attempt.
+/// Whether the attempt limit, the lifetime and the deduplication window allow another attempt.
 pub(super) fn may_retry(settings: &Settings, now: Nanos, message: &Message) -> bool {
     message.attempts < settings.max_attempts
         && now + deadline_margin(settings) < message.deadline
         && is_repeatable(settings, message, None, now)
 }
 
-/// Whether the attempts made, and the one in flight since `in_flight_since` if it runs, allow one
-/// more that begins now.
+/// Whether the delivery semantics allow an attempt that starts now, given the attempts that may
+/// have run and the one in flight since `in_flight_since`, if any.
 pub(super) fn is_repeatable(
     settings: &Settings,
     message: &Message,
@@ -45,13 +45,13 @@
     match (first_run_at, settings.classes[message.class].semantics) {
         (None, _) | (_, DeliverySemantics::Idempotent) => true,
         (Some(at), DeliverySemantics::IdempotencyKey { window, .. }) => {
-            now + settings.clock_resolution + LONGEST_STALL < at + window
+            now + settings.clock_resolution + MAX_PROCESS_STALL < at + window
         }
         (Some(_), DeliverySemantics::AtMostOnce) => false,
     }
 }
 
-/// Whether the client may hand in the message again although it may have run.
+/// Whether the client may submit the message again, although it may have run.
 fn may_resubmit(settings: &Settings, message: &Message) -> bool {
     match (
         message.possible_run,
@@ -70,7 +70,7 @@
 }
 
 impl KeyQueues {
-    /// After an attempt that may still be running, the next message of its key waits.
+    /// Delays the next message of a key after an attempt that the endpoint may still be processing.
     pub(super) fn cool_down(
         &mut self,
         settings: &Settings,
@@ -92,22 +92,23 @@
 }
 
 impl Routes {
-    /// The Retry-After for a client: when a route of the destination opens again.
+    /// The Retry-After for a client: the time until a route of the destination is no longer
+    /// suspended, up to the limit that clients respect.
     fn retry_after(&self, settings: &Settings, now: Nanos, destination: DestinationId) -> Nanos {
         let routes = self.of(destination).iter().map(|&route| &self[route]);
         let serving = routes.filter(|route| route.entry.serving);
-        let soonest = serving
+        let earliest = serving
             .map(|route| route.suspended_until)
             .min()
             .unwrap_or(0);
-        soonest
+        earliest
             .saturating_sub(now)
             .min(settings.max_retry_after.unwrap_or(0))
     }
 }
 
 impl Dispatcher {
-    /// Decides what becomes of a message after an attempt.
+    /// Decides how a message continues after an attempt: done, retried or given up.
     pub(super) fn continue_message(&mut self, end: &AttemptEnd, actions: &mut impl Actions) {
         let message = &self.messages[&end.message];
         let done = end.message_ended || end.outcome == Outcome::Delivered;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Gives the final answer: rejects the message where its client may hand it in again, else
+    /// Gives the final answer: rejects the message if its client may submit it again, otherwise
     /// fails it.
     pub(super) fn give_up(&mut self, id: MessageId, actions: &mut impl Actions) {
         let message = &self.messages[&id];
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Gives up the messages that can no longer be delivered.
+    /// Gives up the messages that may not be sent again, those in flight past their deadline, and
+    /// those that block their key.
     pub(super) fn expire_overdue(&mut self, actions: &mut impl Actions) {
         let in_flight = self
             .in_flight
@@ -149,8 +151,8 @@
         });
         let mut overdue: BTreeSet<MessageId> = late.map(|message| message.id).collect();
         for (group, queue) in self.waiting.iter() {
-            // A queue expires in the order of its entries, unless windows or keys distinguish its
-            // messages.
+            // Messages expire in queue order, unless deduplication windows or ordering keys make
+            // them differ.
             let check_all =
                 group.possible_run_zone.is_some() || self.settings.classes[group.class].ordered;
             for entry in queue {
@@ -165,14 +167,14 @@
         overdue.into_iter().for_each(|id| self.give_up(id, actions));
     }
 
-    /// Whether a message that may have run holds up its key while all its routes are suspect. The
-    /// cost: the message may be given up early.
+    /// Whether a message that may have run blocks its key while no usable route is left in its
+    /// zone. Trade-off: the message may be given up early.
     fn blocks_key(&self, message: &Message) -> bool {
         let queued = self
             .keys
             .get(message.key)
             .map_or(0, |queue| queue.messages.len());
-        let patience = self.settings.classes[message.class].latency_objective;
+        let max_wait = self.settings.classes[message.class].latency_objective;
         let Some(run) = message.possible_run.filter(|_| queued > 1) else {
             return false;
         };
@@ -183,6 +185,6 @@
             .of(message.destination)
             .iter()
             .map(|&route| &self.routes[route]);
-        self.now >= run.sent_at + patience && !routes.any(usable)
+        self.now >= run.sent_at + max_wait && !routes.any(usable)
     }
 }
--- a/crates/core/src/control/routing.rs
+++ b/crates/core/src/control/routing.rs
@@ -1,4 +1,5 @@
-//! Routing: by which route a message goes, and how much of the in-flight capacity it may take.
+//! Routing: which route a message is sent over, and how much of the in-flight capacity a
+//! destination may use.
 
 use super::retries;
 use super::subset::restrict_to_subset;
@@ -8,13 +9,13 @@
 use crate::state::messages::{Message, MessageState};
 use crate::state::queues::WaitingQueue;
 
-/// The share of the in-flight capacity that one destination may take.
+/// The share of the in-flight capacity that one destination may use.
 const DESTINATION_CAPACITY_SHARE: f64 = 0.35;
-/// The number of calls that a destination may have in flight whatever its share is.
+/// The number of calls that a destination may have in flight even if its share is smaller.
 const MIN_DESTINATION_CALLS: usize = 2;
 
 impl Dispatcher {
-    /// Sends messages while there is in-flight capacity.
+    /// Sends eligible messages while there is in-flight capacity.
     pub(super) fn send_all(&mut self, actions: &mut impl Actions) {
         while self.has_capacity() && self.now >= self.no_capacity_until {
             let Some(id) = self.next_message() else {
@@ -31,8 +32,8 @@
         }
     }
 
-    /// From when on a message may go by a route if nothing else happens; `None`: not before another
-    /// event.
+    /// The earliest time at which a message may be sent over a route, barring other events. `None`
+    /// if only another event can make the route eligible.
     pub(super) fn eligible_at(&self, number: usize, message: &Message) -> Option<Nanos> {
         let route = &self.routes[number];
         let semantics = self.settings.classes[message.class].semantics;
@@ -65,7 +66,8 @@
             .is_some_and(|at| at <= self.now)
     }
 
-    /// Whether the first message of a queue, and so each of them, has an eligible route.
+    /// Whether the first message of a queue has an eligible route; the others of the queue are
+    /// eligible for the same routes.
     pub(super) fn has_eligible_route(&self, queue: &WaitingQueue) -> bool {
         let Some(message) = queue.first().map(|entry| &self.messages[&entry.id]) else {
             return false;
@@ -83,8 +85,9 @@
                 .any(|&route| self.is_eligible(route, message))
     }
 
-    /// Picks each eligible route once a round, in random order; first the one that was used last
-    /// and has no attempt in flight, because it may have an idle connection.
+    /// Picks a route so that each eligible one is used once per round. Among the routes left in the
+    /// round, prefers the most recently used one without an attempt in flight, because it may have
+    /// an idle connection; breaks ties at random.
     fn pick_route(&mut self, id: MessageId) -> Option<usize> {
         let (message, destination) = (&self.messages[&id], self.messages[&id].destination);
         let routes = self.routes.of(destination).to_vec();
@@ -99,14 +102,15 @@
         } else {
             0
         };
-        let left: Vec<usize> = (picked..routes.len())
+        let remaining: Vec<usize> = (picked..routes.len())
             .filter(|&index| eligible[index])
             .collect();
-        let unused =
+        let without_attempts =
             |index: usize| Some(routes[index]).filter(|&route| !self.in_flight.has_route(route));
-        let last_used = |&index: &usize| unused(index).map(|route| self.routes[route].last_sent_at);
-        let latest = left.iter().map(last_used).max()?;
-        let best: Vec<usize> = left
+        let last_used =
+            |&index: &usize| without_attempts(index).map(|route| self.routes[route].last_sent_at);
+        let latest = remaining.iter().map(last_used).max()?;
+        let best: Vec<usize> = remaining
             .into_iter()
             .filter(|index| last_used(index) == latest)
             .collect();
@@ -119,11 +123,11 @@
 
     fn send(&mut self, id: MessageId, route: usize, actions: &mut impl Actions) {
         let message = &self.messages[&id];
-        let left = message.deadline - self.now - retries::deadline_margin(&self.settings);
+        let remaining = message.deadline - self.now - retries::deadline_margin(&self.settings);
         let timeout = self
             .answer_times
             .timeout(&self.settings, &self.routes, message, route)
-            .min(left);
+            .min(remaining);
         let fresh_connection = self.avoids_idle_connections(route);
         let endpoint = self.routes[route].entry.endpoint;
         if fresh_connection {
@@ -135,7 +139,7 @@
         actions.send_attempt(id, endpoint, timeout);
     }
 
-    /// Cancels one overdue call if a message waits for in-flight capacity. The cost: an
+    /// Cancels one overdue call if a sendable message waits for in-flight capacity. Trade-off: an
     /// at-most-once message may fail early.
     pub(super) fn cancel_overdue_call(&mut self, actions: &mut impl Actions) {
         if self.has_capacity() || self.in_flight.iter().any(|attempt| attempt.cancelled) {
@@ -162,8 +166,8 @@
         }
     }
 
-    /// Whether an attempt is unanswered for longer than is usual, at a route that is suspect or
-    /// answers others.
+    /// Whether an attempt has been unanswered for unusually long while its route is suspect or has
+    /// answered other attempts since. Attempts that cannot be repeated get twice the time.
     fn is_overdue(&self, attempt: &Attempt) -> bool {
         let message = &self.messages[&attempt.message];
         let repeatable =
@@ -171,9 +175,9 @@
         let silent_after =
             self.answer_times
                 .silent_after(&self.routes, attempt.route, attempt.class);
-        let patience = silent_after * if repeatable { 1 } else { 2 };
+        let max_wait = silent_after * if repeatable { 1 } else { 2 };
         let route = &self.routes[attempt.route];
-        let expected = !route.suspect && route.answered_at <= attempt.sent_at;
-        !expected && self.now >= attempt.sent_at + patience
+        let answer_expected = !route.suspect && route.answered_at <= attempt.sent_at;
+        !answer_expected && self.now >= attempt.sent_at + max_wait
     }
 }
--- a/crates/core/src/control/timeouts.rs
+++ b/crates/core/src/control/timeouts.rs
@@ -1,4 +1,4 @@
-//! Timeouts: the usual answer times, and how long the answer to an attempt is awaited.
+//! Timeouts: the usual answer times, and how long an attempt waits for its answer.
 
 use crate::interface::{DeliverySemantics, Nanos, Settings};
 use crate::state::answer_times::AnswerTimes;
@@ -8,19 +8,20 @@
 
 /// The timeout, as a multiple of the usual answer time.
 const TIMEOUT_MULTIPLE: f64 = 8.0;
-/// The bounds of the timeout.
+/// The lower bound of the timeout.
 const MIN_TIMEOUT: Nanos = 2_000 * MS;
+/// The upper bound of the timeout.
 const MAX_TIMEOUT: Nanos = 8_000 * MS;
-/// The timeout of a half-open trial: enough for an answer of a very slow route, and for a repeat of
-/// a deduplicated message within its window.
+/// The timeout of a half-open trial. It covers the answer of a very slow route and leaves time to
+/// repeat a deduplicated message within its window.
 const TRIAL_TIMEOUT: Nanos = 5_000 * MS;
-/// The least weight of one answer in the usual answer times.
+/// The minimum weight of one answer in the usual answer times.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// The usual answer time before any answer has come.
+/// The assumed usual answer time before the first answer.
 pub(super) const INITIAL_LATENCY_NANOS: f64 = 300e6;
 
 impl AnswerTimes {
-    /// Counts an answer that was not late.
+    /// Updates the usual answer times with an answer that was not late.
     pub(super) fn observe_answer(
         &mut self,
         routes: &mut Routes,
@@ -41,7 +42,7 @@
         known.extra_latency += weight * (observed - factor);
     }
 
-    /// How long the answer to an attempt of this message by this route is awaited.
+    /// The timeout of an attempt to send a message over a route.
     pub(super) fn timeout(
         &self,
         settings: &Settings,
@@ -51,8 +52,8 @@
     ) -> Nanos {
         let semantics = settings.classes[message.class].semantics;
         let timeout = match semantics {
-            // An at-most-once message fails with its timeout; still a route that hangs must release
-            // its capacity.
+            // An at-most-once message fails when it times out, so it gets the longest timeout. It
+            // still needs one, so that a hanging route releases its capacity.
             DeliverySemantics::AtMostOnce => MAX_TIMEOUT,
             _ if routes[route].suspect => TRIAL_TIMEOUT,
             _ => self.usual_timeout(routes, message),
@@ -60,11 +61,11 @@
         let DeliverySemantics::IdempotencyKey { window, .. } = semantics else {
             return timeout;
         };
-        let allows_repeat = window / 3 * 2;
+        let repeatable_timeout = window / 3 * 2;
         if timeout < window {
             timeout
-        } else if allows_repeat >= self.silent_after(routes, route, message.class) {
-            allows_repeat
+        } else if repeatable_timeout >= self.silent_after(routes, route, message.class) {
+            repeatable_timeout
         } else {
             MAX_TIMEOUT
         }
--- a/crates/core/src/interface/attempts.rs
+++ b/crates/core/src/interface/attempts.rs
@@ -1,41 +1,41 @@
-//! How attempts end.
+//! The outcomes of attempts.
 
 use super::ids::{AttemptNumber, MessageId, Nanos};
 
-/// The outcome of an attempt.
+/// The outcome of an attempt. Where it says that the message may have run, the endpoint may have
+/// processed the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The message was delivered.
     Delivered,
-    /// The destination answered with an error; the message may have run.
+    /// The endpoint answered with an error; the message may have run.
     ServerError,
     /// A limiter rejected the attempt.
     RateLimited {
-        /// How long the limiter asks to wait, if it says so.
+        /// The wait that the limiter asks for, if any.
         retry_after: Option<Nanos>,
     },
-    /// No answer came in time; the message may have run.
+    /// No answer arrived before the timeout; the message may have run.
     TimedOut,
-    /// No connection came up.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke; the message may have run.
+    /// The connection broke before the answer arrived; the message may have run.
     ConnectionReset,
-    /// An answer came that cannot be parsed; the message may have run.
+    /// The answer could not be parsed; the message may have run.
     MalformedResponse,
     /// The attempt was cancelled on request; the message may have run.
     Cancelled,
     /// The attempt was not sent.
     NotSent {
-        /// The reason is that the caller had no capacity for one more call.
+        /// Whether the reason is that the caller had no capacity for one more call.
         no_capacity: bool,
     },
-    /// The caller could not start the attempt for want of a resource of its own; it does not count
-    /// as one.
+    /// The caller lacked a local resource to start the attempt; it is not counted as an attempt.
     NotStarted,
 }
 
 impl Outcome {
-    /// Whether the message may have run in spite of the outcome.
+    /// Whether the endpoint may have processed the message.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self,
@@ -47,19 +47,20 @@
     }
 }
 
-/// The end of an attempt.
+/// A finished attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The message that was sent.
+    /// The message that the attempt sent.
     pub message: MessageId,
-    /// Which of its attempts has ended.
+    /// The number of the attempt among those of the message.
     pub number: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// This outcome ends the message, or the message had ended before.
+    /// Whether the message has ended, by this outcome or earlier.
     pub message_ended: bool,
     /// The time since the attempt was sent.
     pub elapsed: Nanos,
-    /// The attempts a second that the limiter takes from all dispatchers, as the answer reports.
+    /// The rate limit reported in the answer, if any: attempts per second that the limiter accepts
+    /// from all dispatchers together.
     pub reported_rate_limit: Option<f64>,
 }
--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -1,34 +1,34 @@
-//! Endpoints as discovery lists them.
+//! Endpoints as listed by discovery.
 
 use super::ids::{DestinationId, EndpointId, KindId, Nanos, ZoneId};
 
-/// What an update of the endpoint list holds.
+/// The contents of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The entries that changed.
+    /// Only the entries that changed.
     Delta,
-    /// All entries; an endpoint that is not among them is gone.
+    /// All entries; endpoints that are missing have been removed.
     Snapshot,
 }
 
-/// An endpoint in the list of discovery.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The endpoint number.
     pub endpoint: EndpointId,
-    /// A hash of the endpoint's name, the same at every dispatcher.
+    /// A hash of the endpoint's name, identical on every dispatcher.
     pub name_hash: u32,
     /// The destination that it serves.
     pub destination: DestinationId,
-    /// Its zone.
+    /// The zone that the endpoint is in.
     pub zone: ZoneId,
     /// The kind of its destination.
     pub kind: KindId,
-    /// False when it is draining or gone.
+    /// Whether the endpoint accepts messages; false while it drains or once it is removed.
     pub serving: bool,
-    /// The attempts a second that its limiter takes from all dispatchers together, as listed: up to
-    /// half too high or too low. `None` where nothing is listed.
+    /// The listed rate limit: attempts per second that the limiter accepts from all dispatchers
+    /// together. It may be up to half too high or too low. `None` if no limit is listed.
     pub rate_limit: Option<f64>,
-    /// Until when a Retry-After binds that the endpoint gave under an entry of other contents.
+    /// The end of a Retry-After that the endpoint gave while it was listed with a different entry.
     pub retry_after_until: Option<Nanos>,
 }
--- a/crates/core/src/interface/messages.rs
+++ b/crates/core/src/interface/messages.rs
@@ -1,38 +1,38 @@
-//! Messages as they are handed to the decisions.
+//! Messages as passed to the decision logic.
 
 use super::ids::{ClassId, DestinationId, KeyId, MessageId, Nanos, ZoneId};
 
-/// A message that was accepted.
+/// A newly accepted message.
 #[derive(Clone, Copy, Debug)]
 pub struct NewMessage {
-    /// The message.
+    /// The message ID.
     pub id: MessageId,
-    /// Its queue class.
+    /// The queue class.
     pub class: ClassId,
-    /// Its ordering key.
+    /// The ordering key, if any; it has an effect in ordered classes only.
     pub key: Option<KeyId>,
-    /// The destination it is for.
+    /// The destination that the message is addressed to.
     pub destination: DestinationId,
-    /// When its lifetime is up.
+    /// The end of the message's lifetime.
     pub deadline: Nanos,
-    /// What was done for it before.
+    /// The attempts that an earlier process made.
     pub history: MessageHistory,
 }
 
-/// What a former process of this dispatcher did for a message.
+/// The attempts that an earlier process of this dispatcher made for a message.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageHistory {
-    /// How many attempts it made.
+    /// The number of attempts made.
     pub attempts: u32,
-    /// The first attempt that may have run.
+    /// The first attempt after which the endpoint may have processed the message.
     pub possible_run: Option<PossibleRun>,
 }
 
-/// An attempt that may have run.
+/// An attempt that may have run: the endpoint may have processed the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PossibleRun {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Nanos,
-    /// The zone that it was sent to.
+    /// The zone of the endpoint that it was sent to.
     pub zone: ZoneId,
 }
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! The interface of the decisions: the settings they start with, the events that go in, and the
-//! [`Actions`] that come out.
+//! The interface of the decision logic: its settings, its input events and the resulting
+//! [`Actions`].
 
 mod actions;
 mod attempts;
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,109 +1,111 @@
-//! The settings that an instance starts with.
+//! The settings of a dispatcher instance, fixed at its start.
 
 use super::ids::Nanos;
 
-/// Whether a message that may have run may be sent again.
+/// Whether a message may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliverySemantics {
-    /// It may run any number of times.
+    /// It may be processed any number of times.
     Idempotent,
-    /// Endpoints recognise its idempotency key and drop a repeat.
+    /// Endpoints recognize its idempotency key and drop duplicates.
     IdempotencyKey {
-        /// How long after the first attempt a repeat is dropped.
+        /// How long after the first attempt duplicates are dropped.
         window: Nanos,
-        /// Which endpoints drop it.
+        /// Which endpoints drop them.
         scope: DeduplicationScope,
     },
-    /// It may not run again.
+    /// It must not be processed twice.
     AtMostOnce,
 }
 
-/// Which endpoints of a destination share their knowledge of idempotency keys.
+/// Which endpoints of a destination share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     Destination,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
 }
 
-/// How the value of a message decays once it is older than its latency objective.
+/// How the value of a message decays after its latency objective has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ValueDecay {
-    /// Evenly, down to the late value at the end of the lifetime.
+    /// Linearly, down to the late value at the end of the lifetime.
     #[default]
     Linear,
-    /// By half with each further latency objective, but never below the late value.
+    /// Halved with each further latency objective, but never below the late value.
     Halving,
 }
 
 /// The settings of a queue class.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// The value of a message that is delivered within the latency objective.
+    /// The value of a message delivered within the latency objective.
     pub priority_weight: f64,
-    /// Up to this age a message counts in full.
+    /// The message age up to which a delivery has its full value.
     pub latency_objective: Nanos,
-    /// At this age a message has to have its final answer.
+    /// The message age by which the final answer must be given.
     pub lifetime: Nanos,
-    /// The share of the priority weight that is left at the end of the lifetime.
+    /// The share of the priority weight that remains at the end of the lifetime.
     pub late_value_share: f64,
-    /// Whether messages may be sent again.
+    /// Whether messages may be sent again after an attempt that may have run.
     pub semantics: DeliverySemantics,
-    /// Messages of the same key are delivered in order.
+    /// Whether messages with the same key are delivered in order.
     pub ordered: bool,
 }
 
 /// The settings of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// The seed of the instance's random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// How many dispatchers there are.
+    /// The number of dispatchers in the fleet.
     pub dispatchers: u32,
-    /// Which of them this is, counted from zero; `None` where the settings do not say.
+    /// The zero-based index of this dispatcher in the fleet, if configured.
     pub dispatcher_index: Option<u32>,
     /// The queue classes.
     pub classes: Vec<ClassSettings>,
-    /// For each kind: whether each endpoint has a limiter of its own.
+    /// For each kind: whether every endpoint has its own limiter; otherwise the endpoints of a
+    /// destination share one.
     pub per_endpoint_limits: Vec<bool>,
-    /// For each kind: how many messages that are sent to one endpoint at once share a call.
+    /// For each kind: the maximum number of messages sent to an endpoint in one call.
     pub max_batch: Vec<usize>,
     /// How the value of late messages decays.
     pub value_decay: ValueDecay,
-    /// How many calls may be in flight.
+    /// The maximum number of calls in flight.
     pub max_in_flight: usize,
-    /// How many messages may be pending.
+    /// The maximum number of pending messages.
     pub queue_capacity: usize,
-    /// The caller asks [`Dispatcher::admits`](crate::control::Dispatcher::admits) before it accepts
-    /// a message; otherwise messages of a full queue are given up.
+    /// Whether the caller checks [`Dispatcher::admits`](crate::control::Dispatcher::admits) before
+    /// it accepts a message. Otherwise messages are given up when the queue is full.
     pub caller_admission: bool,
-    /// How many attempts a message may have.
+    /// The maximum number of attempts per message.
     pub max_attempts: u32,
-    /// How long a connection may take to come up.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Nanos,
-    /// The longest Retry-After that clients respect; `None` where they respect none.
+    /// The longest Retry-After that clients respect; `None` if they ignore it.
     pub max_retry_after: Option<Nanos>,
-    /// The part of its capacity that an endpoint has at the beginning of its slow start.
+    /// The share of its capacity that an endpoint has at the start of its slow start.
     pub cold_capacity_share: f64,
-    /// How long a slow start takes.
+    /// The duration of a slow start.
     pub slow_start: Nanos,
-    /// The multiple of its capacity that an endpoint in slow start bears for the span of
+    /// The multiple of its available capacity that an endpoint in slow start can sustain for
     /// `overload_window`.
     pub overload_multiple: f64,
-    /// For how long an endpoint in slow start bears `overload_multiple`.
+    /// How long an endpoint in slow start can sustain `overload_multiple`.
     pub overload_window: Nanos,
-    /// How long after an attempt that may still run the next message of its key waits.
+    /// The delay before the next message of a key after an attempt that the endpoint may still be
+    /// processing.
     pub key_cooldown: Nanos,
-    /// Where endpoint lists come only on request: the time within which a watch has to be
-    /// requested.
+    /// The time within which a watch on the endpoint list has to be requested, if lists are sent on
+    /// request only; `None` if they are pushed.
     pub max_watch_request_delay: Option<Nanos>,
     /// The resolution of the caller's clock.
     pub clock_resolution: Nanos,
 }
 
 impl Settings {
-    /// The lifetime of the class that has the longest.
+    /// The longest lifetime of all classes.
     pub fn longest_lifetime(&self) -> Nanos {
         self.classes
             .iter()
@@ -112,8 +114,7 @@
             .unwrap_or(0)
     }
 
-    /// The value, by the settings, of a message of the class with this deadline if it is delivered
-    /// at `at`.
+    /// The value of a message with this class and deadline if it is delivered at `at`.
     pub fn value_at(&self, class: usize, deadline: Nanos, at: Nanos) -> f64 {
         let class = &self.classes[class];
         if at >= deadline {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,6 @@
-//! bellsill delivers messages to other firms' systems. This library holds its decisions and nothing
-//! of any wire: [`control`] decides, [`interface`] declares its inputs and its actions.
+//! The decision logic of bellsill, which delivers messages to the systems of other companies. This
+//! crate does no I/O and knows no wire format: [`control`] makes the decisions, [`interface`]
+//! defines their inputs and the resulting actions.
 
 pub mod control;
 pub mod interface;
--- a/crates/core/src/state/answer_times.rs
+++ b/crates/core/src/state/answer_times.rs
@@ -1,23 +1,23 @@
-//! How long answers usually take.
+//! The usual answer times of attempts.
 
 use crate::interface::DestinationId;
 use crate::state::routes::Routes;
 
-/// The usual answer times, in nanoseconds.
+/// The usual answer times, in nanoseconds, and the share of late answers.
 #[derive(Default)]
 pub(crate) struct AnswerTimes {
-    /// For each class: the usual answer time over all routes.
+    /// The usual answer time of each class over all routes.
     pub(crate) by_class: Vec<f64>,
-    /// The moving share of attempts that were not answered in usual time.
-    pub(crate) missed_share: f64,
+    /// The moving share of attempts that were not answered within the usual time.
+    pub(crate) late_share: f64,
 }
 
 impl AnswerTimes {
-    /// The answer times of that many classes before any answer has come.
+    /// Creates the initial answer times for this number of classes.
     pub(crate) fn new(classes: usize, initial_nanos: f64) -> Self {
         AnswerTimes {
             by_class: vec![initial_nanos; classes],
-            missed_share: 0.0,
+            late_share: 0.0,
         }
     }
 
@@ -25,7 +25,7 @@
     pub(crate) fn usual(&self, routes: &Routes, destination: DestinationId, class: usize) -> f64 {
         let extra = routes
             .destination(destination)
-            .map_or(0.0, |known| known.extra_latency);
+            .map_or(0.0, |routes| routes.extra_latency);
         self.by_class[class] * (1.0 + extra)
     }
 }
--- a/crates/core/src/state/keys.rs
+++ b/crates/core/src/state/keys.rs
@@ -7,11 +7,11 @@
 /// The messages of one key.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
-    /// Those that have not ended.
+    /// The messages that have not ended.
     pub(crate) messages: VecDeque<MessageId>,
-    /// How many messages have ended whose last attempt has no outcome yet.
+    /// The number of ended messages whose last attempt has no outcome yet.
     pub(crate) unresolved: u32,
-    /// The next message of the key is not sent before then.
+    /// Until when the next message of the key is held back.
     pub(crate) cooldown_until: Nanos,
 }
 
@@ -22,7 +22,6 @@
 }
 
 impl KeyQueues {
-    /// Whether no key has a queue.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
@@ -32,12 +31,12 @@
         key.and_then(|key| self.by_key.get(&key))
     }
 
-    /// The queue of a message's key, for changes.
+    /// The queue of a message's key, mutably.
     pub(crate) fn get_mut(&mut self, key: Option<KeyId>) -> Option<&mut KeyQueue> {
         key.and_then(|key| self.by_key.get_mut(&key))
     }
 
-    /// Adds a message at the end of the queue of its key.
+    /// Appends a message to the queue of its key.
     pub(crate) fn push(&mut self, key: KeyId, message: MessageId) {
         self.by_key
             .entry(key)
@@ -46,7 +45,7 @@
             .push_back(message);
     }
 
-    /// Removes a message that has ended, and drops the queues that are no longer needed.
+    /// Removes a message that has ended and drops all queues that are no longer needed.
     pub(crate) fn remove(
         &mut self,
         key: Option<KeyId>,
@@ -63,8 +62,8 @@
         });
     }
 
-    /// From when on the order of its key lets a message be sent; `None` while an earlier message
-    /// holds it up.
+    /// The earliest time at which the order of its key allows a message to be sent, or `None` while
+    /// an earlier message blocks it.
     pub(crate) fn ready_at(&self, message: &Message) -> Option<Nanos> {
         let Some(queue) = self.get(message.key) else {
             return Some(0);
@@ -72,7 +71,7 @@
         if queue.messages.front() != Some(&message.id) || queue.unresolved > 0 {
             None
         } else if message.attempts > 0 {
-            Some(0) // The cooldown is for the next message, not for a retry of the same.
+            Some(0) // The cooldown applies to the next message, not to a retry of the same one.
         } else {
             Some(queue.cooldown_until)
         }
--- a/crates/core/src/state/messages.rs
+++ b/crates/core/src/state/messages.rs
@@ -1,48 +1,48 @@
-//! The messages that a dispatcher has accepted and not yet dropped.
+//! The messages that a dispatcher keeps in memory.
 
 use crate::interface::{DestinationId, KeyId, MessageId, Nanos, NewMessage, PossibleRun};
 use crate::state::queues::{MessageGroup, QueueEntry};
 
-/// The state of a message on its way to its final answer.
+/// The delivery state of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageState {
-    /// To be sent, for the first time or again.
+    /// Waiting to be sent, for the first time or again.
     Waiting,
     /// An attempt has no outcome yet.
     InFlight,
     /// Delivered or withdrawn: no final answer is due.
     Done,
-    /// The client got the answer that it may retry.
+    /// The client was told that it may submit the message again.
     Rejected,
-    /// The client got the answer that the message failed.
+    /// The client was told that the message failed.
     Failed,
 }
 
 impl MessageState {
-    /// Whether no further answer is due for the message.
+    /// Whether no further answer is due.
     pub(crate) fn ended(self) -> bool {
         !matches!(self, MessageState::Waiting | MessageState::InFlight)
     }
 }
 
-/// One message, with what has been done for it until now.
+/// A message and the progress of its delivery.
 pub(crate) struct Message {
     pub(crate) id: MessageId,
     pub(crate) class: usize,
     /// Its ordering key, for a message of an ordered class.
     pub(crate) key: Option<KeyId>,
     pub(crate) destination: DestinationId,
-    /// When its lifetime is up.
+    /// The end of its lifetime.
     pub(crate) deadline: Nanos,
-    /// How many attempts were made.
+    /// The number of attempts made.
     pub(crate) attempts: u32,
-    /// The first attempt that may have run.
+    /// The first attempt after which the endpoint may have processed the message.
     pub(crate) possible_run: Option<PossibleRun>,
     pub(crate) state: MessageState,
 }
 
 impl Message {
-    /// A message that was just accepted.
+    /// Creates a waiting message from a newly accepted one.
     pub(crate) fn waiting(new: NewMessage, key: Option<KeyId>) -> Message {
         Message {
             id: new.id,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The group in whose queue it waits.
+    /// The group in whose queue the message waits.
     pub(crate) fn group(&self) -> MessageGroup {
         MessageGroup {
             destination: self.destination,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Its entry in that queue.
+    /// The entry of the message in that queue.
     pub(crate) fn entry(&self) -> QueueEntry {
         QueueEntry {
             deadline: self.deadline,
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state of a dispatcher: records, queues and indexes. Nothing here decides; [`crate::control`]
-//! does.
+//! The state of a dispatcher: records, queues and indexes. All decisions are made in
+//! [`crate::control`].
 
 pub(crate) mod answer_times;
 pub(crate) mod attempts;
@@ -24,12 +24,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use watch_request::WatchRequest;
 
-/// One instance. Its state is declared here; the methods that decide are in [`crate::control`].
+/// A dispatcher instance. Its state is declared here; its decision logic is in [`crate::control`].
 #[derive(Default)]
 pub struct Dispatcher {
     pub(crate) settings: Settings,
     pub(crate) random: Random,
-    /// The time of the latest event.
+    /// The time of the event that is being handled.
     pub(crate) now: Nanos,
     pub(crate) answer_times: AnswerTimes,
     pub(crate) routes: Routes,
@@ -39,22 +39,23 @@
     pub(crate) in_flight: AttemptsInFlight,
     /// The number of the latest call.
     pub(crate) latest_call: u64,
-    /// Disabled by an operator: nothing new is sent there, whatever the endpoint list says.
+    /// The endpoints disabled by an operator, which get no new attempts whatever the endpoint list
+    /// says.
     pub(crate) disabled: BTreeSet<EndpointId>,
-    /// The caller had no capacity for one more call although the count here allowed it: nothing is
-    /// sent until then.
+    /// Until when sending is paused because the caller had no capacity although the in-flight count
+    /// allowed one more call.
     pub(crate) no_capacity_until: Nanos,
-    /// No half-open trial of a suspect route starts until then.
+    /// Until when no half-open trial of a suspect route is started.
     pub(crate) trials_paused_until: Nanos,
-    /// For each kind of destinations: how its idle connections fared.
+    /// The observations of idle connections for each kind of destinations.
     pub(crate) idle_connections: BTreeMap<usize, IdleConnections>,
     pub(crate) watch_request: WatchRequest,
-    /// The soonest wakeup that was requested.
+    /// The time of the wakeup that is currently requested.
     pub(crate) wakeup_at: Option<Nanos>,
 }
 
 impl Dispatcher {
-    /// The state at the start of an instance.
+    /// Creates the initial state, with the usual answer time to assume before the first answer.
     pub(crate) fn with_latency(now: Nanos, settings: Settings, initial_latency_nanos: f64) -> Self {
         Dispatcher {
             random: Random::seeded(settings.seed),
@@ -65,8 +66,8 @@
         }
     }
 
-    /// How many listed endpoints are avoided now: those that an operator disabled and those that
-    /// are suspect.
+    /// The number of listed endpoints that are currently avoided: those disabled by an operator and
+    /// those that are suspect.
     pub fn unavailable_endpoints(&self) -> usize {
         self.routes
             .iter()
@@ -74,7 +75,7 @@
             .count()
     }
 
-    /// Whether an endpoint serves and is not suspended.
+    /// Whether an endpoint is serving and not suspended.
     pub fn accepts_attempts(&self, now: Nanos, endpoint: EndpointId) -> bool {
         let route = self
             .routes
@@ -83,23 +84,24 @@
         route.is_some_and(|route| route.entry.serving && route.suspended_until <= now)
     }
 
-    /// Until when an endpoint is suspended; zero for one that is not known.
+    /// The end of an endpoint's suspension, in the past if it is not suspended; zero for an unknown
+    /// endpoint.
     pub fn suspended_until(&self, endpoint: EndpointId) -> Nanos {
         self.routes
             .find(endpoint)
             .map_or(0, |number| self.routes[number].suspended_until)
     }
 
-    /// Whether one more call may be in flight.
+    /// Whether the in-flight limit allows another call.
     pub(crate) fn has_capacity(&self) -> bool {
         self.in_flight.count_calls(|_| true) < self.settings.max_in_flight
     }
 
-    /// From when on the order of its key lets a message be sent; `None` while an earlier message
-    /// holds it up.
+    /// The earliest time at which the order of its key allows a message to be sent, or `None` while
+    /// an earlier message blocks it.
     pub(crate) fn key_ready_at(&self, id: MessageId) -> Option<Nanos> {
         if self.keys.is_empty() {
-            Some(0) // Spares the look-up of the message where nothing is ordered.
+            Some(0) // Avoids the message lookup while no key has a queue.
         } else {
             self.keys.ready_at(&self.messages[&id])
         }
--- a/crates/core/src/state/queues.rs
+++ b/crates/core/src/state/queues.rs
@@ -1,25 +1,23 @@
-//! The messages that wait to be sent, in one queue for each group that is eligible for the same
-//! routes.
-//!
-//! Eligibility is the same for all messages of a group, so a long backlog is checked queue by
-//! queue.
+//! The queues of messages that wait to be sent. Messages that are eligible for the same routes form
+//! a group with a queue of its own, so that the eligibility of a long backlog is checked per queue
+//! instead of per message.
 
 use crate::interface::{DestinationId, MessageId, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What messages have in common that are eligible for the same routes.
+/// The properties that determine which routes a message is eligible for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageGroup {
     pub(crate) destination: DestinationId,
     pub(crate) class: usize,
-    /// The zone in which they may have run.
+    /// The zone in which the messages may have run, if any.
     pub(crate) possible_run_zone: Option<usize>,
 }
 
-/// A waiting message; entries are ordered by their deadline.
+/// A waiting message; entries are ordered by deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
-    /// When its lifetime is up.
+    /// The end of the message's lifetime.
     pub(crate) deadline: Nanos,
     pub(crate) id: MessageId,
 }
@@ -27,7 +25,7 @@
 /// The waiting messages of one group.
 pub(crate) type WaitingQueue = BTreeSet<QueueEntry>;
 
-/// All queues that are not empty.
+/// All non-empty queues, by group.
 #[derive(Default)]
 pub(crate) struct WaitingQueues {
     by_group: BTreeMap<MessageGroup, WaitingQueue>,
@@ -39,7 +37,7 @@
         self.by_group.entry(group).or_default().insert(entry);
     }
 
-    /// Removes a message from the queue of its group.
+    /// Removes a message from the queue of its group, and the queue if it is empty then.
     pub(crate) fn remove(&mut self, group: MessageGroup, entry: QueueEntry) {
         let Some(queue) = self.by_group.get_mut(&group) else {
             return;
@@ -50,7 +48,7 @@
         }
     }
 
-    /// The queues, ordered by destination first.
+    /// All queues, ordered by destination first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&MessageGroup, &WaitingQueue)> {
         self.by_group.iter()
     }
@@ -70,7 +68,7 @@
             .take_while(move |(group, _)| group.destination == destination)
     }
 
-    /// How many messages wait for a destination.
+    /// The number of messages that wait for a destination.
     pub(crate) fn backlog(&self, destination: DestinationId) -> usize {
         self.of(destination).map(|(_, queue)| queue.len()).sum()
     }
--- a/crates/core/src/state/routes.rs
+++ b/crates/core/src/state/routes.rs
@@ -1,59 +1,62 @@
-//! The routes that a dispatcher knows, by number, by endpoint and by destination.
+//! The routes to endpoints, indexed by number, endpoint and destination.
 
 use crate::interface::{DestinationId, EndpointEntry, EndpointId, Nanos};
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
 
-/// The way to one endpoint, and what was observed of it.
+/// The route to an endpoint, with its observed condition.
 #[derive(Default)]
 pub(crate) struct Route {
-    /// The entry of the endpoint list, except that `serving` is false while an operator has the
-    /// endpoint disabled.
+    /// The entry of the endpoint list, except that `serving` is false while the endpoint is
+    /// disabled by an operator, and that `rate_limit` may come from an answer.
     pub(crate) entry: EndpointEntry,
-    /// Whether the list has the endpoint as serving.
+    /// Whether the endpoint is listed as serving.
     pub(crate) listed: bool,
-    /// The route that represents the limiter it is subject to: itself, or the first of those that
-    /// share it.
+    /// The route that holds the state of the limiter this route is subject to: itself, or the first
+    /// of the routes that share the limiter.
     pub(crate) limiter_route: usize,
-    /// What was observed of the limiter, on the route that represents it.
+    /// The state of the limiter, if this is the route that holds it.
     pub(crate) limiter: Limiter,
-    /// Avoided for silence or failures, apart from one half-open trial at a time.
+    /// Whether the route is avoided for silence or failures, apart from half-open trials.
     pub(crate) suspect: bool,
-    /// The start of its slow start; `None` when it is not warming up.
+    /// The start of the slow start, or `None` if the route is not warming up.
     pub(crate) warming_since: Option<Nanos>,
-    /// The moving share of its attempts that failed.
+    /// The moving share of failed attempts.
     pub(crate) failure_share: f64,
-    /// Nothing is sent there until then; a time in the past when it is not suspended.
+    /// The end of the suspension; in the past if the route is not suspended.
     pub(crate) suspended_until: Nanos,
-    /// The length of the next suspension, for a rate-limited attempt without a Retry-After.
+    /// The length of the next suspension that is not determined by a Retry-After.
     pub(crate) backoff: Nanos,
-    /// When something was last sent there, or its serving changed.
+    /// The time of the last send, or of the last change of `entry.serving`.
     pub(crate) last_sent_at: Nanos,
-    /// The recently delivered messages, decaying while it is healthy.
+    /// The number of delivered messages, with exponential decay while the route is warm and not
+    /// ejected.
     pub(crate) traffic: f64,
-    /// When `traffic` was last brought up to date.
+    /// The time up to which `traffic` has decayed.
     pub(crate) traffic_updated_at: Nanos,
-    /// When it last answered in usual time.
+    /// When the route last delivered a message in usual time.
     pub(crate) answered_at: Nanos,
-    /// The connections that it refused at once since it last delivered.
+    /// The number of connections refused immediately since the last delivery.
     pub(crate) refused_connections: u32,
-    /// The factor for its spacing and its backoff, drawn again with each send.
+    /// The random factor for spacing, pacing and backoff, drawn again with each send.
     pub(crate) jitter: f64,
-    /// It failed, or was rate-limited for long, since it was last healthy: it will return with a
-    /// slow start.
+    /// Whether the route failed, or was rate-limited for long, since it was last healthy: it has to
+    /// recover with a slow start.
     pub(crate) ejected: bool,
 }
 
 impl Route {
-    /// Applies what the list says of the endpoint.
+    /// Applies an entry of the endpoint list.
     pub(crate) fn apply(&mut self, entry: &EndpointEntry, disabled: bool, now: Nanos) {
         self.listed = entry.serving;
         if entry.rate_limit.is_some() {
-            self.entry.rate_limit = entry.rate_limit; // Without a listed rate, one that an answer reported stays.
+            // Without a listed rate limit, one reported in an answer stays in effect.
+            self.entry.rate_limit = entry.rate_limit;
         }
         let serving = entry.serving && !disabled;
         if std::mem::replace(&mut self.entry.serving, serving) != serving {
-            self.last_sent_at = now; // All dispatchers learn of its return at once, so the spacing starts here.
+            // All dispatchers learn of the change at the same time, so the spacing starts now.
+            self.last_sent_at = now;
         }
     }
 
@@ -63,8 +66,8 @@
         self.last_sent_at = now;
     }
 
-    /// Decays the traffic up to now with this time constant and adds to it, while the route is warm
-    /// and not ejected.
+    /// Decays the traffic up to now with this time constant and adds the delivered messages, if the
+    /// route is warm and not ejected.
     pub(crate) fn add_traffic(&mut self, now: Nanos, delivered: f64, time_constant: f64) {
         if self.is_warm() && !self.ejected {
             let decay = (-((now - self.traffic_updated_at) as f64) / time_constant).exp();
@@ -73,42 +76,43 @@
         }
     }
 
-    /// Whether it is neither suspect nor warming up.
+    /// Whether the route is neither suspect nor warming up.
     pub(crate) fn is_warm(&self) -> bool {
         !self.suspect && self.warming_since.is_none()
     }
 }
 
-/// What the attempts by all routes that are subject to a limiter show of it.
+/// The state of a rate limiter, from the attempts over all routes that are subject to it.
 #[derive(Default)]
 pub(crate) struct Limiter {
-    /// The least time between two sends.
+    /// The minimum time between two sends.
     pub(crate) pacing_interval: Nanos,
     pub(crate) last_sent_at: Nanos,
-    /// When it last rejected an attempt that was sent after the rejection before.
+    /// When the limiter last rejected an attempt that was not sent before the previous such
+    /// rejection.
     pub(crate) rate_limited_at: Nanos,
-    /// Its first rejection since something was delivered.
+    /// The time of the first rejection since the last delivery.
     pub(crate) rate_limited_since: Option<Nanos>,
 }
 
 /// The routes of one destination.
 #[derive(Default)]
 pub(crate) struct DestinationRoutes {
-    /// Their numbers, those picked in this round first.
+    /// The route numbers, those picked in the current round first.
     pub(crate) routes: Vec<usize>,
-    /// How many of them were picked in this round.
+    /// The number of routes picked in the current round.
     pub(crate) picked: usize,
-    /// The route that represents the limiter that the destination's routes share.
+    /// The route that holds the state of the limiter shared by the destination's routes.
     pub(crate) shared_limiter_route: Option<usize>,
-    /// The part by which its answer times exceed the usual ones.
+    /// The fraction by which answer times exceed the usual ones of the class.
     pub(crate) extra_latency: f64,
-    /// The number of answers that this was learnt from.
+    /// The number of answers observed for `extra_latency`.
     pub(crate) latency_samples: f64,
 }
 
 impl DestinationRoutes {
-    /// The route that represents the limiter of a new route, which is the new one if it is the
-    /// first.
+    /// Returns the route that holds the limiter state for a new route. That is the new route itself
+    /// if its limiter is separate or not known yet.
     pub(crate) fn assign_limiter_route(&mut self, new: usize, separate_limits: bool) -> usize {
         let limiter_route = self
             .shared_limiter_route
@@ -133,17 +137,17 @@
         self.by_endpoint.get(&endpoint).copied()
     }
 
-    /// The routes in the order of their numbers.
+    /// All routes, ordered by number.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Route> {
         self.all.iter()
     }
 
-    /// What is known of a destination.
+    /// The routes of a destination with their shared state.
     pub(crate) fn destination(&self, destination: DestinationId) -> Option<&DestinationRoutes> {
         self.by_destination.get(&destination)
     }
 
-    /// What is known of a destination, for changes; created for a new one.
+    /// The same, mutably; created if the destination is new.
     pub(crate) fn destination_mut(&mut self, destination: DestinationId) -> &mut DestinationRoutes {
         self.by_destination.entry(destination).or_default()
     }
@@ -155,13 +159,14 @@
             .map_or(&[], |known| &known.routes)
     }
 
-    /// The routes that are subject to the same limiter, this one among them.
+    /// The routes that are subject to the same limiter, including this one.
     pub(crate) fn sharing_limiter(&self, route: usize) -> Vec<usize> {
-        let same = |&other: &usize| self[other].limiter_route == self[route].limiter_route;
+        let shares_limiter =
+            |&other: &usize| self[other].limiter_route == self[route].limiter_route;
         self.of(self[route].entry.destination)
             .iter()
             .copied()
-            .filter(same)
+            .filter(shares_limiter)
             .collect()
     }
 
@@ -170,19 +175,19 @@
         &self[self[route].limiter_route].limiter
     }
 
-    /// The limiter that a route is subject to, for changes.
+    /// The limiter that a route is subject to, mutably.
     pub(crate) fn limiter_mut(&mut self, route: usize) -> &mut Limiter {
         let limiter_route = self[route].limiter_route;
         &mut self[limiter_route].limiter
     }
 
-    /// The number of the next route that is added.
+    /// The number of the next added route.
     pub(crate) fn next_number(&self) -> usize {
         self.all.len()
     }
 
-    /// Adds a route under the next number, or replaces one of the same destination. Returns the
-    /// endpoint that was replaced.
+    /// Adds a route under the next number, or replaces a route of the same destination and returns
+    /// the endpoint of the replaced route.
     pub(crate) fn put(&mut self, number: usize, route: Route) -> Option<EndpointId> {
         let endpoint = route.entry.endpoint;
         let replaced = if number == self.all.len() {
@@ -205,7 +210,7 @@
         replaced
     }
 
-    /// Marks all endpoints as gone, before a snapshot of the list is applied.
+    /// Marks all endpoints as unlisted before a snapshot of the list is applied.
     pub(crate) fn mark_all_unlisted(&mut self, now: Nanos) {
         for route in &mut self.all {
             if std::mem::take(&mut route.entry.serving) {
--- a/crates/core/src/state/sends.rs
+++ b/crates/core/src/state/sends.rs
@@ -1,10 +1,10 @@
-//! What is recorded when an attempt is sent.
+//! Recording of sent attempts.
 
 use super::{Dispatcher, attempts::Attempt};
 use crate::interface::{AttemptNumber, MessageId};
 
 impl Dispatcher {
-    /// Records an attempt for a waiting message, as one more of the latest call.
+    /// Records an attempt to send a waiting message as part of the latest call.
     pub(crate) fn record_send(&mut self, message: MessageId, route: usize, fresh_connection: bool) {
         let idle_for = self.now - self.routes[route].last_sent_at;
         let attempt = Attempt {
--- a/crates/core/src/state/transitions.rs
+++ b/crates/core/src/state/transitions.rs
@@ -1,4 +1,4 @@
-//! The transitions of a message between its states, with the queues and counts that follow them.
+//! State transitions of messages, with the updates of queues and counters that depend on them.
 
 use super::Dispatcher;
 use super::attempts::Attempt;
@@ -6,7 +6,7 @@
 use crate::interface::{AttemptEnd, MessageId, NewMessage, Outcome, PossibleRun};
 
 impl Dispatcher {
-    /// Adds a message that was accepted; it waits to be sent.
+    /// Adds a newly accepted message in the waiting state.
     pub(crate) fn add_message(&mut self, new: NewMessage) {
         let key = new
             .key
@@ -19,7 +19,7 @@
         self.messages.insert(new.id, message);
     }
 
-    /// Records the first attempt of a message that may have run.
+    /// Records an attempt that may have run, unless an earlier one is recorded.
     pub(crate) fn record_possible_run(&mut self, attempt: &Attempt, outcome: Outcome) {
         let Some(message) = self.messages.get_mut(&attempt.message) else {
             return;
@@ -32,8 +32,8 @@
         }
     }
 
-    /// An attempt that was not started does not count as one.
-    pub(crate) fn uncount_unstarted(&mut self, end: &AttemptEnd) {
+    /// Takes back the count of an attempt that was not started.
+    pub(crate) fn revert_unstarted_attempt(&mut self, end: &AttemptEnd) {
         if let Some(message) = self
             .messages
             .get_mut(&end.message)
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The only place where a message changes its state: keeps the queues and counts in step with
-    /// it.
+    /// Changes the state of a message and updates the queues and counters. All state changes go
+    /// through this method, to keep them consistent.
     pub(crate) fn transition(&mut self, id: MessageId, to: MessageState) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Drops a message that has ended, once no attempt of it is in flight.
+    /// Removes an ended message from its key's queue, and drops it once it has no attempt in
+    /// flight.
     fn end(&mut self, id: MessageId, from: MessageState) {
         let in_flight = self.in_flight.has_message(id);
         if !from.ended() {
--- a/crates/core/src/state/watch_request.rs
+++ b/crates/core/src/state/watch_request.rs
@@ -1,12 +1,12 @@
-//! The next request for a watch on the endpoint list.
+//! The schedule of watch requests for the endpoint list.
 
 use crate::interface::Nanos;
 
-/// When a watch is requested, where endpoint lists come only on request.
+/// The schedule of watch requests, used if endpoint lists are sent on request only.
 #[derive(Default)]
 pub(crate) struct WatchRequest {
-    /// When the next request is made; `None` while no request is planned.
+    /// When to make the next request; `None` while none is planned.
     pub(crate) at: Option<Nanos>,
-    /// Over how long the request after that is spread.
+    /// The base of the random delay before the request after that.
     pub(crate) spread: Nanos,
 }
--- a/crates/core/tests/decisions/rate_limits.rs
+++ b/crates/core/tests/decisions/rate_limits.rs
@@ -15,7 +15,7 @@
     assert_eq!(
         sim.env.sent[1].at,
         sim.env.sent[0].at + 20 * MS + 2 * SEC,
-        "the soonest reopening"
+        "the earliest reopening"
     );
 }
 
