--- a/crates/core/tests/decisions/discovery.rs
+++ b/crates/core/tests/decisions/discovery.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and requests for a watch on it.
+//! Changes of the endpoint list, and the timing of watch requests.
 
 use crate::simulation::{SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointUpdate, Settings};
@@ -7,7 +7,7 @@
 fn the_number_of_a_long_removed_endpoint_is_reused() {
     let mut sim = Simulation::new(settings());
     for n in 0..60 {
-        // Each destination's first endpoint is replaced by one with a new id, every five seconds.
+        // Replaces the latest endpoint of each destination by one with a new ID every five seconds.
         for destination in 0..3 {
             let last = sim
                 .env
@@ -23,7 +23,7 @@
         sim.advance(5 * SEC);
         assert!(
             n < 20 || sim.env.entries.len() - sim.env.removed.len() < 12 + 3 * 20,
-            "after {n} replacements"
+            "endpoint numbers are not reused after {n} replacements"
         );
     }
     assert_eq!(sim.env.delivered.len(), 180);
@@ -33,17 +33,18 @@
     assert_eq!(distinct.len(), sim.env.removed.len());
 }
 
-/// Regression (big-1 and big-2 of quito-sede: attempts 0.26 s after a drain that an earlier watch
-/// would have shown). Where lists come only on request, a watch is requested in time, not by all
-/// dispatchers at once, once for each watch, and in time again whenever it is lost.
+/// Regression (big-1 and big-2 of quito-sede): attempts were sent 0.26 s after a drain that an
+/// earlier watch would have reported. Where lists are sent on request only, a dispatcher requests
+/// each watch once and within the allowed delay, also after a loss, and dispatchers do not send
+/// their requests at the same time.
 #[test]
-fn a_watch_is_requested_in_time_and_spread_over_dispatchers() {
-    let within = 10 * SEC;
+fn a_watch_is_requested_in_time_and_at_different_times_by_dispatchers() {
+    let max_delay = 10 * SEC;
     let mut first = vec![];
     for seed in 0..40 {
         let mut sim = Simulation::new(Settings {
             seed,
-            max_watch_request_delay: Some(within),
+            max_watch_request_delay: Some(max_delay),
             dispatchers: 300,
             ..settings()
         });
@@ -52,32 +53,32 @@
         assert_eq!(
             sim.env.watch_requests.len(),
             1,
-            "requested again without a failure"
+            "watch requested again without a failure"
         );
         first.push(sim.env.watch_requests[0] - start);
-        // Requests that fail: after each one four times as long is allowed.
+        // After each failed request the allowed delay is four times as long.
         for _ in 0..6 {
             let (lost, requests) = (sim.env.now, sim.env.watch_requests.len());
             sim.dispatcher.watch_lost(lost, &mut sim.env);
             sim.advance(40 * SEC - 1);
             assert_eq!(sim.env.watch_requests.len(), requests + 1);
             assert!(
-                requests == 1 || sim.env.watch_requests[requests] >= lost + within / 2,
-                "repeated at once after a failure"
+                requests == 1 || sim.env.watch_requests[requests] >= lost + max_delay / 2,
+                "watch requested too soon after a failure"
             );
         }
-        // A watch that is lost after it was active is no failed request.
+        // The loss of an active watch does not count as a failed request.
         sim.publish_endpoints(EndpointUpdate::Delta);
         let (lost, requests) = (sim.env.now, sim.env.watch_requests.len());
         sim.dispatcher.watch_lost(lost, &mut sim.env);
-        sim.advance(within - 1);
+        sim.advance(max_delay - 1);
         assert_eq!(sim.env.watch_requests.len(), requests + 1);
     }
-    assert!(first.iter().all(|&at| at < within));
-    let early = first.iter().filter(|&&at| at < within / 4).count();
+    assert!(first.iter().all(|&at| at < max_delay));
+    let early = first.iter().filter(|&&at| at < max_delay / 4).count();
     assert!(
         (5..25).contains(&early),
-        "{early} of 40 in the first quarter"
+        "{early} of 40 requests in the first quarter of the delay"
     );
 }
 
--- a/crates/core/tests/decisions/final_answers.rs
+++ b/crates/core/tests/decisions/final_answers.rs
@@ -73,16 +73,16 @@
     }
 }
 
-/// A restarted process takes over the messages of the one before it.
+/// A restarted process takes over the messages of the previous process.
 #[test]
-fn messages_of_a_former_process_continue_as_their_history_allows() {
+fn messages_of_an_earlier_process_continue_as_their_history_allows() {
     let mut sim = Simulation::new(settings());
     let sent_at = sim.env.now - SEC;
     let not_run = sim.submit_with_history(3, 0, history(1, None));
     let at_most_once = sim.submit_with_history(3, 0, history(1, Some(sent_at)));
     let within_window = sim.submit_with_history(1, 0, history(1, Some(sent_at)));
     let after_window = sim.submit_with_history(1, 0, history(1, Some(sim.env.now - 9 * SEC)));
-    let without_attempts = sim.submit_with_history(0, 0, history(6, None));
+    let attempts_exhausted = sim.submit_with_history(0, 0, history(6, None));
     sim.advance(2 * SEC);
     assert_eq!(sim.env.failed, [at_most_once, after_window]);
     assert_eq!(
@@ -91,7 +91,7 @@
             .iter()
             .map(|rejection| rejection.0)
             .collect::<Vec<_>>(),
-        [without_attempts]
+        [attempts_exhausted]
     );
     assert!(
         sim.env.delivered.contains(&not_run)
--- a/crates/core/tests/decisions/fleet.rs
+++ b/crates/core/tests/decisions/fleet.rs
@@ -1,11 +1,11 @@
-//! Many dispatchers before the same endpoints, each knowing only what it observed itself: what they
-//! do together.
+//! The combined behavior of many dispatchers that share endpoints, each of which knows only its own
+//! observations.
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointUpdate, Nanos, Settings};
 
-/// The listed limit of each destination: the attempts a second that it takes of all dispatchers
-/// together.
+/// The rate limit of each destination where one is listed: attempts per second from all dispatchers
+/// together. Also the rate at which messages are submitted.
 const RATE: f64 = 50.0;
 
 struct Fleet(Vec<Simulation>);
@@ -13,12 +13,12 @@
 /// An attempt that was sent after an outage.
 struct SentAfterOutage {
     at: Nanos,
-    /// Whether its dispatcher knows of the outage by an attempt of its own that failed.
+    /// Whether the dispatcher observed the outage with an attempt of its own.
     informed: bool,
 }
 
 impl Fleet {
-    /// Destinations have the limit that is listed, if any.
+    /// Creates a fleet whose destinations have the listed rate limit, if any.
     fn new(dispatchers: u32, listed_rate: Option<f64>) -> Fleet {
         let one = |seed| {
             let mut sim = Simulation::new(Settings {
@@ -35,7 +35,7 @@
         Fleet((0..u64::from(dispatchers)).map(one).collect())
     }
 
-    /// Lets time pass in which destination 0 gets messages at its listed rate, spread over all
+    /// Advances the time while messages for destination 0 are submitted at `RATE`, spread over all
     /// dispatchers.
     fn advance(&mut self, behavior: Behavior, span: Nanos) {
         let interval = (self.0.len() as f64 * SEC as f64 / RATE) as Nanos;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// How many attempts all of them sent to destination 0 since then.
+    /// The number of attempts that the fleet has sent to destination 0 since this time.
     fn sent(&self, since: Nanos) -> usize {
         self.0
             .iter()
@@ -61,20 +61,20 @@
             .count()
     }
 
-    /// The attempts that were sent to an endpoint since its return, in the order of time.
+    /// The attempts sent to an endpoint since its recovery, ordered by time.
     fn sent_after_outage(
         &self,
         endpoint: u32,
         down_at: Nanos,
-        returned_at: Nanos,
+        recovered_at: Nanos,
     ) -> Vec<SentAfterOutage> {
         let mut sent = vec![];
         for sim in &self.0 {
             let to_endpoint = || sim.env.sent.iter().filter(|s| s.endpoint == endpoint);
-            let informed = to_endpoint().any(|s| (down_at..returned_at - SEC).contains(&s.at));
+            let informed = to_endpoint().any(|s| (down_at..recovered_at - SEC).contains(&s.at));
             sent.extend(
                 to_endpoint()
-                    .filter(|s| s.at >= returned_at)
+                    .filter(|s| s.at >= recovered_at)
                     .map(|s| SentAfterOutage { at: s.at, informed }),
             );
         }
@@ -86,12 +86,12 @@
         self.0[0].env.now
     }
 
-    /// How many messages each of them has delivered.
+    /// The number of messages that each dispatcher has delivered.
     fn delivered(&self) -> Vec<usize> {
         self.0.iter().map(|sim| sim.env.delivered.len()).collect()
     }
 
-    /// How many of them have delivered no more than before.
+    /// The number of dispatchers without a delivery since `before` was taken.
     fn without_delivery_since(&self, before: &[usize]) -> usize {
         self.0
             .iter()
@@ -109,10 +109,10 @@
     sim.publish_endpoints(EndpointUpdate::Snapshot);
 }
 
-/// Regression (join+vast): 100 dispatchers waited up to 20 s each after a few rate-limited
-/// attempts, whatever the limit was.
+/// Regression (join+vast): after a few rate-limited attempts each of 100 dispatchers waited up to
+/// 20 s, whatever the limit was.
 #[test]
-fn limited_at_a_listed_rate_all_keep_to_fair_shares_and_soon_find_capacity_again() {
+fn rate_limited_dispatchers_keep_to_their_fair_shares_and_recover_quickly() {
     for dispatchers in [3, 100, 300] {
         let mut fleet = Fleet::new(dispatchers, Some(RATE));
         fleet.advance(Behavior::AnswersAfter(100 * MS), 10 * SEC);
@@ -120,10 +120,10 @@
         fleet.advance(Behavior::RateLimits(None), (4.0 * share) as Nanos + 4 * SEC);
         let (from, span) = (fleet.now(), (8.0 * share) as Nanos + 4 * SEC);
         fleet.advance(Behavior::RateLimits(None), span);
-        let (sent, most) = (fleet.sent(from), RATE * span as f64 / SEC as f64 / 2.0);
+        let (sent, max_sent) = (fleet.sent(from), RATE * span as f64 / SEC as f64 / 2.0);
         assert!(
-            (sent as f64) < most,
-            "{dispatchers}: {sent} sent in {} s of rate limiting",
+            (sent as f64) < max_sent,
+            "{dispatchers} dispatchers: {sent} attempts in {} s of rate limiting",
             span / SEC
         );
         let before = fleet.delivered();
@@ -134,43 +134,47 @@
         assert_eq!(
             fleet.without_delivery_since(&before),
             0,
-            "{dispatchers}: found no capacity"
+            "{dispatchers} dispatchers: some delivered nothing after the rate limiting"
         );
     }
 }
 
-/// Regression (zone+vast): after an outage of 5 s most of 100 dispatchers noticed the return ten
-/// seconds late.
+/// Regression (zone+vast): after an outage of 5 s, most of 100 dispatchers detected the recovery
+/// ten seconds late.
 #[test]
-fn a_return_after_an_outage_is_noticed_by_all_and_overloads_nothing() {
+fn all_dispatchers_detect_a_recovery_without_overloading_the_endpoints() {
     let (mut fleet, settings) = (Fleet::new(100, Some(RATE)), settings());
     fleet.advance(Behavior::AnswersAfter(100 * MS), 10 * SEC);
-    fleet.advance(Behavior::IsUnreachable, 5 * SEC);
+    fleet.advance(Behavior::Unreachable, 5 * SEC);
     let (before, from) = (fleet.delivered(), fleet.now());
     fleet.advance(Behavior::AnswersAfter(100 * MS), settings.overload_window);
-    let bears = RATE
+    let capacity = RATE
         * settings.cold_capacity_share
         * settings.overload_multiple
         * settings.overload_window as f64
         / SEC as f64;
     let sent = fleet.sent(from) as f64;
     assert!(
-        sent < 1.25 * bears,
-        "{sent} sent to an endpoint that bears {bears}"
+        sent < 1.25 * capacity,
+        "{sent} attempts to endpoints with a capacity of {capacity}"
     );
-    // Each of the four endpoints bears a quarter.
-    let space = 4.0 * 100.0 / (RATE * settings.cold_capacity_share * settings.overload_multiple);
+    // Each of the four endpoints has a quarter of the capacity.
+    let spacing = 4.0 * 100.0 / (RATE * settings.cold_capacity_share * settings.overload_multiple);
     fleet.advance(
         Behavior::AnswersAfter(100 * MS),
-        (1.5 * space * SEC as f64) as Nanos,
+        (1.5 * spacing * SEC as f64) as Nanos,
+    );
+    assert_eq!(
+        fleet.without_delivery_since(&before),
+        0,
+        "some dispatchers did not detect the recovery"
     );
-    assert_eq!(fleet.without_delivery_since(&before), 0, "not noticed");
 }
 
-/// Regression (herd+vast): 100 dispatchers that were rate-limited at one moment all returned at one
-/// moment.
+/// Regression (herd+vast): 100 dispatchers that were rate-limited at the same time all retried at
+/// the same time.
 #[test]
-fn dispatchers_limited_at_the_same_moment_return_at_different_moments() {
+fn dispatchers_rate_limited_at_the_same_time_retry_at_different_times() {
     let mut fleet = Fleet::new(100, Some(RATE));
     fleet.advance(Behavior::AnswersAfter(100 * MS), 10 * SEC);
     for sim in &mut fleet.0 {
@@ -183,22 +187,22 @@
     for sim in &mut fleet.0 {
         sim.advance(10 * SEC);
     }
-    let fifths = fleet
+    let intervals = fleet
         .0
         .iter()
         .flat_map(|sim| &sim.env.sent)
         .filter(|s| s.at >= from)
         .map(|s| (s.at - from) / (200 * MS));
-    let mut returns = [0; 50];
-    fifths.for_each(|fifth| returns[fifth as usize] += 1);
-    assert_eq!(returns.iter().sum::<usize>(), 100);
-    assert!(returns.iter().all(|&n| n <= 25), "{returns:?}");
+    let mut retries = [0; 50];
+    intervals.for_each(|interval| retries[interval as usize] += 1);
+    assert_eq!(retries.iter().sum::<usize>(), 100);
+    assert!(retries.iter().all(|&n| n <= 25), "{retries:?}");
 }
 
-/// Regression (zone+vast): the slow start of an endpoint that had been back for seconds began again
-/// at each dispatcher that noticed it.
+/// Regression (zone+vast): each dispatcher that detected the recovery of an endpoint began a new
+/// slow start, although the endpoint had been available again for seconds.
 #[test]
-fn a_return_is_dated_half_way_back_to_the_attempt_before() {
+fn recovery_is_dated_half_way_back_to_the_previous_attempt() {
     let mut sim = Simulation::new(Settings {
         dispatchers: 10,
         queue_capacity: 400,
@@ -219,17 +223,17 @@
     }
     sim.advance(4 * SEC);
     let delivered = sim.env.delivered.len() - before;
-    // Its share of the limit is 5 a second. A slow start that began now would bear twice 0.2 to 0.6
-    // of it in the four seconds: 16.
-    assert!(delivered > 22, "{delivered} delivered");
+    // The dispatcher's share of the limit is 5 per second. A slow start that began now would allow
+    // twice 0.2 to 0.6 of that during the four seconds: 16 messages.
+    assert!(delivered > 22, "only {delivered} delivered");
 }
 
-/// Regression (quito-sede at 24.29 s and 45.20 s, big-1): many dispatchers were rate-limited at one
-/// moment by a route in an outage, and 15 of 16 attempts that overloaded it at its return came from
-/// them, 2 to 7 s later, each the first since.
+/// Regression (quito-sede at 24.29 s and 45.20 s, big-1): a route in an outage rate-limited many
+/// dispatchers at the same time. Their first retries, 2 to 7 s later, were 15 of the 16 attempts
+/// that overloaded the route when it recovered.
 #[test]
-fn dispatchers_limited_in_an_outage_return_spread_over_many_seconds() {
-    let mut returned_after = vec![];
+fn dispatchers_rate_limited_in_an_outage_retry_spread_over_many_seconds() {
+    let mut retried_after = vec![];
     for seed in 0..262 {
         let mut sim = Simulation::with_single_endpoint(Settings {
             seed,
@@ -240,25 +244,25 @@
         let start = sim.env.now;
         sim.submit_with(0, 2, None, 20 * SEC);
         sim.advance(15 * SEC);
-        returned_after.extend(sim.env.sent.get(1).map(|s| s.at - start));
+        retried_after.extend(sim.env.sent.get(1).map(|s| s.at - start));
     }
     let window = |from: Nanos| {
-        returned_after
+        retried_after
             .iter()
             .filter(|&&at| (from..from + 1_500 * MS).contains(&at))
             .count()
     };
-    let most = returned_after.iter().map(|&from| window(from)).max();
+    let max_in_window = retried_after.iter().map(|&from| window(from)).max();
     assert!(
-        returned_after.len() > 250 && most < Some(50),
-        "{most:?} of {} within 1.5 s",
-        returned_after.len()
+        retried_after.len() > 250 && max_in_window < Some(50),
+        "{max_in_window:?} of {} retries within 1.5 s",
+        retried_after.len()
     );
 }
 
-/// Regression (quito-sede at 48.09 s): when a route in an outage opened again, each of 313
-/// dispatchers sent several waiting messages within 50 ms, before the first was rejected; 35 of 41
-/// attempts that overloaded it came from those.
+/// Regression (quito-sede at 48.09 s): when the suspension of a route in an outage ended, each of
+/// 313 dispatchers sent several waiting messages within 50 ms, before the first was rejected. They
+/// were 35 of the 41 attempts that overloaded the route.
 #[test]
 fn each_dispatcher_of_a_large_fleet_first_sends_one_message_to_a_route_that_reopens() {
     let mut sim = Simulation::with_single_endpoint(Settings {
@@ -280,22 +284,22 @@
 }
 
 /// Regression (maadi-main at 41.25 s): an endpoint that had been unreachable for 21 s was
-/// overloaded at its return; two thirds of the attempts came from dispatchers that had met one
-/// connect timeout each, and took it for healthy.
+/// overloaded when it recovered. Two thirds of the attempts came from dispatchers that had observed
+/// one connect timeout each and considered the endpoint healthy.
 #[test]
-fn one_connect_timeout_is_an_outage_where_a_route_is_seldom_used() {
+fn one_connect_timeout_is_an_outage_in_a_large_fleet() {
     for (dispatchers, outage) in [(300, true), (3, false)] {
         let mut sim = Simulation::with_single_endpoint(Settings {
             dispatchers,
             ..settings()
         });
-        sim.env.behaviors[8] = Behavior::IsUnreachable;
+        sim.env.behaviors[8] = Behavior::Unreachable;
         sim.submit(0, 2);
         sim.advance(SEC / 2);
         sim.env.behaviors[8] = Behavior::AnswersAfter(100 * MS);
         sim.advance(10 * SEC);
-        // All dispatchers together try it no more often than a warming one bears: this one not
-        // within its message's lifetime.
+        // All dispatchers together try the endpoint no more often than a warming one can handle, so
+        // this dispatcher does not try it again within the lifetime of its message.
         assert_eq!(
             sim.env.delivered.len(),
             usize::from(!outage),
@@ -306,11 +310,11 @@
     }
 }
 
-/// Regression (maadi-main i5db0fb at 13.53 s): 14 of 15 attempts that overloaded an endpoint after
-/// a crash came from dispatchers that had met one or two refused connections there; the third would
-/// have shown them the outage.
+/// Regression (maadi-main i5db0fb at 13.53 s): 14 of the 15 attempts that overloaded an endpoint
+/// after a crash came from dispatchers that had observed one or two refused connections, while only
+/// a third one counted as an outage.
 #[test]
-fn two_refused_connections_are_an_outage_where_a_route_is_seldom_used() {
+fn two_refused_connections_are_an_outage_in_a_large_fleet() {
     let attempts = |dispatchers| {
         let mut sim = Simulation::with_single_endpoint(Settings {
             dispatchers,
@@ -327,10 +331,10 @@
     assert!(attempts(3) > 3);
 }
 
-/// Regression (rough-1 and big-2 of maadi-main): no limit is listed, answers report them; each
-/// dispatcher returned by the size of the fleet alone.
+/// Regression (rough-1 and big-2 of maadi-main): rate limits were not listed but reported in
+/// answers, and dispatchers based the time of their retries on the fleet size alone.
 #[test]
-fn a_reported_limit_replaces_a_listed_rate() {
+fn a_reported_rate_limit_is_used_where_none_is_listed() {
     let interval = |reported_rate_limit| {
         let mut sim = Simulation::with_single_endpoint(Settings {
             dispatchers: 100,
@@ -348,15 +352,16 @@
         sim.advance(11 * SEC);
         sim.env.sent[1].at - sim.env.sent[0].at
     };
-    // A share of 50 a second is 2 s for 100, spread by half.
+    // 50 per second give each of 100 dispatchers one attempt every 2 s, spread by half.
     assert!(interval(Some(50.0)) >= 800 * MS && interval(None) < 800 * MS);
 }
 
-/// The operators' rule: beyond the N attempts that a warming endpoint bears in the settings'
-/// window, only 2 x root of N + 2 are allowed for chance, summed over all dispatchers, with 20 or
-/// 30 as with 3 or 300, with listed rates and without.
+/// Operators' requirement: if a warming endpoint can handle N attempts in the configured overload
+/// window, all dispatchers together may exceed N by at most 2 * sqrt(N) + 2, as a tolerance for
+/// random variation. This has to hold for 20 or 30 dispatchers as for 3 or 300, with listed rates
+/// and without; the case of 300 is run with listed rates only.
 #[test]
-fn a_fleet_of_any_size_sends_no_more_than_a_warming_endpoint_bears() {
+fn a_fleet_of_any_size_does_not_overload_a_warming_endpoint() {
     for (dispatchers, listed) in [
         (3, false),
         (20, false),
@@ -366,23 +371,25 @@
         (30, true),
         (300, true),
     ] {
-        assert_return_overloads_nothing(dispatchers, listed);
+        assert_recovery_overloads_nothing(dispatchers, listed);
     }
 }
 
-fn assert_return_overloads_nothing(dispatchers: u32, listed: bool) {
+/// Checks the overload windows of each endpoint during its slow start. A window may exceed the
+/// limit if at most two thirds of its attempts came from dispatchers that had observed the outage.
+fn assert_recovery_overloads_nothing(dispatchers: u32, listed: bool) {
     let settings = settings();
     let mut fleet = Fleet::new(dispatchers, Some(RATE).filter(|_| listed));
     fleet.advance(Behavior::AnswersAfter(100 * MS), 10 * SEC);
     let down_at = fleet.now();
-    fleet.advance(Behavior::IsUnreachable, 6 * SEC);
-    let returned_at = fleet.now();
+    fleet.advance(Behavior::Unreachable, 6 * SEC);
+    let recovered_at = fleet.now();
     fleet.advance(Behavior::AnswersAfter(100 * MS), settings.slow_start);
-    // Four endpoints share the capacity of their destination: the listed rate, else a fifth over
-    // what they took.
+    // Four endpoints share the capacity of their destination: the listed rate limit, or a fifth
+    // more than the rate of submission.
     let capacity = if listed { RATE } else { 1.2 * RATE } / 4.0;
     for endpoint in 0..4 {
-        let sent = fleet.sent_after_outage(endpoint, down_at, returned_at);
+        let sent = fleet.sent_after_outage(endpoint, down_at, recovered_at);
         let within = |from: Nanos| {
             sent.iter()
                 .filter(move |s| (from..from + settings.overload_window).contains(&s.at))
@@ -390,22 +397,22 @@
         for from in sent
             .iter()
             .map(|s| s.at)
-            .filter(|from| from + settings.overload_window < returned_at + settings.slow_start)
+            .filter(|from| from + settings.overload_window < recovered_at + settings.slow_start)
         {
             let available = settings.cold_capacity_share
                 + (1.0 - settings.cold_capacity_share)
-                    * (from - returned_at + settings.overload_window / 2) as f64
+                    * (from - recovered_at + settings.overload_window / 2) as f64
                     / settings.slow_start as f64;
-            let bears =
+            let expected =
                 capacity * available * settings.overload_multiple * settings.overload_window as f64
                     / SEC as f64;
             let all = within(from).count();
             let informed = within(from).filter(|s| s.informed).count();
-            let most = bears + 2.0 * bears.sqrt() + 2.0;
-            let at = (from - returned_at) / MS;
+            let max_attempts = expected + 2.0 * expected.sqrt() + 2.0;
+            let at = (from - recovered_at) / MS;
             assert!(
-                all as f64 <= most || 3 * informed <= 2 * all,
-                "{dispatchers}, listed {listed}: {all} of {most:.1} from {at} ms on, {informed} of them informed"
+                all as f64 <= max_attempts || 3 * informed <= 2 * all,
+                "{dispatchers} dispatchers, listed {listed}: {all} attempts of {max_attempts:.1} from {at} ms on, {informed} of them informed"
             );
         }
     }
--- a/crates/core/tests/decisions/idle_connections.rs
+++ b/crates/core/tests/decisions/idle_connections.rs
@@ -1,9 +1,10 @@
-//! Whether idle connections are kept.
+//! Keeping and closing of idle connections.
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 
-/// Regression (ljubljana-depot-later): full connection tables and dropped idle connections,
-/// observed at one destination of a kind, cost every dispatcher attempts again at each other one.
+/// Regression (ljubljana-depot-later): after a dispatcher had met full connection tables or dropped
+/// idle connections at one destination of a kind, it lost attempts in the same way at every other
+/// destination of that kind.
 #[test]
 fn idle_connections_to_a_kind_are_closed_after_a_drop() {
     for behavior in [Behavior::RefusesConnections, Behavior::ResetsConnections] {
@@ -12,11 +13,11 @@
         sim.submit(0, 0);
         sim.env.behaviors.fill(Behavior::AnswersAfter(100 * MS));
         sim.advance(SEC);
-        // Regression (herd+vast): those that no message was sent on stayed, and kept other
-        // dispatchers out.
+        // Regression (herd+vast): idle connections without further messages stayed open and kept
+        // other dispatchers from connecting.
         assert!(
             (4..8).all(|endpoint| sim.env.closed_idle.contains(&endpoint)),
-            "{behavior:?}: idle ones stay open until they are used"
+            "{behavior:?}: unused idle connections stay open"
         );
         sim.submit(0, 1);
         sim.submit(0, 2);
@@ -26,17 +27,17 @@
                 .closed_idle
                 .iter()
                 .any(|endpoint| (4..8).contains(endpoint)),
-            "{behavior:?}: kept to another destination of the kind"
+            "{behavior:?}: idle connections kept to another destination of the kind"
         );
         assert!(
             !sim.env.closed_idle.iter().any(|endpoint| *endpoint >= 8),
-            "{behavior:?}: closed to another kind"
+            "{behavior:?}: idle connections closed to a destination of another kind"
         );
     }
 }
 
-/// Regression (churn, on sockets): after two connections that broke among hundreds, every message
-/// waited for a handshake.
+/// Regression (churn, on sockets): after two of hundreds of connections had been reset, every
+/// message waited for a handshake.
 #[test]
 fn a_few_broken_connections_close_no_idle_ones() {
     let mut sim = Simulation::new(settings());
@@ -51,8 +52,8 @@
         sim.advance(200 * MS);
     }
     assert_eq!(sim.env.closed_idle, Vec::<u32>::new());
-    // Lost answers show as resets too, but as late as an answer.
-    sim.env.behaviors[..4].fill(Behavior::ResetsAfterWork);
+    // Lost answers appear as resets too, but only after the usual answer time.
+    sim.env.behaviors[..4].fill(Behavior::ResetsAfterProcessing);
     for _ in 0..20 {
         sim.submit(0, 0);
         sim.advance(SEC);
@@ -60,8 +61,8 @@
     assert_eq!(sim.env.closed_idle, Vec::<u32>::new());
 }
 
-/// Regression (wide+reset+stale, on sockets): connections broke whether new or kept, and all were
-/// new for a minute.
+/// Regression (wide+reset+stale, on sockets): new and idle connections were reset alike, and the
+/// dispatcher used only new ones for a minute.
 #[test]
 fn idle_connections_are_kept_again_where_new_ones_break_too() {
     let mut sim = Simulation::new(settings());
@@ -70,7 +71,10 @@
         sim.submit(0, 0);
         sim.advance(SEC);
     }
-    assert!(!sim.env.closed_idle.is_empty(), "not closed at first");
+    assert!(
+        !sim.env.closed_idle.is_empty(),
+        "idle connections not closed at first"
+    );
     sim.env.behaviors.fill(Behavior::AnswersAfter(100 * MS));
     sim.advance(5 * SEC);
     sim.env.closed_idle.clear();
--- a/crates/core/tests/decisions/main.rs
+++ b/crates/core/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! The decisions in a simulated environment: single cases by subject, whole fleets, and random
-//! runs.
+//! Tests of the decision logic in a simulated environment: individual cases by subject, whole
+//! fleets and random runs.
 
 mod discovery;
 mod final_answers;
--- a/crates/core/tests/decisions/random_runs.rs
+++ b/crates/core/tests/decisions/random_runs.rs
@@ -1,11 +1,11 @@
-//! Random runs: whatever happens, the six rules hold after every step.
+//! Property tests: the six rules hold in random runs.
 
 use crate::simulation::{Behavior, LIFETIME, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointUpdate, MessageId, Settings};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// One step of a random run: an event, the endpoint or destination that it concerns, and the
-/// milliseconds until the next step (less whole multiples of 128).
+/// One step of a random run: the event, its target endpoint or destination, and the milliseconds
+/// until the next step (modulo 128).
 type Step = (u8, u8, u16);
 
 fn behavior(n: u8) -> Behavior {
@@ -14,11 +14,11 @@
         1 => Behavior::ReturnsErrors,
         2 => Behavior::RateLimits(None),
         3 => Behavior::RateLimits(Some(u64::from(n) * 10 * MS)),
-        4 => Behavior::IsUnreachable,
+        4 => Behavior::Unreachable,
         5 => Behavior::RefusesConnections,
         6 => Behavior::AnswersAfter(u64::from(n) * 20 * MS),
         7 => Behavior::ResetsConnections,
-        8 => Behavior::MeetsNoLocalCapacity,
+        8 => Behavior::LacksLocalCapacity,
         9 => Behavior::LosesSomeAnswers,
         10 => Behavior::RateLimitsLate,
         _ => Behavior::AnswersAfter(100 * MS),
@@ -26,11 +26,12 @@
 }
 
 fn run(steps: Vec<Step>) -> TestResult {
-    // With little capacity, many endpoints, large fleets and sparse traffic too.
-    let draw = steps.first().map_or(0, |s| usize::from(s.2));
-    let (max_in_flight, dispatchers) = ([8, 2, 3][draw % 3], [1, 300][draw / 3 % 2]);
-    let endpoints = [12, 60][draw / 6 % 2];
-    let max_batch = [vec![], vec![4, 1], vec![3, 20]][draw / 12 % 3].clone();
+    // The first step selects the settings, which include small capacities, many endpoints, large
+    // fleets, sparse traffic and batches.
+    let variant = steps.first().map_or(0, |s| usize::from(s.2));
+    let (max_in_flight, dispatchers) = ([8, 2, 3][variant % 3], [1, 300][variant / 3 % 2]);
+    let endpoints = [12, 60][variant / 6 % 2];
+    let max_batch = [vec![], vec![4, 1], vec![3, 20]][variant / 12 % 3].clone();
     let mut sim = Simulation::with_endpoints(
         Settings {
             max_in_flight,
--- a/crates/core/tests/decisions/ranking.rs
+++ b/crates/core/tests/decisions/ranking.rs
@@ -1,12 +1,12 @@
-//! Ranking and batches: which waiting message goes first, and which share a call.
+//! Ranking and batches: which waiting message is sent first, and which messages share a call.
 
 use crate::simulation::{Behavior, MS, SEC, SentAttempt, Simulation, settings};
 use bellsill_core::interface::{MessageId, Nanos, Settings};
 
-/// Regression (head-office-later rough-1): a message that could wait went before one that was near
-/// its latency objective.
+/// Regression (head-office-later rough-1): a message that could wait was sent before one that was
+/// near its latency objective.
 #[test]
-fn a_message_that_loses_value_by_waiting_goes_first() {
+fn a_message_that_loses_value_by_waiting_is_sent_first() {
     let mut sim = Simulation::new(Settings {
         max_in_flight: 2,
         ..settings()
@@ -27,7 +27,7 @@
     assert_eq!(order, [soon, later]);
 }
 
-/// Regression (churn, on sockets): once the queue was full, each message was sent just before its
+/// Regression (churn, on sockets): once the queue was full, every message was sent just before its
 /// deadline.
 #[test]
 fn under_lasting_overload_messages_are_sent_well_before_their_deadline() {
@@ -42,20 +42,24 @@
         }
         sim.advance(50 * MS);
     }
-    // 80 a second can be sent, 120 are submitted.
+    // 120 messages per second are submitted, 80 can be sent.
     let late: Vec<_> = sim.env.sent.iter().filter(|s| s.at > 1_015 * SEC).collect();
     let age: Nanos = late
         .iter()
         .map(|s| s.at - sim.env.accepted_at(s.message))
         .sum::<Nanos>()
         / late.len() as Nanos;
-    assert!(age < 3_300 * MS, "{} ms old on average", age / MS);
+    assert!(
+        age < 3_300 * MS,
+        "messages were {} ms old on average when sent",
+        age / MS
+    );
 }
 
-/// Regression (wales-head-office big-1): a backlog was sent one by one, each message a call against
-/// the limit.
+/// Regression (wales-head-office big-1): the messages of a backlog were sent in separate calls,
+/// each of which counted against the limit.
 #[test]
-fn a_backlog_shares_calls_where_its_kind_allows() {
+fn a_backlog_is_sent_in_batches_where_its_kind_allows() {
     let mut sim = Simulation::new(Settings {
         max_batch: vec![1, 4],
         max_in_flight: 2,
@@ -92,10 +96,10 @@
     );
 }
 
-/// Regression (rough-1 of wales-head-office and of maadi-main): the answers of one call come up to
-/// 20 ms apart, and the Retry-After of the first was ignored until the last had come.
+/// Regression (rough-1 of wales-head-office and of maadi-main): the answers to one call arrive up
+/// to 20 ms apart, and the Retry-After in the first was ignored until the last had arrived.
 #[test]
-fn a_retry_after_given_to_any_message_of_a_batch_binds() {
+fn a_retry_after_for_any_message_of_a_batch_applies() {
     let mut sim = Simulation::with_single_endpoint(Settings {
         max_batch: vec![1, 4],
         max_in_flight: 20,
@@ -103,7 +107,7 @@
     });
     sim.env.behaviors.fill(Behavior::RateLimits(Some(SEC)));
     sim.submit_many(6, 0, 2);
-    // The environment checks the Retry-After with each attempt.
+    // The environment checks the Retry-After at every attempt.
     sim.advance(3 * SEC);
     sim.env.behaviors.fill(Behavior::AnswersAfter(600 * MS));
     sim.advance(9 * SEC);
--- a/crates/core/tests/decisions/rate_limits.rs
+++ b/crates/core/tests/decisions/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits: suspension for a Retry-After, backoff and pacing.
+//! Rate limits: suspension by Retry-After, backoff and pacing.
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointUpdate, Nanos, Settings};
@@ -15,7 +15,7 @@
     assert_eq!(
         sim.env.sent[1].at,
         sim.env.sent[0].at + 20 * MS + 2 * SEC,
-        "the earliest reopening"
+        "sent at the end of the Retry-After"
     );
 }
 
@@ -44,7 +44,7 @@
     let again = waits(&sim)[before];
     assert!(
         again < grown[1],
-        "{again} after a delivery, {grown:?} before"
+        "backoff of {again} ns after a delivery, {grown:?} before"
     );
 }
 
@@ -67,10 +67,10 @@
     assert!(gaps[1] > 10 * MS && gaps[48] < 2 * MS, "{gaps:?}");
 }
 
-/// Regression (random runs): an endpoint listed while a Retry-After bound the others of its limiter
-/// was used at once.
+/// Regression (random runs): an endpoint that was listed while a Retry-After suspended the others
+/// of its limiter got attempts immediately.
 #[test]
-fn a_retry_after_binds_an_endpoint_that_is_listed_later() {
+fn a_retry_after_applies_to_an_endpoint_listed_later() {
     let mut sim = Simulation::new(settings());
     sim.env.behaviors.fill(Behavior::RateLimits(Some(2 * SEC)));
     sim.submit(0, 0);
@@ -81,9 +81,9 @@
     assert_eq!(sim.env.sent.len(), 1);
 }
 
-/// Regression (nairobi-depot-later rules-1, i26e69d): each of hundreds of dispatchers had only a
-/// few attempts rate-limited by a route that hung with a full queue; they returned within a second
-/// and overloaded it as it recovered.
+/// Regression (nairobi-depot-later rules-1, i26e69d): a route that hung with a full queue
+/// rate-limited only a few attempts of each of hundreds of dispatchers. They retried within a
+/// second and overloaded the route while it recovered.
 #[test]
 fn in_a_large_fleet_a_few_rate_limited_attempts_eject_a_route() {
     let mut sim = Simulation::new(Settings {
@@ -93,7 +93,7 @@
     sim.env.behaviors.fill(Behavior::RateLimits(None));
     sim.submit_with(0, 0, None, 200 * SEC);
     sim.advance(1_400 * MS);
-    assert_eq!(sim.env.sent.len(), 1, "retried at once");
+    assert_eq!(sim.env.sent.len(), 1, "retried too soon");
     while sim.env.sent.len() < 2 {
         sim.advance(100 * MS);
     }
@@ -102,7 +102,7 @@
     sim.advance(100 * SEC);
     assert!(
         sim.has_logged("begins a slow start"),
-        "{:?} {}",
+        "no slow start: {:?}, {} attempts",
         sim.env.log_lines,
         sim.env.sent.len()
     );
--- a/crates/core/tests/decisions/recovery.rs
+++ b/crates/core/tests/decisions/recovery.rs
@@ -1,9 +1,9 @@
-//! Recovery: suspect routes, half-open trials and slow start.
+//! Recovery of routes: suspicion, half-open trials and slow start.
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointUpdate, Nanos, Settings};
 
-/// Regression (incident ibd5a5f): a route that was slow for a moment had to go through a whole slow
+/// Regression (incident ibd5a5f): a route that was slow for a short time went through a full slow
 /// start.
 #[test]
 fn a_slow_period_causes_no_slow_start() {
@@ -23,8 +23,8 @@
     assert!(!sim.has_logged("slow start"), "{:?}", sim.env.log_lines);
 }
 
-/// Regression (h61c592): a route in slow start that answered slowly, and so was suspect for
-/// silence, counted as healthy as soon as it answered.
+/// Regression (h61c592): a route in slow start became suspect for silence because it answered
+/// slowly, and counted as healthy as soon as it answered.
 #[test]
 fn a_warming_route_that_becomes_suspect_for_silence_keeps_warming_up() {
     let mut sim = Simulation::new(Settings {
@@ -50,15 +50,15 @@
     let sent = sim.env.sent.len() - from;
     assert!(
         sent < 60,
-        "{sent} sent within two seconds of the route's return, {:?}",
+        "{sent} sent within two seconds of the route's recovery, {:?}",
         sim.env.log_lines
     );
 }
 
-/// Regression (i2fdf7c): hundreds of dispatchers sent their backlogs to a replacement the moment it
-/// was listed.
+/// Regression (i2fdf7c): hundreds of dispatchers sent their backlogs to a replacement endpoint as
+/// soon as it was listed.
 #[test]
-fn a_new_endpoint_of_a_failing_destination_is_sent_little() {
+fn a_new_endpoint_of_a_failing_destination_gets_few_attempts() {
     let mut sim = Simulation::new(Settings {
         dispatchers: 300,
         max_in_flight: 40,
@@ -76,15 +76,15 @@
     sim.advance(SEC);
     assert!(
         waiting > 5 && sim.attempts_to(12) <= 1,
-        "{waiting} waiting, {} sent",
+        "{waiting} waiting, {} attempts to the new endpoint",
         sim.attempts_to(12)
     );
 }
 
-/// Regression (incident icbc617): refused connections were taken for full connection tables, and at
-/// its return the route was sent every backlog.
+/// Regression (incident icbc617): refused connections were mistaken for full connection tables, so
+/// the route was sent every backlog when it recovered.
 #[test]
-fn a_route_that_refuses_connections_returns_with_a_slow_start() {
+fn a_route_that_refuses_connections_recovers_with_a_slow_start() {
     let mut sim = Simulation::new(settings());
     sim.env.behaviors.fill(Behavior::RefusesConnections);
     for _ in 0..8 {
@@ -119,7 +119,7 @@
     let attempts = sim.attempts_to(0) - before;
     assert!(
         (3..=8).contains(&attempts),
-        "{attempts} attempts in 8 s, while its siblings answered"
+        "{attempts} attempts in 8 s while its siblings answered"
     );
     sim.env.behaviors[0] = Behavior::AnswersAfter(100 * MS);
     load(&mut sim, 20);
@@ -136,23 +136,23 @@
 #[test]
 fn resets_as_late_as_answers_are_failures_of_the_route() {
     let mut sim = Simulation::new(settings());
-    sim.env.behaviors[8] = Behavior::ResetsAfterWork;
+    sim.env.behaviors[8] = Behavior::ResetsAfterProcessing;
     for _ in 0..80 {
         sim.submit(0, 2);
         sim.advance(100 * MS);
     }
     assert!(
         sim.attempts_to(8) <= 14,
-        "{} of 80 messages were sent to it first",
+        "{} attempts to the failing route for 80 messages",
         sim.attempts_to(8)
     );
     assert_eq!(sim.env.delivered.len(), 80);
 }
 
-/// Regression (nairobi-depot-later rough-1): with a capacity of two calls the half-open trials of
-/// destinations that hung took one all the time.
+/// Regression (nairobi-depot-later rough-1): with a capacity of two calls, half-open trials of
+/// hanging destinations permanently occupied one of them.
 #[test]
-fn half_open_trials_take_their_share_of_a_capacity_of_two() {
+fn half_open_trials_keep_to_their_share_of_a_capacity_of_two() {
     let mut sim = Simulation::new(Settings {
         max_in_flight: 2,
         ..settings()
@@ -172,7 +172,7 @@
         .collect();
     assert!(
         trials.len() < 8,
-        "{} trials in twenty seconds",
+        "{} half-open trials in twenty seconds",
         trials.len()
     );
 }
--- a/crates/core/tests/decisions/routing.rs
+++ b/crates/core/tests/decisions/routing.rs
@@ -1,5 +1,5 @@
-//! Routing: which route a message takes, and how much of the in-flight capacity a destination may
-//! use.
+//! Routing: which route a message is sent over, and how much of the in-flight capacity a
+//! destination may use.
 
 use crate::simulation::{Behavior, MS, SEC, Simulation, settings};
 use bellsill_core::interface::{EndpointId, EndpointUpdate, Settings};
@@ -30,13 +30,13 @@
         .sent
         .iter()
         .position(|s| s.endpoint == 8)
-        .expect("sent once");
+        .expect("an attempt was sent to endpoint 8");
     let (first, next) = (&sim.env.sent[rate_limited], &sim.env.sent[rate_limited + 1]);
     assert_eq!((next.message, next.at), (first.message, first.at + 20 * MS));
 }
 
-/// Regression (incident i6c01aa): at-most-once attempts at routes that hung took the whole
-/// in-flight capacity for whole lifetimes.
+/// Regression (incident i6c01aa): at-most-once attempts to hanging routes occupied the whole
+/// in-flight capacity for entire message lifetimes.
 #[test]
 fn a_destination_that_hangs_leaves_capacity_to_others() {
     let mut sim = Simulation::new(settings());
@@ -55,11 +55,11 @@
     assert!(delivered >= 95, "only {delivered} of 100 delivered");
 }
 
-/// Regression (pieces+silent+leave): single connections fell silent on routes that answered on all
-/// others, so no route became suspect, and each attempt kept its capacity for the whole timeout
-/// while messages waited.
+/// Regression (pieces+silent+leave): individual connections stopped answering while others of the
+/// same route still did. No route became suspect, so each affected attempt kept its capacity until
+/// its timeout while messages waited.
 #[test]
-fn lost_answers_of_healthy_routes_keep_no_capacity_from_waiting_messages() {
+fn lost_answers_on_healthy_routes_take_no_capacity_from_waiting_messages() {
     let mut sim = Simulation::with_endpoints(
         Settings {
             queue_capacity: 600,
@@ -85,15 +85,15 @@
         .count();
     assert!(
         late == 0 && !sim.has_logged("suspect"),
-        "{late} sent late, {:?}",
+        "{late} attempts sent late, {:?}",
         sim.env.log_lines
     );
 }
 
-/// A connection takes a while to come up; the daemon asks once more before it writes the first
+/// Establishing a connection takes time, so the daemon checks again before it writes the first
 /// byte.
 #[test]
-fn an_endpoint_is_not_open_while_it_drains_or_is_suspended() {
+fn an_endpoint_accepts_no_attempts_while_it_drains_or_is_suspended() {
     let mut sim = Simulation::new(settings());
     assert!((0..12).all(|e| sim.dispatcher.accepts_attempts(sim.env.now, EndpointId(e))));
     sim.set_serving(0, false, EndpointUpdate::Delta);
@@ -102,12 +102,12 @@
         sim.submit(0, 2);
     }
     sim.advance(SEC);
-    let open = |sim: &Simulation| {
+    let accepting = |sim: &Simulation| {
         (0..13)
             .filter(|e| sim.dispatcher.accepts_attempts(sim.env.now, EndpointId(*e)))
             .collect::<Vec<_>>()
     };
-    assert_eq!(open(&sim), [1, 2, 3, 4, 5, 6, 7, 9, 10, 11]);
+    assert_eq!(accepting(&sim), [1, 2, 3, 4, 5, 6, 7, 9, 10, 11]);
     sim.advance(3 * SEC);
-    assert_eq!(open(&sim), (1..12).collect::<Vec<_>>());
+    assert_eq!(accepting(&sim), (1..12).collect::<Vec<_>>());
 }
--- a/crates/core/tests/decisions/simulation/environment.rs
+++ b/crates/core/tests/decisions/simulation/environment.rs
@@ -1,5 +1,5 @@
-//! The environment of a dispatcher: endpoints that behave as a test says, and a record of what the
-//! dispatcher did.
+//! The simulated environment of a dispatcher: endpoints with configurable behavior, and a record of
+//! the dispatcher's actions.
 
 use super::settings::{LIFETIME, MS};
 use bellsill_core::interface::{
@@ -8,27 +8,27 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How an endpoint treats the attempts that are sent to it.
+/// How an endpoint responds to attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Behavior {
     AnswersAfter(Nanos),
     Hangs,
     ReturnsErrors,
-    /// It rate-limits each attempt, with this Retry-After.
+    /// Rate-limits every attempt, with this Retry-After.
     RateLimits(Option<Nanos>),
-    /// The same without a Retry-After, and only after a while.
+    /// Rate-limits every attempt after 100 ms, without a Retry-After.
     RateLimitsLate,
-    /// No connection comes up in time.
-    IsUnreachable,
-    /// Its connection table is full, or nothing listens.
+    /// Connections time out.
+    Unreachable,
+    /// Connections are refused immediately: the connection table is full, or nothing listens.
     RefusesConnections,
     ResetsConnections,
-    /// The dispatcher's process has no capacity for a call to it.
-    MeetsNoLocalCapacity,
-    /// Does the work; every third answer is lost.
+    /// The dispatcher's process has no capacity for a call to the endpoint.
+    LacksLocalCapacity,
+    /// Processes every message, but one answer in three is lost.
     LosesSomeAnswers,
-    /// Does the work, then breaks the connection.
-    ResetsAfterWork,
+    /// Processes the message, then resets the connection.
+    ResetsAfterProcessing,
 }
 
 /// An attempt that the dispatcher sent.
@@ -45,7 +45,7 @@
     pub(super) sent_at: Nanos,
 }
 
-/// What the environment knows of a message.
+/// The environment's record of a message.
 pub(super) struct MessageRecord {
     pub(super) class: usize,
     pub(super) key: Option<KeyId>,
@@ -55,7 +55,7 @@
     pub(super) in_flight: Option<InFlight>,
     pub(super) possible_run: Option<PossibleRun>,
     pub(super) ended: bool,
-    /// The call that its latest attempt shares.
+    /// The call that its latest attempt is part of.
     pub(super) call: u64,
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// The last call made, and how it will end.
+/// The latest call, and how it will end.
 #[derive(Clone, Copy)]
 struct Call {
     number: u64,
@@ -86,7 +86,7 @@
     outcome: Outcome,
 }
 
-/// What happens at a scheduled time.
+/// An event scheduled for a later time.
 pub(super) enum ScheduledEvent {
     Wakeup,
     AttemptEnd(MessageId, Outcome),
@@ -99,7 +99,7 @@
     pub(crate) entries: Vec<EndpointEntry>,
     pub(crate) behaviors: Vec<Behavior>,
     pub(crate) sent: Vec<SentAttempt>,
-    /// The messages that were rejected, with their Retry-After.
+    /// The rejected messages, with their Retry-After.
     pub(crate) rejected: Vec<(MessageId, Nanos)>,
     pub(crate) failed: Vec<MessageId>,
     pub(crate) delivered: Vec<MessageId>,
@@ -109,13 +109,13 @@
     pub(crate) removed: Vec<u32>,
     /// When a watch was requested.
     pub(crate) watch_requests: Vec<Nanos>,
-    /// The limit that each answer reports.
+    /// The rate limit reported in every answer, if any.
     pub(crate) reported_rate_limit: Option<f64>,
     pub(super) messages: BTreeMap<MessageId, MessageRecord>,
     pub(super) key_order: BTreeMap<KeyId, Vec<MessageId>>,
-    /// Until when a key cools down, and after an attempt of which message.
+    /// The end of each key's cooldown, and the message whose attempt caused it.
     pub(super) key_cooldowns: BTreeMap<KeyId, (Nanos, MessageId)>,
-    /// For each limiter: until when a Retry-After binds.
+    /// The end of the Retry-After of each limiter.
     pub(super) retry_after_until: BTreeMap<u64, Nanos>,
     scheduled: BTreeMap<(Nanos, u64), ScheduledEvent>,
     sequence: u64,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// When a message was accepted that has the usual lifetime.
+    /// When a message with the default lifetime was accepted.
     pub(crate) fn accepted_at(&self, message: MessageId) -> Nanos {
         self.messages[&message].deadline - LIFETIME
     }
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Drops all that concerns one process of the dispatcher.
-    pub(super) fn forget_all(&mut self) {
+    /// Clears the state that belongs to one process of the dispatcher.
+    pub(super) fn clear_process_state(&mut self) {
         self.scheduled.clear();
         self.messages.clear();
         self.key_order.clear();
@@ -177,15 +177,15 @@
         self.scheduled.insert((at, self.sequence), event);
     }
 
-    /// The next scheduled event up to this time, and when it happens.
+    /// Removes and returns the next event scheduled up to this time, with its time.
     pub(super) fn next_event(&mut self, until: Nanos) -> Option<(Nanos, ScheduledEvent)> {
         let first = self.scheduled.first_entry()?;
         let at = first.key().0;
         (at <= until).then(|| (at, first.remove()))
     }
 
-    /// Records that a message has its final answer.
-    pub(super) fn record_end(&mut self, id: MessageId) {
+    /// Checks and records the final answer of a message.
+    pub(super) fn record_final_answer(&mut self, id: MessageId) {
         self.check_final_answer(id);
         let message = self.messages.get_mut(&id).expect("checked above");
         message.ended = true;
@@ -194,8 +194,8 @@
         }
     }
 
-    /// The call that one more attempt to this endpoint shares. What is sent to one endpoint at once
-    /// is one call, with one outcome, as far as its kind allows.
+    /// The call that a further attempt to this endpoint joins, if any. Messages sent to an endpoint
+    /// at the same time share one call with one outcome, up to the batch size of its kind.
     fn shared_call(&self, endpoint: u32) -> Option<Call> {
         let kind = self.entries[endpoint as usize].kind;
         let max_batch = self.settings.max_batch.get(kind.0).copied().unwrap_or(1);
@@ -212,28 +212,28 @@
         });
         assert!(
             shared.is_some() || calls.len() < self.settings.max_in_flight,
-            "an attempt beyond the in-flight capacity"
+            "attempt sent beyond the in-flight capacity"
         );
         shared
     }
 
-    /// After how long an attempt at this endpoint ends, and how.
-    fn behave(&self, id: MessageId, endpoint: u32, timeout: Nanos) -> (Nanos, Outcome) {
+    /// The duration and the outcome of an attempt at this endpoint.
+    fn simulate_attempt(&self, id: MessageId, endpoint: u32, timeout: Nanos) -> (Nanos, Outcome) {
         match self.behaviors[endpoint as usize] {
             Behavior::AnswersAfter(after) => (after, Outcome::Delivered),
             Behavior::Hangs => (timeout + 1, Outcome::TimedOut),
             Behavior::ReturnsErrors => (30 * MS, Outcome::ServerError),
             Behavior::RateLimitsLate => (100 * MS, Outcome::RateLimited { retry_after: None }),
             Behavior::RateLimits(retry_after) => (20 * MS, Outcome::RateLimited { retry_after }),
-            Behavior::IsUnreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
+            Behavior::Unreachable => (self.settings.connect_timeout, Outcome::ConnectFailed),
             Behavior::RefusesConnections => (20 * MS, Outcome::ConnectFailed),
             Behavior::ResetsConnections => (50 * MS, Outcome::ConnectionReset),
-            Behavior::MeetsNoLocalCapacity => (1, Outcome::NotSent { no_capacity: true }),
+            Behavior::LacksLocalCapacity => (1, Outcome::NotSent { no_capacity: true }),
             Behavior::LosesSomeAnswers if id.0.is_multiple_of(3) => {
                 (timeout + 1, Outcome::TimedOut)
             }
             Behavior::LosesSomeAnswers => (100 * MS, Outcome::Delivered),
-            Behavior::ResetsAfterWork => (100 * MS, Outcome::ConnectionReset),
+            Behavior::ResetsAfterProcessing => (100 * MS, Outcome::ConnectionReset),
         }
     }
 }
@@ -254,7 +254,7 @@
         assert!(
             message.attempts <= self.settings.max_attempts && now + timeout <= message.deadline
         );
-        let (after, outcome) = self.behave(id, endpoint, timeout);
+        let (after, outcome) = self.simulate_attempt(id, endpoint, timeout);
         let (ends_after, outcome) =
             shared.map_or((after, outcome), |call| (call.ends_after, call.outcome));
         let messages = shared.map_or(0, |call| call.messages) + 1;
@@ -266,7 +266,7 @@
             ends_after,
             outcome,
         });
-        // The answers of one call arrive at different times.
+        // The answers to the messages of a call arrive one after another.
         let after = ends_after + (messages as u64 - 1) * 5 * MS;
         let (after, outcome) = if after > timeout {
             (timeout, Outcome::TimedOut)
@@ -284,12 +284,12 @@
 
     fn reject(&mut self, id: MessageId, retry_after: Nanos) {
         self.check_rejection(id, retry_after);
-        self.record_end(id);
+        self.record_final_answer(id);
         self.rejected.push((id, retry_after));
     }
 
     fn fail(&mut self, id: MessageId) {
-        self.record_end(id);
+        self.record_final_answer(id);
         self.failed.push(id);
     }
 
@@ -312,14 +312,14 @@
     fn endpoint_removed(&mut self, endpoint: EndpointId) {
         assert!(
             !self.entries[endpoint.0 as usize].serving,
-            "removed while it serves"
+            "endpoint removed while it is serving"
         );
         let is_in_use = self
             .messages
             .values()
             .filter_map(|message| message.in_flight.as_ref())
             .any(|attempt| attempt.endpoint == endpoint.0);
-        assert!(!is_in_use, "removed with an attempt in flight");
+        assert!(!is_in_use, "endpoint removed with an attempt in flight");
         self.removed.push(endpoint.0);
     }
 
@@ -329,7 +329,7 @@
 
     fn schedule_wakeup(&mut self, after: Nanos) {
         assert!(after > 0);
-        // The caller's timers may fire a little early.
+        // Fires slightly early, as the caller's timers may.
         self.schedule(self.now + after.max(100) - 99, ScheduledEvent::Wakeup);
     }
 
--- a/crates/core/tests/decisions/simulation/mod.rs
+++ b/crates/core/tests/decisions/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A dispatcher in a simulated environment, which carries out its actions and checks the six rules
-//! at every one of them.
+//! Runs a dispatcher in a simulated environment that carries out its actions and checks the six
+//! rules at each of them.
 
 mod environment;
 mod rules;
@@ -28,7 +28,7 @@
         Self::with_endpoints(settings, 12)
     }
 
-    /// Of the third destination, whose endpoints have a limiter each, only endpoint 8 serves.
+    /// Only endpoint 8 of destination 2, whose endpoints have separate limiters, is serving.
     pub(crate) fn with_single_endpoint(settings: Settings) -> Self {
         let mut sim = Self::new(settings);
         (9..12).for_each(|endpoint| sim.set_serving(endpoint, false, EndpointUpdate::Delta));
@@ -57,27 +57,27 @@
         sim
     }
 
-    /// Sends the endpoint list to the dispatcher.
-    pub(crate) fn publish_endpoints(&mut self, scope: EndpointUpdate) {
+    /// Sends the endpoint list to the dispatcher, as this kind of update.
+    pub(crate) fn publish_endpoints(&mut self, update: EndpointUpdate) {
         let entries: Vec<EndpointEntry> = self
             .env
             .entries
             .iter()
-            .filter(|entry| scope == EndpointUpdate::Delta || entry.serving)
+            .filter(|entry| update == EndpointUpdate::Delta || entry.serving)
             .copied()
             .collect();
         self.dispatcher
-            .update_endpoints(self.env.now, scope, &entries, &mut self.env);
+            .update_endpoints(self.env.now, update, &entries, &mut self.env);
     }
 
-    /// An endpoint starts or stops to serve, and the list is published.
-    pub(crate) fn set_serving(&mut self, endpoint: u32, serving: bool, scope: EndpointUpdate) {
+    /// Makes an endpoint start or stop serving and publishes the list.
+    pub(crate) fn set_serving(&mut self, endpoint: u32, serving: bool, update: EndpointUpdate) {
         self.env.entries[endpoint as usize].serving = serving;
-        self.publish_endpoints(scope);
+        self.publish_endpoints(update);
     }
 
-    /// Adds an endpoint that answers, with the contents of this one's entry but for its id, to the
-    /// list.
+    /// Adds an answering endpoint to the list that has the same entry as `other` except for its ID.
+    /// Does not publish the list.
     pub(crate) fn add_endpoint_like(&mut self, other: usize) {
         let added = EndpointEntry {
             endpoint: EndpointId(self.env.entries.len() as u32),
@@ -88,12 +88,13 @@
         self.env.behaviors.push(Behavior::AnswersAfter(100 * MS));
     }
 
-    /// Hands in a message of this class for this destination.
+    /// Submits a message with this class and destination.
     pub(crate) fn submit(&mut self, class: usize, destination: u64) -> MessageId {
         self.submit_with(class, destination, None, LIFETIME)
     }
 
-    /// The same with an ordering key, which counts for ordered classes, and a lifetime.
+    /// Submits a message with a lifetime and an ordering key, which is ignored in unordered
+    /// classes.
     pub(crate) fn submit_with(
         &mut self,
         class: usize,
@@ -110,10 +111,10 @@
             key,
             ..MessageRecord::new(class, destination, deadline)
         };
-        self.hand_in(MessageId(self.accepted), record)
+        self.submit_record(MessageId(self.accepted), record)
     }
 
-    /// Hands in a message that a former process of the dispatcher had.
+    /// Submits a message recovered from an earlier process of the dispatcher.
     pub(crate) fn submit_with_history(
         &mut self,
         class: usize,
@@ -126,16 +127,16 @@
             possible_run: history.possible_run,
             ..MessageRecord::new(class, destination, self.env.now + LIFETIME)
         };
-        self.hand_in(MessageId(self.accepted), record)
+        self.submit_record(MessageId(self.accepted), record)
     }
 
-    fn hand_in(&mut self, id: MessageId, record: MessageRecord) -> MessageId {
+    fn submit_record(&mut self, id: MessageId, record: MessageRecord) -> MessageId {
         let new = self.register(id, record);
         self.dispatcher.accept(self.env.now, [new], &mut self.env);
         id
     }
 
-    /// Hands in messages of one class for one destination that are accepted at once.
+    /// Submits several messages of one class and destination in a single event.
     pub(crate) fn submit_many(&mut self, count: u64, class: usize, destination: u64) {
         let (deadline, first) = (self.env.now + LIFETIME, self.accepted + 1);
         let all: Vec<NewMessage> = (first..first + count)
@@ -167,16 +168,16 @@
         new
     }
 
-    /// The dispatcher is killed and started again, with nothing but its endpoint list.
+    /// Kills the dispatcher and starts it again with an empty state, apart from the endpoint list.
     pub(crate) fn restart_without_journal(&mut self) {
-        self.env.forget_all();
+        self.env.clear_process_state();
         self.dispatcher = Dispatcher::new(self.env.now, self.env.settings.clone());
         self.publish_endpoints(EndpointUpdate::Snapshot);
     }
 
-    /// The dispatcher is killed and started again with its journal: each message without a final
-    /// answer is handed in again, in the order of acceptance; an attempt that was in flight may
-    /// have run.
+    /// Kills the dispatcher and starts it again with its journal: messages without a final answer
+    /// are submitted again in the order of acceptance, and attempts that were in flight may have
+    /// run.
     pub(crate) fn restart_with_journal(&mut self) {
         let messages = std::mem::take(&mut self.env.messages);
         self.restart_without_journal();
@@ -187,20 +188,20 @@
                     .possible_run
                     .get_or_insert(PossibleRun { sent_at, zone });
             }
-            self.hand_in(id, record);
+            self.submit_record(id, record);
         }
     }
 
-    /// The client withdraws a message.
+    /// Withdraws a message on behalf of the client.
     pub(crate) fn withdraw(&mut self, id: MessageId) {
         if self.env.messages.get(&id).is_some_and(|m| !m.ended) {
-            self.env.record_end(id);
+            self.env.record_final_answer(id);
         }
         self.dispatcher
             .message_withdrawn(self.env.now, id, &mut self.env);
     }
 
-    /// Lets time pass: all that is scheduled happens, and rule 1 is checked after each event.
+    /// Advances the time, handles all scheduled events and checks rule 1 after each of them.
     pub(crate) fn advance(&mut self, span: Nanos) {
         let until = self.env.now + span;
         while let Some((at, event)) = self.env.next_event(until) {
@@ -221,11 +222,11 @@
             .env
             .messages
             .get_mut(&id)
-            .expect("an attempt ends of a message that was accepted");
+            .expect("the message of a finished attempt was accepted");
         let InFlight { endpoint, sent_at } = message
             .in_flight
             .take()
-            .expect("an attempt ends that is in flight");
+            .expect("a finished attempt was in flight");
         let zone = self.env.entries[endpoint as usize].zone;
         if outcome.may_have_run() {
             message
@@ -246,7 +247,7 @@
             *until = (*until).max(now + retry_after.unwrap_or(0));
         }
         if outcome == Outcome::Delivered && !ended_before {
-            self.env.record_end(id);
+            self.env.record_final_answer(id);
             self.env.delivered.push(id);
         }
         let end = AttemptEnd {
@@ -260,13 +261,13 @@
         self.dispatcher.attempt_ended(now, end, &mut self.env);
     }
 
-    /// How many attempts were sent to an endpoint.
+    /// The number of attempts sent to an endpoint.
     pub(crate) fn attempts_to(&self, endpoint: u32) -> usize {
-        let to_it = |sent: &&SentAttempt| sent.endpoint == endpoint;
-        self.env.sent.iter().filter(to_it).count()
+        let is_to_endpoint = |sent: &&SentAttempt| sent.endpoint == endpoint;
+        self.env.sent.iter().filter(is_to_endpoint).count()
     }
 
-    /// Whether a line of the log contains this text.
+    /// Whether a log line contains this text.
     pub(crate) fn has_logged(&self, text: &str) -> bool {
         self.env.log_lines.iter().any(|line| line.contains(text))
     }
--- a/crates/core/tests/decisions/simulation/rules.rs
+++ b/crates/core/tests/decisions/simulation/rules.rs
@@ -1,4 +1,4 @@
-//! The checks of the six rules.
+//! Checks of the six rules that every run has to satisfy.
 
 use super::environment::{Environment, MessageRecord};
 use bellsill_core::interface::{
@@ -6,7 +6,7 @@
 };
 
 impl Environment {
-    /// Whether rule 2 allows one more attempt in this zone, or a rejection (which names no zone).
+    /// Whether rule 2 allows another attempt in this zone, or a rejection, which has no zone.
     fn may_repeat(&self, message: &MessageRecord, zone: Option<ZoneId>) -> bool {
         let semantics = self.settings.classes[message.class].semantics;
         match (message.possible_run, semantics) {
@@ -19,18 +19,18 @@
         }
     }
 
-    /// Checks an attempt that is about to be sent.
+    /// Checks the rules for an attempt that is about to be sent.
     pub(super) fn check_attempt(&self, id: MessageId, endpoint: u32) {
         let now = self.now;
         let entry = self.entries[endpoint as usize];
         let message = &self.messages[&id];
         assert!(
             !message.ended && now < message.deadline,
-            "rule 1: {id:?} sent after its end"
+            "rule 1: {id:?} sent after its final answer or deadline"
         );
         assert!(
             message.in_flight.is_none(),
-            "rule 2: two attempts of {id:?} at once"
+            "rule 2: two attempts of {id:?} in flight"
         );
         assert!(
             self.may_repeat(message, Some(entry.zone)),
@@ -38,7 +38,7 @@
         );
         assert!(
             entry.serving,
-            "rule 3: {id:?} sent to an endpoint that drains or is gone"
+            "rule 3: {id:?} sent to an endpoint that is draining or removed"
         );
         assert_eq!(
             entry.destination.0, message.destination,
@@ -48,7 +48,7 @@
         let retry_after_until = self.retry_after_until.get(&limiter).copied().unwrap_or(0);
         assert!(
             now >= retry_after_until,
-            "rule 5: {id:?} sent {} ns before a Retry-After is over",
+            "rule 5: {id:?} sent {} ns before the end of a Retry-After",
             retry_after_until - now
         );
         if let Some(key) = message.key {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Checks that the order of its key lets a message be sent.
+    /// Checks rule 6: the order of its key allows a message to be sent.
     fn check_key(&self, id: MessageId, key: KeyId) {
         assert_eq!(
             self.key_order[&key].first(),
@@ -71,7 +71,7 @@
         if let Some(&(until, cause)) = self.key_cooldowns.get(&key) {
             assert!(
                 self.now >= until || cause == id,
-                "rule 6: {id:?} sent while its key cools down"
+                "rule 6: {id:?} sent during the cooldown of its key"
             );
         }
     }
@@ -86,7 +86,7 @@
         let no_zone = message.possible_run.map(|_| ZoneId(usize::MAX));
         assert!(
             self.may_repeat(message, no_zone),
-            "rule 2: {id:?} rejected though it may have run"
+            "rule 2: {id:?} rejected although it may have run"
         );
         assert!(retry_after <= self.settings.max_retry_after.unwrap_or(0));
     }
@@ -96,21 +96,21 @@
         let message = self
             .messages
             .get(&id)
-            .expect("a final answer for a message that was accepted");
+            .expect("a message with a final answer was accepted");
         assert!(!message.ended, "rule 1: a second final answer for {id:?}");
         assert!(self.now <= message.deadline, "rule 1: {id:?} answered late");
     }
 
-    /// Checks that each message had its final answer by its deadline.
+    /// Checks rule 1: every message whose deadline has passed has its final answer.
     pub(super) fn check_deadlines(&self) {
-        let lost = self
+        let overdue = self
             .messages
             .iter()
             .find(|(_, message)| !message.ended && message.deadline < self.now);
         assert!(
-            lost.is_none(),
-            "rule 1: {:?} has no final answer",
-            lost.map(|(id, _)| id)
+            overdue.is_none(),
+            "rule 1: {:?} has no final answer by its deadline",
+            overdue.map(|(id, _)| id)
         );
     }
 }
--- a/crates/core/tests/decisions/simulation/settings.rs
+++ b/crates/core/tests/decisions/simulation/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the simulated dispatchers.
+//! Settings of the simulated dispatchers.
 
 use bellsill_core::interface::{
     ClassSettings, DeduplicationScope, DeliverySemantics, Nanos, Settings, ValueDecay,
@@ -9,7 +9,8 @@
 /// The lifetime of all classes.
 pub(crate) const LIFETIME: Nanos = 12 * SEC;
 
-/// Four endpoints to each of three destinations; those of the last have a limiter each.
+/// Settings for three destinations with four endpoints each. The endpoints of the last destination
+/// have separate limiters.
 pub(crate) fn settings() -> Settings {
     let class = |priority_weight, semantics, ordered| ClassSettings {
         priority_weight,
