--- a/crates/core/src/control/discovery.rs
+++ b/crates/core/src/control/discovery.rs
@@ -22,8 +22,8 @@
         let Some(max_delay) = settings.max_watch_request_delay else {
             return;
         };
-        // The settings allow four times the delay after a failed request. Retrying at shorter
-        // intervals would only make requests queue up.
+        // After a failed request, four times the delay is allowed. Requests at shorter intervals
+        // would only queue up.
         let spread = self.spread;
         let (earliest, latest) = (spread / 2, (spread * 3 / 2).max(max_delay / 4 * 3));
         self.at = Some(now + random.range(earliest..latest.max(earliest + 1)));
--- a/crates/core/src/control/idle_connections.rs
+++ b/crates/core/src/control/idle_connections.rs
@@ -13,7 +13,7 @@
 const DROP_THRESHOLD: f64 = 0.15;
 /// The minimum weight of one attempt in the share of dropped connections.
 const DROP_WEIGHT: f64 = 0.05;
-/// After a connection has been idle this long, a single drop is enough to avoid idle connections.
+/// After a route has been unused for this long, a single drop is enough to avoid idle connections.
 const LONG_IDLE_TIME: Nanos = 2_000 * MS;
 
 /// What an attempt reveals about idle connections.
