--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -63,9 +63,10 @@
     }
 
     /// Handles a delivery, unless it is a late one of a suspect route: the route is no longer
-    /// suspect, and an ejected route begins its slow start. With a known rate the dispatchers try at different times, so the
-    /// route is assumed to have recovered half way back to the previous attempt, which is right on
-    /// average. Because some dispatchers estimate too early a time, the spacing lasts longer.
+    /// suspect, and an ejected route begins its slow start. With a known rate the dispatchers try
+    /// at different times, so the route is assumed to have recovered half way back to the previous
+    /// attempt, which is right on average. Because some dispatchers estimate too early a time, the
+    /// spacing lasts longer.
     pub(super) fn recover(
         &mut self,
         settings: &Settings,
