--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -107,7 +107,7 @@
             .get("guarantees.turn-gap-ns")
             .and_then(Value::as_u64)
             .unwrap_or(0),
-        watch_request_limit: read_watch_request_limit(fields)?,
+        max_watch_request_delay: read_watch_request_limit(fields)?,
         clock_resolution: fields.integer_at_least(1, "tick-ns")?,
     })
 }
