--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! What can go wrong in a session.
+//! Errors that end a session.
 
 use std::fmt;
 use std::io;
 
-/// A line that is not of the simulator's protocol.
+/// An input line that violates the simulator's protocol.
 #[derive(Debug)]
 pub(crate) enum LineError {
-    /// The line has a field without a value.
-    NotPairs { line: String },
-    /// A field is missing or not of the expected form. An empty field name stands for the line's name.
-    Field {
+    /// A field has no value.
+    MissingValue { line: String },
+    /// A field is missing or malformed. An empty field name denotes the name of the line.
+    InvalidField {
         line: String,
         field: String,
         expected: String,
@@ -19,10 +19,10 @@
 impl fmt::Display for LineError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            LineError::NotPairs { line } => {
+            LineError::MissingValue { line } => {
                 write!(f, "line {line:?}: expected name=value pairs")
             }
-            LineError::Field {
+            LineError::InvalidField {
                 line,
                 field,
                 expected,
@@ -33,12 +33,12 @@
 
 impl std::error::Error for LineError {}
 
-/// Why a session ended before its input did.
+/// The reason why a session ended before the end of its input.
 #[derive(Debug)]
 pub(crate) enum SessionError {
     Read(io::Error),
     Write(io::Error),
-    /// The input ended before the batch did.
+    /// The input ended before the end of a batch.
     UnfinishedBatch,
     Line(LineError),
 }
@@ -47,8 +47,8 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             SessionError::Read(error) => write!(f, "cannot read input: {error}"),
-            SessionError::Write(error) => write!(f, "{error}"),
-            SessionError::UnfinishedBatch => write!(f, "input ended inside a batch"),
+            SessionError::Write(error) => write!(f, "cannot write output: {error}"),
+            SessionError::UnfinishedBatch => write!(f, "unexpected end of input inside a batch"),
             SessionError::Line(error) => write!(f, "{error}"),
         }
     }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Decodes lines into events. The simulator's words end here.
+//! Decodes lines into events, translating the simulator's names into those of `bellsill-core`.
 
 use crate::endpoint_list::{EndpointLists, WatchEvent};
 use crate::error::LineError;
@@ -12,12 +12,12 @@
 use bellsill_settings::{PlatformNames, PlatformSettings};
 
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
-/// What a load report calls the limit of an endpoint.
-const REPORTED_LIMIT: &str = "x1:";
-/// The highest limit that is believed, in calls a second.
-const MAX_REPORTED_LIMIT: f64 = 1e9;
+/// The prefix of the rate limit in a load report.
+const RATE_LIMIT_PREFIX: &str = "x1:";
+/// The highest rate limit accepted from a load report, in attempts per second.
+const MAX_REPORTED_RATE_LIMIT: f64 = 1e9;
 
-/// The kinds of events that a line may hold.
+/// The kinds of events.
 #[derive(Clone, Copy)]
 pub(crate) enum EventKind {
     Start,
@@ -29,12 +29,12 @@
     Gossip,
     MessageWithdrawn,
     Wakeup,
-    /// The head of a streamed response, which does not occur here.
+    /// The head of a streamed response. None is expected from the simulator, and any is ignored.
     ResponseHead,
 }
 
 impl EventKind {
-    pub(crate) fn of(line: &Line) -> Result<Self, LineError> {
+    pub(crate) fn from_line(line: &Line) -> Result<Self, LineError> {
         Ok(match line.name {
             "BOOT" => EventKind::Start,
             "CRASH_NOW" => EventKind::Crash,
@@ -46,43 +46,44 @@
             "ABANDONED" => EventKind::MessageWithdrawn,
             "DEADLINE_HIT" => EventKind::Wakeup,
             "HEADERS" => EventKind::ResponseHead,
-            _ => return Err(line.invalid_name("a known message name")),
+            _ => return Err(line.invalid_name("a known event name")),
         })
     }
 }
 
-/// An event of one running instance.
+/// An event for a running instance.
 pub(crate) enum Event<'a> {
     Watch(WatchEvent<'a>),
     NewMessage(NewMessage),
     AttemptEnded(AttemptEnd),
     MessageWithdrawn(MessageId),
     Wakeup,
-    /// The line is valid, but the decisions have no use for it.
+    /// The event is valid, but the decision logic does not use it.
     Ignored,
 }
 
 impl<'a> Event<'a> {
-    /// Decodes a line of that kind; `names` are those of the instance that it is for.
+    /// Decodes a line that holds an event of this kind; `names` are the names of the receiving instance.
     pub(crate) fn parse(
         kind: EventKind,
         line: &Line,
         names: &PlatformNames,
-        lists: &'a EndpointLists,
+        endpoint_lists: &'a EndpointLists,
     ) -> Result<Self, LineError> {
         Ok(match kind {
-            EventKind::Watch => Event::Watch(WatchEvent::parse(line, lists)?),
+            EventKind::Watch => Event::Watch(WatchEvent::parse(line, endpoint_lists)?),
             EventKind::NewMessage => Event::NewMessage(parse_new_message(line, names)?),
             EventKind::AttemptEnded => Event::AttemptEnded(parse_attempt_end(line)?),
             EventKind::MessageWithdrawn => Event::MessageWithdrawn(line.message_id("txn")?),
             EventKind::Wakeup => Event::Wakeup,
-            // The decisions send neither health checks nor gossip, so none should arrive.
+            // The decision logic sends neither health checks nor gossip, so none are expected; the lines are still
+            // validated.
             EventKind::HealthCheck => {
-                check_health_check(line)?;
+                validate_health_check(line)?;
                 Event::Ignored
             }
             EventKind::Gossip => {
-                check_gossip(line)?;
+                validate_gossip(line)?;
                 Event::Ignored
             }
             EventKind::ResponseHead | EventKind::Start | EventKind::Crash => Event::Ignored,
@@ -90,17 +91,17 @@
     }
 }
 
-/// The settings in the line that starts an instance.
+/// Parses the settings in the line that starts an instance.
 pub(crate) fn parse_start(line: &Line) -> Result<PlatformSettings, LineError> {
     let seed = line.number("salt")?;
-    let json = serde_json::from_str(line.text("boot-info")?)
-        .map_err(|error| line.invalid("boot-info", &format!("JSON ({error})")))?;
+    let json = serde_json::from_str(line.required("boot-info")?)
+        .map_err(|error| line.invalid_field("boot-info", &format!("JSON ({error})")))?;
     bellsill_settings::read(&json, seed, "boot-info")
-        .map_err(|error| line.invalid(&error.field, &error.expected))
+        .map_err(|error| line.invalid_field(&error.field, &error.expected))
 }
 
 fn parse_new_message(line: &Line, names: &PlatformNames) -> Result<NewMessage, LineError> {
-    check_tenant(line, names)?;
+    validate_tenant(line, names)?;
     Ok(NewMessage {
         id: line.message_id("txn")?,
         class: parse_class(line, names)?,
@@ -112,18 +113,20 @@
 }
 
 fn parse_class(line: &Line, names: &PlatformNames) -> Result<ClassId, LineError> {
-    let name = line.text("tier-class")?;
-    match names.classes.iter().position(|known| known == name) {
-        Some(class) => Ok(ClassId(class)),
-        None => Err(line.invalid("tier-class", "a name given in the settings")),
+    let name = line.required("tier-class")?;
+    match names.classes.iter().position(|class| class == name) {
+        Some(index) => Ok(ClassId(index)),
+        None => Err(line.invalid_field("tier-class", "a name defined in the settings")),
     }
 }
 
-/// The decisions have no use for the tenant, but one that the settings do not name is an error of the line.
-fn check_tenant(line: &Line, names: &PlatformNames) -> Result<(), LineError> {
-    match line.get("client-group") {
-        Some(name) if !names.tenants.is_empty() && !names.tenants.iter().any(|n| n == name) => {
-            Err(line.invalid("client-group", "a name given in the settings"))
+/// Rejects an unknown tenant if the settings define tenants. The decision logic does not use the tenant.
+fn validate_tenant(line: &Line, names: &PlatformNames) -> Result<(), LineError> {
+    match line.optional("client-group") {
+        Some(name)
+            if !names.tenants.is_empty() && !names.tenants.iter().any(|tenant| tenant == name) =>
+        {
+            Err(line.invalid_field("client-group", "a name defined in the settings"))
         }
         _ => Ok(()),
     }
@@ -135,19 +138,21 @@
         message: line.message_id("txn")?,
         number: AttemptNumber(line.number("round-no")? as u32),
         outcome: parse_outcome(line, note)?,
-        message_ended: line.get("over") == Some("1"),
+        message_ended: line.optional("over") == Some("1"),
         elapsed: line.optional_number("wait-time-ns")?.unwrap_or(0),
-        reported_rate_limit: parse_reported_limit(line)?,
+        reported_rate_limit: parse_reported_rate_limit(line)?,
     })
 }
 
-/// `note` holds the wait in milliseconds of a rate limit, and 1 where a message was not sent for want of capacity.
+/// For a rate-limited attempt, `note` is the Retry-After in milliseconds, 0 if there is none. For an attempt that was
+/// not sent, it is 1 if the reason was a lack of capacity.
 fn parse_outcome(line: &Line, note: u64) -> Result<Outcome, LineError> {
     Ok(match line.number("disposition")? {
         200 => Outcome::Delivered,
         502 => Outcome::ServerError,
         429 => Outcome::RateLimited {
-            retry_after: Some(note.saturating_mul(NANOS_PER_MILLISECOND)).filter(|&wait| wait > 0),
+            retry_after: Some(note.saturating_mul(NANOS_PER_MILLISECOND))
+                .filter(|&retry_after| retry_after > 0),
         },
         408 => Outcome::TimedOut,
         521 => Outcome::ConnectFailed,
@@ -156,34 +161,34 @@
         409 => Outcome::NotSent {
             no_capacity: note == 1,
         },
-        _ => return Err(line.invalid("disposition", "a known outcome code")),
+        _ => return Err(line.invalid_field("disposition", "a known outcome code")),
     })
 }
 
-/// The limit that the load report of an answer states, in calls a second.
-fn parse_reported_limit(line: &Line) -> Result<Option<f64>, LineError> {
-    let report = line.get("usage").unwrap_or("");
+/// Parses the rate limit in the load report of a response, in attempts per second.
+fn parse_reported_rate_limit(line: &Line) -> Result<Option<f64>, LineError> {
+    let report = line.optional("usage").unwrap_or("");
     let limit = report
         .split(',')
-        .find_map(|pair| pair.strip_prefix(REPORTED_LIMIT));
+        .find_map(|pair| pair.strip_prefix(RATE_LIMIT_PREFIX));
     match limit.map(str::parse::<f64>) {
         None => Ok(None),
-        Some(Ok(limit)) if (0.0..=MAX_REPORTED_LIMIT).contains(&limit) => Ok(Some(limit)),
-        Some(_) => Err(line.invalid("usage", "x1 as a rate")),
+        Some(Ok(limit)) if (0.0..=MAX_REPORTED_RATE_LIMIT).contains(&limit) => Ok(Some(limit)),
+        Some(_) => Err(line.invalid_field("usage", "x1 as a number from 0 to 1e9")),
     }
 }
 
-fn check_health_check(line: &Line) -> Result<(), LineError> {
-    line.text("endpoint")?;
+fn validate_health_check(line: &Line) -> Result<(), LineError> {
+    line.required("endpoint")?;
     parse_outcome(line, 0)?;
     Ok(())
 }
 
-fn check_gossip(line: &Line) -> Result<(), LineError> {
-    let raw = line.text("raw")?;
-    let raw = if raw == "-" { "" } else { raw };
-    match STANDARD.decode(raw) {
+fn validate_gossip(line: &Line) -> Result<(), LineError> {
+    let raw = line.required("raw")?;
+    let payload = if raw == "-" { "" } else { raw };
+    match STANDARD.decode(payload) {
         Ok(_) => Ok(()),
-        Err(_) => Err(line.invalid("raw", "base64")),
+        Err(_) => Err(line.invalid_field("raw", "base64")),
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated instance: a dispatcher, and the simulator's names for what the dispatcher knows by id.
+//! A simulated dispatcher instance, with the simulator's names for the dispatcher's numeric IDs.
 
 use crate::actions::ActionWriter;
 use crate::endpoint_list::{ListedEndpoint, WatchEvent};
@@ -10,11 +10,11 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Why an event was not handled.
+/// The reason why an event was not handled.
 pub(crate) enum HandlingError {
-    /// An endpoint of a list has a weight that is not a rate.
+    /// An endpoint in a list has a weight that is not a valid rate.
     InvalidWeight,
-    /// The dispatcher panicked with this message, and cannot be used any more.
+    /// The dispatcher panicked with this message and must not be used any further.
     Panicked(String),
 }
 
@@ -27,7 +27,7 @@
 pub(crate) struct Instance {
     dispatcher: Dispatcher,
     names: PlatformNames,
-    endpoints: EndpointNames,
+    endpoint_ids: EndpointIds,
 }
 
 impl Instance {
@@ -35,7 +35,7 @@
         Instance {
             dispatcher: Dispatcher::new(now, settings.settings),
             names: settings.names,
-            endpoints: EndpointNames::default(),
+            endpoint_ids: EndpointIds::default(),
         }
     }
 
@@ -43,7 +43,8 @@
         &self.names
     }
 
-    /// Handles an event and appends the dispatcher's actions under `name` to `out`. After a panic nothing is appended.
+    /// Handles an event and appends the resulting actions to `out`, with `name` as the name of the instance. Appends
+    /// nothing if the dispatcher panics.
     pub(crate) fn handle(
         &mut self,
         now: Nanos,
@@ -51,20 +52,20 @@
         name: &str,
         out: &mut Vec<u8>,
     ) -> Result<(), HandlingError> {
-        let listed = match &event {
-            Event::Watch(WatchEvent::Update(_, listed)) => self.entries(listed)?,
+        let entries = match &event {
+            Event::Watch(WatchEvent::Update(_, listed)) => self.convert_list(listed)?,
             _ => Vec::new(),
         };
-        let length = out.len();
+        let initial_length = out.len();
         let writer = &mut ActionWriter {
             out,
             instance: name,
-            endpoints: &self.endpoints.names,
+            endpoint_names: &self.endpoint_ids.names,
         };
         let dispatcher = &mut self.dispatcher;
-        let handled = catch_unwind(AssertUnwindSafe(|| match event {
-            Event::Watch(WatchEvent::Update(scope, _)) => {
-                dispatcher.update_endpoints(now, scope, &listed, writer);
+        let result = catch_unwind(AssertUnwindSafe(|| match event {
+            Event::Watch(WatchEvent::Update(update, _)) => {
+                dispatcher.update_endpoints(now, update, &entries, writer);
             }
             Event::Watch(WatchEvent::Lost) => dispatcher.watch_lost(now, writer),
             Event::NewMessage(message) => dispatcher.accept(now, [message], writer),
@@ -73,24 +74,33 @@
             Event::Wakeup => dispatcher.wakeup(now, writer),
             Event::Ignored => {}
         }));
-        handled.map_err(|panic| {
-            out.truncate(length);
+        result.map_err(|panic| {
+            out.truncate(initial_length);
             HandlingError::Panicked(panic_message(&*panic).to_string())
         })
     }
 
-    /// The dispatcher's form of a list; endpoints that are new get their ids.
-    fn entries(&mut self, listed: &[ListedEndpoint]) -> Result<Vec<EndpointEntry>, InvalidWeight> {
-        listed.iter().map(|endpoint| self.entry(endpoint)).collect()
+    /// Converts a list to the dispatcher's format, assigning IDs to new endpoints.
+    fn convert_list(
+        &mut self,
+        listed: &[ListedEndpoint],
+    ) -> Result<Vec<EndpointEntry>, InvalidWeight> {
+        listed
+            .iter()
+            .map(|endpoint| self.convert_endpoint(endpoint))
+            .collect()
     }
 
-    fn entry(&mut self, listed: &ListedEndpoint) -> Result<EndpointEntry, InvalidWeight> {
+    fn convert_endpoint(
+        &mut self,
+        listed: &ListedEndpoint,
+    ) -> Result<EndpointEntry, InvalidWeight> {
         Ok(EndpointEntry {
-            endpoint: self.endpoints.id(&listed.name),
+            endpoint: self.endpoint_ids.get_or_assign(&listed.name),
             name_hash: crc32fast::hash(listed.name.as_bytes()),
             destination: listed.destination,
-            zone: ZoneId(position(&self.names.zones, &listed.zone)),
-            kind: KindId(position(&self.names.kinds, &listed.kind)),
+            zone: ZoneId(index_of(&self.names.zones, &listed.zone)),
+            kind: KindId(index_of(&self.names.kinds, &listed.kind)),
             serving: listed.serving,
             rate_limit: self.names.rate_from_weight(listed.weight)?,
             retry_after_until: None,
@@ -98,11 +108,11 @@
     }
 }
 
-/// The index of a name, or one beyond any list where the settings do not have it.
-fn position(names: &[String], name: &str) -> usize {
+/// Returns the index of a name, or `usize::MAX`, which no list contains, if the settings do not define the name.
+fn index_of(names: &[String], name: &str) -> usize {
     names
         .iter()
-        .position(|known| known == name)
+        .position(|candidate| candidate == name)
         .unwrap_or(usize::MAX)
 }
 
@@ -114,15 +124,16 @@
         .unwrap_or("panic")
 }
 
-/// Numbers endpoints in the order in which they first appear.
+/// The IDs of the endpoints, assigned in the order in which they first appear.
 #[derive(Default)]
-struct EndpointNames {
+struct EndpointIds {
+    /// The names of the endpoints, indexed by ID.
     names: Vec<String>,
     ids: HashMap<String, EndpointId>,
 }
 
-impl EndpointNames {
-    fn id(&mut self, name: &str) -> EndpointId {
+impl EndpointIds {
+    fn get_or_assign(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Adapts the decisions of `bellsill-core` to the simulator's line protocol on standard input and output.
+//! Connects the decision logic of `bellsill-core` to the simulator's line protocol on standard input and output.
 //!
-//! The adapter decides nothing: it decodes lines into events, hands them to the dispatcher they name, and encodes the
-//! dispatcher's actions as lines.
+//! The adapter makes no decisions: it decodes lines into events, passes them to the dispatcher instance that they name,
+//! and encodes the resulting actions as lines.
 
 mod actions;
 mod endpoint_list;
@@ -11,19 +11,19 @@
 mod line;
 mod session;
 
-use session::serve;
+use session::run_session;
 use std::io::{stdin, stdout};
 use std::process::ExitCode;
 
-/// Exit status after input that cannot be read.
-const INVALID_INPUT: u8 = 2;
+/// The exit status after a session error, such as an invalid input line.
+const SESSION_ERROR_STATUS: u8 = 2;
 
 fn main() -> ExitCode {
-    match serve(stdin().lock(), stdout().lock()) {
+    match run_session(stdin().lock(), stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("bellsill-simulator-adapter: {error}");
-            ExitCode::from(INVALID_INPUT)
+            ExitCode::from(SESSION_ERROR_STATUS)
         }
     }
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! A session: reads batches of lines, and answers each batch as a whole.
+//! Runs a session: reads batches of lines, and writes the output of each batch at its end.
 
 use crate::actions::{write_batch_end, write_panic};
 use crate::endpoint_list::{EndpointLists, ListedEndpoint};
@@ -10,21 +10,21 @@
 use std::collections::HashMap;
 use std::io::{BufRead, Lines, Write};
 
-/// Serves a session until its input ends.
-pub(crate) fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), SessionError> {
+/// Runs a session until the end of its input.
+pub(crate) fn run_session(input: impl BufRead, mut output: impl Write) -> Result<(), SessionError> {
     let mut session = Session::default();
-    let mut input = Input(input.lines());
+    let mut input = InputLines(input.lines());
     while let Some(text) = input.next()? {
         if text.is_empty() {
             continue;
         }
-        let head = Line::parse(&text)?;
-        if head.name != "BATCH" {
-            return Err(head.invalid_name("BATCH").into());
+        let header = Line::parse(&text)?;
+        if header.name != "BATCH" {
+            return Err(header.invalid_name("BATCH").into());
         }
-        session.now = head.number("time-ns")?;
-        let batch = head.number("seq")?;
-        session.read_batch(&mut input)?;
+        session.now = header.number("time-ns")?;
+        let batch = header.number("seq")?;
+        session.process_batch(&mut input)?;
         write_batch_end(&mut session.out, batch);
         output
             .write_all(&session.out)
@@ -35,16 +35,15 @@
     Ok(())
 }
 
-/// The lines of the input.
-struct Input<R>(Lines<R>);
+struct InputLines<R>(Lines<R>);
 
-impl<R: BufRead> Input<R> {
+impl<R: BufRead> InputLines<R> {
     fn next(&mut self) -> Result<Option<String>, SessionError> {
         self.0.next().transpose().map_err(SessionError::Read)
     }
 
-    /// The next line of a batch, which has not ended yet.
-    fn next_of_batch(&mut self) -> Result<String, SessionError> {
+    /// Reads the next line of an unfinished batch.
+    fn next_in_batch(&mut self) -> Result<String, SessionError> {
         self.next()?.ok_or(SessionError::UnfinishedBatch)
     }
 }
@@ -52,17 +51,17 @@
 #[derive(Default)]
 struct Session {
     instances: HashMap<String, Instance>,
-    lists: EndpointLists,
-    /// The time of the batch.
+    endpoint_lists: EndpointLists,
+    /// The simulated time of the current batch.
     now: Nanos,
-    /// The answer to the batch.
+    /// The output of the current batch.
     out: Vec<u8>,
 }
 
 impl Session {
-    fn read_batch(&mut self, input: &mut Input<impl BufRead>) -> Result<(), SessionError> {
+    fn process_batch(&mut self, input: &mut InputLines<impl BufRead>) -> Result<(), SessionError> {
         loop {
-            let text = input.next_of_batch()?;
+            let text = input.next_in_batch()?;
             let line = Line::parse(&text)?;
             match line.name {
                 "" => {}
@@ -76,20 +75,20 @@
     fn define_list(
         &mut self,
         line: &Line,
-        input: &mut Input<impl BufRead>,
+        input: &mut InputLines<impl BufRead>,
     ) -> Result<(), SessionError> {
         let mut endpoints = Vec::new();
         for _ in 0..line.number("items")? {
-            let text = input.next_of_batch()?;
+            let text = input.next_in_batch()?;
             endpoints.push(ListedEndpoint::parse(&Line::parse(&text)?)?);
         }
-        self.lists.insert(line.number("bank")?, endpoints);
+        self.endpoint_lists.insert(line.number("bank")?, endpoints);
         Ok(())
     }
 
     fn handle_event(&mut self, line: &Line) -> Result<(), LineError> {
-        let name = line.text("dispatcher")?;
-        match EventKind::of(line)? {
+        let name = line.required("dispatcher")?;
+        match EventKind::from_line(line)? {
             EventKind::Start => {
                 let instance = Instance::start(self.now, parse_start(line)?);
                 self.instances.insert(name.to_string(), instance);
@@ -103,7 +102,7 @@
         }
     }
 
-    /// Events of an instance that does not run are dropped.
+    /// Handles an event for an instance; the event is ignored if the instance is not running.
     fn handle_instance_event(
         &mut self,
         kind: EventKind,
@@ -113,10 +112,12 @@
         let Some(instance) = self.instances.get_mut(name) else {
             return Ok(());
         };
-        let event = Event::parse(kind, line, instance.names(), &self.lists)?;
+        let event = Event::parse(kind, line, instance.names(), &self.endpoint_lists)?;
         match instance.handle(self.now, event, name, &mut self.out) {
             Ok(()) => Ok(()),
-            Err(HandlingError::InvalidWeight) => Err(line.invalid("power-hint", "a rate")),
+            Err(HandlingError::InvalidWeight) => {
+                Err(line.invalid_field("power-hint", "a valid rate"))
+            }
             Err(HandlingError::Panicked(reason)) => {
                 write_panic(&mut self.out, name, &reason);
                 self.instances.remove(name);
