--- a/crates/daemon/src/delivery/pending.rs
+++ b/crates/daemon/src/delivery/pending.rs
@@ -37,12 +37,12 @@
             }
         }
         self.by_id.remove(&message.id);
-        self.recently_ended.note(now, message.id);
+        self.recently_ended.insert(now, message.id);
     }
 
     /// Remembers a message of an earlier process as ended.
     pub(super) fn note_ended(&mut self, now: Nanos, id: MessageId) {
-        self.recently_ended.note(now, id);
+        self.recently_ended.insert(now, id);
     }
 
     /// A message by its slot.
--- a/crates/daemon/src/recent_ids.rs
+++ b/crates/daemon/src/recent_ids.rs
@@ -20,7 +20,7 @@
 
 impl RecentIds {
     /// Adds the id of a message that has ended at `now`, and drops those that are too old or too many.
-    pub fn note(&mut self, now: Nanos, id: MessageId) {
+    pub fn insert(&mut self, now: Nanos, id: MessageId) {
         if self.ids.insert(id) {
             self.by_end.push_back((now, id));
         }
