--- a/crates/daemon/src/journal/adopted.rs
+++ b/crates/daemon/src/journal/adopted.rs
@@ -1,31 +1,31 @@
-//! A journal whose records were taken over, until its file is gone.
+//! A journal that this process has adopted and whose file is not removed yet.
 
-use super::record::Extent;
+use super::record::JournalPrefix;
 use std::fs::File;
 use std::io;
 use std::path::PathBuf;
 
-/// A journal that was adopted and still has to be emptied. Its file stays locked until then, so that no other process
-/// adopts it.
+/// An adopted journal whose file still has to be truncated. The open file keeps its lock until then, so that no other
+/// process adopts it.
 pub(super) struct AdoptedJournal {
     /// Its index in the folder.
     pub(super) index: usize,
     pub(super) file: File,
-    /// The bytes that were taken over.
-    pub(super) source: Extent,
+    /// The bytes of the file that were adopted.
+    pub(super) source: JournalPrefix,
     pub(super) path: PathBuf,
 }
 
 impl AdoptedJournal {
-    /// Empties the file and removes it. Until that succeeds it has to be called again.
+    /// Truncates the file to zero bytes and removes it. The caller retries until this succeeds.
     pub(super) fn try_remove(&self) -> io::Result<()> {
         self.file.set_len(0).inspect_err(|e| {
             log::warn!(
-                "message journal: {} is adopted and cannot be emptied yet: {e}",
+                "message journal: cannot truncate the adopted journal {}, will retry: {e}",
                 self.path.display()
             );
         })?;
-        // An empty journal says nothing: one that cannot be removed is used by the next process.
+        // Removal may fail: an empty journal has no records, and the next process reuses its file.
         std::fs::remove_file(&self.path).ok();
         Ok(())
     }
--- a/crates/daemon/src/journal/adoption.rs
+++ b/crates/daemon/src/journal/adoption.rs
@@ -1,28 +1,28 @@
-//! Taking over other journals of the folder: a process that starts beside an old one writes a journal of its own, and
-//! adopts the old one's once that process has ended.
+//! Adoption of the other journals of the folder. A process that starts while an older one still runs writes a journal
+//! of its own, and adopts the journal of the older process once that has exited.
 
 use super::adopted::AdoptedJournal;
 use super::contents::Recovered;
 use super::error::JournalError;
 use super::folder::Lock;
 use super::load::load;
-use super::record::Extent;
+use super::record::JournalPrefix;
 use super::writer::JournalWriter;
 use bellsill_core::interface::MessageId;
 
-/// What became of the other journals of a folder.
+/// The result of adopting the other journals of a folder.
 #[derive(Default)]
 pub(super) struct Adoption {
-    /// What was taken over.
+    /// The pending messages and notifications of the adopted journals.
     pub(super) recovered: Recovered,
-    /// The messages that ended by the journals that were read.
+    /// The ids of messages that ended according to the journals that were read.
     pub(super) resolved: Vec<MessageId>,
-    /// Another process holds a journal, or one cannot be taken over or emptied yet.
+    /// Another process holds a journal, or one could not be adopted or truncated; adoption has to be retried.
     pub(super) is_incomplete: bool,
 }
 
-/// Takes over all journals that no process holds. A journal is taken over completely or not at all: of one half taken,
-/// messages that have ended here since would be treated as new.
+/// Adopts all journals that no process holds. A journal is adopted completely or not at all: a partly adopted one would
+/// be read again, and messages that have ended here since would be treated as new.
 pub(super) fn adopt(writer: &mut JournalWriter) -> Adoption {
     writer.retry_removals();
     let mut adoption = Adoption {
@@ -33,15 +33,15 @@
         if writer.awaits_removal(other) {
             continue;
         }
-        if let Err(e) = adopt_journal(writer, other, &mut adoption) {
-            log::error!("message journal: journal {other} cannot be adopted yet: {e}");
+        if let Err(e) = adopt_one(writer, other, &mut adoption) {
+            log::error!("message journal: cannot adopt journal {other}, will retry: {e}");
             adoption.is_incomplete = true;
         }
     }
     adoption
 }
 
-fn adopt_journal(
+fn adopt_one(
     writer: &mut JournalWriter,
     other: usize,
     adoption: &mut Adoption,
@@ -55,7 +55,7 @@
     }
     let loaded = load(writer.folder(), other, &mut file)?;
     adoption.resolved.extend(loaded.replayed.resolved);
-    // What is known already, from a journal read before, is not taken again.
+    // Messages that this journal already has, adopted from another one, are not added again.
     let mut recovered = loaded.replayed.recovered;
     recovered
         .messages
@@ -63,19 +63,20 @@
     recovered
         .pending_notifications
         .retain(|(id, _)| !writer.contains(*id));
-    let source = Extent::of(&loaded.bytes);
+    let source = JournalPrefix::of(&loaded.bytes);
     if recovered != Recovered::default() {
         if writer.append_adopted(source, &recovered).is_err() {
-            // The writer has logged it; the other journal stays as it is.
+            // The writer has logged the error; the other journal is left unchanged.
             adoption.is_incomplete = true;
             return Ok(());
         }
         log::info!(
-            "message journal: adopted {} messages of journal {other}",
+            "message journal: adopted {} messages from journal {other}",
             recovered.messages.len()
         );
     }
-    // From here on the other journal no longer counts, whatever becomes of its file.
+    // The other journal's records are now in this one: readers skip them even if its file cannot be truncated or
+    // removed.
     let adopted = AdoptedJournal {
         index: other,
         file,
@@ -85,7 +86,7 @@
     writer.remove_adopted(adopted);
     adoption.is_incomplete |= writer.has_removals();
     if let Err(e) = writer.folder().remove_replacement(other) {
-        log::warn!("message journal: {e}");
+        log::warn!("message journal: cannot remove the replacement file of journal {other}: {e}");
     }
     adoption.recovered.messages.extend(recovered.messages);
     adoption
--- a/crates/daemon/src/journal/contents.rs
+++ b/crates/daemon/src/journal/contents.rs
@@ -1,26 +1,26 @@
-//! What a journal holds for its readers: pending messages, their attempts, and the notifications that the platform is
-//! still owed.
+//! The state that is read from a journal: pending messages, their attempts, and the notifications that the platform has
+//! not confirmed.
 
 use bellsill_core::interface::{MessageId, Nanos};
 
-/// How a message ended that was not delivered: the notification that the platform is owed.
+/// How a message that was not delivered ended; the platform is notified of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Resolution {
-    /// Its client may send it again after this time.
+    /// The client may send the message again after this delay.
     Rejected {
-        /// In nanoseconds; zero means at once.
+        /// In nanoseconds; zero means immediately.
         retry_after: Nanos,
     },
-    /// It must not be sent again.
+    /// The message must not be sent again.
     Failed,
 }
 
 /// An attempt whose first byte may have been written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournaledAttempt {
-    /// When its first byte was about to be written, on the dispatcher's clock.
+    /// The time just before its first byte was written, on the dispatcher's clock.
     pub sent_at: Nanos,
-    /// The zone of the endpoint that it went to.
+    /// The zone of the endpoint.
     pub zone: String,
     /// Whether the endpoint may have processed the message; `None` while no outcome is known.
     pub may_have_run: Option<bool>,
@@ -29,38 +29,38 @@
 /// An accepted message as the journal stores it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournaledMessage {
-    /// The id under which the platform knows it.
+    /// The message id that the platform uses.
     pub id: MessageId,
-    /// The name of its class, which outlives a change of the settings' order.
+    /// The name of its class: unlike the position in the settings, it stays valid when the classes are reordered.
     pub class: String,
     /// The hash of its ordering key.
     pub key: u64,
-    /// The destination that it is for.
+    /// The number of its destination.
     pub destination: u64,
-    /// On the dispatcher's clock.
+    /// The deadline, on the dispatcher's clock.
     pub deadline: Nanos,
-    /// Empty where its class is not deduplicated by a key.
+    /// Empty if its class is not deduplicated by a key.
     pub idempotency_key: String,
-    /// What its endpoint receives.
+    /// The body that the endpoint receives.
     pub body: Vec<u8>,
-    /// The attempts made so far, the first one first.
+    /// The attempts so far, oldest first.
     pub attempts: Vec<JournaledAttempt>,
 }
 
-/// What a journal holds that still counts.
+/// The live contents of a journal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
-    /// The pending messages in the order in which they were accepted.
+    /// The pending messages, in the order of their acceptance.
     pub messages: Vec<JournaledMessage>,
-    /// Messages that have ended and whose notification the platform has not confirmed.
+    /// Messages that have ended but whose notification the platform has not confirmed.
     pub pending_notifications: Vec<(MessageId, Resolution)>,
 }
 
-/// What was taken over from the journals of other processes.
+/// The result of adopting the journals of other processes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdoptedJournals {
     /// Their messages and pending notifications.
     pub recovered: Recovered,
-    /// Another process still holds a journal, or one cannot be taken over yet: adopting has to be tried again.
+    /// Another process still holds a journal, or one could not be adopted: adoption has to be retried.
     pub is_incomplete: bool,
 }
--- a/crates/daemon/src/journal/error.rs
+++ b/crates/daemon/src/journal/error.rs
@@ -1,23 +1,23 @@
-//! Why a record is not in the journal's file.
+//! Errors of writing to the journal.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the journal could not write.
+/// Why the journal could not be written.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The disk quota of the state folder leaves no capacity.
-    #[error("all files together would exceed the disk quota")]
+    /// The write would exceed the disk quota of the state folder.
+    #[error("the files of the state folder would exceed the disk quota")]
     DiskQuota,
-    /// The disk or its file system failed.
-    #[error("cannot write: {0}")]
+    /// An operation on the file failed.
+    #[error("I/O error: {0}")]
     Io(#[from] io::Error),
-    /// The file ends with an incomplete record, and neither truncation nor a new file got rid of it.
+    /// The file ends with an incomplete record, and neither truncating nor replacing the file succeeded.
     #[error("the incomplete record at the end of the file cannot be removed: {0}")]
     Unrepaired(#[source] Box<JournalError>),
 }
 
-/// The start of a dispatcher decides by the kind of an I/O error whether it tries again.
+/// The kind of the I/O error decides whether the start of a dispatcher is retried.
 impl From<JournalError> for io::Error {
     fn from(error: JournalError) -> io::Error {
         match error {
--- a/crates/daemon/src/journal/file.rs
+++ b/crates/daemon/src/journal/file.rs
@@ -1,11 +1,11 @@
-//! The file of a journal: appending records, truncating an incomplete one, and putting a new file in its place.
+//! The file of a journal: appends records, truncates an incomplete one, and replaces the file.
 
 use super::error::JournalError;
 use super::folder::{JournalFolder, Lock, try_lock};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 
-/// The file, and how much of it is known to be complete records.
+/// An open journal file and the length of its complete records.
 pub(super) struct JournalFile {
     file: File,
     complete_bytes: u64,
@@ -13,7 +13,7 @@
 }
 
 impl JournalFile {
-    /// A file of `total_bytes` of which the first `complete_bytes` are complete records.
+    /// Wraps a file of `total_bytes`, of which the first `complete_bytes` are complete records.
     pub(super) fn new(file: File, complete_bytes: u64, total_bytes: u64) -> JournalFile {
         JournalFile {
             file,
@@ -27,20 +27,20 @@
         self.complete_bytes
     }
 
-    /// Whether bytes that are no complete record may be behind the complete ones.
+    /// Whether the complete records may be followed by bytes that are not a complete record.
     pub(super) fn has_torn_tail(&self) -> bool {
         self.has_torn_tail
     }
 
-    /// The file's length with its torn tail.
+    /// The length of the file including a torn tail.
     pub(super) fn total_bytes(&self) -> u64 {
         self.file
             .metadata()
             .map_or(self.complete_bytes, |metadata| metadata.len())
     }
 
-    /// Appends records to a file without a torn tail. If that fails none of them counts, and the tail is torn unless it
-    /// could be truncated at once.
+    /// Appends records; the file must not have a torn tail. After an error none of the records is valid, and the file
+    /// has a torn tail unless truncating it succeeds immediately.
     pub(super) fn append(&mut self, records: &[u8]) -> Result<(), JournalError> {
         match self.file.write_all(records) {
             Ok(()) => {
@@ -49,21 +49,21 @@
             }
             Err(e) => {
                 self.has_torn_tail = true;
-                // Where it cannot be truncated now, it is before the next write.
+                // If truncation fails now, it is retried before the next write.
                 self.truncate().ok();
                 Err(e.into())
             }
         }
     }
 
-    /// Cuts the torn tail off.
+    /// Truncates the file to its complete records.
     pub(super) fn truncate(&mut self) -> io::Result<()> {
         self.file.set_len(self.complete_bytes)?;
         self.has_torn_tail = false;
         Ok(())
     }
 
-    /// Writes a file with these records and puts it in the place of journal `index`.
+    /// Writes a new file with these records and renames it over journal `index`.
     pub(super) fn replace(
         &mut self,
         folder: &JournalFolder,
@@ -78,7 +78,9 @@
         let written = opened.and_then(|mut file| {
             file.set_len(0)?;
             if try_lock(&file) == Lock::HeldElsewhere {
-                return Err(io::Error::other("another dispatcher writes its new file"));
+                return Err(io::Error::other(
+                    "another process holds the lock of the replacement file",
+                ));
             }
             file.write_all(records)?;
             std::fs::rename(&replacement, folder.journal_path(index))?;
@@ -91,7 +93,7 @@
                 Ok(())
             }
             Err(e) => {
-                // One that is left over is overwritten by the next replacement.
+                // If removal fails, the next replacement overwrites the file.
                 std::fs::remove_file(&replacement).ok();
                 Err(e.into())
             }
--- a/crates/daemon/src/journal/folder.rs
+++ b/crates/daemon/src/journal/folder.rs
@@ -1,4 +1,4 @@
-//! The journals of one state folder: their names and locks, and what all other files take of the disk quota.
+//! The journals of a state folder: their file names and locks, and the disk usage of all other files.
 
 use crate::clock;
 use crate::scope::SCOPE_FILE;
@@ -8,35 +8,35 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// The name of the first journal; the others have a number behind it.
+/// The file name of the first journal; the others append a number to it.
 const BASE_NAME: &str = "mails";
-/// How many journals one folder may hold.
+/// The maximum number of journals in a folder.
 const MAX_JOURNALS: usize = 8;
-/// Files take whole blocks of the disk.
+/// Files occupy whole blocks of the disk.
 const BLOCK_BYTES: u64 = 512;
-/// Where there was no other journal, the folder is not read again before this time, in nanoseconds.
+/// While no other journal exists, the folder is scanned at most once per this interval, in nanoseconds.
 const SCAN_INTERVAL: Nanos = 20_000_000;
 
-/// The bytes that a file of this length takes of the disk.
+/// The disk space of a file of this length, in whole blocks.
 pub(super) const fn disk_bytes(length: u64) -> u64 {
     length.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
-/// One block: the reserve for what rounding to blocks may add.
+/// One block: an allowance for rounding up to whole blocks.
 pub(super) const ONE_BLOCK: u64 = disk_bytes(1);
 
-/// Whether this process may use a journal's file.
+/// The result of locking a journal's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(super) enum Lock {
-    /// This process has the lock until the file is closed.
+    /// This process holds the lock until the file is closed.
     Acquired,
-    /// Another process uses the file.
+    /// Another process holds the lock, or the file is no longer the one at its path.
     HeldElsewhere,
 }
 
-/// Locks a file against other processes: two that write one journal would each recover the other's messages. Where
-/// files cannot be locked, nothing prevents that.
+/// Locks a file against other processes: two processes that write the same journal would each recover the other's
+/// messages. On a file system without locks nothing prevents that.
 pub(super) fn try_lock(file: &File) -> Lock {
     match file.try_lock() {
         Err(TryLockError::WouldBlock) => Lock::HeldElsewhere,
@@ -44,14 +44,14 @@
     }
 }
 
-/// Whether the file is the one at that path: between its opening and its lock another process may have replaced or
-/// removed it.
-fn is_at(file: &File, path: &Path) -> bool {
+/// Whether the open file is still the one at that path. Another process may have replaced or removed it after it was
+/// opened and before it was locked.
+fn is_file_at(file: &File, path: &Path) -> bool {
     let at_path = std::fs::metadata(path).map(|metadata| metadata.ino());
     matches!((at_path, file.metadata()), (Ok(at_path), Ok(file)) if at_path == file.ino())
 }
 
-/// A state folder, whose journals are known by their index.
+/// A state folder; its journals are identified by index.
 pub(super) struct JournalFolder {
     path: PathBuf,
 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Where a journal is.
+    /// The path of a journal.
     pub(super) fn journal_path(&self, index: usize) -> PathBuf {
         let name = if index == 0 {
             BASE_NAME.to_string()
@@ -73,27 +73,27 @@
         self.path.join(name)
     }
 
-    /// Where the compacted file of a journal is written before it replaces the journal.
+    /// The path at which the compacted file of a journal is written before it is renamed over the journal.
     pub(super) fn replacement_path(&self, index: usize) -> PathBuf {
         let mut path = self.journal_path(index).into_os_string();
         path.push(".next");
         path.into()
     }
 
-    /// The indexes of all journals that the folder may hold but one.
+    /// All possible journal indexes except `own`.
     pub(super) fn other_journals(&self, own: usize) -> impl Iterator<Item = usize> + use<> {
         (0..MAX_JOURNALS).filter(move |&index| index != own)
     }
 
-    /// Locks a journal's file that was opened at its path.
+    /// Locks a journal's open file, and checks that it is still the one at its path.
     pub(super) fn lock_journal(&self, index: usize, file: &File) -> Lock {
         match try_lock(file) {
-            Lock::Acquired if is_at(file, &self.journal_path(index)) => Lock::Acquired,
+            Lock::Acquired if is_file_at(file, &self.journal_path(index)) => Lock::Acquired,
             _ => Lock::HeldElsewhere,
         }
     }
 
-    /// Opens the first journal that no other process holds.
+    /// Opens and locks the first journal that no other process holds.
     pub(super) fn open_own(&self) -> io::Result<(usize, File)> {
         for index in 0..MAX_JOURNALS {
             let file = OpenOptions::new()
@@ -107,11 +107,11 @@
         }
         Err(io::Error::new(
             io::ErrorKind::ResourceBusy,
-            "other dispatchers use this folder",
+            "all journals of the state folder are locked by other processes",
         ))
     }
 
-    /// Opens another journal, if there is one.
+    /// Opens another journal; `None` if it does not exist.
     pub(super) fn open_other(&self, index: usize) -> io::Result<Option<File>> {
         match OpenOptions::new()
             .read(true)
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Removes what a process left behind that was killed while it compacted a journal.
+    /// Removes the replacement file that a process killed during compaction has left, if there is one.
     pub(super) fn remove_replacement(&self, index: usize) -> io::Result<()> {
         match std::fs::remove_file(self.replacement_path(index)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
@@ -132,7 +132,8 @@
         }
     }
 
-    /// What all files take but one journal and its replacement. The scope file has a part of the quota of its own.
+    /// The disk usage of all files except one journal and its replacement. The scope file is left out: it has its own
+    /// share of the quota.
     fn scan(&self, own: usize) -> OtherUsage {
         let own_paths = [self.journal_path(own), self.replacement_path(own)];
         let mut usage = OtherUsage::default();
@@ -154,16 +155,16 @@
     }
 }
 
-/// What all other files of a folder take of the disk quota.
+/// The disk usage of all other files of a folder.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OtherUsage {
     /// In whole blocks.
     pub(super) bytes: u64,
-    /// Another process's journal is among them, and may grow.
+    /// Whether another process's journal, which may grow, is among them.
     pub(super) has_journals: bool,
 }
 
-/// The other files of a folder, read from time to time.
+/// The disk usage of the other files of a folder, cached between scans.
 #[derive(Default)]
 pub(super) struct OtherFiles {
     usage: OtherUsage,
@@ -171,10 +172,12 @@
 }
 
 impl OtherFiles {
-    /// What they take: always exact beside another journal, and otherwise at most [`SCAN_INTERVAL`] old.
+    /// Returns the usage: scanned on every call while another journal exists, otherwise at most [`SCAN_INTERVAL`] old.
     pub(super) fn usage(&mut self, folder: &JournalFolder, own: usize) -> OtherUsage {
         let now = clock::now();
-        let is_stale = self.scanned_at.is_none_or(|at| now >= at + SCAN_INTERVAL);
+        let is_stale = self
+            .scanned_at
+            .is_none_or(|time| now >= time + SCAN_INTERVAL);
         if self.usage.has_journals || is_stale {
             self.usage = folder.scan(own);
             self.scanned_at = Some(now);
--- a/crates/daemon/src/journal/live_records.rs
+++ b/crates/daemon/src/journal/live_records.rs
@@ -1,5 +1,5 @@
-//! The records that still count, by message, as the journal's file has them or will have them. Compaction writes these
-//! and no others.
+//! The live records by message: those that are in the journal's file, or queued for it, and not obsolete. Compaction
+//! writes exactly these.
 
 use super::contents::Recovered;
 use super::record;
@@ -8,8 +8,8 @@
 
 #[derive(Default)]
 struct Entry {
-    /// Its position among all entries: that of the message when it was accepted.
-    order: u64,
+    /// The sequence number of the insertion, which orders the entries in the compacted file.
+    sequence: u64,
     /// The encoded records of one message.
     bytes: Vec<u8>,
 }
@@ -18,12 +18,12 @@
 #[derive(Default)]
 pub(super) struct LiveRecords {
     entries: BTreeMap<MessageId, Entry>,
-    next_order: u64,
+    next_sequence: u64,
     total_bytes: u64,
 }
 
 impl LiveRecords {
-    /// The records that say what was recovered, and nothing else.
+    /// The records that encode this recovered state.
     pub(super) fn of(recovered: &Recovered) -> LiveRecords {
         let mut live = LiveRecords::default();
         for message in &recovered.messages {
@@ -39,26 +39,26 @@
         self.entries.contains_key(&id)
     }
 
-    /// The length of all of them.
+    /// The total length of the records.
     pub(super) fn total_bytes(&self) -> u64 {
         self.total_bytes
     }
 
-    /// Sets the records of a message, in place of any that it had.
+    /// Sets the records of a message, replacing any earlier ones.
     pub(super) fn put(&mut self, id: MessageId, bytes: Vec<u8>) {
         self.remove(id);
         self.total_bytes += bytes.len() as u64;
         self.entries.insert(
             id,
             Entry {
-                order: self.next_order,
+                sequence: self.next_sequence,
                 bytes,
             },
         );
-        self.next_order += 1;
+        self.next_sequence += 1;
     }
 
-    /// Adds a record to a message that has some.
+    /// Adds a record to a message; ignored if the message has no live records.
     pub(super) fn extend(&mut self, id: MessageId, bytes: &[u8]) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.bytes.extend(bytes);
@@ -73,19 +73,19 @@
             .map_or(0, |entry| entry.bytes.len() as u64);
     }
 
-    /// Adds all records of another collection behind these, in their order.
+    /// Appends all records of another collection, keeping their order.
     pub(super) fn append(&mut self, other: LiveRecords) {
         let mut entries: Vec<(MessageId, Entry)> = other.entries.into_iter().collect();
-        entries.sort_by_key(|(_, entry)| entry.order);
+        entries.sort_by_key(|(_, entry)| entry.sequence);
         for (id, entry) in entries {
             self.put(id, entry.bytes);
         }
     }
 
-    /// All of them, in order.
+    /// All records in order, encoded.
     pub(super) fn bytes(&self) -> Vec<u8> {
         let mut entries: Vec<&Entry> = self.entries.values().collect();
-        entries.sort_by_key(|entry| entry.order);
+        entries.sort_by_key(|entry| entry.sequence);
         entries
             .into_iter()
             .flat_map(|entry| entry.bytes.iter().copied())
--- a/crates/daemon/src/journal/load.rs
+++ b/crates/daemon/src/journal/load.rs
@@ -1,4 +1,4 @@
-//! Reads the file of a journal, leaving out what another journal has taken over.
+//! Reads the file of a journal, skipping the records that another journal has adopted.
 
 use super::contents::Recovered;
 use super::folder::JournalFolder;
@@ -7,17 +7,17 @@
 use std::fs::File;
 use std::io::{self, Read};
 
-/// A journal's file as it was read.
+/// The contents of a journal's file.
 pub(super) struct LoadedJournal {
-    /// What its records say, with times on this process's clock.
+    /// The result of replaying its records, with times converted to this process's clock.
     pub(super) replayed: Replayed,
     /// All bytes of the file.
     pub(super) bytes: Vec<u8>,
-    /// How many of its first bytes another journal has taken over.
+    /// The length of the prefix that another journal has adopted.
     pub(super) adopted_bytes: usize,
-    /// The clock that its times were put on.
+    /// The clock reading to which its times were converted.
     pub(super) clock: ClockReading,
-    /// How they were put on it.
+    /// The conversion that was applied to its times.
     pub(super) translation: Translation,
 }
 
@@ -31,9 +31,9 @@
     file.read_to_end(&mut bytes)?;
     let adopted_bytes = bytes_adopted_by_others(folder, index, &bytes)?;
     let mut replayed = replay(&bytes[adopted_bytes..]);
-    let clock = ClockReading::take();
+    let clock = ClockReading::read();
     let translation = replayed.translate(&clock);
-    warn_of_translation(translation, &replayed);
+    log_translation(translation, &replayed);
     Ok(LoadedJournal {
         replayed,
         bytes,
@@ -43,8 +43,8 @@
     })
 }
 
-/// How many of a journal's first bytes were taken over into another one, by a process that ended before it had emptied
-/// this one. Read again, messages that have ended since would be treated as new.
+/// The length of the prefix of a journal that another one has adopted, if the adopting process ended before it had
+/// truncated this file. If that prefix were read again, messages that have ended since would be treated as new.
 fn bytes_adopted_by_others(
     folder: &JournalFolder,
     index: usize,
@@ -60,25 +60,25 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
             Err(e) => return Err(e),
         };
-        let covered = replay(&other)
+        let matched = replay(&other)
             .adopted
             .into_iter()
-            .map(|source| source.covers(bytes));
-        adopted_bytes = covered.fold(adopted_bytes, usize::max);
+            .map(|source| source.matched_bytes(bytes));
+        adopted_bytes = matched.fold(adopted_bytes, usize::max);
     }
     Ok(adopted_bytes)
 }
 
-fn warn_of_translation(translation: Translation, replayed: &Replayed) {
+fn log_translation(translation: Translation, replayed: &Replayed) {
     if translation != Translation::Same && replayed.recovered != Recovered::default() {
-        let why = if replayed.clock.is_some() {
-            "another boot of the machine"
+        let origin = if replayed.clock.is_some() {
+            "during another boot of the machine"
         } else {
-            "an older version of the program"
+            "by an older version of the program"
         };
         log::warn!(
-            "message journal: it was written by {why}: its times are translated by the wall clock, so a step of that \
-             clock in between shifts deadlines and deduplication windows"
+            "message journal: written {origin}; its times are converted by the wall clock, so a step of that clock \
+             since then shifts deadlines and deduplication windows"
         );
     }
 }
--- a/crates/daemon/src/journal/mod.rs
+++ b/crates/daemon/src/journal/mod.rs
@@ -1,14 +1,13 @@
-//! The message journal: what this dispatcher has accepted and what was done for it, in one file of the state folder. It
-//! is what a restart goes by.
+//! The message journal: an append-only file in the state folder that records the accepted messages, their attempts and
+//! their ends. A restarted dispatcher recovers its state from it.
 //!
-//! A record is complete or does not count. Records are only appended, and nothing is appended behind bytes that are not
-//! known to be complete records: a file that cannot be truncated to those is replaced by a new one, and until that is
-//! done no new message is accepted and no attempt begins. What has happened all the same is queued and written before
-//! anything else. Nothing is synced: what is written survives the process, and the loss of the machine loses the file as
-//! well.
+//! Incomplete records are ignored. Nothing is appended after bytes that are not known to be complete records: a file
+//! that cannot be truncated to its complete records is replaced by a new one, and until then no new message is accepted
+//! and no attempt begins. Records of events that happen meanwhile are queued, and written before any other record. The
+//! file is not synced: its contents survive the end of the process, and a loss of the machine loses the file as well.
 //!
-//! Once most of the file no longer counts, it is compacted: a new file of the live records is written beside it and takes
-//! its place. Both together stay within the disk quota.
+//! Once most of the file is obsolete, it is compacted: a new file with the live records is written next to it and
+//! renamed over it. Both files together stay within the disk quota.
 
 mod adopted;
 mod adoption;
@@ -35,20 +34,20 @@
 /// The journal of this process.
 pub struct MessageJournal {
     writer: JournalWriter,
-    /// Messages that had ended before this process started, by the journals read since the last call of
+    /// Messages that had already ended according to the journals read since the last call of
     /// [`MessageJournal::take_resolved`].
     resolved: Vec<MessageId>,
 }
 
 impl MessageJournal {
-    /// Opens the first journal of this folder that no other process holds, and returns what it holds. `capacity_bytes` is
-    /// the disk quota, which all files of the folder share. The other journals are taken over by
+    /// Opens the first journal of this folder that no other process holds, and returns its live contents.
+    /// `capacity_bytes` is the disk quota, which all files of the folder share. The other journals are adopted by
     /// [`MessageJournal::adopt`].
     pub fn open(folder: &Path, capacity_bytes: u64) -> io::Result<(MessageJournal, Recovered)> {
         std::fs::create_dir_all(folder)?;
         let folder = JournalFolder::new(folder);
         let (index, mut file) = folder.open_own()?;
-        // Left by a process that was killed during compaction: the old file still counts.
+        // A replacement file was left by a process killed during compaction; the old file is still the valid one.
         folder.remove_replacement(index)?;
         let loaded = load::load(&folder, index, &mut file)?;
         let writer = JournalWriter::open(folder, index, file, &loaded, capacity_bytes)?;
@@ -59,8 +58,8 @@
         Ok((journal, loaded.replayed.recovered))
     }
 
-    /// Takes over the journals of the folder that no process holds any more: their messages and pending notifications are
-    /// written into this one, and only then are they removed.
+    /// Adopts the journals of the folder that no process holds any more: their pending messages and notifications are
+    /// written to this journal, and only then are their files removed.
     pub fn adopt(&mut self) -> AdoptedJournals {
         let adoption = adoption::adopt(&mut self.writer);
         self.resolved.extend(adoption.resolved);
@@ -70,18 +69,20 @@
         }
     }
 
-    /// The messages that had ended before, by the journals read since the last call.
+    /// Returns the messages that had already ended according to the journals read since the last call.
     pub fn take_resolved(&mut self) -> Vec<MessageId> {
         std::mem::take(&mut self.resolved)
     }
 
-    /// A new message, before its client is answered. On an error nothing was written, and the message is rejected.
+    /// Appends a new message; called before its client is answered. On an error nothing was written, and the message is
+    /// rejected.
     pub fn append_accepted(&mut self, message: &JournaledMessage) -> Result<(), JournalError> {
         let record = record::accepted(message);
         self.writer.begin_message(message.id, record)
     }
 
-    /// An attempt, before its first byte. On an error nothing was written, and the attempt must not begin.
+    /// Appends an attempt; called before its first byte is sent. On an error nothing was written, and the attempt must
+    /// not begin.
     pub fn append_attempt(
         &mut self,
         id: MessageId,
@@ -92,7 +93,7 @@
         self.writer.extend_message(id, &record)
     }
 
-    /// The outcome of the last attempt. On an error the record is queued.
+    /// Appends the outcome of the last attempt. On an error the record is queued.
     pub fn append_outcome(
         &mut self,
         id: MessageId,
@@ -102,7 +103,8 @@
         self.writer.extend_message_or_queue(id, record)
     }
 
-    /// The end of a message. With a resolution, a notification is pending from then on. On an error the record is queued.
+    /// Appends the end of a message. With a resolution, its notification is pending from then on. On an error the
+    /// record is queued.
     pub fn append_resolved(
         &mut self,
         id: MessageId,
@@ -115,17 +117,18 @@
         }
     }
 
-    /// The platform has confirmed the message's notification. On an error the record is queued.
+    /// Appends the platform's confirmation of the message's notification. On an error the record is queued.
     pub fn append_notified(&mut self, id: MessageId) -> Result<(), JournalError> {
         self.writer.end_message_or_queue(id, record::notified(id))
     }
 
-    /// Whether the last write failed, or something that has happened is not written yet.
+    /// Whether the last write failed, or records are queued.
     pub fn has_unwritten(&self) -> bool {
         self.writer.has_unwritten()
     }
 
-    /// Writes what could not be written before. With nothing to write, it finds out whether writes succeed again.
+    /// Writes the queued records. If none are queued after a failure, it writes a record without effect to check
+    /// whether writes succeed again.
     pub fn write_pending(&mut self) -> Result<(), JournalError> {
         self.writer.write_pending()
     }
--- a/crates/daemon/src/journal/record.rs
+++ b/crates/daemon/src/journal/record.rs
@@ -1,10 +1,11 @@
-//! The records of the message journal: a length, a checksum and a payload, which is a kind and its fields.
+//! The record format of the message journal: a length, a checksum and a payload, which consists of a kind and its
+//! fields.
 
 use super::contents::{JournaledAttempt, JournaledMessage, Resolution};
 use crate::clock::ClockReading;
 use bellsill_core::interface::{MessageId, Nanos};
 
-/// The length and the checksum before a payload, four bytes each.
+/// The size of the header before a payload: its length and checksum, four bytes each.
 const HEADER_BYTES: usize = 8;
 
 /// The first byte of a payload: the kind of the record.
@@ -18,64 +19,67 @@
     pub(super) const ADOPTED: u8 = b'A';
 }
 
-/// How a message ended, in a record of its end.
+/// The codes for how a message ended, in a record of kind [`kind::RESOLVED`].
 const NOT_NOTIFIED: u8 = 0;
 const FAILED: u8 = 1;
 const REJECTED: u8 = 2;
 
-/// What a record says.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Record<'a> {
-    /// The clock that all times of the file are on; first in the file. Older journals have none: their times are on the
-    /// wall clock.
+    /// The clock of all times in the file; the first record of the file. Journals of older versions do not have it:
+    /// their times are on the wall clock.
     Clock(ClockReading),
     /// A message was accepted.
     Accepted(JournaledMessage),
-    /// The first byte of an attempt may be written.
+    /// The first byte of an attempt may have been sent.
     Attempt {
         id: MessageId,
         attempt: JournaledAttempt,
     },
     /// The outcome of the last attempt.
     Outcome { id: MessageId, may_have_run: bool },
-    /// A message ended; with a resolution, a notification is pending.
+    /// A message ended. With a resolution, its notification is pending.
     Resolved {
         id: MessageId,
         resolution: Option<Resolution>,
     },
-    /// The platform has confirmed the notification.
+    /// The platform has confirmed the notification of a message.
     Notified { id: MessageId },
-    /// All records of another journal that were taken over, and the bytes of it that they were.
-    Adopted { source: Extent, records: &'a [u8] },
+    /// The records that were adopted from another journal, and the prefix of its file that they come from.
+    Adopted {
+        source: JournalPrefix,
+        records: &'a [u8],
+    },
 }
 
-/// The first bytes of a journal, recognised by their checksum.
+/// Identifies the first bytes of a journal by their length and checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Extent {
+pub(super) struct JournalPrefix {
     length: u64,
     checksum: u32,
 }
 
-impl Extent {
-    /// The extent of these bytes.
-    pub(super) fn of(bytes: &[u8]) -> Extent {
-        Extent {
+impl JournalPrefix {
+    /// The prefix that consists of these bytes.
+    pub(super) fn of(bytes: &[u8]) -> JournalPrefix {
+        JournalPrefix {
             length: bytes.len() as u64,
             checksum: crc32fast::hash(bytes),
         }
     }
 
-    /// How many of these bytes it covers: its own length if they begin with the same bytes, or else none.
-    pub(super) fn covers(&self, bytes: &[u8]) -> usize {
-        let first = bytes
+    /// The length of the prefix if `bytes` begins with it, otherwise zero.
+    pub(super) fn matched_bytes(&self, bytes: &[u8]) -> usize {
+        let prefix = bytes
             .get(..self.length as usize)
-            .filter(|first| Extent::of(first) == *self);
-        first.map_or(0, <[u8]>::len)
+            .filter(|prefix| JournalPrefix::of(prefix) == *self);
+        prefix.map_or(0, <[u8]>::len)
     }
 }
 
-/// The begin of a payload: its kind, and an id, which is zero where the kind has none.
-fn payload(kind: u8, id: MessageId) -> Vec<u8> {
+/// Starts a payload with its kind and message id; the id is zero for kinds that have none.
+fn start_payload(kind: u8, id: MessageId) -> Vec<u8> {
     let mut payload = vec![kind];
     payload.extend(id.0.to_le_bytes());
     payload
@@ -86,8 +90,8 @@
     payload.extend(bytes);
 }
 
-/// The payload with its length and checksum before it.
-fn framed(payload: Vec<u8>) -> Vec<u8> {
+/// Puts the header, length and checksum, before a payload.
+fn frame(payload: Vec<u8>) -> Vec<u8> {
     let mut record = Vec::with_capacity(payload.len() + HEADER_BYTES);
     record.extend((payload.len() as u32).to_le_bytes());
     record.extend(crc32fast::hash(&payload).to_le_bytes());
@@ -95,46 +99,46 @@
     record
 }
 
-/// The clock that the times of the following records are on.
+/// Encodes the clock of the times in the following records.
 pub(super) fn clock(reading: &ClockReading) -> Vec<u8> {
-    let mut payload = payload(kind::CLOCK, MessageId(0));
+    let mut payload = start_payload(kind::CLOCK, MessageId(0));
     payload.extend(reading.monotonic.to_le_bytes());
     payload.extend(reading.wall.to_le_bytes());
     let boot_id = reading.boot_id.as_deref().unwrap_or_default();
     put_bytes(&mut payload, boot_id.as_bytes());
-    framed(payload)
+    frame(payload)
 }
 
-/// A message was accepted.
+/// Encodes that a message was accepted.
 pub(super) fn accepted(message: &JournaledMessage) -> Vec<u8> {
-    let mut payload = payload(kind::ACCEPTED, message.id);
+    let mut payload = start_payload(kind::ACCEPTED, message.id);
     for number in [message.key, message.destination, message.deadline] {
         payload.extend(number.to_le_bytes());
     }
     put_bytes(&mut payload, message.class.as_bytes());
     put_bytes(&mut payload, message.idempotency_key.as_bytes());
     put_bytes(&mut payload, &message.body);
-    framed(payload)
+    frame(payload)
 }
 
-/// An attempt is about to write its first byte.
+/// Encodes that the first byte of an attempt is about to be sent.
 pub(super) fn attempt(id: MessageId, sent_at: Nanos, zone: &str) -> Vec<u8> {
-    let mut payload = payload(kind::ATTEMPT, id);
+    let mut payload = start_payload(kind::ATTEMPT, id);
     payload.extend(sent_at.to_le_bytes());
     put_bytes(&mut payload, zone.as_bytes());
-    framed(payload)
+    frame(payload)
 }
 
-/// The outcome of the message's last attempt.
+/// Encodes the outcome of the message's last attempt.
 pub(super) fn outcome(id: MessageId, may_have_run: bool) -> Vec<u8> {
-    let mut payload = payload(kind::OUTCOME, id);
+    let mut payload = start_payload(kind::OUTCOME, id);
     payload.push(u8::from(may_have_run));
-    framed(payload)
+    frame(payload)
 }
 
-/// A message ended.
+/// Encodes the end of a message.
 pub(super) fn resolved(id: MessageId, resolution: Option<Resolution>) -> Vec<u8> {
-    let mut payload = payload(kind::RESOLVED, id);
+    let mut payload = start_payload(kind::RESOLVED, id);
     let (code, retry_after) = match resolution {
         None => (NOT_NOTIFIED, 0),
         Some(Resolution::Failed) => (FAILED, 0),
@@ -142,36 +146,36 @@
     };
     payload.push(code);
     payload.extend(retry_after.to_le_bytes());
-    framed(payload)
+    frame(payload)
 }
 
-/// The platform has confirmed the message's notification.
+/// Encodes that the platform has confirmed the message's notification.
 pub(super) fn notified(id: MessageId) -> Vec<u8> {
-    framed(payload(kind::NOTIFIED, id))
+    frame(start_payload(kind::NOTIFIED, id))
 }
 
-/// Records of another journal were taken over.
-pub(super) fn adopted(source: Extent, records: &[u8]) -> Vec<u8> {
-    let mut payload = payload(kind::ADOPTED, MessageId(0));
+/// Encodes that these records were adopted from another journal.
+pub(super) fn adopted(source: JournalPrefix, records: &[u8]) -> Vec<u8> {
+    let mut payload = start_payload(kind::ADOPTED, MessageId(0));
     payload.extend(source.length.to_le_bytes());
     payload.extend(source.checksum.to_le_bytes());
     put_bytes(&mut payload, records);
-    framed(payload)
+    frame(payload)
 }
 
-/// All records that say what is known of a pending message.
+/// Encodes all records of a pending message: its acceptance, its attempts and their outcomes.
 pub(super) fn message(message: &JournaledMessage) -> Vec<u8> {
     let mut bytes = accepted(message);
-    for made in &message.attempts {
-        bytes.extend(attempt(message.id, made.sent_at, &made.zone));
-        if let Some(may_have_run) = made.may_have_run {
+    for journaled in &message.attempts {
+        bytes.extend(attempt(message.id, journaled.sent_at, &journaled.zone));
+        if let Some(may_have_run) = journaled.may_have_run {
             bytes.extend(outcome(message.id, may_have_run));
         }
     }
     bytes
 }
 
-/// What is left of a payload whose fields are read one after the other.
+/// Decodes the fields of a payload in order; holds the bytes that are not decoded yet.
 struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
@@ -208,12 +212,12 @@
     }
 }
 
-fn read_payload(payload: &[u8]) -> Option<Record<'_>> {
+fn decode_payload(payload: &[u8]) -> Option<Record<'_>> {
     let mut fields = Fields(payload);
     let (kind, id) = (fields.u8()?, MessageId(fields.u64()?));
     let record = match kind {
-        kind::CLOCK => Record::Clock(read_clock(&mut fields)?),
-        kind::ACCEPTED => Record::Accepted(read_accepted(id, &mut fields)?),
+        kind::CLOCK => Record::Clock(decode_clock(&mut fields)?),
+        kind::ACCEPTED => Record::Accepted(decode_accepted(id, &mut fields)?),
         kind::ATTEMPT => Record::Attempt {
             id,
             attempt: JournaledAttempt {
@@ -228,11 +232,11 @@
         },
         kind::RESOLVED => Record::Resolved {
             id,
-            resolution: read_resolution(&mut fields)?,
+            resolution: decode_resolution(&mut fields)?,
         },
         kind::NOTIFIED => Record::Notified { id },
         kind::ADOPTED => Record::Adopted {
-            source: Extent {
+            source: JournalPrefix {
                 length: fields.u64()?,
                 checksum: fields.u32()?,
             },
@@ -243,7 +247,7 @@
     fields.0.is_empty().then_some(record)
 }
 
-fn read_clock(fields: &mut Fields) -> Option<ClockReading> {
+fn decode_clock(fields: &mut Fields) -> Option<ClockReading> {
     let (monotonic, wall, boot_id) = (fields.u64()?, fields.u64()?, fields.text()?);
     Some(ClockReading {
         boot_id: Some(boot_id).filter(|id| !id.is_empty()),
@@ -252,7 +256,7 @@
     })
 }
 
-fn read_accepted(id: MessageId, fields: &mut Fields) -> Option<JournaledMessage> {
+fn decode_accepted(id: MessageId, fields: &mut Fields) -> Option<JournaledMessage> {
     let (key, destination, deadline) = (fields.u64()?, fields.u64()?, fields.u64()?);
     let (class, idempotency_key) = (fields.text()?, fields.text()?);
     Some(JournaledMessage {
@@ -267,8 +271,8 @@
     })
 }
 
-/// `None` where a field is missing; the inner one where no notification is pending.
-fn read_resolution(fields: &mut Fields) -> Option<Option<Resolution>> {
+/// `None` if a field is missing; `Some(None)` if the message ended without a notification.
+fn decode_resolution(fields: &mut Fields) -> Option<Option<Resolution>> {
     let (code, retry_after) = (fields.u8()?, fields.u64()?);
     Some(match code {
         NOT_NOTIFIED => None,
@@ -277,12 +281,14 @@
     })
 }
 
-/// The first record of these bytes, and how many of them it takes; `None` where they begin with no complete record.
-pub(super) fn first(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
+/// Decodes the record at the start of these bytes, and returns it with its length; `None` if they do not start with a
+/// complete record.
+pub(super) fn decode_first(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
     let mut fields = Fields(bytes);
     let (length, checksum) = (fields.u32()? as usize, fields.u32()?);
     let payload = fields.take(length)?;
-    // The kind comes first: a search for a record at every byte then computes few checksums.
-    let record = read_payload(payload)?;
+    // Decoded before the checksum is computed: when replay searches damaged bytes for a record at every offset, most
+    // offsets fail here, so few checksums are computed.
+    let record = decode_payload(payload)?;
     (crc32fast::hash(payload) == checksum).then_some((record, HEADER_BYTES + length))
 }
--- a/crates/daemon/src/journal/replay.rs
+++ b/crates/daemon/src/journal/replay.rs
@@ -1,37 +1,38 @@
-//! Reads a journal: which of its records still count, and which bytes between them are damaged.
+//! Replays the records of a journal to the state that they describe, and finds damaged bytes between them.
 
 use super::contents::{JournaledMessage, Recovered, Resolution};
-use super::record::{self, Extent, Record};
+use super::record::{self, JournalPrefix, Record};
 use crate::clock::{ClockReading, Translation};
 use crate::recent_ids::MAX_RECENT_IDS;
 use bellsill_core::interface::MessageId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the bytes of a journal say.
+/// The result of replaying a journal.
 #[derive(Debug, Default)]
 pub(super) struct Replayed {
     pub(super) recovered: Recovered,
-    /// How many bytes come before the first that belong to no complete record.
+    /// The number of bytes before the first one that does not belong to a complete record.
     pub(super) complete_bytes: usize,
-    /// Bytes of no record that complete records follow: damage, whereas a kill leaves a torn tail.
+    /// The number of bytes that belong to no record but are followed by complete records. They are damage: a killed
+    /// process leaves only a torn tail.
     pub(super) damaged_bytes: usize,
-    /// The clock that its times were on; `None` in an older journal.
+    /// The clock of its times; `None` in a journal of an older version.
     pub(super) clock: Option<ClockReading>,
-    /// Journals whose records were taken over into this one.
-    pub(super) adopted: Vec<Extent>,
-    /// The messages that ended by its records, the latest last.
+    /// The prefixes of other journals that this one has adopted.
+    pub(super) adopted: Vec<JournalPrefix>,
+    /// The most recent messages that ended according to its records, oldest first.
     pub(super) resolved: VecDeque<MessageId>,
 }
 
-/// Collects what still counts while records are read in order.
+/// The state that is built up while records are applied in order.
 #[derive(Default)]
 struct Replay {
     messages: Vec<Option<JournaledMessage>>,
-    /// Where a pending message is in `messages`.
+    /// The index of each pending message in `messages`.
     positions: BTreeMap<MessageId, usize>,
     pending_notifications: Vec<(MessageId, Resolution)>,
     clock: Option<ClockReading>,
-    adopted: Vec<Extent>,
+    adopted: Vec<JournalPrefix>,
     resolved: VecDeque<MessageId>,
 }
 
@@ -43,7 +44,7 @@
     fn apply(&mut self, record: Record) {
         match record {
             Record::Clock(reading) => self.clock = Some(reading),
-            // A second record means that it was adopted twice: the first one has the attempts.
+            // A repeated record means that the message was adopted twice; the first copy has the attempts.
             Record::Accepted(message) if self.positions.contains_key(&message.id) => {}
             Record::Accepted(message) => {
                 self.positions.insert(message.id, self.messages.len());
@@ -74,7 +75,7 @@
             Record::Adopted { source, records } => {
                 self.adopted.push(source);
                 let mut rest = records;
-                while let Some((record, length)) = record::first(rest) {
+                while let Some((record, length)) = record::decode_first(rest) {
                     self.apply(record);
                     rest = &rest[length..];
                 }
@@ -83,22 +84,22 @@
     }
 }
 
-/// Reads all complete records. After bytes that are none it searches for the next complete record.
+/// Replays all complete records. After bytes that are not a complete record it searches for the next one.
 pub(super) fn replay(bytes: &[u8]) -> Replayed {
     let mut replay = Replay::default();
-    let (mut at, mut complete_bytes, mut damaged_bytes) = (0, None, 0);
+    let (mut offset, mut complete_bytes, mut damaged_bytes) = (0, None, 0);
     let mut skipped_bytes = 0;
-    while at < bytes.len() {
-        match record::first(&bytes[at..]) {
+    while offset < bytes.len() {
+        match record::decode_first(&bytes[offset..]) {
             Some((record, length)) => {
                 replay.apply(record);
                 damaged_bytes += std::mem::take(&mut skipped_bytes);
-                at += length;
+                offset += length;
             }
             None => {
-                complete_bytes.get_or_insert(at);
+                complete_bytes.get_or_insert(offset);
                 skipped_bytes += 1;
-                at += 1;
+                offset += 1;
             }
         }
     }
@@ -116,7 +117,7 @@
 }
 
 impl Replayed {
-    /// Puts all times on the clock of this reading, and says how that was done.
+    /// Converts all times to the clock of this reading, and returns the conversion that was applied.
     pub(super) fn translate(&mut self, reading: &ClockReading) -> Translation {
         let translation = match &self.clock {
             Some(clock) => reading.translation_from(clock),
--- a/crates/daemon/src/journal/writer.rs
+++ b/crates/daemon/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! Writes records to a journal's file within the disk quota, queues those that cannot be written yet, and repairs and
+//! Appends records to a journal's file within the disk quota, queues those that cannot be written yet, and repairs and
 //! compacts the file.
 
 use super::adopted::AdoptedJournal;
@@ -9,39 +9,42 @@
 use super::folder::{JournalFolder, OtherFiles};
 use super::live_records::LiveRecords;
 use super::load::LoadedJournal;
-use super::record::{self, Extent};
+use super::record::{self, JournalPrefix};
 use crate::clock::{ClockReading, Translation};
 use bellsill_core::interface::MessageId;
 use std::fs::File;
 use std::io;
 
-/// The most bytes of records that are queued; beyond that, compaction writes what they say.
-const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
+/// The maximum size of the queue. When it overflows, the queued records are dropped, and compaction writes their
+/// effect.
+const MAX_QUEUED_BYTES: usize = 64 * 1024;
 
-/// The journal of this process.
+/// Writes the journal of this process.
 pub(super) struct JournalWriter {
     folder: JournalFolder,
     /// Its index in the folder.
     index: usize,
     file: JournalFile,
-    /// The clock that the times in the file are on.
+    /// The clock of the times in the file.
     clock: ClockReading,
-    /// What a compacted file holds: what has happened at once, and anything else once its record is written.
+    /// The records that compaction would write. Events that have already happened are added at once, even if their
+    /// record is only queued; other records are added once they are written.
     live: LiveRecords,
-    /// Records of what has happened that could not be written, in order; `live` has them already.
-    unwritten: Vec<u8>,
-    /// The queue overflowed: only compaction writes what it said.
+    /// Records of past events that could not be written yet, in order; `live` already reflects them.
+    queued: Vec<u8>,
+    /// The queue overflowed: only compaction can write the effect of the dropped records.
     must_compact: bool,
-    /// The last write failed.
+    /// Whether the last write failed.
     is_failing: bool,
-    /// Journals that were adopted and still have to be emptied.
+    /// Adopted journals whose files still have to be truncated and removed.
     adopted: Vec<AdoptedJournal>,
     capacity_bytes: u64,
     other_files: OtherFiles,
 }
 
 impl JournalWriter {
-    /// Takes over the open file of journal `index`, and makes it one of complete records whose times are on one clock.
+    /// Opens the journal `index` for writing: repairs its file so that it has only complete records, with all times on
+    /// one clock.
     pub(super) fn open(
         folder: JournalFolder,
         index: usize,
@@ -58,7 +61,7 @@
             file,
             clock: replayed.clock.as_ref().unwrap_or(&loaded.clock).clone(),
             live: LiveRecords::of(&replayed.recovered),
-            unwritten: vec![],
+            queued: vec![],
             must_compact: false,
             is_failing: false,
             adopted: vec![],
@@ -73,8 +76,8 @@
         let damaged_bytes = loaded.replayed.damaged_bytes;
         if damaged_bytes > 0 {
             log::error!(
-                "message journal: {damaged_bytes} damaged bytes between its records; what they said is lost, \
-                 everything else was read"
+                "message journal: skipped {damaged_bytes} damaged bytes between records; the records in them are lost, \
+                 all others were read"
             );
         }
         let is_outdated = loaded.adopted_bytes > 0
@@ -85,7 +88,7 @@
             return Ok(self.compact()?);
         }
         if self.file.has_torn_tail() {
-            log::warn!("message journal: an incomplete record at its end was dropped");
+            log::warn!("message journal: discarded an incomplete record at the end of the file");
             self.file.truncate()?;
         }
         Ok(())
@@ -99,26 +102,23 @@
         self.index
     }
 
-    /// Whether a message has records that still count.
+    /// Whether a message has live records.
     pub(super) fn contains(&self, id: MessageId) -> bool {
         self.live.contains(id)
     }
 
-    /// Whether the last write failed, or something that has happened is not written yet.
+    /// Whether the last write failed, or records are queued.
     pub(super) fn has_unwritten(&self) -> bool {
-        self.is_failing
-            || self.file.has_torn_tail()
-            || self.must_compact
-            || !self.unwritten.is_empty()
+        self.is_failing || self.file.has_torn_tail() || self.must_compact || !self.queued.is_empty()
     }
 
-    /// Appends the first record of a message, if that leaves the reserve untouched. On an error it is not written.
+    /// Appends the first record of a message if it fits outside the reserve. On an error it is not written.
     pub(super) fn begin_message(
         &mut self,
         id: MessageId,
         record: Vec<u8>,
     ) -> Result<(), JournalError> {
-        self.make_unreserved_capacity(record.len() as u64)?;
+        self.ensure_unreserved_capacity(record.len() as u64)?;
         self.append(&record)?;
         self.live.put(id, record);
         Ok(())
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Appends another record of a message, of what has happened already. On an error it is queued.
+    /// Appends another record of a message for an event that has already happened. On an error it is queued.
     pub(super) fn extend_message_or_queue(
         &mut self,
         id: MessageId,
@@ -145,7 +145,7 @@
         self.append_or_queue(record)
     }
 
-    /// Appends a record after which it alone counts of its message. On an error it is queued.
+    /// Appends a record that makes all earlier records of its message obsolete. On an error it is queued.
     pub(super) fn replace_message_or_queue(
         &mut self,
         id: MessageId,
@@ -155,7 +155,7 @@
         self.append_or_queue(record)
     }
 
-    /// Appends a record after which none counts of its message. On an error it is queued.
+    /// Appends a record that makes all records of its message obsolete, including itself. On an error it is queued.
     pub(super) fn end_message_or_queue(
         &mut self,
         id: MessageId,
@@ -165,10 +165,10 @@
         self.append_or_queue(record)
     }
 
-    /// Appends what was recovered from another journal, in one record. On an error nothing of it is written.
+    /// Appends the state recovered from another journal as a single record. On an error nothing is written.
     pub(super) fn append_adopted(
         &mut self,
-        source: Extent,
+        source: JournalPrefix,
         recovered: &Recovered,
     ) -> Result<(), JournalError> {
         let live = LiveRecords::of(recovered);
@@ -177,30 +177,30 @@
         Ok(())
     }
 
-    /// Removes an adopted journal, or remembers to do so.
+    /// Removes an adopted journal; on an error it is kept for [`JournalWriter::retry_removals`].
     pub(super) fn remove_adopted(&mut self, adopted: AdoptedJournal) {
         if adopted.try_remove().is_err() {
             self.adopted.push(adopted);
         }
     }
 
-    /// Tries to remove the adopted journals that could not be removed before.
+    /// Retries removing the adopted journals that could not be removed before.
     pub(super) fn retry_removals(&mut self) {
         self.adopted.retain(|adopted| adopted.try_remove().is_err());
     }
 
-    /// Whether adopted journals still have to be removed.
+    /// Whether any adopted journal still has to be removed.
     pub(super) fn has_removals(&self) -> bool {
         !self.adopted.is_empty()
     }
 
-    /// Whether this journal was adopted and still has to be removed.
+    /// Whether the journal of this index was adopted and still has to be removed.
     pub(super) fn awaits_removal(&self, index: usize) -> bool {
         self.adopted.iter().any(|adopted| adopted.index == index)
     }
 
-    /// Makes capacity for a new message's record without touching the reserve.
-    fn make_unreserved_capacity(&mut self, record_bytes: u64) -> Result<(), JournalError> {
+    /// Ensures that a new message's record fits outside the reserve, by compaction if necessary.
+    fn ensure_unreserved_capacity(&mut self, record_bytes: u64) -> Result<(), JournalError> {
         let usage = self.disk_usage();
         if !usage.has_capacity_for_live(record_bytes) {
             return Err(JournalError::DiskQuota);
@@ -209,7 +209,7 @@
             return Ok(());
         }
         if usage.is_mostly_obsolete() {
-            // Where it cannot be compacted now, the message is rejected below.
+            // If compaction fails, the check below rejects the message.
             self.compact().ok();
         }
         if self.disk_usage().keeps_reserve(record_bytes) {
@@ -219,67 +219,68 @@
         }
     }
 
-    /// Appends a record behind all that are queued; on an error it is not written.
+    /// Appends a record after all queued ones. On an error it is not written.
     fn append(&mut self, record: &[u8]) -> Result<(), JournalError> {
-        if self.must_compact || !self.unwritten.is_empty() {
+        if self.must_compact || !self.queued.is_empty() {
             self.write_pending()?;
         }
-        self.make_capacity(record.len() as u64)?;
+        self.ensure_capacity(record.len() as u64)?;
         self.write(record)
     }
 
-    /// Appends the record of what has happened already; on an error it is queued.
+    /// Appends a record for an event that has already happened. On an error it is queued.
     fn append_or_queue(&mut self, record: Vec<u8>) -> Result<(), JournalError> {
         let appended = self.append(&record);
         if appended.is_err() {
-            if self.unwritten.len() + record.len() > MAX_UNWRITTEN_BYTES {
+            if self.queued.len() + record.len() > MAX_QUEUED_BYTES {
                 self.must_compact = true;
-                self.unwritten.clear();
+                self.queued.clear();
             }
             if !self.must_compact {
-                self.unwritten.extend(record);
+                self.queued.extend(record);
             }
         }
         appended
     }
 
-    /// Writes what is queued. With nothing queued after a failure, it finds out whether writes succeed again.
+    /// Writes the queued records. If none are queued after a failure, it writes a record without effect to check
+    /// whether writes succeed again.
     pub(super) fn write_pending(&mut self) -> Result<(), JournalError> {
         if self.must_compact {
             return self.compact_or_report();
         }
-        if !self.unwritten.is_empty() {
-            let records = std::mem::take(&mut self.unwritten);
+        if !self.queued.is_empty() {
+            let records = std::mem::take(&mut self.queued);
             let written = self
-                .make_capacity(records.len() as u64)
+                .ensure_capacity(records.len() as u64)
                 .and_then(|()| self.write(&records));
             if written.is_err() && !self.must_compact {
-                self.unwritten = records;
+                self.queued = records;
             }
             return written;
         }
         if self.is_failing || self.file.has_torn_tail() {
-            // A notification of no message: the record changes nothing.
+            // Id 0 stands for no message, so the record has no effect.
             return self.write(&record::notified(MessageId(0)));
         }
         Ok(())
     }
 
-    /// Compacts the file where it has grown long, or where it would outgrow the quota.
-    fn make_capacity(&mut self, more: u64) -> Result<(), JournalError> {
-        if !self.disk_usage().needs_compaction(more) {
+    /// Ensures that the file may grow by this many bytes, compacting it if [`DiskUsage::needs_compaction`] says so.
+    fn ensure_capacity(&mut self, additional_bytes: u64) -> Result<(), JournalError> {
+        if !self.disk_usage().needs_compaction(additional_bytes) {
             return Ok(());
         }
         let compacted = self.compact();
-        // Without compaction the file is longer than it should be, which is no failure while there is capacity.
-        if self.disk_usage().has_capacity_for(more) {
+        // A failed compaction is no error as long as the file has capacity for the record.
+        if self.disk_usage().has_capacity_for(additional_bytes) {
             return Ok(());
         }
         compacted.inspect_err(|e| self.report_failure(e))?;
         Err(JournalError::DiskQuota)
     }
 
-    /// Appends to a file that is repaired first if need be.
+    /// Appends to the file, after removing a torn tail.
     fn write(&mut self, records: &[u8]) -> Result<(), JournalError> {
         if self.file.has_torn_tail() && self.file.truncate().is_err() {
             self.compact_or_report()
@@ -301,7 +302,7 @@
         self.compact().inspect_err(|e| self.report_failure(e))
     }
 
-    /// Replaces the file by one of the live records.
+    /// Replaces the file by one that contains only the live records.
     fn compact(&mut self) -> Result<(), JournalError> {
         let mut records = record::clock(&self.clock);
         for adopted in &self.adopted {
@@ -314,7 +315,7 @@
         }
         self.file.replace(&self.folder, self.index, &records)?;
         self.must_compact = false;
-        self.unwritten.clear();
+        self.queued.clear();
         self.report_success();
         Ok(())
     }
@@ -328,17 +329,19 @@
         }
     }
 
-    /// Logs that writes fail; once, until they succeed again.
+    /// Logs that writes fail, only once until they succeed again.
     fn report_failure(&mut self, error: &JournalError) {
         if !std::mem::replace(&mut self.is_failing, true) {
-            log::error!("message journal: no new messages until it can be written: {error}");
+            log::error!(
+                "message journal: write failed, new messages are rejected until writes succeed: {error}"
+            );
         }
     }
 
     /// Logs that writes succeed again.
     fn report_success(&mut self) {
         if std::mem::replace(&mut self.is_failing, false) {
-            log::warn!("message journal: it can be written again");
+            log::warn!("message journal: writes succeed again");
         }
     }
 }
--- a/crates/daemon/src/recent_ids.rs
+++ b/crates/daemon/src/recent_ids.rs
@@ -1,25 +1,25 @@
-//! The ids of messages that ended recently. A client whose connection closed before it had read its answer repeats the
-//! request under the same id, and what was accepted once must not be accepted again.
+//! The ids of recently ended messages. A client whose connection closed before it received the answer repeats the
+//! request with the same id, and a message that was accepted once must not be accepted again.
 
 use bellsill_core::interface::{MessageId, Nanos};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long an id is kept after the end of its message, in nanoseconds: a client repeats its request within the timeout
-/// of its answer, or once it finds a restarted dispatcher.
+/// How long an id is kept after the end of its message, in nanoseconds. A client repeats its request within its
+/// response timeout, or once it reaches a restarted dispatcher.
 const RETENTION: Nanos = 10_000_000_000;
-/// The most ids that are kept, the latest.
+/// The maximum number of ids that are kept; the oldest are removed first.
 pub const MAX_RECENT_IDS: usize = 4096;
 
-/// A bounded set of ids, which forgets the oldest.
+/// A set of ids, bounded by age and number.
 #[derive(Default)]
 pub struct RecentIds {
-    /// With the time of each message's end, the oldest first.
+    /// The ids with the end time of their messages, oldest first.
     by_end: VecDeque<(Nanos, MessageId)>,
     ids: BTreeSet<MessageId>,
 }
 
 impl RecentIds {
-    /// Adds the id of a message that has ended at `now`, and drops those that are too old or too many.
+    /// Adds the id of a message that ended at `now`, and removes ids that are too old or exceed [`MAX_RECENT_IDS`].
     pub fn insert(&mut self, now: Nanos, id: MessageId) {
         if self.ids.insert(id) {
             self.by_end.push_back((now, id));
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether a message of this id has ended recently.
+    /// Whether the message with this id ended recently.
     pub fn contains(&self, id: MessageId) -> bool {
         self.ids.contains(&id)
     }
