--- a/crates/daemon/tests/journal.rs
+++ b/crates/daemon/tests/journal.rs
@@ -1,4 +1,5 @@
-//! What the journal carries over a kill to the next process or to one beside it, and its disk quota.
+//! Recovery from the journal after a kill, by the next process or by one that already runs, and the journal's disk
+//! quota.
 
 use bellsill_daemon::journal::Recovered;
 use bellsill_test_support::client::{fresh, put};
@@ -14,8 +15,8 @@
     calls.iter().filter(|call| call.body == body).count()
 }
 
-/// Hands in one more message, and waits until it has reached the endpoint.
-fn hand_in_a_later_message(process: &DispatcherProcess, endpoint: &Endpoint) {
+/// Sends another message and waits until it has reached the endpoint.
+fn send_later_message(process: &DispatcherProcess, endpoint: &Endpoint) {
     let last = process.client().message("notice", 7, 8000, "last");
     wait_for("a later message", || {
         endpoint
@@ -60,7 +61,7 @@
         "dead"
     );
     assert_eq!(calls_with_body(&hanging, "o"), 1, "it may have run");
-    wait_for("all ends in the journal", || {
+    wait_for("an empty journal", || {
         process.journaled() == Recovered::default()
     });
     assert_eq!(
@@ -68,10 +69,10 @@
         1,
         "{idempotent} and {rejected} are delivered"
     );
-    // Delivered messages have ended: the next process does nothing for them.
+    // Delivered messages have ended: the next process makes no attempts or notifications for them.
     process.kill();
     process.start();
-    hand_in_a_later_message(&process, &hanging);
+    send_later_message(&process, &hanging);
     assert_eq!(
         (
             hanging.calls().len(),
@@ -121,13 +122,14 @@
         client.message("payment", 7, 19_000, "o"),
     );
     wait_for("both calls", || hanging.calls().len() == 2);
-    // A new version, in the same folder and at the same clients' address, while the old one still runs.
-    let mut old = process.child.take().unwrap();
+    // Starts a second process with the same folder and client address while the first one still runs, as an upgrade
+    // does.
+    let mut first_process = process.child.take().unwrap();
     process.start();
     let state = process.folder.join("state");
-    wait_for("a journal of its own", || state.join("mails.1").exists());
+    wait_for("a second journal", || state.join("mails.1").exists());
     assert!(
-        old.try_wait().unwrap().is_none()
+        first_process.try_wait().unwrap().is_none()
             && process
                 .child
                 .as_mut()
@@ -137,8 +139,8 @@
                 .is_none()
     );
     hanging.set_behavior(OK);
-    old.kill().unwrap();
-    old.wait().unwrap();
+    first_process.kill().unwrap();
+    first_process.wait().unwrap();
     wait_for("the adoption of the old journal", || {
         !state.join("mails").exists()
     });
@@ -158,14 +160,15 @@
         1,
         "{idempotent} is delivered"
     );
-    // What was adopted is not done again by the process after it. Killed before it has read the platform's answer, this one
-    // would leave the notification pending and the next one would repeat it, which is allowed but not shown here.
-    wait_for("the ends in the journal", || {
+    // The next process must not repeat what was adopted. If this process were killed before it had read the platform's
+    // response, the notification would stay pending and the next process would repeat it; that is allowed, but not
+    // tested here, so wait until the journal is empty.
+    wait_for("an empty journal", || {
         process.journaled_in("mails.1") == Recovered::default()
     });
     process.kill();
     process.start();
-    hand_in_a_later_message(&process, &hanging);
+    send_later_message(&process, &hanging);
     assert_eq!(
         (
             hanging.calls().len(),
@@ -183,7 +186,7 @@
     process.start();
     let mut client = process.client();
     let body = "x".repeat(30_000);
-    let used = || {
+    let disk_usage = || {
         let files = std::fs::read_dir(process.folder.join("state"))
             .unwrap()
             .flatten();
@@ -195,17 +198,17 @@
     for _ in 0..40 {
         let id = fresh();
         answers.push(client.send(&put(&id, "c=payment,d=20000,k=x,dest=7", &body)));
-        assert!(used() <= 400_000);
+        assert!(disk_usage() <= 400_000);
     }
     assert_eq!(
         (answers[0].as_str(), answers[39].as_str()),
         ("+OK", "-BUSY")
     );
-    // Once messages have ended there is capacity again, however much was written before.
+    // Once messages have ended, the capacity of their records is available again, however much was written before.
     rejecting.set_behavior(OK);
-    wait_for("capacity for many more", || {
+    wait_for("capacity for further messages", || {
         let answer = client.send(&put(&fresh(), "c=notice,d=20000,k=x,dest=7", &body));
-        assert!(used() <= 400_000);
+        assert!(disk_usage() <= 400_000);
         rejecting.calls().len() > 40 && answer == "+OK"
     });
 }
--- a/crates/daemon/tests/journal_file.rs
+++ b/crates/daemon/tests/journal_file.rs
@@ -1,4 +1,5 @@
-//! The journal's file, without a dispatcher: against a model, and after damage, a kill or another process.
+//! Tests the journal's file without a dispatcher: against a model, and after damage, an interrupted compaction or
+//! adoption.
 
 mod property;
 
@@ -11,21 +12,21 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// A folder that is removed at the end of the test.
-struct Folder(PathBuf);
+/// A temporary folder that is removed when dropped.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("{name}-{}", std::process::id()));
-        // Of an earlier run that was killed, if any.
+        // An earlier run that was killed may have left the folder.
         std::fs::remove_dir_all(&path).ok();
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 
-    /// What its files take of the disk, in whole blocks.
-    fn size(&self) -> u64 {
+    /// The disk usage of its files, in whole blocks.
+    fn disk_bytes(&self) -> u64 {
         let files = std::fs::read_dir(&self.0).unwrap().flatten();
         files
             .map(|f| f.metadata().unwrap().len().div_ceil(512) * 512)
@@ -33,22 +34,24 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).ok();
     }
 }
 
-/// Behavior one step on the journal and on the model of what it holds.
-fn step(
+/// Applies one step to the journal and, if that succeeds, to the model of its contents.
+fn apply_step(
     journal: &mut MessageJournal,
     model: &mut Recovered,
     (action, number, size): (u8, u8, u16),
 ) -> Result<(), JournalError> {
     let id = MessageId(u64::from(number % 16));
     let position = model.messages.iter().position(|m| m.id == id);
+    let mut pending_ids = model.pending_notifications.iter().map(|pending| pending.0);
+    let is_pending = pending_ids.any(|pending| pending == id);
     match (action % 6, position) {
-        (0 | 1, None) if !model.pending_notifications.iter().any(|o| o.0 == id) => {
+        (0 | 1, None) if !is_pending => {
             let message = JournaledMessage {
                 id,
                 class: "notice".into(),
@@ -91,18 +94,20 @@
             model.messages.remove(position);
             model
                 .pending_notifications
-                .extend(resolution.map(|e| (id, e)));
+                .extend(resolution.map(|resolution| (id, resolution)));
         }
-        (5, _) if model.pending_notifications.iter().any(|o| o.0 == id) => {
+        (5, _) if is_pending => {
             journal.append_notified(id)?;
-            model.pending_notifications.retain(|o| o.0 != id);
+            model
+                .pending_notifications
+                .retain(|pending| pending.0 != id);
         }
         _ => {}
     }
     Ok(())
 }
 
-/// What the journal adopts, and whether it has to try again.
+/// Adopts other journals; returns what was adopted, and whether adoption is incomplete.
 fn adopt(journal: &mut MessageJournal) -> (Recovered, bool) {
     let adopted = journal.adopt();
     (adopted.recovered, adopted.is_incomplete)
@@ -112,15 +117,20 @@
 fn a_reopened_journal_holds_what_was_written_within_its_quota() {
     fn property(steps: Vec<(u8, u8, u16)>, torn: Vec<u8>) -> bool {
         const QUOTA: u64 = 60_000;
-        let folder = Folder::new("journal");
+        let folder = TempFolder::new("journal");
         let (mut journal, recovered) = MessageJournal::open(&folder.0, QUOTA).unwrap();
         let mut model = recovered;
-        // Many times over, so that the file is compacted again and again.
-        for (i, one) in steps.iter().cycle().take(steps.len() * 10).enumerate() {
-            // A full journal rejects messages and attempts and stays as it was; it must not reject what ends them.
-            let rejected = step(&mut journal, &mut model, *one).is_err();
-            assert!(!rejected || one.0 % 6 < 3, "step {one:?} rejected");
-            assert!(folder.size() <= QUOTA, "{} bytes of {QUOTA}", folder.size());
+        // Repeats the steps so that the file is compacted several times.
+        for (i, &step) in steps.iter().cycle().take(steps.len() * 10).enumerate() {
+            // A full journal rejects new messages and attempts and stays unchanged; it must not reject records that end
+            // them.
+            let rejected = apply_step(&mut journal, &mut model, step).is_err();
+            assert!(!rejected || step.0 % 6 < 3, "step {step:?} rejected");
+            assert!(
+                folder.disk_bytes() <= QUOTA,
+                "{} bytes of {QUOTA}",
+                folder.disk_bytes()
+            );
             if i % 50 == 49 {
                 drop(journal);
                 let path = folder.0.join("mails");
@@ -131,8 +141,10 @@
                     .write_all(&torn)
                     .unwrap();
                 let (opened, mut recovered) = MessageJournal::open(&folder.0, QUOTA).unwrap();
-                recovered.pending_notifications.sort_by_key(|o| o.0);
-                model.pending_notifications.sort_by_key(|o| o.0);
+                recovered
+                    .pending_notifications
+                    .sort_by_key(|pending| pending.0);
+                model.pending_notifications.sort_by_key(|pending| pending.0);
                 assert_eq!(recovered, model);
                 journal = opened;
             }
@@ -144,9 +156,9 @@
 
 #[test]
 fn an_interrupted_compaction_leaves_the_old_journal() {
-    let folder = Folder::new("compaction");
+    let folder = TempFolder::new("compaction");
     let (mut journal, mut model) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    step(&mut journal, &mut model, (0, 1, 100)).unwrap();
+    apply_step(&mut journal, &mut model, (0, 1, 100)).unwrap();
     drop(journal);
     std::fs::write(folder.0.join("mails.next"), b"half").unwrap();
     let (_, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
@@ -155,9 +167,9 @@
 
 #[test]
 fn a_journal_adopts_another_once_its_process_has_ended() {
-    let folder = Folder::new("adopt");
+    let folder = TempFolder::new("adopt");
     let (mut old, mut model) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    for one in [
+    for step in [
         (0, 1, 100),
         (0, 2, 50),
         (2, 1, 7),
@@ -165,45 +177,46 @@
         (0, 3, 9),
         (4, 3, 1),
     ] {
-        step(&mut old, &mut model, one).unwrap();
+        apply_step(&mut old, &mut model, step).unwrap();
     }
     let (mut new, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
     assert_eq!(recovered, Recovered::default());
-    // While a process holds the old one, nothing of it is adopted.
-    let (adopted, held) = adopt(&mut new);
-    assert!(held && adopted == Recovered::default());
+    // While a process holds the old journal, nothing is adopted from it.
+    let (adopted, is_incomplete) = adopt(&mut new);
+    assert!(is_incomplete && adopted == Recovered::default());
     drop(old);
-    let (adopted, held) = adopt(&mut new);
-    assert!(!held && adopted == model && !folder.0.join("mails").exists());
-    // What was adopted is the new one's own from now on: opened again, it is there once.
+    let (adopted, is_incomplete) = adopt(&mut new);
+    assert!(!is_incomplete && adopted == model && !folder.0.join("mails").exists());
+    // The adopted records now belong to the new journal: opened again, they are there exactly once.
     drop(new);
     let (mut again, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    let (adopted, held) = adopt(&mut again);
-    assert!(!held && recovered == Recovered::default() && adopted == model);
+    let (adopted, is_incomplete) = adopt(&mut again);
+    assert!(!is_incomplete && recovered == Recovered::default() && adopted == model);
 }
 
-/// Of a journal adopted by half, the rest would have been lost, and messages that ended since taken for new.
+/// Guards against partial adoption, which would lose the rest of the journal or treat messages that have ended since as
+/// new.
 #[test]
 fn a_journal_without_capacity_adopts_another_completely_later() {
-    let folder = Folder::new("adopt-later");
+    let folder = TempFolder::new("adopt-later");
     let (mut old, mut model) = MessageJournal::open(&folder.0, 60_000).unwrap();
     for n in 0..5 {
-        step(&mut old, &mut model, (0, n, 4_000)).unwrap();
+        apply_step(&mut old, &mut model, (0, n, 4_000)).unwrap();
     }
     let (mut new, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
     let mut own = Recovered::default();
     for n in 8..13 {
-        step(&mut new, &mut own, (0, n, 4_000)).unwrap();
+        apply_step(&mut new, &mut own, (0, n, 4_000)).unwrap();
     }
     drop(old);
     assert_eq!(adopt(&mut new), (Recovered::default(), true));
     for n in 8..13 {
-        step(&mut new, &mut own, (4, n, 0)).unwrap();
+        apply_step(&mut new, &mut own, (4, n, 0)).unwrap();
     }
     assert_eq!(adopt(&mut new), (model, false));
 }
 
-/// A message whose deadline is far in the future of the dispatcher's clock.
+/// A message with a deadline 1000 s ahead on the dispatcher's clock.
 fn message(id: u64) -> JournaledMessage {
     JournaledMessage {
         id: MessageId(id),
@@ -217,27 +230,27 @@
     }
 }
 
-/// A record as every version of the journal frames it.
-fn framed(payload: &[u8]) -> Vec<u8> {
+/// Frames a payload as a record, independently of the journal's code.
+fn frame(payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32).to_le_bytes();
     let checksum = crc32fast::hash(payload).to_le_bytes();
     [&length[..], &checksum[..], payload].concat()
 }
 
-/// Numbers as records have them.
-fn numbers(numbers: &[u64]) -> Vec<u8> {
-    numbers.iter().flat_map(|n| n.to_le_bytes()).collect()
+/// Encodes numbers as records contain them.
+fn encode_numbers(values: &[u64]) -> Vec<u8> {
+    values.iter().flat_map(|n| n.to_le_bytes()).collect()
 }
 
-/// Bytes as records have them, after their length.
-fn text(bytes: &[u8]) -> Vec<u8> {
+/// Encodes bytes as records contain them, after their length.
+fn encode_bytes(bytes: &[u8]) -> Vec<u8> {
     [&(bytes.len() as u32).to_le_bytes()[..], bytes].concat()
 }
 
-/// The files of earlier versions have these bytes, and later versions read them.
+/// Guards against a change of the file format: other versions of the program write and read these bytes.
 #[test]
 fn each_kind_of_record_has_its_recorded_format() {
-    let folder = Folder::new("format");
+    let folder = TempFolder::new("format");
     let (mut other, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
     other.append_accepted(&message(8)).unwrap();
     let (mut journal, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
@@ -255,15 +268,20 @@
     assert_eq!(adopt(&mut journal).0.messages.len(), 1);
 
     let accepted_record = |message: &JournaledMessage| {
-        let head = numbers(&[message.id.0, 0, 7, message.deadline]);
-        let rest = [text(b"payment"), text(b""), text(&message.body)].concat();
-        framed(&[b"M", &head[..], &rest[..]].concat())
+        let head = encode_numbers(&[message.id.0, 0, 7, message.deadline]);
+        let rest = [
+            encode_bytes(b"payment"),
+            encode_bytes(b""),
+            encode_bytes(&message.body),
+        ]
+        .concat();
+        frame(&[b"M", &head[..], &rest[..]].concat())
     };
     let bytes = std::fs::read(folder.0.join("mails.1")).unwrap();
     let clock_length = u32::from_le_bytes(bytes[..4].try_into().unwrap()) as usize;
     let (clock, records) = bytes.split_at(8 + clock_length);
     assert_eq!(clock[8..17], *b"S\0\0\0\0\0\0\0\0");
-    // Two times, and the id of the boot after its length.
+    // Two times follow, then the boot id after its length.
     let boot_id_length = u32::from_le_bytes(clock[33..37].try_into().unwrap()) as usize;
     assert_eq!(clock.len(), 37 + boot_id_length);
     let adopted = &source[source.len() - accepted_record(&accepted).len()..];
@@ -271,19 +289,19 @@
     let source_checksum = crc32fast::hash(&source).to_le_bytes();
     let expected = [
         accepted_record(&accepted),
-        framed(&[b"C", &numbers(&[9, 5])[..], &text(b"north")].concat()),
-        framed(&[b"O", &numbers(&[9])[..], &[1]].concat()),
-        framed(&[b"E", &numbers(&[9])[..], &[0], &numbers(&[0])].concat()),
-        framed(&[b"E", &numbers(&[9])[..], &[1], &numbers(&[0])].concat()),
-        framed(&[b"E", &numbers(&[9])[..], &[2], &numbers(&[7])].concat()),
-        framed(&[b"N", &numbers(&[9])[..]].concat()),
-        framed(
+        frame(&[b"C", &encode_numbers(&[9, 5])[..], &encode_bytes(b"north")].concat()),
+        frame(&[b"O", &encode_numbers(&[9])[..], &[1]].concat()),
+        frame(&[b"E", &encode_numbers(&[9])[..], &[0], &encode_numbers(&[0])].concat()),
+        frame(&[b"E", &encode_numbers(&[9])[..], &[1], &encode_numbers(&[0])].concat()),
+        frame(&[b"E", &encode_numbers(&[9])[..], &[2], &encode_numbers(&[7])].concat()),
+        frame(&[b"N", &encode_numbers(&[9])[..]].concat()),
+        frame(
             &[
                 b"A",
-                &numbers(&[0])[..],
+                &encode_numbers(&[0])[..],
                 &source_length,
                 &source_checksum,
-                &text(adopted),
+                &encode_bytes(adopted),
             ]
             .concat(),
         ),
@@ -291,10 +309,11 @@
     assert_eq!(records, expected.concat());
 }
 
-/// Damage in the middle of a file is not its end: what follows is read, and the file is complete afterwards.
+/// Guards against the loss of the records after a damaged one. The second open reads the file that the first has
+/// repaired.
 #[test]
-fn records_behind_damaged_bytes_are_read() {
-    let folder = Folder::new("damage");
+fn records_after_damaged_bytes_are_read() {
+    let folder = TempFolder::new("damage");
     let path = folder.0.join("mails");
     let (mut journal, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
     (1..=3).for_each(|id| journal.append_accepted(&message(id)).unwrap());
@@ -311,24 +330,24 @@
             .iter()
             .map(|message| message.id.0)
             .collect();
-        assert_eq!(ids, [1, 3], "all but the damaged one");
+        assert_eq!(ids, [1, 3], "all records but the damaged one");
     }
 }
 
-/// A journal of a program that had its times on the wall clock is still read.
+/// Earlier versions of the program wrote times on the wall clock, and no clock record.
 #[test]
-fn an_older_journal_s_times_are_translated_to_the_dispatcher_s_clock() {
-    let folder = Folder::new("older");
+fn times_of_an_older_journal_are_converted_to_the_dispatcher_clock() {
+    let folder = TempFolder::new("older");
     let deadline = clock::wall_now() + 60_000_000_000;
     let fields = [
         vec![b'M'],
-        numbers(&[9, 5, 7, deadline]),
-        text(b"notice"),
-        text(b"t"),
-        text(b"body"),
+        encode_numbers(&[9, 5, 7, deadline]),
+        encode_bytes(b"notice"),
+        encode_bytes(b"t"),
+        encode_bytes(b"body"),
     ]
     .concat();
-    std::fs::write(folder.0.join("mails"), framed(&fields)).unwrap();
+    std::fs::write(folder.0.join("mails"), frame(&fields)).unwrap();
     for _ in 0..2 {
         let (_, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
         let remaining = recovered.messages[0].deadline.saturating_sub(clock::now());
@@ -345,12 +364,15 @@
 
 #[test]
 fn a_message_beyond_the_quota_fails_with_disk_quota() {
-    let folder = Folder::new("quota");
+    let folder = TempFolder::new("quota");
     let (mut journal, _) = MessageJournal::open(&folder.0, 4_000).unwrap();
     let appended: Vec<_> = (0..10)
         .map(|id| journal.append_accepted(&message(id)))
         .collect();
     assert!(appended[0].is_ok());
     assert!(matches!(appended[9], Err(JournalError::DiskQuota)));
-    assert!(!journal.has_unwritten(), "a full quota is no fault");
+    assert!(
+        !journal.has_unwritten(),
+        "reaching the quota is no write failure"
+    );
 }
--- a/crates/daemon/tests/stepped_clock.rs
+++ b/crates/daemon/tests/stepped_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock is stepped during a restart: deadlines and deduplication windows remain spans of real time.
+//! Steps the wall clock during a restart: deadlines and deduplication windows must remain spans of elapsed time.
 
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
@@ -8,15 +8,16 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-const HOUR: i64 = 3_600;
+const HOUR_SECONDS: i64 = 3_600;
 const WINDOW: Duration = Duration::from_secs(3);
-/// How long after a restart a notification may come.
-const READY_SLACK: Duration = Duration::from_millis(1_500);
-/// How long after a message's deadline its notification may come.
-const END_SLACK: Duration = Duration::from_millis(300);
+/// How long after a restart an overdue notification may arrive.
+const RESTART_TOLERANCE: Duration = Duration::from_millis(1_500);
+/// How long after a message's deadline its notification may arrive.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(300);
 
-/// Those of the messages with an attempt in flight at the kill. They may have run, and may run at most once: they fail.
-fn interrupted_by_the_kill(process: &DispatcherProcess, ids: &[String]) -> Vec<String> {
+/// The messages that had an attempt in flight when the process was killed. They may have run, and their class allows at
+/// most one run, so they must fail.
+fn interrupted_messages(process: &DispatcherProcess, ids: &[String]) -> Vec<String> {
     let messages = process.journaled().messages;
     let is_interrupted = |id: &&String| {
         let message = messages.iter().find(|m| format!("{:016x}", m.id.0) == **id);
@@ -25,33 +26,33 @@
     ids.iter().filter(is_interrupted).cloned().collect()
 }
 
-/// Waits for the ends of the lasting messages: the interrupted ones fail, all others are delivered.
+/// Waits until all long-lived messages have ended, and checks that exactly the interrupted ones failed.
 fn assert_only_interrupted_fail(
     process: &DispatcherProcess,
     recovering: &Endpoint,
-    lasting: &[String],
+    long_lived: &[String],
     interrupted: &[String],
-    seconds: i64,
+    step_seconds: i64,
 ) {
-    wait_for("the lasting ones' ends", || {
-        lasting.iter().all(|id| {
+    wait_for("the ends of the long-lived messages", || {
+        long_lived.iter().all(|id| {
             let notified = process.platform.notification(id).is_some();
             notified || (recovering.calls_of(id) >= 1 && !interrupted.contains(id))
         })
     });
-    let failed: Vec<String> = lasting
+    let failed: Vec<String> = long_lived
         .iter()
         .filter(|id| process.platform.notification(id).is_some())
         .cloned()
         .collect();
     assert_eq!(
         failed, interrupted,
-        "{seconds} s: ended with most of their time left, or sent again though they may have run"
+        "{step_seconds} s: failed long before the deadline, or sent again although they may have run"
     );
 }
 
-/// Leaves messages pending, steps the clock while no process runs, and checks that each continues as without the step.
-fn play_step(seconds: i64) {
+/// Leaves messages pending, steps the wall clock while no process runs, and checks that the step has no effect on them.
+fn check_step(step_seconds: i64) {
     let recovering = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 0.5"));
     let rejecting = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
     let hanging = Endpoint::start(Behavior::Hangs);
@@ -63,51 +64,57 @@
     let faults = Faults::new(&process.folder, 1);
     process.start_with(&faults);
     let mut client = process.client();
-    let lasting: Vec<String> = (0..10)
-        .map(|_| client.message("payment", 7, 20_000, "lasting"))
+    let long_lived: Vec<String> = (0..10)
+        .map(|_| client.message("payment", 7, 20_000, "long-lived"))
         .collect();
-    let short: Vec<String> = (0..10)
-        .map(|_| client.message("notice", 8, 3_000, "short"))
+    let short_lived: Vec<String> = (0..10)
+        .map(|_| client.message("notice", 8, 3_000, "short-lived"))
         .collect();
-    let short_deadline = Instant::now() + Duration::from_millis(3_000);
-    let idempotent = client.message("notice", 9, 19_000, "tagged");
+    let short_lived_deadline = Instant::now() + Duration::from_millis(3_000);
+    let idempotent = client.message("notice", 9, 19_000, "idempotent");
     wait_for("the attempt that hangs", || {
         hanging.calls_of(&idempotent) == 1
     });
     let attempted_at = Instant::now();
-    wait_for("a rejection", || process.never_ran(&lasting[0]));
+    wait_for("a rejection", || process.never_ran(&long_lived[0]));
     process.kill();
-    let interrupted = interrupted_by_the_kill(&process, &lasting);
-    faults.step_wall_clock(seconds);
+    let interrupted = interrupted_messages(&process, &long_lived);
+    faults.step_wall_clock(step_seconds);
     recovering.set_behavior(OK);
-    // The window of the idempotent message ends while no process runs.
-    std::thread::sleep((WINDOW + END_SLACK).saturating_sub(attempted_at.elapsed()));
+    // The deduplication window of the idempotent message ends while no process runs.
+    std::thread::sleep((WINDOW + DEADLINE_TOLERANCE).saturating_sub(attempted_at.elapsed()));
     process.start_with(&faults);
-    let ready = Instant::now();
-    wait_for("the notifications of the short ones", || {
-        short
+    let restarted_at = Instant::now();
+    wait_for("the notifications of the short-lived messages", || {
+        short_lived
             .iter()
             .all(|id| process.platform.notification(id).is_some())
     });
-    let overdue = (short_deadline + END_SLACK).max(ready + READY_SLACK);
+    let overdue = (short_lived_deadline + DEADLINE_TOLERANCE).max(restarted_at + RESTART_TOLERANCE);
     let late = Instant::now().saturating_duration_since(overdue);
     assert!(
         late.is_zero(),
-        "{seconds} s: notifications {} ms late",
+        "{step_seconds} s: notifications {} ms late",
         late.as_millis()
     );
-    assert_only_interrupted_fail(&process, &recovering, &lasting, &interrupted, seconds);
+    assert_only_interrupted_fail(
+        &process,
+        &recovering,
+        &long_lived,
+        &interrupted,
+        step_seconds,
+    );
     assert_eq!(
         hanging.calls_of(&idempotent),
         1,
-        "{seconds} s: sent again after its window"
+        "{step_seconds} s: sent again after its window"
     );
 }
 
 #[test]
 fn a_wall_clock_step_during_a_restart_changes_no_deadline_or_window() {
-    for seconds in [HOUR, -HOUR, 5, -5] {
-        play_step(seconds);
+    for step_seconds in [HOUR_SECONDS, -HOUR_SECONDS, 5, -5] {
+        check_step(step_seconds);
     }
 }
 
@@ -117,26 +124,28 @@
     let rejecting = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
     let mut process = DispatcherProcess::new(program!(), &[(&recovering, 7), (&rejecting, 8)]);
     let faults = Faults::new(&process.folder, 1);
-    // The machine of the first process has run for longer than that of the second.
+    // The monotonic clock of the first process is ahead of that of the second, as before a reboot of the machine.
     faults.ask(words::MONOTONIC_SHIFT_SECONDS, 100_000);
     process.start_with(&faults);
     let mut client = process.client();
-    let lasting = client.message("payment", 7, 20_000, "lasting");
-    let short = client.message("notice", 8, 2_000, "short");
-    wait_for("a rejection", || process.never_ran(&lasting));
+    let long_lived = client.message("payment", 7, 20_000, "long-lived");
+    let short_lived = client.message("notice", 8, 2_000, "short-lived");
+    wait_for("a rejection", || process.never_ran(&long_lived));
     process.kill();
     faults.ask(words::MONOTONIC_SHIFT_SECONDS, 0);
     recovering.set_behavior(OK);
     process.start_with(&faults);
     let restarted_at = Instant::now();
-    wait_for("the end of the short one", || {
-        process.platform.notification(&short).is_some()
+    wait_for("the notification of the short-lived message", || {
+        process.platform.notification(&short_lived).is_some()
     });
     assert!(
         restarted_at.elapsed() < Duration::from_secs(4),
         "{:?}",
         restarted_at.elapsed()
     );
-    wait_for("the lasting one", || recovering.calls_of(&lasting) >= 2);
-    assert_eq!(process.platform.notification(&lasting), None);
+    wait_for("the second attempt of the long-lived message", || {
+        recovering.calls_of(&long_lived) >= 2
+    });
+    assert_eq!(process.platform.notification(&long_lived), None);
 }
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -1,4 +1,4 @@
-//! What an earlier version of the program (c1890ee) has written to the state folder is read by this one.
+//! State files written by an earlier version of the program (commit c1890ee) are still read.
 
 use bellsill_core::interface::MessageId;
 use bellsill_daemon::admin::load_disabled;
@@ -16,11 +16,11 @@
         .join(name)
 }
 
-/// A folder with copies of the fixture's files; a journal that is opened may be compacted.
-struct Copy(PathBuf);
+/// A temporary copy of a fixture folder: opening a journal may compact its file.
+struct FixtureCopy(PathBuf);
 
-impl Copy {
-    fn of(name: &str) -> Copy {
+impl FixtureCopy {
+    fn of(name: &str) -> FixtureCopy {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("stored-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -28,17 +28,18 @@
             let file = file.unwrap();
             std::fs::copy(file.path(), folder.join(file.file_name())).unwrap();
         }
-        Copy(folder)
+        FixtureCopy(folder)
     }
 }
 
-impl Drop for Copy {
+impl Drop for FixtureCopy {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).unwrap();
     }
 }
 
-/// The first of the two messages that are pending has two attempts with their outcomes, the second one with none.
+/// Checks the two pending messages: the first has two attempts with outcomes, the second one attempt without an
+/// outcome.
 fn assert_pending(messages: &[JournaledMessage], first: u64) {
     let [idempotent, at_most_once] = messages else {
         panic!("two pending messages: {messages:?}")
@@ -76,16 +77,19 @@
     assert_eq!(at_most_once.attempts.len(), 1);
     assert_eq!(at_most_once.attempts[0].zone, "south");
     assert_eq!(at_most_once.attempts[0].may_have_run, None);
-    // They were accepted a moment apart, with time to live a second apart.
-    let apart = at_most_once.deadline - idempotent.deadline;
-    assert!((SECOND..SECOND + SECOND / 10).contains(&apart), "{apart}");
+    // They were accepted a moment apart, with times to live one second apart.
+    let difference = at_most_once.deadline - idempotent.deadline;
+    assert!(
+        (SECOND..SECOND + SECOND / 10).contains(&difference),
+        "{difference} ns"
+    );
 }
 
 fn ids(numbers: std::ops::Range<u64>) -> Vec<MessageId> {
     numbers.map(MessageId).collect()
 }
 
-/// What the journal adopts, and whether it has to try again.
+/// Adopts other journals; returns what was adopted, and whether adoption is incomplete.
 fn adopt(journal: &mut MessageJournal) -> (Recovered, bool) {
     let adopted = journal.adopt();
     (adopted.recovered, adopted.is_incomplete)
@@ -93,12 +97,12 @@
 
 #[test]
 fn a_journal_with_every_kind_of_record_is_read() {
-    let folder = Copy::of("journal");
+    let folder = FixtureCopy::of("journal");
     let (mut journal, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
     assert_eq!(
         recovered.messages.len(),
         4,
-        "two of its own and two adopted"
+        "two own and two adopted messages"
     );
     assert_pending(&recovered.messages[..2], 0x11);
     assert_pending(&recovered.messages[2..], 0x21);
@@ -128,7 +132,7 @@
 
 #[test]
 fn a_journal_with_a_torn_tail_is_read_up_to_it() {
-    let folder = Copy::of("journal-torn");
+    let folder = FixtureCopy::of("journal-torn");
     let (_, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
     assert_pending(&recovered.messages, 0x11);
     let pending = [
@@ -139,19 +143,19 @@
                 retry_after: 1_500_000_000,
             },
         ),
-        // The torn record said that the platform had confirmed it.
+        // The torn record is the platform's confirmation of this notification.
         (MessageId(0x16), Resolution::Failed),
     ];
     assert_eq!(recovered.pending_notifications, pending);
 }
 
 #[test]
-fn another_process_journal_is_adopted() {
-    let folder = Copy::of("journal-to-adopt");
+fn the_journal_of_another_process_is_adopted() {
+    let folder = FixtureCopy::of("journal-to-adopt");
     let (mut journal, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
     assert_pending(&recovered.messages, 0x11);
-    let (adopted, others_held) = adopt(&mut journal);
-    assert!(!others_held);
+    let (adopted, is_incomplete) = adopt(&mut journal);
+    assert!(!is_incomplete);
     assert_pending(&adopted.messages, 0x21);
     assert_eq!(
         adopted.pending_notifications,
@@ -167,7 +171,7 @@
     );
     let all = [ids(0x13..0x17), ids(0x23..0x27)].concat();
     assert_eq!(journal.take_resolved(), all);
-    // A copy, since a process that another test starts just now may still hold the lock on the file itself.
+    // Opens a copy: a process that another test is just starting may have inherited the file, and with it the lock.
     let copy = folder.0.join("again");
     std::fs::create_dir(&copy).unwrap();
     std::fs::copy(folder.0.join("mails"), copy.join("mails")).unwrap();
@@ -190,7 +194,7 @@
     process.json["mgmt"] = process.mgmt_at(0).into();
     std::fs::copy(fixture("scope"), process.folder.join("state/scope")).unwrap();
     let installation = process.folder.join("installation.toml");
-    // No process listens at the control process's address.
+    // No process listens on the address of the control process.
     let text = "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [\"127.0.0.1:1\"]\nbuckets_per_region = 4\n\
         cache_destinations = 8\n\
         zones = [{name = \"north\", region = \"a\"}, {name = \"south\", region = \"b\"}]\n";
