--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -6,7 +6,7 @@
 mod request;
 mod stats;
 
-pub use crate::metrics::{ClassEnds, End, Metrics};
+pub use crate::metrics::{ClassCounters, MessageResult, Metrics};
 pub(crate) use commands::{AdminContext, DrainRequest, execute};
 pub(crate) use connections::{AdminInput, accept, answer, close, end_turn, next_request, read};
 pub(crate) use disabled::{DisabledFile, refresh_disabled};
--- a/crates/daemon/src/admin/stats.rs
+++ b/crates/daemon/src/admin/stats.rs
@@ -19,11 +19,11 @@
 pub fn render(metrics: &Metrics, classes: &[String], gauges: &Gauges) -> String {
     let mut text = String::from("SUCCESS\n");
     for (c, name) in classes.iter().enumerate() {
-        let ends = metrics.ends(c);
+        let counters = metrics.class_counters(c);
         for (word, count) in [
-            ("completed", ends.completed),
-            ("rejected", ends.rejected),
-            ("failed", ends.failed),
+            ("completed", counters.completed),
+            ("rejected", counters.rejected),
+            ("failed", counters.failed),
         ] {
             text.push_str(&format!(
                 "dispatcher.downstream_requests.{name}.{word}={count}\n"
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -6,7 +6,7 @@
 use crate::connection::{Connection, ConnectionId};
 use crate::delivery::{Admission, Delivery, Rejection, Runtime};
 use crate::journal::JournaledMessage;
-use crate::metrics::End;
+use crate::metrics::MessageResult;
 use crate::timer::Timer;
 use bellsill_core::interface::{MessageId, Nanos};
 
@@ -221,13 +221,16 @@
         Err(Rejection::MissingIdempotencyKey) => "-ERR k: expected in this class\r\n",
         Err(Rejection::NoCapacity) => {
             if let Some(class) = class {
-                delivery.runtime.metrics.count(class, End::Rejected);
+                delivery
+                    .runtime
+                    .metrics
+                    .count_message(class, MessageResult::Rejected);
             }
             "-BUSY\r\n"
         }
     };
     answer(&mut delivery.runtime, id, text);
     if let Ok(Admission::New(message)) = admission {
-        delivery.decide(&[message]);
+        delivery.dispatch(&[message]);
     }
 }
--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -13,7 +13,7 @@
 /// Lifetimes are given in whole milliseconds, so a message may exceed the lifetime of its class by one.
 const LIFETIME_SLACK: Nanos = 1_000_000;
 
-/// An accepted message. Its client is answered, then it is handed to [`Delivery::decide`].
+/// An accepted message. Its client is answered, then it is handed to [`Delivery::dispatch`].
 #[must_use]
 pub(crate) enum Admission {
     /// It is in the journal.
@@ -118,7 +118,7 @@
     }
 
     /// Hands pending messages to the decisions, with what an earlier process did for them. Their classes are configured.
-    pub(crate) fn decide(&mut self, messages: &[JournaledMessage]) {
+    pub(crate) fn dispatch(&mut self, messages: &[JournaledMessage]) {
         let zones = self.discovery.zones();
         let new = |message: &JournaledMessage| {
             // By the rules of another class it might run twice.
--- a/crates/daemon/src/delivery/attempts.rs
+++ b/crates/daemon/src/delivery/attempts.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Ends a message's attempt; the decisions learn of it by the next `settle`. The connection is the caller's to close
+    /// Ends a message's attempt; the decisions learn of it by the next `report_attempt_ends`. The connection is the caller's to close
     /// or keep. With `message_ended` the message is over, whatever the outcome.
     pub(super) fn end_attempt(&mut self, slot: MessageSlot, outcome: Outcome, message_ended: bool) {
         let Some(message) = self.messages.get_mut(slot) else {
--- a/crates/daemon/src/delivery/coordinator.rs
+++ b/crates/daemon/src/delivery/coordinator.rs
@@ -110,7 +110,7 @@
     }
 
     /// Tells the decisions the outcomes that became known while they were at work.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn report_attempt_ends(&mut self) {
         while let Some(end) = self.runtime.attempt_ends.pop_front() {
             if !self.stopped {
                 self.dispatcher
--- a/crates/daemon/src/delivery/mod.rs
+++ b/crates/daemon/src/delivery/mod.rs
@@ -14,5 +14,5 @@
 pub(crate) use admission::{Admission, Rejection};
 pub(crate) use coordinator::Delivery;
 pub(crate) use message::MAX_BODY_BYTES;
-pub(crate) use recovery::Adoption;
+pub(crate) use recovery::AdoptionStatus;
 pub(crate) use runtime::{AttemptSettings, Runtime};
--- a/crates/daemon/src/delivery/recovery.rs
+++ b/crates/daemon/src/delivery/recovery.rs
@@ -7,30 +7,30 @@
 /// Whether another process that shares the state folder still holds a journal.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Adoption {
+pub(crate) enum AdoptionStatus {
     /// None does.
     Complete,
     /// One does, which may leave it later.
-    MoreLater,
+    Incomplete,
 }
 
-impl Adoption {
+impl AdoptionStatus {
     /// What the journal reported.
-    pub(crate) fn from_incomplete(is_incomplete: bool) -> Adoption {
+    pub(crate) fn from_incomplete(is_incomplete: bool) -> AdoptionStatus {
         if is_incomplete {
-            Adoption::MoreLater
+            AdoptionStatus::Incomplete
         } else {
-            Adoption::Complete
+            AdoptionStatus::Complete
         }
     }
 }
 
 impl Delivery {
     /// Takes over the journals that other processes have left in the state folder.
-    pub(crate) fn adopt_journals(&mut self) -> Adoption {
+    pub(crate) fn adopt_journals(&mut self) -> AdoptionStatus {
         let adopted = self.runtime.journal.adopt();
         self.recover(adopted.recovered);
-        Adoption::from_incomplete(adopted.is_incomplete)
+        AdoptionStatus::from_incomplete(adopted.is_incomplete)
     }
 
     /// Takes over what a journal held: messages go to the decisions, and notifications are sent until acknowledged.
@@ -63,7 +63,7 @@
             }
         }
         if !known.is_empty() {
-            self.decide(&known);
+            self.dispatch(&known);
         }
     }
 
--- a/crates/daemon/src/delivery/runtime.rs
+++ b/crates/daemon/src/delivery/runtime.rs
@@ -8,7 +8,7 @@
 use crate::io::Io;
 use crate::journal::{MessageJournal, Resolution};
 use crate::message_slot::MessageSlot;
-use crate::metrics::{End, Metrics};
+use crate::metrics::{MessageResult, Metrics};
 use crate::notification::{NotificationEvent, Notifications};
 use crate::timer::Timer;
 use crate::timer_queue::TimerQueue;
@@ -159,7 +159,7 @@
     }
 
     /// Has the journal try again while records are not written.
-    pub(crate) fn watch_journal(&mut self) {
+    pub(crate) fn update_journal_retry(&mut self) {
         if self.journal.has_unwritten() {
             self.timers
                 .set_if_unset(Timer::JournalRetry, self.now + JOURNAL_RETRY_INTERVAL);
@@ -170,7 +170,7 @@
 
     /// The journal tries again.
     pub(crate) fn retry_journal(&mut self) {
-        // Whether it succeeded shows when `watch_journal` looks next.
+        // Whether it succeeded shows when `update_journal_retry` looks next.
         self.journal.write_pending().ok();
     }
 
@@ -210,14 +210,14 @@
         let (resolution, counted) = match state {
             DeliveryState::Rejected { retry_after } => (
                 Some(Resolution::Rejected { retry_after }),
-                Some(End::Rejected),
+                Some(MessageResult::Rejected),
             ),
-            DeliveryState::Failed => (Some(Resolution::Failed), Some(End::Failed)),
-            DeliveryState::Delivered => (None, Some(End::Completed)),
+            DeliveryState::Failed => (Some(Resolution::Failed), Some(MessageResult::Failed)),
+            DeliveryState::Delivered => (None, Some(MessageResult::Completed)),
             _ => (None, None),
         };
         if let (Some(class), Some(end)) = (class, counted) {
-            self.metrics.count(class, end);
+            self.metrics.count_message(class, end);
         }
         // A notification sent before its record is written would be lost by a kill, and the message sent after it.
         let recorded = self.journal.append_resolved(id, resolution).is_ok();
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::client::{self, Clients};
 use crate::clock;
 use crate::connection::{ConnectionId, PollEvent, Role};
-use crate::delivery::{Adoption, Delivery};
+use crate::delivery::{AdoptionStatus, Delivery};
 use crate::reload::{Configuration, Reload};
 use crate::scope::{SAVE_EVERY, ScopeFile};
 use crate::shutdown::{Shutdown, ShutdownPhase};
@@ -82,10 +82,10 @@
                 PollEvent::Signals => self.handle_signals()?,
                 PollEvent::Connection(id) => self.connection_ready(id),
             }
-            self.delivery.settle();
+            self.delivery.report_attempt_ends();
         }
         self.expire_timers();
-        self.delivery.runtime.watch_journal();
+        self.delivery.runtime.update_journal_retry();
         self.delivery.runtime.send_notifications();
         self.shutdown.finish_if_quiet(&self.delivery);
         Ok(())
@@ -102,12 +102,12 @@
                 wakeup = true;
             } else {
                 self.timer_expired(timer);
-                self.delivery.settle();
+                self.delivery.report_attempt_ends();
             }
         }
         if wakeup {
             self.delivery.wakeup();
-            self.delivery.settle();
+            self.delivery.report_attempt_ends();
         }
     }
 
@@ -155,7 +155,7 @@
                 self.save_scope();
             }
             Timer::AdoptJournals => {
-                if delivery.adopt_journals() == Adoption::MoreLater {
+                if delivery.adopt_journals() == AdoptionStatus::Incomplete {
                     self.set_timer(Timer::AdoptJournals, NEIGHBOUR_CHECK_INTERVAL);
                 }
             }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -2,7 +2,7 @@
 
 /// How a message ended, as operators count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum MessageResult {
     /// It was delivered.
     Completed,
     /// It was given back to its client: rejected after a while, or answered `-BUSY`.
@@ -13,7 +13,7 @@
 
 /// The ended messages of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClassEnds {
+pub struct ClassCounters {
     /// Delivered.
     pub completed: u64,
     /// Given back to their clients.
@@ -25,7 +25,7 @@
 /// The counters of this process.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    classes: Vec<ClassEnds>,
+    classes: Vec<ClassCounters>,
     /// Attempts whose request was written.
     pub attempts: u64,
     /// Configurations that were read again and taken.
@@ -36,20 +36,20 @@
 
 impl Metrics {
     /// Counts a message of the class with this index.
-    pub fn count(&mut self, class: usize, end: End) {
+    pub fn count_message(&mut self, class: usize, result: MessageResult) {
         if self.classes.len() <= class {
-            self.classes.resize(class + 1, ClassEnds::default());
+            self.classes.resize(class + 1, ClassCounters::default());
         }
         let ends = &mut self.classes[class];
-        match end {
-            End::Completed => ends.completed += 1,
-            End::Rejected => ends.rejected += 1,
-            End::Failed => ends.failed += 1,
+        match result {
+            MessageResult::Completed => ends.completed += 1,
+            MessageResult::Rejected => ends.rejected += 1,
+            MessageResult::Failed => ends.failed += 1,
         }
     }
 
     /// The counts of a class; zeros if none of its messages has ended.
-    pub fn ends(&self, class: usize) -> ClassEnds {
+    pub fn class_counters(&self, class: usize) -> ClassCounters {
         self.classes.get(class).copied().unwrap_or_default()
     }
 }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -5,7 +5,7 @@
 use crate::client::CLIENT_BUFFER_BYTES;
 use crate::clock;
 use crate::connection::{ConnectionLimits, ConnectionTable};
-use crate::delivery::{Adoption, AttemptSettings, Delivery, Runtime};
+use crate::delivery::{AdoptionStatus, AttemptSettings, Delivery, Runtime};
 use crate::discovery::Discovery;
 use crate::endpoint_list;
 use crate::journal::{MessageJournal, Recovered};
@@ -43,7 +43,7 @@
 struct Stored {
     journal: MessageJournal,
     recovered: Recovered,
-    adoption: Adoption,
+    adoption: AdoptionStatus,
     disabled: BTreeSet<String>,
 }
 
@@ -81,7 +81,7 @@
         stored.recovered,
     );
     set_timers(&mut delivery.runtime, scope_file.is_some(), stored.adoption);
-    delivery.settle();
+    delivery.report_attempt_ends();
     delivery.runtime.send_notifications();
     log::info!(
         "{} listens on {}, {} messages pending",
@@ -105,13 +105,13 @@
     delivery.recover(recovered);
 }
 
-fn set_timers(runtime: &mut Runtime, has_scope_file: bool, adoption: Adoption) {
+fn set_timers(runtime: &mut Runtime, has_scope_file: bool, adoption: AdoptionStatus) {
     let (now, timers) = (runtime.now, &mut runtime.timers);
     timers.set(Timer::StatusLog, now + STATUS_INTERVAL);
     if has_scope_file {
         timers.set(Timer::SaveScope, now + SAVE_EVERY);
     }
-    if adoption == Adoption::MoreLater {
+    if adoption == AdoptionStatus::Incomplete {
         timers.set(Timer::AdoptJournals, now + NEIGHBOUR_CHECK_INTERVAL);
     }
 }
@@ -169,7 +169,7 @@
     Ok(Stored {
         journal,
         recovered,
-        adoption: Adoption::from_incomplete(adopted.is_incomplete),
+        adoption: AdoptionStatus::from_incomplete(adopted.is_incomplete),
         disabled,
     })
 }
--- a/crates/daemon/tests/mgmt.rs
+++ b/crates/daemon/tests/mgmt.rs
@@ -1,8 +1,8 @@
 //! The parser of operators' calls, the list of disabled endpoints and the metrics, without a socket.
 
 use bellsill_daemon::admin::{
-    End, Gauges, MAX_DISABLED, MAX_ENDPOINT_ID_BYTES, Metrics, Request, parse, parse_disabled,
-    render,
+    Gauges, MAX_DISABLED, MAX_ENDPOINT_ID_BYTES, MessageResult, Metrics, Request, parse,
+    parse_disabled, render,
 };
 
 #[test]
@@ -52,9 +52,9 @@
 #[test]
 fn metrics_are_rendered_for_each_class() {
     let mut metrics = Metrics::default();
-    metrics.count(1, End::Failed);
-    metrics.count(0, End::Completed);
-    metrics.count(0, End::Completed);
+    metrics.count_message(1, MessageResult::Failed);
+    metrics.count_message(0, MessageResult::Completed);
+    metrics.count_message(0, MessageResult::Completed);
     metrics.attempts = 3;
     let gauges = Gauges {
         pending: 4,
