--- a/crates/daemon/src/delivery/actions.rs
+++ b/crates/daemon/src/delivery/actions.rs
@@ -1,4 +1,4 @@
-//! What the decisions order, carried out.
+//! Carries out the actions of the decision logic.
 
 use super::message::{AttemptInFlight, DeliveryState};
 use super::runtime::Runtime;
@@ -50,16 +50,16 @@
     }
 
     fn close_idle_connections(&mut self, endpoint: EndpointId) {
-        let (endpoints, mut io) = self.pool();
+        let (endpoints, mut io) = self.endpoints_and_io();
         endpoints.close_idle(&mut io, endpoint);
     }
 
     fn endpoint_removed(&mut self, endpoint: EndpointId) {
-        let (endpoints, mut io) = self.pool();
+        let (endpoints, mut io) = self.endpoints_and_io();
         endpoints.remove_with_connections(&mut io, endpoint);
     }
 
-    /// The watch is always open here, whatever the settings say.
+    /// Does nothing: the watch is always open here, whatever the settings say.
     fn request_watch(&mut self) {}
 
     fn schedule_wakeup(&mut self, after: Nanos) {
--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a message is accepted, and if not, why.
+//! Admission of new messages and their hand-over to the decision logic.
 
 use super::coordinator::Delivery;
 use super::message::{DeliveryState, PendingMessage};
@@ -10,35 +10,36 @@
 };
 use bellsill_discovery_client::{CacheFull, DestinationStatus};
 
-/// Lifetimes are given in whole milliseconds, so a message may exceed the lifetime of its class by one.
-const LIFETIME_SLACK: Nanos = 1_000_000;
+/// Clients specify lifetimes in whole milliseconds, so rounding may exceed the lifetime of the class by up to 1 ms.
+const LIFETIME_TOLERANCE: Nanos = 1_000_000;
 
-/// An accepted message. Its client is answered, then it is handed to [`Delivery::dispatch`].
+/// The result of accepting a message. The client gets its response before a new message goes to
+/// [`Delivery::dispatch`].
 #[must_use]
 pub(crate) enum Admission {
-    /// It is in the journal.
+    /// The message is new and was written to the journal.
     New(JournaledMessage),
-    /// It is pending already, or has ended recently: its client is answered as if it were new.
+    /// The message is already pending or ended recently. The client gets the same response as for a new message.
     Duplicate,
 }
 
-/// Why a message is not accepted.
+/// The reason for rejecting a message at admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Rejection {
-    /// No class has this name.
+    /// No configured queue class has this name.
     UnknownClass,
     /// No endpoint serves the destination.
     UnknownDestination,
-    /// Messages of its class need an idempotency key.
+    /// The queue class requires an idempotency key.
     MissingIdempotencyKey,
-    /// Its queue lifetime is longer than that of its class.
+    /// The queue lifetime is longer than the class allows.
     LifetimeTooLong,
-    /// Its client may send it again.
+    /// There is no capacity at present; the client may retry.
     NoCapacity,
 }
 
 impl Delivery {
-    /// Accepts a message if there is capacity for it, and writes it to the journal.
+    /// Validates a message and, if there is capacity, writes it to the journal and adds it to the pending messages.
     pub(crate) fn admit(&mut self, message: JournaledMessage) -> Result<Admission, Rejection> {
         let class = self
             .class_index(&message.class)
@@ -49,7 +50,7 @@
         {
             return Err(Rejection::MissingIdempotencyKey);
         }
-        if message.deadline > self.runtime.now + settings.lifetime + LIFETIME_SLACK {
+        if message.deadline > self.runtime.now + settings.lifetime + LIFETIME_TOLERANCE {
             return Err(Rejection::LifetimeTooLong);
         }
         if !self.may_have_endpoints(message.destination) {
@@ -71,7 +72,7 @@
         Ok(Admission::New(message))
     }
 
-    /// Whether the destination has an endpoint, or may have one that is not looked up yet.
+    /// Whether the destination has an endpoint, or may have one because its lookup is not complete.
     fn may_have_endpoints(&self, destination: u64) -> bool {
         let Some(list) = self.discovery.scoped_list() else {
             return self.runtime.endpoints.has_destination(destination);
@@ -80,7 +81,7 @@
             || list.entries_of(destination).next().is_some()
     }
 
-    /// Adds a message that is in the journal to the pending ones.
+    /// Adds a message that is already in the journal to the pending messages.
     pub(super) fn insert(&mut self, message: JournaledMessage) {
         let class = self.class_index(&message.class);
         self.runtime.messages.insert(PendingMessage {
@@ -96,7 +97,8 @@
         });
     }
 
-    /// Has a destination looked up that is not known. Without a scoped configuration all are known.
+    /// Requests a lookup of a destination that is not cached. Without a scoped configuration, all destinations are
+    /// known and none is looked up.
     pub(super) fn look_up(&mut self, destination: u64) -> Result<(), CacheFull> {
         let Some(list) = self.discovery.scoped_list() else {
             return Ok(());
@@ -111,17 +113,18 @@
             timers: &mut self.runtime.timers,
         };
         let messages = &self.runtime.messages;
-        let in_use = |other: u64| messages.has_destination(other);
+        let in_use = |destination: u64| messages.has_destination(destination);
         let evicted = self.discovery.lookup(&mut io, destination, &in_use)?;
         self.apply_changes(&evicted);
         Ok(())
     }
 
-    /// Hands pending messages to the decisions, with what an earlier process did for them. Their classes are configured.
+    /// Passes pending messages to the decision logic, with the attempts that earlier processes made. Their queue
+    /// classes must be configured.
     pub(crate) fn dispatch(&mut self, messages: &[JournaledMessage]) {
         let zones = self.discovery.zones();
-        let new = |message: &JournaledMessage| {
-            // By the rules of another class it might run twice.
+        let to_new_message = |message: &JournaledMessage| {
+            // Skipped without its own class: under the rules of another one, the message could run twice.
             let class = ClassId(self.class_index(&message.class)?);
             Some(NewMessage {
                 id: message.id,
@@ -132,18 +135,18 @@
                 history: history(&message.attempts, zones),
             })
         };
-        let all: Vec<NewMessage> = messages.iter().filter_map(new).collect();
+        let new_messages: Vec<NewMessage> = messages.iter().filter_map(to_new_message).collect();
         self.dispatcher
-            .accept(self.runtime.now, all, &mut self.runtime);
+            .accept(self.runtime.now, new_messages, &mut self.runtime);
     }
 }
 
-/// What the decisions know of a message's earlier attempts: one with an unknown outcome may have run.
+/// Summarizes earlier attempts for the decision logic. An attempt with an unknown outcome counts as possibly run.
 fn history(attempts: &[JournaledAttempt], zones: &[String]) -> MessageHistory {
-    let ran = attempts
+    let possible_run = attempts
         .iter()
         .find(|attempt| attempt.may_have_run != Some(false));
-    let zone = |attempt: &JournaledAttempt| {
+    let zone_index = |attempt: &JournaledAttempt| {
         zones
             .iter()
             .position(|zone| *zone == attempt.zone)
@@ -151,9 +154,9 @@
     };
     MessageHistory {
         attempts: attempts.len() as u32,
-        possible_run: ran.map(|attempt| PossibleRun {
+        possible_run: possible_run.map(|attempt| PossibleRun {
             sent_at: attempt.sent_at,
-            zone: ZoneId(zone(attempt)),
+            zone: ZoneId(zone_index(attempt)),
         }),
     }
 }
--- a/crates/daemon/src/delivery/attempts.rs
+++ b/crates/daemon/src/delivery/attempts.rs
@@ -1,16 +1,18 @@
-//! Attempts in flight: from the connection that they wait for to their outcome.
+//! The attempts in flight: connecting, sending the request, reading the response and recording the outcome.
 
 use super::message::{DeliveryState, MAX_BODY_BYTES};
 use super::runtime::Runtime;
 use crate::connection::{BufferBounds, ConnectionId, Role};
-use crate::endpoint::{RESPONSE_TIMEOUT, ResponseProgress, Reuse, Unassigned, Verdict};
+use crate::endpoint::{
+    ConnectionReuse, Evaluation, RESPONSE_TIMEOUT, ResponseReader, UnassignedState,
+};
 use crate::http::{self, InvalidLoadReport, MalformedResponse};
 use crate::message_slot::MessageSlot;
 use crate::timer::Timer;
 use bellsill_core::interface::{AttemptEnd, EndpointId, Nanos, Outcome};
 use std::io;
 
-/// The most that a request's head takes.
+/// The maximum size of a request head.
 const REQUEST_HEAD_BYTES: usize = 4 * 1024;
 const REQUEST_BUFFERS: BufferBounds = BufferBounds {
     input: http::MAX_HEAD_BYTES,
@@ -18,17 +20,17 @@
 };
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// Whether the response to an attempt has brought its outcome.
+/// Whether the response to an attempt has determined its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptProgress {
     /// The attempt is still in flight.
     InFlight,
-    /// Its outcome is known and recorded.
+    /// The outcome is known and recorded.
     Ended,
 }
 
-/// Whether a connection could not be opened because this machine has run out of something.
-fn is_local(e: &io::Error) -> bool {
+/// Whether opening a connection failed because this host is out of descriptors, buffers, memory or local ports.
+fn is_local_resource_error(e: &io::Error) -> bool {
     matches!(
         e.raw_os_error(),
         Some(libc::EMFILE | libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL)
@@ -36,14 +38,14 @@
 }
 
 impl Runtime {
-    /// Finds a connection for an attempt: an idle one, or a new one that has to be established.
+    /// Uses an idle connection for an attempt, or opens a new one.
     pub(super) fn connect_attempt(&mut self, slot: MessageSlot, endpoint: EndpointId) {
-        let (endpoints, mut io) = self.pool();
+        let (endpoints, mut io) = self.endpoints_and_io();
         if let Some(conn) = endpoints.take_idle(&mut io, endpoint) {
             return self.write_request(slot, conn);
         }
         if self.connections.is_full() {
-            // If there is none, the table is still full below.
+            // Without an idle connection to close, the table stays full, which is handled below.
             self.close_oldest_idle().ok();
         }
         let opened = match !self.connections.is_full() {
@@ -52,7 +54,7 @@
                 Role::Endpoint(endpoint),
                 REQUEST_BUFFERS,
             ),
-            false => Err(io::Error::other("no descriptor is left")),
+            false => Err(io::Error::other("the connection table is full")),
         };
         match opened {
             Ok(conn) => {
@@ -66,15 +68,15 @@
                 }
                 self.transition(slot, DeliveryState::Connecting);
             }
-            // The endpoint was not asked: a failed connect would count against it.
-            Err(e) if self.connections.is_full() || is_local(&e) => {
+            // A local failure is not `ConnectFailed`, which the decision logic would count against the endpoint.
+            Err(e) if self.connections.is_full() || is_local_resource_error(&e) => {
                 self.end_attempt(slot, Outcome::NotStarted, false);
             }
             Err(_) => self.end_attempt(slot, Outcome::ConnectFailed, false),
         }
     }
 
-    /// Sends a message on a connection that is established, after the journal has its attempt.
+    /// Records an attempt in the journal, then sends its request on an established connection.
     pub(super) fn write_request(&mut self, slot: MessageSlot, conn: ConnectionId) {
         let (now, Some(message)) = (self.now, self.messages.get_mut(slot)) else {
             return;
@@ -95,14 +97,14 @@
         attempt.connection = Some(conn);
         if recorded.is_err() {
             self.attempts.remove(&conn);
-            let (endpoints, mut io) = self.pool();
-            endpoints.pool(&mut io, conn);
+            let (endpoints, mut io) = self.endpoints_and_io();
+            endpoints.store_idle(&mut io, conn);
             self.end_attempt(slot, Outcome::NotStarted, false);
             return;
         }
         attempt.request_started = true;
         log::debug!(
-            "message {:016x}: attempt {} to {} started, {} ms after the decision",
+            "message {:016x}: attempt {} to {}: request started {} ms after the decision",
             message.id.0,
             attempt.number.0,
             addr,
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Ends a message's attempt; the decisions learn of it by the next `report_attempt_ends`. The connection is the caller's to close
-    /// or keep. With `message_ended` the message is over, whatever the outcome.
+    /// Ends an attempt and queues its outcome for the next `report_attempt_ends`. The caller closes the connection or
+    /// returns it to the pool. `message_ended` ends the message whatever the outcome.
     pub(super) fn end_attempt(&mut self, slot: MessageSlot, outcome: Outcome, message_ended: bool) {
         let Some(message) = self.messages.get_mut(slot) else {
             return;
@@ -135,7 +137,7 @@
         }
         let (id, state) = (message.id, message.state);
         log::debug!(
-            "message {:016x}: attempt {} ended, request started: {}: {outcome:?}",
+            "message {:016x}: attempt {} ended: request started: {}, outcome: {outcome:?}",
             id.0,
             attempt.number.0,
             attempt.request_started
@@ -143,7 +145,7 @@
         self.timers.cancel(Timer::Attempt(slot));
         let was_final = state.is_final();
         if attempt.request_started && !was_final && outcome != Outcome::Delivered {
-            // Until it is written, the message counts as one that may have run.
+            // If this write fails, a restart treats the message as possibly run.
             self.journal.append_outcome(id, outcome.may_have_run()).ok();
         }
         let message_ended = message_ended || was_final || outcome == Outcome::Delivered;
@@ -164,31 +166,31 @@
         });
     }
 
-    /// Aborts an attempt by closing its connection. What has arrived until then is read first: a response that arrived
-    /// just when the attempt reached its deadline or was cancelled is a response.
+    /// Aborts an attempt and closes its connection. On a timeout or a cancellation, data that has already arrived is
+    /// read first, and a decisive response among it still determines the outcome.
     pub(crate) fn abort_attempt(&mut self, slot: MessageSlot, outcome: Outcome) {
         let Some(attempt) = self.messages.attempt(slot) else {
             return;
         };
-        let may_have_answered = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
+        let may_have_response = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
         if let Some(conn) = attempt
             .connection
-            .filter(|_| attempt.request_started && may_have_answered)
+            .filter(|_| attempt.request_started && may_have_response)
         {
-            // What cannot be read counts as not arrived.
+            // After a read error, only the data already buffered counts.
             self.connections.read(conn).ok();
             if matches!(self.read_response(conn, slot), Ok(AttemptProgress::Ended)) {
                 return;
             }
         }
-        let written = attempt
+        let request_written = attempt
             .connection
             .and_then(|c| self.connections.get(c))
             .is_some_and(|c| c.output.is_empty());
         let outcome = match outcome {
             Outcome::NotSent { .. } | Outcome::NotStarted => outcome,
-            // A request that was not sent completely has not run.
-            _ if !attempt.request_started || !written => Outcome::ConnectFailed,
+            // An incomplete request is never run by the endpoint.
+            _ if !attempt.request_started || !request_written => Outcome::ConnectFailed,
             outcome => outcome,
         };
         if let Some(conn) = attempt.connection {
@@ -200,7 +202,7 @@
         self.end_attempt(slot, outcome, false);
     }
 
-    /// The timer of a connection to an endpoint has expired.
+    /// Handles the expiry of the timer of a connection to an endpoint.
     pub(crate) fn endpoint_connection_timed_out(&mut self, id: ConnectionId) {
         match self.attempts.get(&id) {
             Some(&slot) if self.responses.contains_key(&id) => {
@@ -208,13 +210,14 @@
             }
             Some(&slot) => self.abort_attempt(slot, Outcome::ConnectFailed),
             None => {
-                let (endpoints, mut io) = self.pool();
+                let (endpoints, mut io) = self.endpoints_and_io();
                 endpoints.close_connection(&mut io, id);
             }
         }
     }
 
-    /// Ends what waits for a connection to the earlier address of an endpoint, which may be another's by then.
+    /// Aborts the attempts that wait for a connection to the previous address of an endpoint: by the time it is
+    /// established, the address may belong to another endpoint.
     pub(super) fn abort_connecting(&mut self, endpoint: EndpointId) {
         let connecting = |id: &ConnectionId| {
             self.connections
@@ -227,14 +230,14 @@
         }
     }
 
-    /// Whether an attempt has not reached its deadline.
+    /// Whether the deadline of the message's attempt is still ahead.
     pub(super) fn before_deadline(&self, slot: MessageSlot) -> bool {
         self.messages
             .attempt(slot)
             .is_some_and(|attempt| self.now < attempt.deadline)
     }
 
-    /// Reads the response to an attempt as far as it has arrived, and ends the attempt once the outcome is certain.
+    /// Reads the response data that has arrived, and ends the attempt once its outcome is certain.
     pub(super) fn read_response(
         &mut self,
         id: ConnectionId,
@@ -246,15 +249,15 @@
         if conn.input.is_empty() && !conn.peer_closed {
             return Ok(AttemptProgress::InFlight);
         }
-        let mut progress = self.responses.remove(&id).unwrap_or_else(|| {
+        let mut reader = self.responses.remove(&id).unwrap_or_else(|| {
             self.timers
                 .set(Timer::Connection(id), self.now + RESPONSE_TIMEOUT);
-            ResponseProgress::new()
+            ResponseReader::new()
         });
-        let response = match progress.advance(conn)? {
-            Verdict::Known(response) => response,
-            Verdict::Incomplete => {
-                self.responses.insert(id, progress);
+        let response = match reader.evaluate(conn)? {
+            Evaluation::Decided(response) => response,
+            Evaluation::Incomplete => {
+                self.responses.insert(id, reader);
                 return Ok(AttemptProgress::InFlight);
             }
         };
@@ -263,17 +266,24 @@
             .filter(|_| self.settings.reports_limits);
         self.apply_load_report(slot, report);
         self.attempts.remove(&id);
-        let (endpoints, mut io) = self.pool();
+        let (endpoints, mut io) = self.endpoints_and_io();
         match response.reuse {
-            Reuse::Now => endpoints.give_back(&mut io, id, progress, Unassigned::Idle),
-            Reuse::AfterRest => endpoints.give_back(&mut io, id, progress, Unassigned::MoreToRead),
-            Reuse::Close => endpoints.close_connection(&mut io, id),
+            ConnectionReuse::Immediate => {
+                endpoints.release_connection(&mut io, id, reader, UnassignedState::Idle)
+            }
+            ConnectionReuse::AfterResponse => endpoints.release_connection(
+                &mut io,
+                id,
+                reader,
+                UnassignedState::ResponseIncomplete,
+            ),
+            ConnectionReuse::Close => endpoints.close_connection(&mut io, id),
         }
         self.end_attempt(slot, response.outcome, response.ends_message);
         Ok(AttemptProgress::Ended)
     }
 
-    /// A report that cannot be read changes nothing; that is logged once.
+    /// Applies the load report of a response. An invalid report is ignored, and logged only the first time.
     fn apply_load_report(
         &mut self,
         slot: MessageSlot,
@@ -285,7 +295,7 @@
                 if !std::mem::replace(&mut self.invalid_report_logged, true) =>
             {
                 log::warn!(
-                    "a load report has no `{}` between 0 and 1e9; such reports are ignored",
+                    "a load report has no `{}` between 0 and 1e9; ignoring invalid load reports (logged once)",
                     http::LIMIT_FIELD
                 )
             }
--- a/crates/daemon/src/delivery/configuration.rs
+++ b/crates/daemon/src/delivery/configuration.rs
@@ -1,4 +1,5 @@
-//! Changes of the configuration, from discovery or from the control processes, on their way to the endpoints.
+//! Applies configuration changes from discovery or the control processes to the endpoint registry and the decision
+//! logic.
 
 use super::coordinator::Delivery;
 use crate::connection::ConnectionId;
@@ -10,10 +11,10 @@
 use std::collections::BTreeSet;
 
 impl Delivery {
-    /// Something happened on a connection of the watch.
+    /// Handles readiness of a watch connection.
     pub(crate) fn watch_ready(&mut self, id: ConnectionId) {
         let scoped = self.discovery.scoped_list().is_some();
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         let received = discovery.connection_ready(&mut io, id);
         self.apply_changes(&received.looked_up);
         for document in received.documents {
@@ -26,10 +27,11 @@
                 break;
             }
         }
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         discovery.flush(&mut io, id);
     }
 
+    /// Applies a document of an unscoped watch.
     fn apply_plain_document(&mut self, document: &[u8]) {
         match serde_json::from_slice::<Value>(document) {
             Ok(json) => self.apply_json_list(&json),
@@ -37,29 +39,29 @@
         }
     }
 
-    /// Applies a document of a scoped watch. An error has closed the connection.
+    /// Applies a document of a scoped watch. On an error, the connection is already closed.
     fn apply_scoped_document(
         &mut self,
         id: ConnectionId,
         document: &[u8],
     ) -> Result<(), ScopedLineError> {
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         let applied = discovery.apply(&mut io, id, document)?;
         self.apply_changes(&applied);
         Ok(())
     }
 
-    /// Applies the endpoints that are known at the start: those of the scope file where there is one, else those of the
-    /// platform's file.
+    /// Applies the endpoints known at startup: with a scoped configuration those of the scope file, otherwise `known`
+    /// from the configuration file.
     pub(crate) fn apply_known_list(&mut self, known: &Value) {
         let Some(list) = self.discovery.scoped_list() else {
             return self.apply_json_list(known);
         };
-        let entries = Applied {
+        let applied = Applied {
             changed: list.entries().cloned().collect(),
             ..Applied::default()
         };
-        self.apply_changes(&entries);
+        self.apply_changes(&applied);
     }
 
     fn apply_json_list(&mut self, json: &Value) {
@@ -68,8 +70,7 @@
         }
     }
 
-    /// Applies what has changed in the scoped configuration. A destination that was dropped, and for which messages are
-    /// pending, is looked up.
+    /// Applies changes of the scoped configuration. A dropped destination that has pending messages is looked up again.
     pub(super) fn apply_changes(&mut self, applied: &Applied) {
         if applied.changed.is_empty() && applied.dropped.is_empty() {
             return;
@@ -109,7 +110,8 @@
             self.runtime.close_idle_connections(endpoint);
         }
         let now = self.runtime.now;
-        // Whatever the list says of a disabled endpoint, the decisions know first that it is disabled.
+        // Disabled endpoints are reported before the update, so that the decision logic does not select one of them
+        // whatever the list says.
         let disabled: Vec<EndpointId> = self
             .disabled
             .iter()
--- a/crates/daemon/src/delivery/coordinator.rs
+++ b/crates/daemon/src/delivery/coordinator.rs
@@ -1,4 +1,4 @@
-//! What the decisions work on, and the calls that reach them from the event loop.
+//! Connects the event loop with the decision logic and the state that it works on.
 
 use super::runtime::Runtime;
 use crate::connection::ConnectionId;
@@ -9,22 +9,22 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The decisions and what they work on.
+/// The decision logic, and the runtime and configuration that it works on.
 pub(crate) struct Delivery {
     pub(super) dispatcher: Dispatcher,
-    /// Connections, timers and messages.
+    /// The connections, timers and messages.
     pub(crate) runtime: Runtime,
     pub(super) discovery: Discovery,
     pub(super) classes: Vec<ClassSettings>,
     pub(super) class_names: Vec<String>,
-    /// The endpoints that an operator has disabled, by name.
+    /// The names of the endpoints that an operator has disabled.
     pub(super) disabled: BTreeSet<String>,
-    /// The decisions are not called any more: what is pending is left to the next process.
+    /// Set once the decision logic is no longer called. Messages still pending are left to the next process.
     pub(super) stopped: bool,
 }
 
 impl Delivery {
-    /// Delivery with no endpoints and no messages.
+    /// Creates the delivery with no endpoints and no messages.
     pub(crate) fn new(
         settings: Settings,
         discovery: Discovery,
@@ -47,22 +47,23 @@
         &self.discovery
     }
 
-    /// The names of the classes, by their index.
+    /// The names of the queue classes, by index.
     pub(crate) fn class_names(&self) -> &[String] {
         &self.class_names
     }
 
-    /// The index of a class by its name.
+    /// Looks up the index of a queue class by name.
     pub(crate) fn class_index(&self, name: &str) -> Option<usize> {
         self.class_names.iter().position(|class| class == name)
     }
 
-    /// How many endpoints the decisions send nothing to for now.
+    /// The number of endpoints to which the decision logic currently sends nothing.
     pub(crate) fn unavailable_endpoints(&self) -> usize {
         self.dispatcher.unavailable_endpoints()
     }
 
-    pub(super) fn watch(&mut self) -> (&mut Discovery, Io<'_>) {
+    /// Borrows the watch together with the I/O context of its methods.
+    pub(super) fn discovery_and_io(&mut self) -> (&mut Discovery, Io<'_>) {
         let io = Io {
             now: self.runtime.now,
             connections: &mut self.runtime.connections,
@@ -73,43 +74,44 @@
 
     /// Opens the watch of the configuration.
     pub(crate) fn start_watch(&mut self, drain_grace: Nanos) {
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         discovery.start(&mut io, drain_grace);
     }
 
-    /// Discovery, which also takes notifications, has another address.
+    /// Changes the address of discovery, which also receives the notifications.
     pub(crate) fn relocate_discovery(&mut self, addr: SocketAddr) {
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         discovery.relocate(&mut io, addr);
         self.runtime.relocate_notifications(addr);
     }
 
-    /// The watch of the configuration is to be opened again.
+    /// Reopens the watch of the configuration.
     pub(crate) fn reconnect_watch(&mut self) {
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         discovery.reconnect(&mut io);
     }
 
-    /// Destinations are to be looked up again.
+    /// Retries the lookups of destinations.
     pub(crate) fn retry_lookups(&mut self) {
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         discovery.retry_lookups(&mut io);
     }
 
-    /// A connection of the watch has been without an expected answer for too long.
+    /// Handles a watch connection on which an expected response is overdue.
     pub(crate) fn watch_connection_timed_out(&mut self, id: ConnectionId) {
-        let (discovery, mut io) = self.watch();
+        let (discovery, mut io) = self.discovery_and_io();
         discovery.connection_timed_out(&mut io, id);
     }
 
-    /// The decisions asked to be woken up.
+    /// Runs the wakeup that the decision logic scheduled.
     pub(crate) fn wakeup(&mut self) {
         if !self.stopped {
             self.dispatcher.wakeup(self.runtime.now, &mut self.runtime);
         }
     }
 
-    /// Tells the decisions the outcomes that became known while they were at work.
+    /// Reports the queued attempt ends to the decision logic, which must not be called while it is carrying out an
+    /// action.
     pub(crate) fn report_attempt_ends(&mut self) {
         while let Some(end) = self.runtime.attempt_ends.pop_front() {
             if !self.stopped {
@@ -119,21 +121,21 @@
         }
     }
 
-    /// From now on no message is accepted and no attempt begins; those in flight still end.
+    /// Stops accepting messages and starting attempts. Attempts in flight still run to their end.
     pub(crate) fn stop(&mut self) {
         self.stopped = true;
     }
 
-    /// The endpoints that an operator has disabled.
+    /// The names of the endpoints that an operator has disabled.
     pub(crate) fn disabled(&self) -> &BTreeSet<String> {
         &self.disabled
     }
 
-    /// Sets which endpoints an operator has disabled.
+    /// Replaces the set of disabled endpoints and reports the differences to the decision logic.
     pub(crate) fn set_disabled(&mut self, disabled: BTreeSet<String>) {
-        let before = std::mem::replace(&mut self.disabled, disabled);
+        let previous = std::mem::replace(&mut self.disabled, disabled);
         let now = self.runtime.now;
-        for name in before.symmetric_difference(&self.disabled) {
+        for name in previous.symmetric_difference(&self.disabled) {
             if let Some(id) = self.runtime.endpoints.find(name) {
                 let disabled = self.disabled.contains(name);
                 self.dispatcher
--- a/crates/daemon/src/delivery/endpoint_events.rs
+++ b/crates/daemon/src/delivery/endpoint_events.rs
@@ -1,4 +1,4 @@
-//! What happens on connections to endpoints.
+//! Events of connections to endpoints.
 
 use super::attempts::AttemptProgress;
 use super::coordinator::Delivery;
@@ -8,32 +8,33 @@
 use bellsill_core::interface::Outcome;
 
 impl Delivery {
-    /// Something happened on a connection to an endpoint.
+    /// Handles readiness of a connection to an endpoint.
     pub(crate) fn endpoint_ready(&mut self, id: ConnectionId) {
         let runtime = &mut self.runtime;
         let Some(conn) = runtime.connections.get(id) else {
             return;
         };
         let Some(&slot) = runtime.attempts.get(&id) else {
-            let (endpoints, mut io) = runtime.pool();
-            return endpoints.unassigned_ready(&mut io, id);
+            let (endpoints, mut io) = runtime.endpoints_and_io();
+            return endpoints.unassigned_connection_ready(&mut io, id);
         };
         if conn.connecting {
             return self.connection_established(id, slot);
         }
         let read = runtime.connections.read(id);
-        let ended = read.is_err() || runtime.connections.get(id).is_some_and(|c| c.peer_closed);
+        let closed = read.is_err() || runtime.connections.get(id).is_some_and(|c| c.peer_closed);
         match self.runtime.read_response(id, slot) {
             Ok(AttemptProgress::Ended) => {}
-            // The deadline's timer has expired and is handled next; nothing is sent after it.
-            Ok(AttemptProgress::InFlight) if !ended && !self.runtime.before_deadline(slot) => {}
-            // A request that is sent partly never runs, and the decisions may not let it begin now.
-            Ok(AttemptProgress::InFlight) if !ended && self.must_abort_partial_request(slot) => {
+            // The deadline has passed and its timer event is handled next; nothing more is sent.
+            Ok(AttemptProgress::InFlight) if !closed && !self.runtime.before_deadline(slot) => {}
+            // A partially sent request never runs, so it is aborted if the decision logic would not allow it to start
+            // now.
+            Ok(AttemptProgress::InFlight) if !closed && self.must_abort_partial_request(slot) => {
                 self.runtime.abort_attempt(slot, Outcome::ConnectionReset);
             }
             Ok(AttemptProgress::InFlight)
-                if !ended && self.runtime.connections.flush(id).is_ok() => {}
-            // The connection ended before a response: the message may have run.
+                if !closed && self.runtime.connections.flush(id).is_ok() => {}
+            // The connection closed before a response arrived, so the message may have run.
             Ok(AttemptProgress::InFlight) => {
                 self.runtime.abort_attempt(slot, Outcome::ConnectionReset);
             }
@@ -41,10 +42,11 @@
         }
     }
 
-    /// A connection for an attempt is established, or has failed. Meanwhile its endpoint may have begun to drain, or been
-    /// suspended, or the window in which the message may be repeated may have closed: the decisions are asked again. The
-    /// attempt may also have reached its deadline, whose timer is handled next: after the process was suspended, messages
-    /// would otherwise be sent long after their lifetime. What is not sent leaves its connection to the pool.
+    /// Completes or fails the connect of an attempt. The decision logic is asked again before the request is sent:
+    /// while connecting, the endpoint may have started draining or been suspended, or the deduplication window of the
+    /// message may have ended. The deadline is checked as well, because its timer event may not be handled yet: after a
+    /// suspension of the process, messages would otherwise be sent long after their lifetime. If nothing is sent, the
+    /// connection goes to the pool.
     fn connection_established(&mut self, id: ConnectionId, slot: MessageSlot) {
         let runtime = &mut self.runtime;
         if runtime.connections.finish_connect(id).is_err() {
@@ -63,13 +65,13 @@
             runtime.write_request(slot, id);
         } else {
             runtime.attempts.remove(&id);
-            let (endpoints, mut io) = runtime.pool();
-            endpoints.pool(&mut io, id);
+            let (endpoints, mut io) = runtime.endpoints_and_io();
+            endpoints.store_idle(&mut io, id);
             runtime.end_attempt(slot, Outcome::NotSent { no_capacity: false }, false);
         }
     }
 
-    /// Whether a request is sent partly and might not begin now.
+    /// Whether a request is partially sent and its attempt would not be allowed to start now.
     fn must_abort_partial_request(&self, slot: MessageSlot) -> bool {
         let Some((id, attempt)) = self
             .runtime
--- a/crates/daemon/src/delivery/message.rs
+++ b/crates/daemon/src/delivery/message.rs
@@ -1,30 +1,30 @@
-//! A pending message and its attempt in flight.
+//! Pending messages and their attempts in flight.
 
 use crate::connection::ConnectionId;
 use bellsill_core::interface::{AttemptNumber, EndpointId, MessageId, Nanos};
 
-/// The most bytes that the body of a message can have.
+/// The maximum size of a message body.
 pub(crate) const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// How far a message has come.
+/// The delivery state of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DeliveryState {
-    /// It has no attempt.
+    /// No attempt is in flight.
     Waiting,
-    /// Its attempt waits for a connection; nothing of it is sent.
+    /// The attempt is waiting for a connection; nothing has been sent.
     Connecting,
-    /// Its first byte may be sent.
+    /// The request may have been sent, in part or completely.
     InFlight,
-    /// An endpoint has taken it.
+    /// An endpoint accepted the message.
     Delivered,
-    /// It was given back; its client may send it again.
+    /// The message was rejected, and its client may submit it again.
     Rejected {
-        /// After this time.
+        /// The time that the client should wait first.
         retry_after: Nanos,
     },
-    /// It failed for good.
+    /// The message failed permanently.
     Failed,
-    /// Its destination has said that it is over.
+    /// The destination reported that the message is obsolete.
     Withdrawn,
 }
 
@@ -38,43 +38,43 @@
     }
 }
 
-/// An attempt that has no outcome yet.
+/// An attempt whose outcome is not yet known.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptInFlight {
-    /// Its number among those of its message.
+    /// The number of the attempt within its message.
     pub(crate) number: AttemptNumber,
-    /// Where it goes.
+    /// The target endpoint.
     pub(crate) endpoint: EndpointId,
-    /// None before one is opened.
+    /// The connection; none before one is opened.
     pub(crate) connection: Option<ConnectionId>,
-    /// When it was decided on.
+    /// When the decision logic ordered the attempt.
     pub(crate) started_at: Nanos,
-    /// When it is aborted.
+    /// When the attempt times out.
     pub(crate) deadline: Nanos,
-    /// Its first byte may be sent, and the journal says so.
+    /// The journal has recorded the attempt, and its request may have been sent.
     pub(crate) request_started: bool,
-    /// The rate limit that its response reported.
+    /// The rate limit reported by the response.
     pub(crate) reported_limit: Option<f64>,
 }
 
-/// A message that was accepted and has not ended.
+/// An accepted message that has not ended, or whose last attempt is still in flight.
 pub(crate) struct PendingMessage {
-    /// The client's id of it.
+    /// The id assigned by the client.
     pub(crate) id: MessageId,
-    /// Where it goes.
+    /// The destination.
     pub(crate) destination: u64,
-    /// When its queue lifetime ends.
+    /// The end of the queue lifetime.
     pub(crate) deadline: Nanos,
-    /// The index of its class; none if that is not configured now.
+    /// The index of the queue class; none if the class is no longer configured.
     pub(crate) class: Option<usize>,
-    /// Empty in a class without idempotency keys.
+    /// The idempotency key; empty if the client sent none.
     pub(crate) idempotency_key: String,
-    /// Emptied once the message has ended.
+    /// The body; cleared once the message has ended.
     pub(crate) body: Vec<u8>,
-    /// How far it has come.
+    /// The delivery state.
     pub(crate) state: DeliveryState,
-    /// How many attempts it has had.
+    /// The number of attempts so far, including those of earlier processes.
     pub(crate) attempts: u32,
-    /// Its attempt in flight.
+    /// The attempt in flight, if any.
     pub(crate) attempt: Option<AttemptInFlight>,
 }
--- a/crates/daemon/src/delivery/mod.rs
+++ b/crates/daemon/src/delivery/mod.rs
@@ -1,4 +1,4 @@
-//! Delivery: the decisions, and the pending messages, connections and configuration that they work on.
+//! Delivery: connects the decision logic to the pending messages, connections and configuration.
 
 mod actions;
 mod admission;
--- a/crates/daemon/src/delivery/pending.rs
+++ b/crates/daemon/src/delivery/pending.rs
@@ -1,4 +1,4 @@
-//! The table of pending messages: by slot, by id and by destination, and the ids of those that ended recently.
+//! The pending messages, indexed by slot, id and destination, and the ids of recently ended messages.
 
 use super::message::{AttemptInFlight, PendingMessage};
 use crate::message_slot::MessageSlot;
@@ -25,7 +25,7 @@
         *self.by_destination.entry(destination).or_default() += 1;
     }
 
-    /// Removes a message that has ended; its id is remembered for a while.
+    /// Removes an ended message and keeps its id for a while to detect duplicates.
     pub(super) fn remove(&mut self, now: Nanos, slot: MessageSlot) {
         let Some(message) = self.table.remove(slot) else {
             return;
@@ -40,52 +40,52 @@
         self.recently_ended.note(now, message.id);
     }
 
-    /// Remembers a message of an earlier process as ended.
+    /// Records that a message of an earlier process has ended.
     pub(super) fn note_ended(&mut self, now: Nanos, id: MessageId) {
         self.recently_ended.note(now, id);
     }
 
-    /// A message by its slot.
+    /// Returns a message by its slot.
     pub(super) fn get(&self, slot: MessageSlot) -> Option<&PendingMessage> {
         self.table.get(slot)
     }
 
-    /// A message by its slot.
+    /// Returns a message by its slot, mutably.
     pub(super) fn get_mut(&mut self, slot: MessageSlot) -> Option<&mut PendingMessage> {
         self.table.get_mut(slot)
     }
 
-    /// The attempt in flight of a message.
+    /// Returns the attempt in flight of a message.
     pub(super) fn attempt(&self, slot: MessageSlot) -> Option<AttemptInFlight> {
         self.table.get(slot).and_then(|m| m.attempt)
     }
 
-    /// The attempt in flight of a message.
+    /// Returns the attempt in flight of a message, mutably.
     pub(super) fn attempt_mut(&mut self, slot: MessageSlot) -> Option<&mut AttemptInFlight> {
         self.table.get_mut(slot).and_then(|m| m.attempt.as_mut())
     }
 
-    /// The slot of a pending message.
+    /// Returns the slot of a pending message.
     pub(super) fn slot_of(&self, id: MessageId) -> Option<MessageSlot> {
         self.by_id.get(&id).copied()
     }
 
-    /// Whether a message is pending or has ended recently.
+    /// Whether a message is pending or ended recently.
     pub(super) fn is_known(&self, id: MessageId) -> bool {
         self.by_id.contains_key(&id) || self.recently_ended.contains(id)
     }
 
-    /// Whether messages for the destination are pending.
+    /// Whether any message for the destination is pending.
     pub(super) fn has_destination(&self, destination: u64) -> bool {
         self.by_destination.contains_key(&destination)
     }
 
-    /// How many messages are pending.
+    /// The number of pending messages.
     pub(crate) fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// How many have an attempt in flight. It passes over all of them.
+    /// The number of messages with an attempt in flight. Iterates over all pending messages.
     pub(crate) fn in_flight(&self) -> usize {
         self.table
             .iter()
@@ -93,7 +93,7 @@
             .count()
     }
 
-    /// Whether any has an attempt in flight. It may pass over all of them.
+    /// Whether any message has an attempt in flight. Iterates over all pending messages in the worst case.
     pub(crate) fn any_in_flight(&self) -> bool {
         self.table.iter().any(|(_, m)| m.attempt.is_some())
     }
--- a/crates/daemon/src/delivery/recovery.rs
+++ b/crates/daemon/src/delivery/recovery.rs
@@ -1,21 +1,21 @@
-//! Recovery: messages of an earlier process are handed to the decisions with their history.
+//! Recovery: passes the messages of earlier processes, with their attempts, to the decision logic.
 
 use super::coordinator::Delivery;
 use super::message::DeliveryState;
 use crate::journal::Recovered;
 
-/// Whether another process that shares the state folder still holds a journal.
+/// Whether every journal of other processes in the state folder has been adopted.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdoptionStatus {
-    /// None does.
+    /// No journal is left to adopt.
     Complete,
-    /// One does, which may leave it later.
+    /// Another process still holds a journal, which can be adopted once that process has ended.
     Incomplete,
 }
 
 impl AdoptionStatus {
-    /// What the journal reported.
+    /// Converts the flag reported by the journal.
     pub(crate) fn from_incomplete(is_incomplete: bool) -> AdoptionStatus {
         if is_incomplete {
             AdoptionStatus::Incomplete
@@ -26,14 +26,15 @@
 }
 
 impl Delivery {
-    /// Takes over the journals that other processes have left in the state folder.
+    /// Adopts the journals that other processes left in the state folder.
     pub(crate) fn adopt_journals(&mut self) -> AdoptionStatus {
         let adopted = self.runtime.journal.adopt();
         self.recover(adopted.recovered);
         AdoptionStatus::from_incomplete(adopted.is_incomplete)
     }
 
-    /// Takes over what a journal held: messages go to the decisions, and notifications are sent until acknowledged.
+    /// Takes over the contents of a journal: messages go to the decision logic, and notifications are sent until
+    /// acknowledged.
     pub(crate) fn recover(&mut self, recovered: Recovered) {
         for id in self.runtime.journal.take_resolved() {
             self.runtime.messages.note_ended(self.runtime.now, id);
@@ -41,7 +42,7 @@
         for (id, resolution) in recovered.pending_notifications {
             self.runtime.notifications.enqueue(id, resolution);
         }
-        // A message can be in two journals.
+        // The same message can be in two journals.
         let mut messages = recovered.messages;
         messages.retain(|message| self.runtime.messages.slot_of(message.id).is_none());
         for message in &messages {
@@ -50,28 +51,28 @@
         for message in &messages {
             self.look_up_for_pending(message.destination);
         }
-        let (known, unknown): (Vec<_>, Vec<_>) = messages
+        let (configured, unconfigured): (Vec<_>, Vec<_>) = messages
             .into_iter()
             .partition(|message| self.class_index(&message.class).is_some());
-        for message in unknown {
+        for message in unconfigured {
             if let Some(slot) = self.runtime.messages.slot_of(message.id) {
                 log::warn!(
-                    "message {:016x}: its queue class is not configured any more",
+                    "message {:016x}: failed, because its queue class is no longer configured",
                     message.id.0
                 );
                 self.runtime.transition(slot, DeliveryState::Failed);
             }
         }
-        if !known.is_empty() {
-            self.dispatch(&known);
+        if !configured.is_empty() {
+            self.dispatch(&configured);
         }
     }
 
-    /// Has a destination looked up for which messages are pending.
+    /// Requests a lookup of a destination that has pending messages.
     pub(super) fn look_up_for_pending(&mut self, destination: u64) {
         if self.look_up(destination).is_err() {
             log::warn!(
-                "destination {destination} cannot be looked up: every cache entry is in use"
+                "destination {destination}: cannot look it up for its pending messages, because every cache entry is in use"
             );
         }
     }
--- a/crates/daemon/src/delivery/runtime.rs
+++ b/crates/daemon/src/delivery/runtime.rs
@@ -1,10 +1,10 @@
-//! All that carries messages: what the decisions order is done here, by connections, timers and the message journal.
-//! Nothing here decides, and no action calls the decisions before it returns.
+//! Carries out the actions of the decision logic with connections, timers and the message journal. Nothing here makes
+//! delivery decisions, and no action calls back into the decision logic.
 
 use super::message::DeliveryState;
 use super::pending::PendingMessages;
 use crate::connection::{ConnectionId, ConnectionTable};
-use crate::endpoint::{Endpoints, NoIdleConnection, ResponseProgress};
+use crate::endpoint::{EndpointRegistry, NoIdleConnection, ResponseReader};
 use crate::io::Io;
 use crate::journal::{MessageJournal, Resolution};
 use crate::message_slot::MessageSlot;
@@ -16,47 +16,47 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How long to wait before records that could not be written are written again.
+/// The delay before retrying journal records that could not be written.
 const JOURNAL_RETRY_INTERVAL: Nanos = 50_000_000;
 
-/// What of the settings attempts depend on.
+/// The settings that affect attempts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptSettings {
-    /// How long a connection may take to be established.
+    /// The timeout for establishing a connection.
     pub(crate) connect_timeout: Nanos,
-    /// How long endpoints keep an idle connection open.
+    /// How long endpoints keep idle connections open.
     pub(crate) keep_alive: Nanos,
-    /// Responses may report rate limits.
+    /// Whether responses may report rate limits.
     pub(crate) reports_limits: bool,
 }
 
-/// Everything but the decisions.
+/// The state of delivery outside the decision logic: messages, connections, timers, journal and notifications.
 pub(crate) struct Runtime {
-    /// The time of the event that is handled.
+    /// The time of the event being handled.
     pub(crate) now: Nanos,
     /// All connections.
     pub(crate) connections: ConnectionTable,
     /// All timers.
     pub(crate) timers: TimerQueue<Timer>,
-    /// What operators are shown.
+    /// The counters shown to operators.
     pub(crate) metrics: Metrics,
     pub(super) messages: PendingMessages,
-    pub(super) endpoints: Endpoints,
+    pub(super) endpoints: EndpointRegistry,
     pub(super) notifications: Notifications,
     pub(super) journal: MessageJournal,
-    /// The attempts that connections carry or are opened for.
+    /// The message whose attempt uses, or is waiting for, each connection.
     pub(super) attempts: BTreeMap<ConnectionId, MessageSlot>,
-    /// Responses that have begun to arrive.
-    pub(super) responses: BTreeMap<ConnectionId, ResponseProgress>,
-    /// Outcomes that the decisions do not know yet.
+    /// The partially received responses.
+    pub(super) responses: BTreeMap<ConnectionId, ResponseReader>,
+    /// Attempt ends not yet reported to the decision logic.
     pub(super) attempt_ends: VecDeque<AttemptEnd>,
     pub(super) settings: AttemptSettings,
-    /// A load report that cannot be read has been logged.
+    /// Whether an invalid load report was already logged.
     pub(super) invalid_report_logged: bool,
 }
 
 impl Runtime {
-    /// A runtime with no messages and no endpoints.
+    /// Creates a runtime with no messages and no endpoints.
     pub(crate) fn new(
         now: Nanos,
         connections: ConnectionTable,
@@ -70,7 +70,7 @@
             timers: TimerQueue::default(),
             metrics: Metrics::default(),
             messages: PendingMessages::default(),
-            endpoints: Endpoints::new(settings.keep_alive),
+            endpoints: EndpointRegistry::new(settings.keep_alive),
             notifications,
             journal,
             attempts: BTreeMap::new(),
@@ -86,13 +86,13 @@
         &self.messages
     }
 
-    /// The registry of endpoints.
-    pub(crate) fn endpoints(&self) -> &Endpoints {
+    /// The endpoint registry.
+    pub(crate) fn endpoints(&self) -> &EndpointRegistry {
         &self.endpoints
     }
 
-    /// The registry of endpoints, and what its pool works with.
-    pub(super) fn pool(&mut self) -> (&mut Endpoints, Io<'_>) {
+    /// Borrows the endpoint registry together with the I/O context of its connection pool.
+    pub(super) fn endpoints_and_io(&mut self) -> (&mut EndpointRegistry, Io<'_>) {
         let io = Io {
             now: self.now,
             connections: &mut self.connections,
@@ -101,13 +101,14 @@
         (&mut self.endpoints, io)
     }
 
-    /// Closes an idle connection to an endpoint, to free its descriptor.
+    /// Closes an idle connection to an endpoint to free a descriptor.
     pub(crate) fn close_oldest_idle(&mut self) -> Result<(), NoIdleConnection> {
-        let (endpoints, mut io) = self.pool();
+        let (endpoints, mut io) = self.endpoints_and_io();
         endpoints.close_oldest_idle(&mut io)
     }
 
-    fn notifications(&mut self) -> (&mut Notifications, Io<'_>) {
+    /// Borrows the notifications together with the I/O context of their methods.
+    fn notifications_and_io(&mut self) -> (&mut Notifications, Io<'_>) {
         let io = Io {
             now: self.now,
             connections: &mut self.connections,
@@ -116,70 +117,72 @@
         (&mut self.notifications, io)
     }
 
-    /// How many notifications are pending.
+    /// The number of pending notifications.
     pub(crate) fn pending_notifications(&self) -> usize {
         self.notifications.pending()
     }
 
-    /// Sends pending notifications.
+    /// Sends pending notifications, unless a request is in flight or backing off.
     pub(crate) fn send_notifications(&mut self) {
-        let (notifications, mut io) = self.notifications();
+        let (notifications, mut io) = self.notifications_and_io();
         notifications.send(&mut io);
     }
 
-    /// The request with notifications has no answer in time, or its connection was idle too long.
+    /// Handles the timeout of a notification request or of the idle notification connection.
     pub(crate) fn notification_timed_out(&mut self) {
-        let (notifications, mut io) = self.notifications();
-        notifications.fail(&mut io);
+        let (notifications, mut io) = self.notifications_and_io();
+        notifications.close_and_back_off(&mut io);
     }
 
-    /// Notifications may be sent again after a failure.
+    /// Ends the backoff that followed a failed notification request.
     pub(crate) fn end_notification_backoff(&mut self) {
         self.notifications.end_backoff();
     }
 
-    /// Notifications are sent to another address from now on.
+    /// Changes the address to which notifications are sent.
     pub(crate) fn relocate_notifications(&mut self, addr: SocketAddr) {
-        let (notifications, mut io) = self.notifications();
+        let (notifications, mut io) = self.notifications_and_io();
         notifications.relocate(&mut io, addr);
     }
 
-    /// Something happened on the connection of notifications.
+    /// Handles readiness of the notification connection.
     pub(crate) fn notification_ready(&mut self, id: ConnectionId) {
-        let (notifications, mut io) = self.notifications();
-        match notifications.ready(&mut io, id) {
+        let (notifications, mut io) = self.notifications_and_io();
+        match notifications.connection_ready(&mut io, id) {
             NotificationEvent::Waiting => {}
             NotificationEvent::Acknowledged(messages) => {
                 for message in messages {
-                    // Until it is written, a restart would send the notification once more, which does no harm.
+                    // If this write fails, a restart sends the notification again, which is harmless.
                     self.journal.append_notified(message).ok();
                 }
             }
         }
     }
 
-    /// Has the journal try again while records are not written.
+    /// Schedules a retry while the journal has unwritten records; otherwise releases the notifications that waited for
+    /// them.
     pub(crate) fn update_journal_retry(&mut self) {
         if self.journal.has_unwritten() {
             self.timers
                 .set_if_unset(Timer::JournalRetry, self.now + JOURNAL_RETRY_INTERVAL);
         } else {
-            self.notifications.recorded();
+            self.notifications.mark_all_recorded();
         }
     }
 
-    /// The journal tries again.
+    /// Retries writing the pending journal records.
     pub(crate) fn retry_journal(&mut self) {
-        // Whether it succeeded shows when `update_journal_retry` looks next.
+        // On failure, the next `update_journal_retry` schedules another retry.
         self.journal.write_pending().ok();
     }
 
-    /// Whether the journal has records that are not written.
+    /// Whether the journal has unwritten records.
     pub(crate) fn has_unwritten_records(&self) -> bool {
         self.journal.has_unwritten()
     }
 
-    /// The only place where a message changes its state: it keeps the journal, the notifications and the tables in step.
+    /// Changes the state of a message. No other function does so, which keeps the journal, the notifications and the
+    /// tables consistent.
     pub(super) fn transition(&mut self, slot: MessageSlot, to: DeliveryState) {
         let Some(message) = self.messages.get_mut(slot) else {
             return;
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Counts, records and reports the end of a message.
+    /// Counts the end of a message, writes it to the journal and queues the notification, if one is due.
     fn record_end(
         &mut self,
         id: MessageId,
@@ -207,7 +210,7 @@
         class: Option<usize>,
         state: DeliveryState,
     ) {
-        let (resolution, counted) = match state {
+        let (resolution, result) = match state {
             DeliveryState::Rejected { retry_after } => (
                 Some(Resolution::Rejected { retry_after }),
                 Some(MessageResult::Rejected),
@@ -216,28 +219,30 @@
             DeliveryState::Delivered => (None, Some(MessageResult::Completed)),
             _ => (None, None),
         };
-        if let (Some(class), Some(end)) = (class, counted) {
-            self.metrics.count_message(class, end);
+        if let (Some(class), Some(result)) = (class, result) {
+            self.metrics.count_message(class, result);
         }
-        // A notification sent before its record is written would be lost by a kill, and the message sent after it.
+        // A notification must not be sent before its record is written: after a kill, the next process would not know
+        // the end of the message and would send it after its notification.
         let recorded = self.journal.append_resolved(id, resolution).is_ok();
         match resolution {
             Some(resolution) if recorded => self.notifications.enqueue(id, resolution),
             Some(resolution) => {
                 self.notifications
-                    .enqueue_once_recorded(id, resolution, deadline);
+                    .enqueue_unrecorded(id, resolution, deadline);
             }
             None => {}
         }
     }
 
-    /// Ends a message as the decisions have ordered.
+    /// Ends a message by order of the decision logic.
     pub(super) fn end_message(&mut self, message: MessageId, to: DeliveryState) {
         let Some(slot) = self.messages.slot_of(message) else {
             return;
         };
         self.transition(slot, to);
-        // Nothing of it may be sent once its end is reported, so an attempt that has not started its request ends here.
+        // After its end is reported the message must not be sent, so an attempt whose request has not started is
+        // aborted.
         if self
             .messages
             .attempt(slot)
--- a/crates/daemon/src/endpoint/exchange.rs
+++ b/crates/daemon/src/endpoint/exchange.rs
@@ -1,85 +1,88 @@
-//! One HTTP exchange with an endpoint: the response, as far as it has arrived, and the outcome that it means.
+//! Reads the HTTP response to an attempt and determines the outcome.
 
 use crate::connection::Connection;
 use crate::http::{self, Body, InvalidLoadReport, MalformedResponse, ResponseHead};
 use bellsill_core::interface::{Nanos, Outcome};
 
-/// The most that a response's body may have.
+/// The maximum size of a response body.
 const MAX_BODY_BYTES: u64 = 64 * 1024;
-/// How long a response may take from its first byte to its last. A response that does not end would otherwise occupy its
-/// attempt until the attempt's deadline; a slower one counts as malformed.
+/// The maximum time from the first byte of a response to its last. A slower response counts as malformed; without this
+/// limit, a response that never ends would keep its attempt in flight until the deadline.
 pub(crate) const RESPONSE_TIMEOUT: Nanos = 1_000_000_000;
 
-/// A response as far as it has arrived.
-pub(crate) struct ResponseProgress {
+/// Reads a response incrementally.
+pub(crate) struct ResponseReader {
     head: Option<ResponseHead>,
     body_bytes_left: u64,
 }
 
-/// How much of a response has arrived.
+/// Whether a response has been received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Arrived {
-    Partly,
-    Completely,
+pub(super) enum ReadProgress {
+    Partial,
+    Complete,
 }
 
-/// What is to become of a connection after a response.
+/// Whether and when a connection can be reused after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reuse {
-    /// It is closed.
+pub(crate) enum ConnectionReuse {
+    /// The connection is closed.
     Close,
-    /// It is used again once the rest of the response has arrived.
-    AfterRest,
-    /// It is used again.
-    Now,
+    /// It can be reused once the rest of the response has arrived.
+    AfterResponse,
+    /// It can be reused immediately.
+    Immediate,
 }
 
-/// What a response says of its attempt.
+/// What a response means for its attempt.
 pub(crate) struct Response {
     /// The outcome of the attempt.
     pub(crate) outcome: Outcome,
-    /// The message is over, whatever its outcome.
+    /// Whether the message ends, whatever the outcome.
     pub(crate) ends_message: bool,
-    /// The load report, if there was one.
+    /// The load report, if the response has one.
     pub(crate) load_report: Option<Result<f64, InvalidLoadReport>>,
-    /// What is to become of the connection.
-    pub(crate) reuse: Reuse,
+    /// Whether and when the connection can be reused.
+    pub(crate) reuse: ConnectionReuse,
 }
 
-/// Whether the outcome of an attempt is known yet.
+/// Whether the outcome of an attempt can be determined yet.
 #[must_use]
-pub(crate) enum Verdict {
+pub(crate) enum Evaluation {
     /// More of the response is needed.
     Incomplete,
-    /// The outcome is known.
-    Known(Response),
+    /// The outcome is determined, though the response may still be incomplete.
+    Decided(Response),
 }
 
-impl ResponseProgress {
-    /// A response of which nothing has been read.
-    pub(crate) fn new() -> ResponseProgress {
-        ResponseProgress {
+impl ResponseReader {
+    /// Creates a reader that has read nothing.
+    pub(crate) fn new() -> ResponseReader {
+        ResponseReader {
             head: None,
             body_bytes_left: MAX_BODY_BYTES,
         }
     }
 
-    /// Reads on in the response.
-    pub(super) fn read(&mut self, conn: &mut Connection) -> Result<Arrived, MalformedResponse> {
+    /// Consumes the response data that has arrived.
+    pub(super) fn read(
+        &mut self,
+        conn: &mut Connection,
+    ) -> Result<ReadProgress, MalformedResponse> {
         if self.head.is_none() {
             self.head = http::take_response_head(&mut conn.input)?;
         }
         let Some(head) = &mut self.head else {
-            return Ok(Arrived::Partly);
+            return Ok(ReadProgress::Partial);
         };
-        let whole = head
+        let complete = head
             .body
             .discard(&mut conn.input, &mut self.body_bytes_left)?;
-        // A body without a length ends with its connection.
-        if whole || (conn.peer_closed && head.body == Body::UntilClose) {
-            Ok(Arrived::Completely)
+        // A body without a declared length ends when the connection closes.
+        if complete || (conn.peer_closed && head.body == Body::UntilClose) {
+            Ok(ReadProgress::Complete)
         } else {
-            Ok(Arrived::Partly)
+            Ok(ReadProgress::Partial)
         }
     }
 
@@ -90,9 +93,13 @@
             .is_some_and(|head| head.closes_connection)
     }
 
-    /// Reads on, and says what the response means once that is certain. Only a success is believed before the response
-    /// is complete and well-formed: a malformed one may stand for a message that ran, which must not be sent again.
-    pub(crate) fn advance(&mut self, conn: &mut Connection) -> Result<Verdict, MalformedResponse> {
+    /// Consumes the response data that has arrived, and determines the outcome once it is certain. A success counts
+    /// before the response is complete. Any other status counts only in a complete and well-formed response: after a
+    /// malformed one the message may have run and must not be sent again.
+    pub(crate) fn evaluate(
+        &mut self,
+        conn: &mut Connection,
+    ) -> Result<Evaluation, MalformedResponse> {
         let request_written = conn.output.is_empty();
         let read = self.read(conn);
         let starts_with_success = http::starts_with_success(conn.input.make_contiguous());
@@ -102,27 +109,27 @@
         };
         let outcome = if delivered {
             Outcome::Delivered
-        } else if read? == Arrived::Partly {
-            return Ok(Verdict::Incomplete);
+        } else if read? == ReadProgress::Partial {
+            return Ok(Evaluation::Incomplete);
         } else {
             self.failure()
         };
         let head = self.head.as_ref();
-        Ok(Verdict::Known(Response {
+        Ok(Evaluation::Decided(Response {
             outcome,
             ends_message: head.is_some_and(|head| head.status == 410),
             load_report: head.and_then(|head| head.load_report),
             reuse: match read {
                 Ok(arrived) if request_written && !self.closes_connection() => match arrived {
-                    Arrived::Completely => Reuse::Now,
-                    Arrived::Partly => Reuse::AfterRest,
+                    ReadProgress::Complete => ConnectionReuse::Immediate,
+                    ReadProgress::Partial => ConnectionReuse::AfterResponse,
                 },
-                _ => Reuse::Close,
+                _ => ConnectionReuse::Close,
             },
         }))
     }
 
-    /// The outcome that a complete response other than a success stands for.
+    /// The outcome of a complete response other than a success.
     fn failure(&self) -> Outcome {
         let Some(head) = &self.head else {
             return Outcome::ServerError;
@@ -131,8 +138,9 @@
             503 if head.retry_after.is_none() && head.no_capacity => {
                 Outcome::NotSent { no_capacity: true }
             }
-            // A server without capacity for one more connection accepts it, says so and closes it: no rate limit applies.
-            // This also matches a server that closes after every rejection; only that route is then suspended.
+            // A server at its connection limit accepts the connection, responds with 503 and closes it; this is not a
+            // rate limit. It also matches a server that closes the connection after every rejection; then only that
+            // route is suspended.
             503 if head.retry_after.is_none() && head.closes_connection => Outcome::ConnectFailed,
             429 | 503 => Outcome::RateLimited {
                 retry_after: head.retry_after,
--- a/crates/daemon/src/endpoint/list.rs
+++ b/crates/daemon/src/endpoint/list.rs
@@ -1,29 +1,30 @@
-//! What an endpoint list changes in the registry.
+//! Applies endpoint lists to the registry.
 
-use super::registry::Endpoints;
+use super::registry::EndpointRegistry;
 use crate::endpoint_list::{self, EndpointList, ListedEndpoint};
 use bellsill_core::interface::{DestinationId, EndpointEntry, EndpointId, KindId, Nanos, ZoneId};
 use bellsill_settings::PlatformNames;
 use std::collections::BTreeMap;
 
-/// What a list has changed; connections and attempts are the caller's to follow up, in this order.
+/// The changes made by a list. The caller applies them to connections and attempts: first the relocated endpoints, then
+/// those not serving, and last the entries.
 #[must_use]
 #[derive(Default)]
 pub(crate) struct ListUpdate {
-    /// What the decisions are to know.
+    /// The entries for the decision logic.
     pub(crate) entries: Vec<EndpointEntry>,
-    /// Endpoints with a new address: what goes to the old one ends.
+    /// Endpoints with a new address: idle connections and connects to the old one are closed.
     pub(crate) relocated: Vec<EndpointId>,
-    /// Endpoints that take no messages: their idle connections are closed.
+    /// Endpoints that do not accept messages: their idle connections are closed.
     pub(crate) not_serving: Vec<EndpointId>,
 }
 
-/// An entry has no address that can be read.
-struct UnreadableAddress;
+/// The entry has no valid address.
+struct InvalidAddress;
 
-impl Endpoints {
-    /// Applies a list, a snapshot or a delta. `suspended_until` tells how long the decisions have suspended an endpoint:
-    /// the endpoint that takes over its name inherits that.
+impl EndpointRegistry {
+    /// Applies a snapshot or a delta. `suspended_until` returns the end of an endpoint's suspension by the decision
+    /// logic; an endpoint that takes over the name of a replaced one inherits it.
     pub(crate) fn apply(
         &mut self,
         list: &EndpointList,
@@ -43,10 +44,11 @@
                     retry_after_until,
                     ..entry
                 })),
-                Err(UnreadableAddress) => endpoint_list::warn_of_entry("addr"),
+                Err(InvalidAddress) => endpoint_list::warn_of_entry("addr"),
             }
         }
-        // By number: a search for each endpoint would stop the loop for seconds with a list of thousands.
+        // Indexed by endpoint: a linear search for each one would block the event loop for seconds on a list of
+        // thousands.
         let listed: BTreeMap<EndpointId, bool> = update
             .entries
             .iter()
@@ -69,7 +71,8 @@
         update
     }
 
-    /// The entry by which the decisions remove the endpoint that had a listed one's name and was another.
+    /// If a listed endpoint replaces another one of the same name, returns the entry by which the decision logic
+    /// removes the old one.
     fn remove_replaced(&mut self, listed: &ListedEndpoint) -> Option<EndpointEntry> {
         if !listed.serving {
             return None;
@@ -77,7 +80,7 @@
         let endpoint = self.release_name(listed)?;
         let destination = self.row(endpoint).destination.unwrap_or_default();
         log::info!(
-            "endpoint {} was replaced by its new entry, the old one belonged to destination {destination}",
+            "endpoint {}: replaced by a new endpoint of the same name; the old one belonged to destination {destination}",
             listed.name
         );
         Some(EndpointEntry {
@@ -87,18 +90,19 @@
         })
     }
 
-    /// The entry of a listed endpoint for the decisions. They need none of one that never served and does not now.
+    /// Registers a listed endpoint and returns its entry for the decision logic; none if it is neither registered nor
+    /// serving.
     fn entry(
         &mut self,
         listed: &ListedEndpoint,
         names: &PlatformNames,
         relocated: &mut Vec<EndpointId>,
-    ) -> Result<Option<EndpointEntry>, UnreadableAddress> {
+    ) -> Result<Option<EndpointEntry>, InvalidAddress> {
         let known = self.find(&listed.name);
         let addr = match (listed.addr, known) {
             (Some(addr), _) => addr,
             (None, Some(id)) if !listed.serving => self.addr(id),
-            _ => return Err(UnreadableAddress),
+            _ => return Err(InvalidAddress),
         };
         if known.is_none() && !listed.serving {
             return Ok(None);
@@ -108,15 +112,15 @@
             self.row_mut(endpoint).addr = addr;
             relocated.push(endpoint);
         }
-        let find = |names: &[String], name: &str| {
+        let index_of = |names: &[String], name: &str| {
             names.iter().position(|n| n == name).unwrap_or(usize::MAX)
         };
         Ok(Some(EndpointEntry {
             endpoint,
             name_hash: crc32fast::hash(listed.name.as_bytes()),
             destination: DestinationId(listed.destination),
-            zone: ZoneId(find(&names.zones, &listed.zone)),
-            kind: KindId(find(&names.kinds, &listed.kind)),
+            zone: ZoneId(index_of(&names.zones, &listed.zone)),
+            kind: KindId(index_of(&names.kinds, &listed.kind)),
             serving: listed.serving,
             rate_limit: listed.rate,
             retry_after_until: None,
--- a/crates/daemon/src/endpoint/pool.rs
+++ b/crates/daemon/src/endpoint/pool.rs
@@ -1,7 +1,7 @@
-//! Idle connections to endpoints, kept for the next attempt.
+//! The pool of idle connections to endpoints.
 
-use super::exchange::{Arrived, ResponseProgress};
-use super::registry::Endpoints;
+use super::exchange::{ReadProgress, ResponseReader};
+use super::registry::EndpointRegistry;
 use crate::connection::{ConnectionId, Role};
 use crate::io::Io;
 use crate::timer::Timer;
@@ -11,30 +11,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NoIdleConnection;
 
-/// How a connection without an attempt is handed to the pool.
+/// The state of a connection whose attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unassigned {
-    /// Nothing is to come on it.
+pub(crate) enum UnassignedState {
+    /// Nothing more is expected on it.
     Idle,
-    /// The rest of a response is still to come.
-    MoreToRead,
+    /// The rest of the response has not arrived.
+    ResponseIncomplete,
 }
 
-impl Endpoints {
-    /// An idle connection to an endpoint that is certain to be good, or none. Those that are not are closed.
+impl EndpointRegistry {
+    /// Takes the most recently used idle connection to an endpoint that passes the checks, and closes those that fail
+    /// them.
     pub(crate) fn take_idle(&mut self, io: &mut Io, endpoint: EndpointId) -> Option<ConnectionId> {
         while let Some(conn) = self.row_mut(endpoint).idle.pop() {
-            // After the process was suspended its timer may have expired and not been handled yet.
-            let in_time = !io.timers.is_expired(Timer::Connection(conn), io.now);
+            // After a suspension of the process, the keep-alive timer may have expired without having been handled.
+            let within_keep_alive = !io.timers.is_expired(Timer::Connection(conn), io.now);
             io.timers.cancel(Timer::Connection(conn));
-            // The other side may have closed it without the poller having reported that yet; a request would be lost.
-            let good = in_time
+            // The endpoint may have closed it without the poller having reported that yet; a request on it would be
+            // lost.
+            let usable = within_keep_alive
                 && io.connections.read(conn).is_ok()
                 && io
                     .connections
                     .get(conn)
                     .is_some_and(|c| !c.peer_closed && c.input.is_empty());
-            if good {
+            if usable {
                 return Some(conn);
             }
             io.connections.close(conn);
@@ -42,21 +44,21 @@
         None
     }
 
-    /// Takes a connection back whose attempt is over.
-    pub(crate) fn give_back(
+    /// Takes over a connection whose attempt has ended.
+    pub(crate) fn release_connection(
         &mut self,
         io: &mut Io,
         id: ConnectionId,
-        response: ResponseProgress,
-        state: Unassigned,
+        reader: ResponseReader,
+        state: UnassignedState,
     ) {
         match state {
-            Unassigned::Idle => {
+            UnassignedState::Idle => {
                 io.timers.cancel(Timer::Connection(id));
-                self.pool(io, id);
+                self.store_idle(io, id);
             }
-            Unassigned::MoreToRead => {
-                self.draining.insert(id, response);
+            UnassignedState::ResponseIncomplete => {
+                self.unfinished_responses.insert(id, reader);
                 if io.connections.arm(id).is_err() {
                     self.close_connection(io, id);
                 }
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Keeps a connection for the next attempt, unless it may not be good then.
-    pub(crate) fn pool(&mut self, io: &mut Io, id: ConnectionId) {
+    /// Adds a connection to the pool, or closes it if it cannot be reused.
+    pub(crate) fn store_idle(&mut self, io: &mut Io, id: ConnectionId) {
         let Some(conn) = io.connections.get(id) else {
             return;
         };
@@ -74,13 +76,13 @@
         };
         let row = self.row_mut(endpoint);
         // The endpoint may have been relocated during the attempt.
-        let current = conn.opened_to == Some(row.addr);
-        if conn.peer_closed || !conn.input.is_empty() || !row.serving || !current {
+        let addr_is_current = conn.opened_to == Some(row.addr);
+        if conn.peer_closed || !conn.input.is_empty() || !row.serving || !addr_is_current {
             io.connections.close(id);
             return;
         }
         row.idle.push(id);
-        // A request that is sent just when the other side closes is lost, so it is closed here a little earlier.
+        // Closed shortly before the endpoint would close it, because a request sent at that moment would be lost.
         io.timers
             .set(Timer::Connection(id), io.now + self.keep_alive / 20 * 19);
         if io.connections.arm(id).is_err() {
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Closes a connection that has no attempt.
+    /// Closes a connection without an attempt, and removes it from the pool.
     pub(crate) fn close_connection(&mut self, io: &mut Io, id: ConnectionId) {
         if let Some(Role::Endpoint(endpoint)) = io.connections.get(id).map(|c| c.role) {
             self.row_mut(endpoint).idle.retain(|c| *c != id);
         }
-        self.draining.remove(&id);
+        self.unfinished_responses.remove(&id);
         io.timers.cancel(Timer::Connection(id));
         io.connections.close(id);
     }
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Closes an idle connection, the oldest one of its endpoint, so that a client or an attempt finds a descriptor.
+    /// Closes an idle connection, the least recently used one of its endpoint, to free a descriptor for a client or an
+    /// attempt.
     pub(crate) fn close_oldest_idle(&mut self, io: &mut Io) -> Result<(), NoIdleConnection> {
         let idle = |id: EndpointId| self.row(id).idle.first().copied();
         let oldest = self.ids().filter_map(idle).next();
@@ -114,7 +117,7 @@
         Ok(())
     }
 
-    /// Removes an endpoint and closes its connections: the next endpoint of that number must not find them.
+    /// Removes an endpoint and closes its connections, so that the next endpoint with the same id does not use them.
     pub(crate) fn remove_with_connections(&mut self, io: &mut Io, endpoint: EndpointId) {
         let connections: Vec<ConnectionId> = io
             .connections
@@ -128,32 +131,32 @@
         self.remove(endpoint);
     }
 
-    /// Something happened on a connection that has no attempt.
-    pub(crate) fn unassigned_ready(&mut self, io: &mut Io, id: ConnectionId) {
+    /// Handles readiness of a connection without an attempt.
+    pub(crate) fn unassigned_connection_ready(&mut self, io: &mut Io, id: ConnectionId) {
         let read = io.connections.read(id);
         let Some(conn) = io.connections.get_mut(id) else {
             return;
         };
-        let mut good = read.is_ok() && !conn.peer_closed;
-        // Nothing may arrive on an idle connection.
-        let empty = conn.input.is_empty();
-        if let Some(mut response) = self.draining.remove(&id) {
-            let read = response.read(conn);
-            let closes = response.closes_connection();
+        let mut usable = read.is_ok() && !conn.peer_closed;
+        // Data on an idle connection belongs to no response.
+        let no_input = conn.input.is_empty();
+        if let Some(mut reader) = self.unfinished_responses.remove(&id) {
+            let read = reader.read(conn);
+            let closes = reader.closes_connection();
             match read {
-                Ok(Arrived::Completely) if !closes => {
+                Ok(ReadProgress::Complete) if !closes => {
                     io.timers.cancel(Timer::Connection(id));
-                    return self.pool(io, id);
+                    return self.store_idle(io, id);
                 }
-                Ok(Arrived::Partly) if good && !closes => {
-                    self.draining.insert(id, response);
+                Ok(ReadProgress::Partial) if usable && !closes => {
+                    self.unfinished_responses.insert(id, reader);
                 }
-                _ => good = false,
+                _ => usable = false,
             }
         } else {
-            good &= empty;
+            usable &= no_input;
         }
-        if !good || io.connections.arm(id).is_err() {
+        if !usable || io.connections.arm(id).is_err() {
             self.close_connection(io, id);
         }
     }
--- a/crates/daemon/src/endpoint/registry.rs
+++ b/crates/daemon/src/endpoint/registry.rs
@@ -1,47 +1,47 @@
-//! The registry of endpoints: the number, name and address of each.
+//! The endpoint registry: the id, name and address of each endpoint.
 
-use super::exchange::ResponseProgress;
+use super::exchange::ResponseReader;
 use crate::connection::ConnectionId;
 use crate::endpoint_list::ListedEndpoint;
 use bellsill_core::interface::{EndpointId, Nanos};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One endpoint.
+/// A registered endpoint.
 pub(super) struct Endpoint {
-    /// Its name in the list; empty once another endpoint has the name or it is removed.
+    /// The name in the list; empty once another endpoint took over the name or this one was removed.
     name: String,
     pub(super) addr: SocketAddr,
     pub(super) zone: String,
     kind: String,
     pub(super) serving: bool,
-    /// The destination under which it was listed; none once it is removed.
+    /// The destination under which it was listed; none once removed.
     pub(super) destination: Option<u64>,
-    /// Its idle connections; the last one was used last.
+    /// The idle connections, most recently used last.
     pub(super) idle: Vec<ConnectionId>,
 }
 
-/// All endpoints that the decisions know, and their idle connections.
+/// The endpoints known to the decision logic, and the connections to them that have no attempt.
 #[derive(Default)]
-pub struct Endpoints {
+pub struct EndpointRegistry {
     rows: Vec<Endpoint>,
-    /// Rows of removed endpoints, for the next ones.
+    /// The rows of removed endpoints, which are reused.
     free: Vec<EndpointId>,
     by_name: BTreeMap<String, EndpointId>,
-    /// How many endpoints each destination has.
+    /// The number of endpoints of each destination.
     by_destination: BTreeMap<u64, usize>,
-    /// Connections without an attempt on which the rest of a response is still to come.
-    pub(super) draining: BTreeMap<ConnectionId, ResponseProgress>,
-    /// How long endpoints keep an idle connection open.
+    /// Connections without an attempt on which the rest of a response is still expected.
+    pub(super) unfinished_responses: BTreeMap<ConnectionId, ResponseReader>,
+    /// How long endpoints keep idle connections open.
     pub(super) keep_alive: Nanos,
 }
 
-impl Endpoints {
-    /// No endpoints; those to come keep an idle connection open for this long.
-    pub fn new(keep_alive: Nanos) -> Endpoints {
-        Endpoints {
+impl EndpointRegistry {
+    /// Creates an empty registry. `keep_alive` is how long endpoints keep idle connections open.
+    pub fn new(keep_alive: Nanos) -> EndpointRegistry {
+        EndpointRegistry {
             keep_alive,
-            ..Endpoints::default()
+            ..EndpointRegistry::default()
         }
     }
 
@@ -53,7 +53,7 @@
         &mut self.rows[id.0 as usize]
     }
 
-    /// Where an endpoint listens.
+    /// The address of an endpoint.
     pub fn addr(&self, id: EndpointId) -> SocketAddr {
         self.row(id).addr
     }
@@ -63,7 +63,7 @@
         &self.row(id).zone
     }
 
-    /// The number of a listed endpoint, which gets one if it has none.
+    /// Returns the id of a listed endpoint, and registers the endpoint first if its name is new.
     pub fn register(&mut self, listed: &ListedEndpoint, addr: SocketAddr) -> EndpointId {
         if let Some(id) = self.find(&listed.name) {
             return id;
@@ -92,15 +92,16 @@
         id
     }
 
-    /// Takes the name from an endpoint whose entry now has another destination, zone or kind, and returns its number.
-    /// What may be sent to an endpoint, and repeated there, depends on all three, so the name is that of a new endpoint.
+    /// Releases the name of an endpoint whose entry now has another destination, zone or kind, and returns its id.
+    /// Which messages may be sent or retried at an endpoint depends on all three, so the name now denotes a new
+    /// endpoint.
     pub(super) fn release_name(&mut self, listed: &ListedEndpoint) -> Option<EndpointId> {
         let id = self.find(&listed.name)?;
         let row = self.row_mut(id);
-        let same = row.destination == Some(listed.destination)
+        let unchanged = row.destination == Some(listed.destination)
             && row.zone == listed.zone
             && row.kind == listed.kind;
-        if same {
+        if unchanged {
             return None;
         }
         row.name.clear();
@@ -108,8 +109,8 @@
         Some(id)
     }
 
-    /// Removes an endpoint that the decisions have removed. Its row is used again, since new names appear for as long as
-    /// a dispatcher runs.
+    /// Removes an endpoint that the decision logic has removed. Its row is reused, because new names keep appearing for
+    /// as long as a dispatcher runs.
     pub fn remove(&mut self, id: EndpointId) {
         let name = std::mem::take(&mut self.row_mut(id).name);
         self.by_name.remove(&name);
@@ -129,22 +130,23 @@
         }
     }
 
-    /// Whether the destination has any endpoint, serving or not: the list of its next one may be late.
+    /// Whether the destination has any endpoint. One that is not serving counts too, because the list entry of its
+    /// successor may arrive late.
     pub fn has_destination(&self, destination: u64) -> bool {
         self.by_destination.contains_key(&destination)
     }
 
-    /// The number of an endpoint by its name.
+    /// Looks up the id of an endpoint by name.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.by_name.get(name).copied()
     }
 
-    /// The numbers of all rows, those of removed endpoints among them.
+    /// The ids of all rows, including those of removed endpoints.
     pub fn ids(&self) -> impl Iterator<Item = EndpointId> + use<> {
         (0..self.rows.len() as u32).map(EndpointId)
     }
 
-    /// How many endpoints take messages.
+    /// The number of endpoints that are serving.
     pub fn serving(&self) -> usize {
         self.rows.iter().filter(|row| row.serving).count()
     }
--- a/crates/daemon/src/message_slot.rs
+++ b/crates/daemon/src/message_slot.rs
@@ -1,8 +1,8 @@
-//! The number of a pending message, as timers and connections refer to it.
+//! The key by which timers and connections refer to a pending message.
 
 use crate::slot_table::SlotId;
 
-/// The number of a pending message in its table; a later message never has the same one.
+/// The key of a pending message in its table. Keys are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageSlot(u64);
 
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,54 +1,54 @@
-//! What has happened since the process began, counted where it happens.
+//! The counters of the process, incremented where the events occur.
 
-/// How a message ended, as operators count it.
+/// The result of a message, as counted in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageResult {
-    /// It was delivered.
+    /// The message was delivered.
     Completed,
-    /// It was given back to its client: rejected after a while, or answered `-BUSY`.
+    /// It was rejected, either with the response `-BUSY` or after it had been accepted.
     Rejected,
-    /// It failed for good.
+    /// It failed permanently.
     Failed,
 }
 
-/// The ended messages of one class.
+/// The numbers of ended messages of one queue class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Delivered.
+    /// Delivered messages.
     pub completed: u64,
-    /// Given back to their clients.
+    /// Rejected messages.
     pub rejected: u64,
-    /// Failed for good.
+    /// Permanently failed messages.
     pub failed: u64,
 }
 
-/// The counters of this process.
+/// The counters since the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     classes: Vec<ClassCounters>,
-    /// Attempts whose request was written.
+    /// Attempts whose request was started.
     pub attempts: u64,
-    /// Configurations that were read again and taken.
+    /// Successful configuration reloads.
     pub reloads: u64,
-    /// Configurations that were read again and rejected.
+    /// Configuration reloads that were rejected.
     pub reload_errors: u64,
 }
 
 impl Metrics {
-    /// Counts a message of the class with this index.
+    /// Counts an ended message of the queue class with this index.
     pub fn count_message(&mut self, class: usize, result: MessageResult) {
         if self.classes.len() <= class {
             self.classes.resize(class + 1, ClassCounters::default());
         }
-        let ends = &mut self.classes[class];
+        let counters = &mut self.classes[class];
         match result {
-            MessageResult::Completed => ends.completed += 1,
-            MessageResult::Rejected => ends.rejected += 1,
-            MessageResult::Failed => ends.failed += 1,
+            MessageResult::Completed => counters.completed += 1,
+            MessageResult::Rejected => counters.rejected += 1,
+            MessageResult::Failed => counters.failed += 1,
         }
     }
 
-    /// The counts of a class; zeros if none of its messages has ended.
+    /// The counters of a queue class; zeros if none of its messages has ended.
     pub fn class_counters(&self, class: usize) -> ClassCounters {
         self.classes.get(class).copied().unwrap_or_default()
     }
--- a/crates/daemon/src/notification/mod.rs
+++ b/crates/daemon/src/notification/mod.rs
@@ -1,5 +1,4 @@
-//! Notifications: what the platform is owed for messages that were accepted and not delivered, until it has
-//! acknowledged it.
+//! Notifications: reports to the platform of accepted messages that failed or were rejected, sent until acknowledged.
 
 mod queue;
 mod sender;
--- a/crates/daemon/src/notification/queue.rs
+++ b/crates/daemon/src/notification/queue.rs
@@ -1,4 +1,4 @@
-//! The pending notifications.
+//! The queue of pending notifications.
 
 use crate::connection::ConnectionId;
 use crate::http::ResponseHead;
@@ -7,27 +7,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long nothing is sent after the first failure.
+/// The backoff after the first failure.
 pub(super) const MIN_BACKOFF: Nanos = 50_000_000;
 
-/// The pending notifications, and the connection on which they are sent.
+/// The pending notifications and the connection to the platform.
 pub(crate) struct Notifications {
     pub(super) addr: SocketAddr,
     pub(super) pending: BTreeMap<MessageId, Resolution>,
-    /// Notifications whose records are not written yet wait for that, at most until this time.
+    /// Notifications held back until their journal records are written, but no longer than until this time.
     pub(super) unrecorded_until: BTreeMap<MessageId, Nanos>,
-    /// Those of the request that waits for its answer.
+    /// The messages of the request in flight.
     pub(super) in_flight: Vec<MessageId>,
     pub(super) connection: Option<ConnectionId>,
-    /// After a failure nothing is sent for a while.
+    /// Set during the backoff after a failure, when nothing is sent.
     pub(super) backing_off: bool,
-    /// How long that will be after the next failure.
+    /// The backoff after the next failure.
     pub(super) backoff: Nanos,
     pub(super) head: Option<ResponseHead>,
 }
 
 impl Notifications {
-    /// Notifications are sent to this address.
+    /// Creates an empty queue that sends to this address.
     pub(crate) fn new(addr: SocketAddr) -> Notifications {
         Notifications {
             addr,
@@ -41,14 +41,15 @@
         }
     }
 
-    /// Adds the notification of a message.
+    /// Adds a notification.
     pub(crate) fn enqueue(&mut self, id: MessageId, resolution: Resolution) {
         self.pending.insert(id, resolution);
     }
 
-    /// Adds a notification whose record could not be written. Sent at once, it would be lost by a kill of the process,
-    /// and the message be sent after its notification. At `deadline` it is sent in any case: no attempt begins after it.
-    pub(crate) fn enqueue_once_recorded(
+    /// Adds a notification whose journal record could not be written, and holds it back until the record is. Sent at
+    /// once, it would not be known after a kill of the process, and the next process would send the message after its
+    /// notification. From `deadline` on it is sent in any case, since no attempt starts after it.
+    pub(crate) fn enqueue_unrecorded(
         &mut self,
         id: MessageId,
         resolution: Resolution,
@@ -58,17 +59,17 @@
         self.unrecorded_until.insert(id, deadline);
     }
 
-    /// All records are written now.
-    pub(crate) fn recorded(&mut self) {
+    /// Releases all notifications that were held back, because all journal records are written.
+    pub(crate) fn mark_all_recorded(&mut self) {
         self.unrecorded_until.clear();
     }
 
-    /// How many are not acknowledged yet.
+    /// The number of notifications not yet acknowledged.
     pub(crate) fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// The body of the request that is in flight.
+    /// Builds the body of the request for the batch in flight.
     pub(super) fn body(&self) -> String {
         let line = |id: &MessageId| match self.pending[id] {
             Resolution::Failed => format!("{{\"ref\":\"{:016x}\",\"result\":\"dead\"}}\n", id.0),
--- a/crates/daemon/src/notification/sender.rs
+++ b/crates/daemon/src/notification/sender.rs
@@ -1,4 +1,4 @@
-//! Sending notifications: one request at a time, again after a while if it failed.
+//! Sends notifications, one request at a time, with an exponential backoff after a failure.
 
 use super::queue::{MIN_BACKOFF, Notifications};
 use crate::connection::{BufferBounds, ConnectionId, Role};
@@ -8,33 +8,34 @@
 use bellsill_core::interface::{MessageId, Nanos};
 use std::net::SocketAddr;
 
-/// How long to wait for an answer.
-const ANSWER_TIMEOUT: Nanos = 400_000_000;
-/// The longest backoff; it doubles with each failure.
+/// The timeout of a response.
+const RESPONSE_TIMEOUT: Nanos = 400_000_000;
+/// The maximum backoff. The backoff doubles with each failure.
 const MAX_BACKOFF: Nanos = 200_000_000;
-/// The most notifications of one request, and the most bytes that it can have.
+/// The maximum number of notifications in one request.
 const MAX_BATCH: usize = 256;
+/// The maximum size of a request.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
 
-/// What became of the request in flight.
+/// The result of handling an event on the notification connection.
 #[must_use]
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum NotificationEvent {
-    /// It has no answer yet, or there is none in flight.
+    /// No notification was acknowledged.
     Waiting,
-    /// The platform has acknowledged the notifications of these messages.
+    /// The platform acknowledged the notifications of these messages.
     Acknowledged(Vec<MessageId>),
 }
 
 impl Notifications {
-    /// Sends what is pending, unless a request is in flight or one has just failed.
+    /// Sends a batch of pending notifications, unless a request is in flight or the backoff has not ended.
     pub(crate) fn send(&mut self, io: &mut Io) {
         if self.pending.is_empty() || !self.in_flight.is_empty() || self.backing_off {
             return;
         }
         let unrecorded = &self.unrecorded_until;
-        let may_go = |id: &MessageId| unrecorded.get(id).is_none_or(|&until| io.now >= until);
-        let batch = self.pending.keys().copied().filter(may_go);
+        let is_sendable = |id: &MessageId| unrecorded.get(id).is_none_or(|&until| io.now >= until);
+        let batch = self.pending.keys().copied().filter(is_sendable);
         self.in_flight = batch.take(MAX_BATCH).collect();
         if self.in_flight.is_empty() {
             return;
@@ -48,7 +49,7 @@
             Some(id) => id,
             None => match io.connections.open(self.addr, Role::Notifications, bounds) {
                 Ok(id) => id,
-                Err(_) => return self.fail(io),
+                Err(_) => return self.close_and_back_off(io),
             },
         };
         self.connection = Some(id);
@@ -56,15 +57,15 @@
             conn.output.push(request.as_bytes());
         }
         io.timers
-            .set(Timer::Connection(id), io.now + ANSWER_TIMEOUT);
+            .set(Timer::Connection(id), io.now + RESPONSE_TIMEOUT);
         if io.connections.flush(id).is_err() {
-            self.fail(io);
+            self.close_and_back_off(io);
         }
     }
 
-    /// The request failed, or an idle connection ended. What was in flight stays pending: the platform accepts a
-    /// notification twice.
-    pub(crate) fn fail(&mut self, io: &mut Io) {
+    /// Closes the connection and, if a request was in flight, starts the backoff. The notifications of that request
+    /// stay pending: the platform accepts duplicates.
+    pub(crate) fn close_and_back_off(&mut self, io: &mut Io) {
         if let Some(id) = self.connection.take() {
             io.timers.cancel(Timer::Connection(id));
             io.connections.close(id);
@@ -78,43 +79,43 @@
         }
     }
 
-    /// Sends to another address from now on, also what is in flight.
+    /// Changes the address. Notifications in flight to the previous address are sent again to the new one.
     pub(crate) fn relocate(&mut self, io: &mut Io, addr: SocketAddr) {
         if addr != self.addr {
             self.addr = addr;
-            self.fail(io);
+            self.close_and_back_off(io);
             io.timers.cancel(Timer::NotificationRetry);
             (self.backing_off, self.backoff) = (false, MIN_BACKOFF);
         }
     }
 
-    /// The pause after a failure is over.
+    /// Ends the backoff after a failure.
     pub(crate) fn end_backoff(&mut self) {
         self.backing_off = false;
     }
 
-    /// Something happened on the connection.
-    pub(crate) fn ready(&mut self, io: &mut Io, id: ConnectionId) -> NotificationEvent {
+    /// Handles readiness of the connection.
+    pub(crate) fn connection_ready(&mut self, io: &mut Io, id: ConnectionId) -> NotificationEvent {
         let mut event = NotificationEvent::Waiting;
-        if self.read_answer(io, id, &mut event).is_err() {
-            self.fail(io);
+        if self.read_response(io, id, &mut event).is_err() {
+            self.close_and_back_off(io);
         }
         event
     }
 
-    /// The error says that the connection cannot be used for another request.
-    fn read_answer(
+    /// Reads the response as far as it has arrived. An error means that the connection cannot be reused.
+    fn read_response(
         &mut self,
         io: &mut Io,
         id: ConnectionId,
         event: &mut NotificationEvent,
     ) -> Result<(), MalformedResponse> {
-        // A broken connection and a malformed answer have the same consequence here.
-        let broken = |_: std::io::Error| MalformedResponse;
+        // A broken connection is handled like a malformed response.
+        let io_error = |_: std::io::Error| MalformedResponse;
         if io.connections.get(id).is_some_and(|c| c.connecting) {
-            io.connections.finish_connect(id).map_err(broken)?;
+            io.connections.finish_connect(id).map_err(io_error)?;
         }
-        io.connections.read(id).map_err(broken)?;
+        io.connections.read(id).map_err(io_error)?;
         let Some(conn) = io.connections.get_mut(id) else {
             return Ok(());
         };
@@ -124,17 +125,17 @@
         if let Some(head) = &mut self.head {
             head.body.take(&mut conn.input, |_| {})?;
             if head.body == Body::Done {
-                let (status, last) = (head.status, head.closes_connection);
+                let (status, closes_connection) = (head.status, head.closes_connection);
                 self.head = None;
                 if status != 204 && status != 200 {
                     log::warn!(
-                        "notifications: a request with {} of them was answered with status {status}",
+                        "notifications: the platform responded to a request with {} notifications with status {status}; retrying",
                         self.in_flight.len()
                     );
                     return Err(MalformedResponse);
                 }
-                *event = self.acknowledged(io, id);
-                if last {
+                *event = self.acknowledge_batch(io, id);
+                if closes_connection {
                     return Err(MalformedResponse);
                 }
             }
@@ -142,10 +143,11 @@
         if io.connections.get(id).is_some_and(|c| c.peer_closed) {
             return Err(MalformedResponse);
         }
-        io.connections.flush(id).map_err(broken)
+        io.connections.flush(id).map_err(io_error)
     }
 
-    fn acknowledged(&mut self, io: &mut Io, id: ConnectionId) -> NotificationEvent {
+    /// Removes the acknowledged batch from the queue.
+    fn acknowledge_batch(&mut self, io: &mut Io, id: ConnectionId) -> NotificationEvent {
         io.timers.cancel(Timer::Connection(id));
         self.backoff = MIN_BACKOFF;
         let batch = std::mem::take(&mut self.in_flight);
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -1,10 +1,10 @@
-//! The status line of the log.
+//! The periodic status line in the log.
 
 use crate::delivery::Runtime;
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The processor time of this process in nanoseconds, as far as the system reports it.
+/// The CPU time of this process in nanoseconds; 0 if `/proc/self/schedstat` cannot be read.
 fn cpu_time() -> u64 {
     let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     text.split(' ')
@@ -13,7 +13,7 @@
         .unwrap_or(0)
 }
 
-/// Logs how much is pending.
+/// Logs the numbers of pending messages, notifications and connections, and the CPU time used.
 pub(crate) fn log_status(runtime: &Runtime) {
     log::info!(
         "status: {} messages pending, {} in flight, {} notifications pending, {} connections, {} ms of CPU time",
--- a/crates/daemon/tests/endpoint_registry.rs
+++ b/crates/daemon/tests/endpoint_registry.rs
@@ -1,6 +1,6 @@
 //! The registry of endpoints.
 
-use bellsill_daemon::endpoint::Endpoints;
+use bellsill_daemon::endpoint::EndpointRegistry;
 use bellsill_daemon::endpoint_list::ListedEndpoint;
 
 /// An entry of the list.
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_forgotten_endpoint_s_row_is_reused() {
-    let mut endpoints = Endpoints::default();
+    let mut endpoints = EndpointRegistry::default();
     let addr = "127.0.0.1:1".parse().unwrap();
     let stays = endpoints.register(&listed("stays", 1), addr);
     for n in 0..1000 {
