--- a/crates/daemon/src/delivery/configuration.rs
+++ b/crates/daemon/src/delivery/configuration.rs
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// Applies the endpoints known at startup: with a scoped configuration those of the scope file, otherwise `known`
-    /// from the configuration file.
+    /// Applies the endpoints known at startup: the entries of the scoped list or, without a scoped configuration, `known`
+    /// from the platform's file.
     pub(crate) fn apply_known_list(&mut self, known: &Value) {
         let Some(list) = self.discovery.scoped_list() else {
             return self.apply_json_list(known);
--- a/crates/daemon/src/delivery/message.rs
+++ b/crates/daemon/src/delivery/message.rs
@@ -24,7 +24,7 @@
     },
     /// The message failed permanently.
     Failed,
-    /// The destination reported that the message is obsolete.
+    /// The destination ended the message, whatever the outcome of its attempt.
     Withdrawn,
 }
 
--- a/crates/daemon/src/delivery/recovery.rs
+++ b/crates/daemon/src/delivery/recovery.rs
@@ -10,7 +10,7 @@
 pub(crate) enum AdoptionStatus {
     /// No journal is left to adopt.
     Complete,
-    /// Another process still holds a journal, which can be adopted once that process has ended.
+    /// A journal is left to adopt later: another process still holds it, or its adoption failed or is unfinished.
     Incomplete,
 }
 
