--- a/crates/daemon/src/delivery/mod.rs
+++ b/crates/daemon/src/delivery/mod.rs
@@ -1,4 +1,4 @@
-//! Delivery: the decisions, and the pending messages, connections and configuration that they work on.
+//! Delivery: connects the decision logic to the pending messages, connections and configuration.
 
 mod actions;
 mod admission;
@@ -14,5 +14,5 @@
 pub(crate) use admission::{Admission, Rejection};
 pub(crate) use coordinator::Delivery;
 pub(crate) use message::MAX_BODY_BYTES;
-pub(crate) use recovery::Adoption;
+pub(crate) use recovery::AdoptionStatus;
 pub(crate) use runtime::{AttemptSettings, Runtime};
