--- a/crates/daemon/src/admin/connections.rs
+++ b/crates/daemon/src/admin/connections.rs
@@ -93,7 +93,7 @@
 }
 
 /// Queues an answer.
-pub(crate) fn answer(runtime: &mut Runtime, id: ConnectionId, text: &str) {
+pub(crate) fn queue_reply(runtime: &mut Runtime, id: ConnectionId, text: &str) {
     let now = runtime.now;
     if let Some(conn) = runtime.connections.get_mut(id) {
         if !conn.output.push(text.as_bytes()) {
@@ -104,7 +104,7 @@
 }
 
 /// Sends the answers, and closes the connection if it is broken or done.
-pub(crate) fn end_turn(runtime: &mut Runtime, id: ConnectionId, read: &io::Result<()>) {
+pub(crate) fn flush_or_close(runtime: &mut Runtime, id: ConnectionId, read: &io::Result<()>) {
     let Some(conn) = runtime.connections.get(id) else {
         return;
     };
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -8,7 +8,9 @@
 
 pub use crate::metrics::{ClassEnds, End, Metrics};
 pub(crate) use commands::{AdminContext, DrainRequest, execute};
-pub(crate) use connections::{AdminInput, accept, answer, close, end_turn, next_request, read};
+pub(crate) use connections::{
+    AdminInput, accept, close, flush_or_close, next_request, queue_reply, read,
+};
 pub(crate) use disabled::{DisabledFile, refresh_disabled};
 pub use disabled::{MAX_DISABLED, load_disabled, parse_disabled};
 pub use request::{MAX_ENDPOINT_ID_BYTES, Request, RequestError, parse};
--- a/crates/daemon/src/client/closing.rs
+++ b/crates/daemon/src/client/closing.rs
@@ -31,7 +31,7 @@
 pub(super) fn close_gracefully(runtime: &mut Runtime, id: ConnectionId) {
     runtime.timers.cancel(Timer::ReadClient(id));
     let lingers = |c: &Connection| {
-        (c.answered || c.protocol_errors > 0)
+        (c.replied || c.protocol_errors > 0)
             && !c.lingering
             && !c.peer_closed
             && c.output.is_empty()
@@ -55,7 +55,7 @@
 }
 
 /// Closes a client that is between requests, if the policy says so.
-pub(crate) fn close_if_done(runtime: &mut Runtime, id: ConnectionId, policy: ClientPolicy) {
+pub(crate) fn close_if_idle(runtime: &mut Runtime, id: ConnectionId, policy: ClientPolicy) {
     let done = |c: &Connection| c.is_idle() && !c.lingering;
     if policy.close_idle && runtime.connections.get(id).is_some_and(done) {
         close_gracefully(runtime, id);
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -97,7 +97,7 @@
     };
     let ends = conn.close_after_output || conn.peer_closed;
     if !conn.output.is_empty() || turn_used_up || !ends {
-        let limit = if conn.answered && conn.is_idle() {
+        let limit = if conn.replied && conn.is_idle() {
             IDLE_TIMEOUT
         } else {
             REQUEST_TIMEOUT
--- a/crates/daemon/src/client/mod.rs
+++ b/crates/daemon/src/client/mod.rs
@@ -8,9 +8,9 @@
 mod session;
 
 pub(crate) use accept::{AcceptStatus, Clients};
-pub(crate) use closing::close_if_done;
+pub(crate) use closing::close_if_idle;
 pub(crate) use policy::ClientPolicy;
-pub(crate) use session::{ready, ready_or_closing, timed_out};
+pub(crate) use session::{handle_ready, handle_ready_and_close_idle, handle_timeout};
 
 /// The most memory that the buffers of a client take.
 pub(crate) const CLIENT_BUFFER_BYTES: usize = resp::MAX_COMMAND_BYTES + 8 * 1024;
--- a/crates/daemon/src/client/session.rs
+++ b/crates/daemon/src/client/session.rs
@@ -1,6 +1,6 @@
 //! A client's session: reading, time limits and the end of its connection.
 
-use super::closing::{close, close_gracefully, close_if_done};
+use super::closing::{close, close_gracefully, close_if_idle};
 use super::commands::{SessionEnded, answer_commands};
 use super::policy::ClientPolicy;
 use crate::connection::ConnectionId;
@@ -21,7 +21,7 @@
         return Ok(Input::Nothing);
     };
     let before = conn.input.len();
-    if conn.answered && conn.is_idle() {
+    if conn.replied && conn.is_idle() {
         // The time limit of its next command begins.
         conn.last_active = now;
     }
@@ -37,7 +37,7 @@
 }
 
 /// Something happened on a client's connection.
-pub(crate) fn ready(delivery: &mut Delivery, id: ConnectionId, policy: ClientPolicy) {
+pub(crate) fn handle_ready(delivery: &mut Delivery, id: ConnectionId, policy: ClientPolicy) {
     let runtime = &mut delivery.runtime;
     let read = read(runtime, id);
     let Some(conn) = runtime.connections.get_mut(id) else {
@@ -53,10 +53,14 @@
     }
 }
 
-/// Like [`ready`]; afterwards the client is closed if it is between requests and the policy says so.
-pub(crate) fn ready_or_closing(delivery: &mut Delivery, id: ConnectionId, policy: ClientPolicy) {
-    ready(delivery, id, policy);
-    close_if_done(&mut delivery.runtime, id, policy);
+/// Like [`handle_ready`]; afterwards the client is closed if it is between requests and the policy says so.
+pub(crate) fn handle_ready_and_close_idle(
+    delivery: &mut Delivery,
+    id: ConnectionId,
+    policy: ClientPolicy,
+) {
+    handle_ready(delivery, id, policy);
+    close_if_idle(&mut delivery.runtime, id, policy);
 }
 
 fn answer_or_close(
@@ -73,7 +77,7 @@
 /// A client has reached a time limit: for its first command, the rest of one, reading an answer, or staying without a
 /// request. Clients that send nothing, stop half-way or read no answers would otherwise occupy their places for good. A
 /// client that is slower than that is closed unheard. What arrived last is still answered.
-pub(crate) fn timed_out(delivery: &mut Delivery, id: ConnectionId, policy: ClientPolicy) {
+pub(crate) fn handle_timeout(delivery: &mut Delivery, id: ConnectionId, policy: ClientPolicy) {
     let runtime = &mut delivery.runtime;
     if runtime.connections.get(id).is_some_and(|c| c.lingering) {
         return close(runtime, id);
--- a/crates/daemon/src/connection/occupancy.rs
+++ b/crates/daemon/src/connection/occupancy.rs
@@ -40,7 +40,7 @@
         let rank = |c: &Connection| match c {
             _ if c.role != Role::Client => None,
             _ if c.lingering => Some(0),
-            _ if !c.answered && c.is_idle() && c.last_received <= silent_since => Some(1),
+            _ if !c.replied && c.is_idle() && c.last_received <= silent_since => Some(1),
             _ if c.is_idle() && c.last_received <= idle_since => Some(2),
             _ if c.output.is_empty() && c.last_received <= idle_since => Some(3),
             _ => None,
--- a/crates/daemon/src/connection/socket.rs
+++ b/crates/daemon/src/connection/socket.rs
@@ -45,7 +45,7 @@
     /// When a client sent something last.
     pub(crate) last_received: Nanos,
     /// A client that has had an answer.
-    pub(crate) answered: bool,
+    pub(crate) replied: bool,
     /// How many error answers a client has had.
     pub(crate) protocol_errors: u32,
     /// None once the poller has reported it, which it does once.
@@ -58,7 +58,7 @@
         match answer.starts_with('-') && !answer.starts_with("-BUSY") {
             true => self.protocol_errors += 1,
             false if answer.is_empty() => return,
-            false => (self.answered, self.last_active) = (true, now),
+            false => (self.replied, self.last_active) = (true, now),
         }
         self.output.push(answer.as_bytes());
     }
--- a/crates/daemon/src/connection/table.rs
+++ b/crates/daemon/src/connection/table.rs
@@ -170,7 +170,7 @@
             lingering: false,
             last_active: 0,
             last_received: 0,
-            answered: false,
+            replied: false,
             protocol_errors: 0,
             armed: Some(interest),
         });
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -12,7 +12,7 @@
 use crate::start::Start;
 use crate::startup::{self, Parts};
 use crate::status::log_status;
-use crate::timer::{NEIGHBOUR_CHECK_INTERVAL, STATUS_INTERVAL, Timer};
+use crate::timer::{SHARED_STATE_CHECK_INTERVAL, STATUS_INTERVAL, Timer};
 use bellsill_core::interface::Outcome;
 use std::io;
 use std::time::Duration;
@@ -115,7 +115,7 @@
         let delivery = &mut self.delivery;
         match delivery.runtime.connections.get(id).map(|c| c.role) {
             Some(Role::Client) => {
-                client::ready_or_closing(delivery, id, self.shutdown.client_policy());
+                client::handle_ready_and_close_idle(delivery, id, self.shutdown.client_policy());
             }
             Some(Role::Endpoint(_)) => delivery.endpoint_ready(id),
             Some(Role::Watch) => delivery.watch_ready(id),
@@ -128,7 +128,9 @@
     fn connection_timed_out(&mut self, id: ConnectionId) {
         let delivery = &mut self.delivery;
         match delivery.runtime.connections.get(id).map(|c| c.role) {
-            Some(Role::Client) => client::timed_out(delivery, id, self.shutdown.client_policy()),
+            Some(Role::Client) => {
+                client::handle_timeout(delivery, id, self.shutdown.client_policy())
+            }
             Some(Role::Endpoint(_)) => delivery.runtime.endpoint_connection_timed_out(id),
             Some(Role::Watch) => delivery.watch_connection_timed_out(id),
             Some(Role::Notifications) => delivery.runtime.notification_timed_out(),
@@ -156,12 +158,12 @@
             }
             Timer::AdoptJournals => {
                 if delivery.adopt_journals() == Adoption::MoreLater {
-                    self.set_timer(Timer::AdoptJournals, NEIGHBOUR_CHECK_INTERVAL);
+                    self.set_timer(Timer::AdoptJournals, SHARED_STATE_CHECK_INTERVAL);
                 }
             }
             Timer::DisabledEndpoints => {
                 refresh_disabled(delivery, &mut self.disabled_file);
-                self.set_timer(Timer::DisabledEndpoints, NEIGHBOUR_CHECK_INTERVAL);
+                self.set_timer(Timer::DisabledEndpoints, SHARED_STATE_CHECK_INTERVAL);
             }
             Timer::StatusLog => {
                 log_status(&delivery.runtime);
@@ -218,9 +220,9 @@
                 AdminInput::Line(Ok(request)) => self.execute(request),
                 AdminInput::Line(Err(e)) => format!("FAILURE {e}\n"),
             };
-            admin::answer(&mut self.delivery.runtime, id, &text);
+            admin::queue_reply(&mut self.delivery.runtime, id, &text);
         }
-        admin::end_turn(&mut self.delivery.runtime, id, &read);
+        admin::flush_or_close(&mut self.delivery.runtime, id, &read);
     }
 
     /// Does what an operator asks for, and returns the answer.
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -112,7 +112,7 @@
             ShutdownPhase::ClosingClients => {
                 let policy = self.client_policy();
                 for id in delivery.runtime.connections.clients() {
-                    client::ready_or_closing(delivery, id, policy);
+                    client::handle_ready_and_close_idle(delivery, id, policy);
                 }
             }
             ShutdownPhase::FinishingAttempts => delivery.stop(),
@@ -161,10 +161,10 @@
         let policy = self.client_policy();
         for id in delivery.runtime.connections.clients() {
             // What has arrived is answered first, and a client without an answer still has its time for a request.
-            client::ready(delivery, id, policy);
+            client::handle_ready(delivery, id, policy);
             let runtime = &mut delivery.runtime;
-            if runtime.connections.get(id).is_some_and(|c| c.answered) {
-                client::close_if_done(runtime, id, policy);
+            if runtime.connections.get(id).is_some_and(|c| c.replied) {
+                client::close_if_idle(runtime, id, policy);
             }
         }
     }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -15,7 +15,7 @@
 use crate::signals::{SignalFlags, Signals};
 use crate::start::Start;
 use crate::start_retry;
-use crate::timer::{NEIGHBOUR_CHECK_INTERVAL, STATUS_INTERVAL, Timer};
+use crate::timer::{SHARED_STATE_CHECK_INTERVAL, STATUS_INTERVAL, Timer};
 use bellsill_core::interface::Settings;
 use bellsill_discovery_client::{ScopedList, ScopedOptions, Watch};
 use serde_json::Value;
@@ -112,7 +112,7 @@
         timers.set(Timer::SaveScope, now + SAVE_EVERY);
     }
     if adoption == Adoption::MoreLater {
-        timers.set(Timer::AdoptJournals, now + NEIGHBOUR_CHECK_INTERVAL);
+        timers.set(Timer::AdoptJournals, now + SHARED_STATE_CHECK_INTERVAL);
     }
 }
 
@@ -209,7 +209,7 @@
     log::info!("admin requests are served on {addr}");
     runtime.timers.set(
         Timer::DisabledEndpoints,
-        runtime.now + NEIGHBOUR_CHECK_INTERVAL,
+        runtime.now + SHARED_STATE_CHECK_INTERVAL,
     );
     Ok(())
 }
--- a/crates/daemon/src/timer.rs
+++ b/crates/daemon/src/timer.rs
@@ -5,7 +5,7 @@
 use bellsill_core::interface::Nanos;
 
 /// How often is looked for what another process that shares the state folder has left or changed there.
-pub(crate) const NEIGHBOUR_CHECK_INTERVAL: Nanos = 100_000_000;
+pub(crate) const SHARED_STATE_CHECK_INTERVAL: Nanos = 100_000_000;
 /// Between status lines.
 pub(crate) const STATUS_INTERVAL: Nanos = 10_000_000_000;
 
