--- a/crates/daemon/src/admin/commands.rs
+++ b/crates/daemon/src/admin/commands.rs
@@ -1,71 +1,71 @@
-//! What admin requests do.
+//! Execution of admin requests.
 
-use super::disabled::{DISABLED_FILE, DisabledFile, MAX_DISABLED, refresh_disabled, set};
+use super::disabled::{DISABLED_FILE, DisabledFile, MAX_DISABLED, refresh_disabled, update};
 use super::request::Request;
 use super::stats::show_stat;
 use crate::delivery::Delivery;
 use crate::scope::ScopeFile;
 
-/// What requests work on.
+/// The state that admin requests read and change.
 pub(crate) struct AdminContext<'a> {
     pub(crate) delivery: &'a mut Delivery,
     pub(crate) disabled_file: &'a mut DisabledFile,
     pub(crate) scope_file: Option<&'a ScopeFile>,
-    /// Whether clients are accepted.
+    /// Whether the dispatcher is ready: neither draining nor shutting down.
     pub(crate) ready: bool,
 }
 
-/// Whether clients are to go elsewhere.
+/// Whether an operator starts or stops draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DrainRequest {
-    /// From now on.
+    /// Start draining: clients are told to go elsewhere.
     Drain,
-    /// No longer.
+    /// Stop draining.
     Resume,
 }
 
-/// The answer to a request, and what else the caller is to do for it.
+/// The reply to a request, and the action that the caller has to take.
 #[must_use]
-pub(crate) struct Answer {
-    /// The answer, its line end included.
+pub(crate) struct Reply {
+    /// The text of the reply, final line feed included.
     pub(crate) text: String,
-    /// To be done before the next request.
+    /// The change of draining, to be applied before the next request.
     pub(crate) drain: Option<DrainRequest>,
 }
 
-impl From<String> for Answer {
-    fn from(text: String) -> Answer {
-        Answer { text, drain: None }
+impl From<String> for Reply {
+    fn from(text: String) -> Reply {
+        Reply { text, drain: None }
     }
 }
 
-impl From<&str> for Answer {
-    fn from(text: &str) -> Answer {
-        Answer::from(text.to_string())
+impl From<&str> for Reply {
+    fn from(text: &str) -> Reply {
+        Reply::from(text.to_string())
     }
 }
 
-/// Does what an operator asks for.
-pub(crate) fn execute(request: Request, context: AdminContext<'_>) -> Answer {
+/// Executes an admin request.
+pub(crate) fn execute(request: Request, context: AdminContext<'_>) -> Reply {
     match request {
         Request::Ready if context.ready => "SUCCESS ready\n".into(),
         Request::Ready => "FAILURE not ready: draining or leaving\n".into(),
         Request::ShowStat => show_stat(context.delivery, context.scope_file).into(),
-        Request::Drain => Answer {
+        Request::Drain => Reply {
             text: "SUCCESS draining\n".into(),
             drain: Some(DrainRequest::Drain),
         },
-        Request::Resume => Answer {
+        Request::Resume => Reply {
             text: "SUCCESS serving\n".into(),
             drain: Some(DrainRequest::Resume),
         },
-        Request::Disable(name) => switch(name, true, context).into(),
-        Request::Enable(name) => switch(name, false, context).into(),
+        Request::Disable(name) => set_disabled(name, true, context).into(),
+        Request::Enable(name) => set_disabled(name, false, context).into(),
     }
 }
 
-/// Disables or enables an endpoint.
-fn switch(name: String, disable: bool, context: AdminContext<'_>) -> String {
+/// Disables or enables an endpoint and returns the reply.
+fn set_disabled(name: String, disable: bool, context: AdminContext<'_>) -> String {
     let AdminContext {
         delivery,
         disabled_file,
@@ -74,10 +74,10 @@
     if delivery.runtime.endpoints().find(&name).is_none() {
         return format!("FAILURE unknown endpoint `{}`\n", name.escape_debug());
     }
-    // What another process that shares the state folder has written meanwhile is kept.
+    // Keeps the changes that another process sharing the state folder has written meanwhile.
     refresh_disabled(delivery, disabled_file);
     let mut disabled = delivery.disabled().clone();
-    let changed = set(&mut disabled, &name, disable);
+    let changed = update(&mut disabled, &name, disable);
     if disabled.len() > MAX_DISABLED {
         return format!("FAILURE {MAX_DISABLED} endpoints are out already\n");
     }
@@ -87,9 +87,11 @@
     );
     delivery.set_disabled(disabled);
     if changed {
-        disabled_file.note_change(name.clone(), disable);
+        disabled_file.record_change(name.clone(), disable);
         if let Err(e) = disabled_file.save(delivery.disabled()) {
-            log::error!("{DISABLED_FILE}: cannot be written, will retry: {e}");
+            log::error!(
+                "{DISABLED_FILE}: cannot write the list of disabled endpoints, will retry: {e}"
+            );
         }
     }
     format!(
--- a/crates/daemon/src/admin/connections.rs
+++ b/crates/daemon/src/admin/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of operators: reading requests and sending answers.
+//! Admin connections: reading requests and sending replies.
 
 use super::request::{MAX_LINE_BYTES, Request, RequestError, parse};
 use crate::connection::{ConnectionId, MAX_ADMIN_CONNECTIONS, Role};
@@ -7,33 +7,33 @@
 use bellsill_core::interface::Nanos;
 use std::io;
 
-/// Room for the answer to `show-stat`: a few lines a class.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// How long an operator may take to send a complete line, and to read its answer.
+/// Capacity of the buffers; holds the reply to `show-stat`, which has a few lines for each class.
+const MAX_REPLY_BYTES: usize = 64 * 1024;
+/// Timeout for sending a complete request line and for reading its reply.
 const REQUEST_TIMEOUT: Nanos = 2_000_000_000;
 
-/// The next line of an operator.
+/// The next line of an admin connection.
 #[must_use]
 pub(crate) enum AdminInput {
     /// The connection is closed.
     Closed,
-    /// No line is complete.
+    /// No complete line has arrived.
     Waiting,
-    /// A request, or what is wrong with the line.
+    /// A complete line: the request, or why it is invalid.
     Line(Result<Request, RequestError>),
 }
 
-/// Closes a connection.
+/// Closes an admin connection.
 pub(crate) fn close(runtime: &mut Runtime, id: ConnectionId) {
     runtime.timers.cancel(Timer::Connection(id));
     runtime.connections.close(id);
 }
 
-/// Accepts operators. With all their places taken, the connection that was used longest ago is closed: connections that
-/// send nothing would otherwise hold all places. A slow operator among many may be cut off.
+/// Accepts admin connections. At the limit, the least recently used one is closed: otherwise connections that send nothing
+/// would lock out all others. With many connections this may close that of a slow operator.
 pub(crate) fn accept(runtime: &mut Runtime) {
     for _ in 0..MAX_ADMIN_CONNECTIONS {
-        if runtime.connections.admin_full() {
+        if runtime.connections.admin_limit_reached() {
             let admins = runtime
                 .connections
                 .iter()
@@ -44,7 +44,7 @@
         }
         match runtime
             .connections
-            .accept_admin(MAX_LINE_BYTES.max(MAX_ANSWER_BYTES))
+            .accept_admin(MAX_LINE_BYTES.max(MAX_REPLY_BYTES))
         {
             Ok(Some(id)) => {
                 let now = runtime.now;
@@ -57,17 +57,17 @@
             }
             Ok(None) => return,
             Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
-            Err(e) => return log::warn!("an admin connection could not be accepted: {e}"),
+            Err(e) => return log::warn!("cannot accept an admin connection: {e}"),
         }
     }
 }
 
-/// Reads what an operator has sent.
+/// Reads the available input.
 pub(crate) fn read(runtime: &mut Runtime, id: ConnectionId) -> io::Result<()> {
     runtime.connections.read(id)
 }
 
-/// The next line of what has been read.
+/// Takes the next line out of the input that was read.
 pub(crate) fn next_request(runtime: &mut Runtime, id: ConnectionId) -> AdminInput {
     let Some(conn) = runtime.connections.get_mut(id) else {
         return AdminInput::Closed;
@@ -75,8 +75,8 @@
     let bytes = conn.input.make_contiguous();
     let Some(end) = bytes.iter().position(|&b| b == b'\n') else {
         if conn.input.len() >= MAX_LINE_BYTES {
-            let failure = format!("FAILURE {}\n", RequestError::TooLong);
-            conn.output.push(failure.as_bytes());
+            let reply = format!("FAILURE {}\n", RequestError::TooLong);
+            conn.output.push(reply.as_bytes());
             conn.close_after_output = true;
             conn.input.consume(conn.input.len());
         }
@@ -92,7 +92,7 @@
     AdminInput::Line(request)
 }
 
-/// Queues an answer.
+/// Queues a reply; if it does not fit into the output buffer, the connection is closed.
 pub(crate) fn queue_reply(runtime: &mut Runtime, id: ConnectionId, text: &str) {
     let now = runtime.now;
     if let Some(conn) = runtime.connections.get_mut(id) {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Sends the answers, and closes the connection if it is broken or done.
+/// Sends the queued replies, and closes the connection if it failed or is done; otherwise restarts its timeout.
 pub(crate) fn flush_or_close(runtime: &mut Runtime, id: ConnectionId, read: &io::Result<()>) {
     let Some(conn) = runtime.connections.get(id) else {
         return;
@@ -112,11 +112,11 @@
     if read.is_err() || runtime.connections.flush(id).is_err() || done {
         return close(runtime, id);
     }
-    let used = runtime
+    let last_active = runtime
         .connections
         .get(id)
         .map_or(runtime.now, |c| c.last_active);
     runtime
         .timers
-        .set(Timer::Connection(id), used + REQUEST_TIMEOUT);
+        .set(Timer::Connection(id), last_active + REQUEST_TIMEOUT);
 }
--- a/crates/daemon/src/admin/disabled.rs
+++ b/crates/daemon/src/admin/disabled.rs
@@ -1,4 +1,4 @@
-//! The endpoints that an operator has disabled, and the file in which they outlast the process.
+//! The endpoints that operators have disabled, and the file that preserves them across restarts.
 
 use super::request::{Request, parse};
 use crate::delivery::Delivery;
@@ -8,13 +8,13 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// The most endpoints that may be disabled at once, so that the file stays small.
+/// Maximum number of disabled endpoints, so that the file stays small.
 pub const MAX_DISABLED: usize = 1024;
-/// The file of the state folder that names them, one a line.
+/// The file in the state folder that lists the disabled endpoints, one id per line.
 pub(super) const DISABLED_FILE: &str = "held-out";
 
-/// Reads the names of disabled endpoints. Lines that are no name, and those beyond the most, are described in the second
-/// part and skipped.
+/// Parses a list of disabled endpoints. Invalid lines, and those beyond [`MAX_DISABLED`], are skipped; the second part of
+/// the result describes them.
 pub fn parse_disabled(text: &str) -> (BTreeSet<String>, Vec<String>) {
     let (mut disabled, mut errors) = (BTreeSet::new(), Vec::new());
     for (n, line) in text
@@ -36,8 +36,8 @@
     (disabled, errors)
 }
 
-/// The disabled endpoints by the file in the state folder; none if there is no file. Lines that cannot be read are logged
-/// and skipped.
+/// Loads the disabled endpoints from the file in the state folder; a missing file means that there are none. Invalid lines
+/// are logged and skipped.
 pub fn load_disabled(folder: &Path) -> io::Result<BTreeSet<String>> {
     let path = folder.join(DISABLED_FILE);
     let text = match std::fs::read(&path) {
@@ -47,30 +47,30 @@
     };
     let (disabled, errors) = parse_disabled(&text);
     for error in errors {
-        log::error!("{}: {error}, skipped", path.display());
+        log::error!("{}: skipped an invalid line: {error}", path.display());
     }
-    log::info!("{} endpoints are disabled", disabled.len());
+    log::info!("loaded {} disabled endpoints", disabled.len());
     Ok(disabled)
 }
 
-/// What differs between two versions of the file.
+/// Identifies a version of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileStamp {
     inode: u64,
     modified: SystemTime,
 }
 
-/// The file, which processes that share the state folder share too.
+/// The list of disabled endpoints on disk, shared by all processes that share the state folder.
 pub(crate) struct DisabledFile {
     folder: PathBuf,
-    /// Of the version read or written last; none if there was no file.
+    /// The version last read or written; `None` if there was no file.
     stamp: Option<FileStamp>,
-    /// Changes that are not written yet: whether the endpoint is disabled.
+    /// Changes not written yet: endpoint ids, and whether each endpoint is disabled.
     unsaved: BTreeMap<String, bool>,
 }
 
 impl DisabledFile {
-    /// The file in this folder, of which the present version has been loaded.
+    /// Opens the file in this folder, whose current version the caller has already loaded.
     pub(crate) fn new(folder: &Path) -> DisabledFile {
         DisabledFile {
             folder: folder.to_path_buf(),
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The disabled endpoints, if another process has written the file since it was read or written here. Changes that
-    /// are not written yet are applied.
+    /// Returns the disabled endpoints if another process has written the file since this process last read or wrote it.
+    /// Changes not written yet are applied to them.
     fn read_changes(&mut self) -> Option<BTreeSet<String>> {
         let stamp = stamp(&self.folder);
         if stamp == self.stamp {
@@ -90,20 +90,20 @@
             Ok(mut disabled) => {
                 self.stamp = stamp;
                 for (name, &is_disabled) in &self.unsaved {
-                    set(&mut disabled, name, is_disabled);
+                    update(&mut disabled, name, is_disabled);
                 }
                 Some(disabled)
             }
             Err(e) => {
-                log::error!("{DISABLED_FILE}: cannot be read: {e}");
+                log::error!("{DISABLED_FILE}: cannot read the list of disabled endpoints: {e}");
                 None
             }
         }
     }
 
-    /// Writes the file if a request has changed the list. The list is in force before, whatever becomes of the file:
-    /// the platform counts an endpoint as disabled a second after the request. A write that fails is tried again whenever
-    /// the file is looked at.
+    /// Writes the file if a request has changed the list. The change takes effect before the write and independently of
+    /// its success, since the platform expects an endpoint to be disabled one second after the request. A failed write is
+    /// retried by each [`refresh_disabled`].
     pub(super) fn save(&mut self, disabled: &BTreeSet<String>) -> io::Result<()> {
         if !self.unsaved.is_empty() {
             write(&self.folder, disabled)?;
@@ -113,24 +113,24 @@
         Ok(())
     }
 
-    /// A request has changed whether an endpoint is disabled.
-    pub(super) fn note_change(&mut self, name: String, disabled: bool) {
+    /// Records that a request has disabled or enabled an endpoint.
+    pub(super) fn record_change(&mut self, name: String, disabled: bool) {
         self.unsaved.insert(name, disabled);
     }
 }
 
-/// Takes over what another process that shares the state folder has written: a request reaches the old or the new version
-/// while both run, and applies to both.
+/// Applies the changes that another process sharing the state folder has written. During an upgrade the old and the new
+/// process run side by side, and a request that reaches one of them applies to both.
 pub(crate) fn refresh_disabled(delivery: &mut Delivery, file: &mut DisabledFile) {
     if let Some(disabled) = file.read_changes() {
         delivery.set_disabled(disabled);
     }
-    // The error was logged when the request came.
+    // The error was logged when the request was executed.
     file.save(delivery.disabled()).ok();
 }
 
-/// Disables or enables an endpoint, and returns whether that was a change.
-pub(super) fn set(disabled: &mut BTreeSet<String>, name: &str, is_disabled: bool) -> bool {
+/// Disables or enables an endpoint in the list, and returns whether the list changed.
+pub(super) fn update(disabled: &mut BTreeSet<String>, name: &str, is_disabled: bool) -> bool {
     if is_disabled {
         disabled.insert(name.to_string())
     } else {
@@ -146,7 +146,7 @@
     })
 }
 
-/// Writes a new file and renames it, so that a reader finds the old list or the new one.
+/// Replaces the file atomically: a reader finds either the old list or the new one.
 fn write(folder: &Path, disabled: &BTreeSet<String>) -> io::Result<()> {
     let next = folder.join(format!("{DISABLED_FILE}.{}", std::process::id()));
     let text: String = disabled.iter().map(|id| format!("{id}\n")).collect();
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,4 +1,5 @@
-//! Admin requests: one line in, one line out (`show-stat`: lines up to `EOT`), on a listener of their own.
+//! Admin requests, which operators send to a separate listener. Each request and each reply is one line, except that the
+//! reply to `show-stat` is several lines up to `EOT`.
 
 mod commands;
 mod connections;
--- a/crates/daemon/src/admin/request.rs
+++ b/crates/daemon/src/admin/request.rs
@@ -1,68 +1,68 @@
-//! The codec of admin requests.
+//! Parser of admin requests.
 
 use thiserror::Error;
 
-/// The longest endpoint id accepted.
+/// Maximum length of an endpoint id.
 pub const MAX_ENDPOINT_ID_BYTES: usize = 256;
-/// The longest request line, its end included.
+/// Maximum length of a request line, line feed included.
 pub(super) const MAX_LINE_BYTES: usize = 512;
 
-/// What an operator asks for.
+/// An admin request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Whether clients are accepted.
+    /// Reports whether the dispatcher is ready.
     Ready,
-    /// The metrics.
+    /// Reports the metrics.
     ShowStat,
-    /// To send nothing to the endpoint of this id.
+    /// Disables the endpoint with this id: nothing is sent to it.
     Disable(String),
-    /// To send to it again.
+    /// Enables the endpoint with this id again.
     Enable(String),
-    /// To have clients go elsewhere.
+    /// Starts draining: clients are told to go elsewhere.
     Drain,
-    /// To accept clients again.
+    /// Stops draining.
     Resume,
 }
 
-/// Why a line is not a request; the text goes into the `FAILURE` line.
+/// Why a line is not a valid request; the text is part of the `FAILURE` line.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// It is too long.
+    /// The line is too long.
     #[error("a call is {MAX_LINE_BYTES} bytes at most")]
     TooLong,
-    /// It is not text.
+    /// The line is not UTF-8.
     #[error("the call is not UTF-8")]
     NotUtf8,
-    /// It has no word.
+    /// The line is blank.
     #[error("an empty call")]
     Empty,
-    /// There is a word more than its command takes.
-    #[error("`{command}` takes no word `{}`", word.escape_debug())]
-    UnexpectedWord {
+    /// The command has an unexpected argument.
+    #[error("`{command}` takes no word `{}`", argument.escape_debug())]
+    UnexpectedArgument {
         /// The command.
         command: String,
-        /// The word.
-        word: String,
+        /// The argument.
+        argument: String,
     },
-    /// The command needs the id of an endpoint.
+    /// The endpoint id is missing.
     #[error("`{0}` needs an endpoint id")]
     MissingId(String),
-    /// The id of the endpoint is too long.
+    /// The endpoint id is too long.
     #[error("an endpoint id is {MAX_ENDPOINT_ID_BYTES} bytes at most")]
     IdTooLong,
-    /// There is no such command.
+    /// The command is unknown.
     #[error("unknown call `{}`", .0.escape_debug())]
     UnknownCommand(String),
 }
 
-/// Reads one request line, without its end.
+/// Parses a request line without its line end.
 pub fn parse(line: &[u8]) -> Result<Request, RequestError> {
     let text = std::str::from_utf8(line).or(Err(RequestError::NotUtf8))?;
     let mut words = text.split_ascii_whitespace();
     let name = words.next().ok_or(RequestError::Empty)?;
-    let unexpected = |word: &str| RequestError::UnexpectedWord {
+    let unexpected = |argument: &str| RequestError::UnexpectedArgument {
         command: name.to_string(),
-        word: word.to_string(),
+        argument: argument.to_string(),
     };
     let id = words.next();
     if let Some(extra) = words.next() {
--- a/crates/daemon/src/admin/stats.rs
+++ b/crates/daemon/src/admin/stats.rs
@@ -1,32 +1,32 @@
-//! The text of `show-stat`.
+//! The reply to `show-stat`.
 
 use crate::delivery::Delivery;
 use crate::metrics::Metrics;
 use crate::scope::ScopeFile;
 use bellsill_discovery_client::{Counters, ScopedList};
 
-/// What is shown beside the counters.
+/// Values reported besides the counters.
 pub struct Gauges {
-    /// Pending messages.
+    /// Number of pending messages.
     pub pending: usize,
-    /// Endpoints that take messages by their list.
+    /// Number of endpoints that accept messages according to the configuration.
     pub members: usize,
-    /// Endpoints that the decisions send nothing to for now.
+    /// Number of endpoints that currently receive no messages, such as disabled ones.
     pub unavailable: usize,
 }
 
-/// The answer to `show-stat` without the scoped configuration, `EOT` its last line.
+/// Renders the reply to `show-stat` without the scoped configuration; `EOT` is its last line.
 pub fn render(metrics: &Metrics, classes: &[String], gauges: &Gauges) -> String {
     let mut text = String::from("SUCCESS\n");
     for (c, name) in classes.iter().enumerate() {
         let ends = metrics.ends(c);
-        for (word, count) in [
+        for (end, count) in [
             ("completed", ends.completed),
             ("rejected", ends.rejected),
             ("failed", ends.failed),
         ] {
             text.push_str(&format!(
-                "dispatcher.downstream_requests.{name}.{word}={count}\n"
+                "dispatcher.downstream_requests.{name}.{end}={count}\n"
             ));
         }
     }
@@ -45,7 +45,7 @@
     text
 }
 
-/// The answer to `show-stat`.
+/// Renders the complete reply to `show-stat`.
 pub(super) fn show_stat(delivery: &Delivery, scope_file: Option<&ScopeFile>) -> String {
     let runtime = &delivery.runtime;
     let gauges = Gauges {
@@ -61,8 +61,8 @@
     text.replace("EOT\n", &format!("{lines}EOT\n"))
 }
 
-/// The lines on the scoped configuration.
-fn scope_lines(list: &ScopedList, calls: Counters, file: &ScopeFile) -> String {
+/// Renders the metrics of the scoped configuration.
+fn scope_lines(list: &ScopedList, discovery: Counters, file: &ScopeFile) -> String {
     let (counters, unsaved) = (list.counters(), file.lacks(list));
     let file = file.counters;
     let lines = [
@@ -76,11 +76,11 @@
         ("stale_entries", counters.stale_entries),
         ("duplicate_entries", counters.duplicate_entries),
         ("refused_lines", counters.rejected_lines),
-        ("watches", calls.calls),
-        ("broken_watches", calls.broken),
-        ("refused_watches", calls.rejected),
-        ("lookups", calls.lookups),
-        ("failed_lookups", calls.failed_lookups),
+        ("watches", discovery.calls),
+        ("broken_watches", discovery.broken),
+        ("refused_watches", discovery.rejected),
+        ("lookups", discovery.lookups),
+        ("failed_lookups", discovery.failed_lookups),
         ("unsaved", u64::from(unsaved)),
         ("refused_files", file.refused),
         ("saved_files", file.saved),
--- a/crates/daemon/src/client/accept.rs
+++ b/crates/daemon/src/client/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, and making room for them.
+//! Accepts client connections and evicts existing ones at the connection limit.
 
 use super::closing::{REQUEST_TIMEOUT, close};
 use super::resp::MAX_COMMAND_BYTES;
@@ -9,44 +9,44 @@
 use bellsill_core::interface::Nanos;
 use std::io;
 
-/// How long no client is accepted when there is no room for one.
+/// Pause in accepting clients at the connection limit or after a failed `accept`.
 const ACCEPT_BACKOFF: Nanos = 50_000_000;
-/// The most clients accepted before other events are handled.
-const ACCEPTS_PER_TURN: usize = 32;
-/// At the limit, clients that have sent nothing for this long are closed for new ones.
+/// Maximum number of clients accepted before other events are handled.
+const MAX_ACCEPTS_PER_EVENT: usize = 32;
+/// At the limit, a client that never sent anything may be evicted after this time.
 const SILENT_EVICTION_AGE: Nanos = 250_000_000;
-/// After those, clients whose last request, or part of one, is this long ago.
+/// At the limit, any other client may be evicted once it has sent nothing for this long.
 const IDLE_EVICTION_AGE: Nanos = 500_000_000;
 
-/// Whether more clients may wait to be accepted.
+/// Whether more clients may be waiting in the accept queue.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptStatus {
-    /// The turn was over first.
+    /// [`MAX_ACCEPTS_PER_EVENT`] was reached first.
     MoreMayWait,
-    /// None waits, or none can be accepted now.
+    /// The queue is empty, or no client can be accepted now.
     Done,
 }
 
-/// There is no room for one more client.
+/// The connection limit is reached and no connection may be evicted.
 struct AtLimit;
 
-/// Accepts clients.
+/// Accepts client connections.
 #[derive(Default)]
 pub(crate) struct Clients {
-    /// There was no room for the last client; logged once until there is.
+    /// Whether the limit was already logged; reset by the next client that is accepted.
     at_limit: bool,
 }
 
 impl Clients {
-    /// Accepts clients as long as there are descriptors for them. At the limit new ones wait in the kernel's queue for a
-    /// while, so that those connected are served.
+    /// Accepts clients while the limits allow it. At the limit, new clients stay in the kernel's accept queue for
+    /// [`ACCEPT_BACKOFF`], and connected clients are served meanwhile.
     pub(crate) fn accept(&mut self, runtime: &mut Runtime) -> AcceptStatus {
-        for _ in 0..ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_EVENT {
             if make_room(runtime).is_err() {
                 if !std::mem::replace(&mut self.at_limit, true) {
                     log::warn!(
-                        "client limit reached, {} connections are open",
+                        "client connection limit reached with {} open connections; accepting is paused",
                         runtime.connections.len()
                     );
                 }
@@ -56,13 +56,13 @@
             match runtime.connections.accept_client(MAX_COMMAND_BYTES) {
                 Ok(Some(id)) => {
                     self.at_limit = false;
-                    welcome(runtime, id);
+                    start_session(runtime, id);
                 }
                 Ok(None) => {
                     arm_listener(runtime, Ok(()));
                     return AcceptStatus::Done;
                 }
-                // The client has closed its connection while it waited.
+                // The client closed the connection while it was queued.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) => {
                     arm_listener(runtime, Err(e));
@@ -75,7 +75,7 @@
     }
 }
 
-fn welcome(runtime: &mut Runtime, id: ConnectionId) {
+fn start_session(runtime: &mut Runtime, id: ConnectionId) {
     let now = runtime.now;
     if let Some(conn) = runtime.connections.get_mut(id) {
         (conn.last_active, conn.last_received) = (now, now);
@@ -91,27 +91,30 @@
         .set(Timer::AcceptClients, runtime.now + ACCEPT_BACKOFF);
 }
 
-/// Has the poller watch the listener again, unless accepting failed.
+/// Re-arms the listener in the poller; if that or the last `accept` failed, accepting resumes after [`ACCEPT_BACKOFF`].
 fn arm_listener(runtime: &mut Runtime, accepted: io::Result<()>) {
     if let Err(e) = accepted.and_then(|()| runtime.connections.arm_listener()) {
-        log::warn!("a client connection could not be accepted: {e}");
+        log::warn!("cannot accept a client connection: {e}");
         back_off(runtime);
     }
 }
 
-/// Makes room for one more client. Idle connections to endpoints are closed for it, and at the clients' limit the least
-/// needed client: hundreds that are silent, or that ask once and stay, would otherwise lock out all others. A client
-/// closed just before its next request sends it again, as always when its connection is closed between requests. One
-/// whose request has arrived is served instead, since its message would be lost.
+/// Frees a connection for a new client. At the client limit a client is evicted: otherwise hundreds of clients that send
+/// nothing, or that stay connected after one request, would lock out all others. At the limit on all connections an
+/// idle connection to an endpoint is closed.
+///
+/// A client that is evicted just before its next request repeats the request elsewhere, as it does whenever its
+/// connection is closed between requests. A client whose request has already arrived is served instead of evicted, since
+/// its message would be lost.
 fn make_room(runtime: &mut Runtime) -> Result<(), AtLimit> {
-    while runtime.connections.clients_full() {
+    while runtime.connections.client_limit_reached() {
         let now = runtime.now;
-        let least_needed = runtime.connections.least_needed_client(
+        let candidate = runtime.connections.eviction_candidate(
             now.saturating_sub(SILENT_EVICTION_AGE),
             now.saturating_sub(IDLE_EVICTION_AGE),
         );
-        let id = least_needed.ok_or(AtLimit)?;
-        // A lingering client has had its last answer, long enough ago to have read it.
+        let id = candidate.ok_or(AtLimit)?;
+        // A lingering client has had enough time to read its last reply.
         let lingering = runtime.connections.get(id).is_some_and(|c| c.lingering);
         if !lingering && matches!(read(runtime, id), Ok(Input::Received)) {
             runtime.timers.set(Timer::ReadClient(id), now);
--- a/crates/daemon/src/client/closing.rs
+++ b/crates/daemon/src/client/closing.rs
@@ -1,4 +1,4 @@
-//! The end of a client's connection, and the time limits that lead to it.
+//! Closing of client connections, and their timeouts.
 
 use super::policy::ClientPolicy;
 use crate::connection::{Connection, ConnectionId};
@@ -7,44 +7,41 @@
 use bellsill_core::interface::Nanos;
 use std::io;
 
-/// How long a client may take to its first command, from a command's first byte to its last, and to read an answer.
+/// Timeout for a client's first command, for the rest of a command that has begun, and for reading a reply.
 pub(super) const REQUEST_TIMEOUT: Nanos = 2_600_000_000;
-/// How long a client may stay without a request.
+/// How long a client may stay connected between requests.
 pub(super) const IDLE_TIMEOUT: Nanos = 8_000_000_000;
-/// How long a client may take to end its side after its last answer.
+/// How long a client may take to close its side after its last reply.
 pub(super) const LINGER_TIMEOUT: Nanos = 2_000_000_000;
 
-/// Closes a client's connection.
+/// Closes a client's connection at once.
 pub(super) fn close(runtime: &mut Runtime, id: ConnectionId) {
     runtime.timers.cancel(Timer::Connection(id));
     runtime.timers.cancel(Timer::ReadClient(id));
     runtime.connections.close(id);
 }
 
-/// Shuts down the sending side; what still arrives is read and discarded until the client ends its side too, or for a
-/// while. Closed with unread bytes, the connection would be reset, and answers that the client has not read would be lost
-/// with it. A request that crosses the end is not accepted; the client sends it again elsewhere. The place is occupied
-/// for as long as that takes.
+/// Shuts down the sending side, then reads and discards input until the client closes its side too, or until
+/// [`LINGER_TIMEOUT`]. Closing a socket with unread input would reset the connection, and the client could lose replies
+/// that it has not read yet. A request that crosses the shutdown is discarded; the client repeats it elsewhere. The
+/// connection counts towards the limits until it is closed.
 ///
-/// A client that has had no answer yet has none to lose and is closed: its first request is not read then, where read and
-/// discarded it would be lost.
+/// A client without a reply has none to lose and is closed at once: its first request stays unread, whereas it would be
+/// lost if it were read and discarded.
 pub(super) fn close_gracefully(runtime: &mut Runtime, id: ConnectionId) {
     runtime.timers.cancel(Timer::ReadClient(id));
     let lingers = |c: &Connection| {
-        (c.replied || c.protocol_errors > 0)
-            && !c.lingering
-            && !c.peer_closed
-            && c.output.is_empty()
+        (c.replied || c.error_replies > 0) && !c.lingering && !c.peer_closed && c.output.is_empty()
     };
     if runtime.connections.get(id).is_some_and(lingers) && linger(runtime, id).is_ok() {
-        // What has arrived already is discarded in the next turn.
+        // Input that has already arrived is discarded when this timer expires.
         runtime.timers.set(Timer::ReadClient(id), runtime.now);
     } else {
         close(runtime, id);
     }
 }
 
-/// Shuts down the sending side of a client's connection for [`LINGER_TIMEOUT`].
+/// Shuts down the sending side of a client's connection, which is closed after [`LINGER_TIMEOUT`] at the latest.
 pub(super) fn linger(runtime: &mut Runtime, id: ConnectionId) -> io::Result<()> {
     runtime.connections.shutdown_write(id)?;
     runtime.connections.arm(id)?;
@@ -54,10 +51,10 @@
     Ok(())
 }
 
-/// Closes a client that is between requests, if the policy says so.
+/// Closes a client that is between requests, if the policy demands it.
 pub(crate) fn close_if_idle(runtime: &mut Runtime, id: ConnectionId, policy: ClientPolicy) {
-    let done = |c: &Connection| c.is_idle() && !c.lingering;
-    if policy.close_idle && runtime.connections.get(id).is_some_and(done) {
+    let idle = |c: &Connection| c.is_idle() && !c.lingering;
+    if policy.close_idle && runtime.connections.get(id).is_some_and(idle) {
         close_gracefully(runtime, id);
     }
 }
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of clients: PING, QUIT and MSG.PUT.
+//! Executes the commands of clients: PING, QUIT and MSG.PUT.
 
 use super::closing::{IDLE_TIMEOUT, REQUEST_TIMEOUT, linger};
 use super::policy::ClientPolicy;
@@ -10,84 +10,85 @@
 use crate::timer::Timer;
 use bellsill_core::interface::{MessageId, Nanos};
 
-/// The most commands of one client answered before other events are handled.
-const COMMANDS_PER_TURN: usize = 64;
-/// The longest text that PING returns.
+/// Maximum number of commands of one client executed before other events are handled.
+const MAX_COMMANDS_PER_EVENT: usize = 64;
+/// Maximum length of the argument that PING returns.
 const MAX_PING_BYTES: usize = 1024;
-/// After this many errors a client is closed.
-const MAX_PROTOCOL_ERRORS: u32 = 16;
-/// With less room for answers than this, input waits until the client has read some.
-const MIN_ANSWER_ROOM: usize = MAX_COMMAND_BYTES / 2;
+/// A client is closed after this many error replies.
+const MAX_ERROR_REPLIES: u32 = 16;
+/// No command is executed while the output buffer has less free space than this; the client has to read replies first.
+const MIN_REPLY_CAPACITY: usize = MAX_COMMAND_BYTES / 2;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// The connection is to be closed.
+/// The connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SessionEnded;
 
-/// A message that a client hands in.
+/// A message that a client submits.
 struct NewMessage {
     put: PutCommand,
     body: Vec<u8>,
 }
 
-/// What came of the next command.
-enum Step {
-    /// None is complete, or none can be answered now.
-    Wait,
-    /// It is answered.
-    Answered,
-    /// It is answered once the message is accepted or rejected.
+/// The state of the next command in the input.
+enum NextCommand {
+    /// No command is complete, or none can be executed now.
+    Unavailable,
+    /// It was executed, and its reply is queued.
+    Executed,
+    /// The reply is sent once the message is accepted or rejected.
     Put(NewMessage),
 }
 
-/// The answer to a command.
+/// The reply to a command.
 enum Reply {
     Text(String),
-    /// The last answer before the connection is closed.
+    /// The last reply before the connection is closed.
     Last(&'static str),
     Put(NewMessage),
 }
 
-/// Answers the commands that have arrived completely.
-pub(super) fn answer_commands(
+/// Executes the commands that have arrived completely, up to [`MAX_COMMANDS_PER_EVENT`].
+pub(super) fn execute_commands(
     delivery: &mut Delivery,
     id: ConnectionId,
     policy: ClientPolicy,
 ) -> Result<(), SessionEnded> {
     let now = delivery.runtime.now;
-    let mut left = COMMANDS_PER_TURN;
+    let mut left = MAX_COMMANDS_PER_EVENT;
     loop {
         let Some(conn) = delivery.runtime.connections.get_mut(id) else {
             return Ok(());
         };
         if left == 0 {
-            // The rest waits until all others have had their turn.
+            // The other commands wait until pending events of other connections are handled.
             delivery.runtime.timers.set(Timer::ReadClient(id), now + 1);
             break;
         }
         left -= 1;
         match next_command(conn, now, policy) {
-            Step::Wait => break,
-            Step::Answered => {}
-            Step::Put(new) => put_message(delivery, id, new),
+            NextCommand::Unavailable => break,
+            NextCommand::Executed => {}
+            NextCommand::Put(new) => put_message(delivery, id, new),
         }
         if let Some(conn) = delivery
             .runtime
             .connections
             .get_mut(id)
-            .filter(|c| c.protocol_errors >= MAX_PROTOCOL_ERRORS)
+            .filter(|c| c.error_replies >= MAX_ERROR_REPLIES)
         {
             conn.close_after_output = true;
         }
     }
-    end_turn(&mut delivery.runtime, id, left == 0)
+    flush_or_close(&mut delivery.runtime, id, left == 0)
 }
 
-/// Sends the answers, and closes the connection if it is to be closed and has had its turn.
-fn end_turn(
+/// Sends the queued replies. Closes the connection if that is due, unless output is left or commands may be left
+/// (`limit_reached`); otherwise restarts its timeout.
+fn flush_or_close(
     runtime: &mut Runtime,
     id: ConnectionId,
-    turn_used_up: bool,
+    limit_reached: bool,
 ) -> Result<(), SessionEnded> {
     if runtime.connections.flush(id).is_err() {
         return Err(SessionEnded);
@@ -95,101 +96,103 @@
     let Some(conn) = runtime.connections.get(id) else {
         return Ok(());
     };
-    let ends = conn.close_after_output || conn.peer_closed;
-    if !conn.output.is_empty() || turn_used_up || !ends {
-        let limit = if conn.replied && conn.is_idle() {
+    let closing = conn.close_after_output || conn.peer_closed;
+    if !conn.output.is_empty() || limit_reached || !closing {
+        let timeout = if conn.replied && conn.is_idle() {
             IDLE_TIMEOUT
         } else {
             REQUEST_TIMEOUT
         };
-        let at = conn.last_active + limit;
+        let at = conn.last_active + timeout;
         runtime.timers.set(Timer::Connection(id), at);
         return Ok(());
     }
-    // Closed with unread input, a connection is reset, and the last answer may be lost.
+    // Closing a socket with unread input resets the connection, and the client may lose the last reply.
     if !conn.peer_closed && linger(runtime, id).is_ok() {
         return Ok(());
     }
     Err(SessionEnded)
 }
 
-/// Answers the next command of the input, if it is complete.
-fn next_command(conn: &mut Connection, now: Nanos, policy: ClientPolicy) -> Step {
+/// Executes the next command of the input, if it is complete; `MSG.PUT` is only parsed.
+fn next_command(conn: &mut Connection, now: Nanos, policy: ClientPolicy) -> NextCommand {
     if conn.close_after_output
         || conn.input.is_empty()
-        || conn.output.remaining_capacity() < MIN_ANSWER_ROOM
+        || conn.output.remaining_capacity() < MIN_REPLY_CAPACITY
     {
-        return Step::Wait;
+        return NextCommand::Unavailable;
     }
     let full = conn.input.remaining_capacity() == 0;
     let bytes = conn.input.make_contiguous();
-    let (words, taken) = match resp::command(bytes) {
+    let (arguments, consumed) = match resp::parse_command(bytes) {
         Ok(Some(command)) => command,
-        Ok(None) if !full => return Step::Wait,
-        bad => {
-            let why = bad.err().map_or("a command is too long", |bad| bad.0);
+        Ok(None) if !full => return NextCommand::Unavailable,
+        invalid => {
+            let reason = invalid.err().map_or("a command is too long", |e| e.0);
             conn.output
-                .push(format!("-ERR Protocol error: {why}\r\n").as_bytes());
+                .push(format!("-ERR Protocol error: {reason}\r\n").as_bytes());
             conn.close_after_output = true;
-            return Step::Wait;
+            return NextCommand::Unavailable;
         }
     };
-    let words: Vec<&[u8]> = words.into_iter().map(|range| &bytes[range]).collect();
-    let reply = reply_to(&words, policy);
-    conn.input.consume(taken);
+    let arguments: Vec<&[u8]> = arguments.into_iter().map(|range| &bytes[range]).collect();
+    let reply = reply_to(&arguments, policy);
+    conn.input.consume(consumed);
     match reply {
-        Reply::Text(text) => conn.queue_answer(&text, now),
+        Reply::Text(text) => conn.queue_reply(&text, now),
         Reply::Last(text) => {
-            conn.queue_answer(text, now);
+            conn.queue_reply(text, now);
             conn.close_after_output = true;
         }
-        Reply::Put(new) => return Step::Put(new),
+        Reply::Put(new) => return NextCommand::Put(new),
     }
-    Step::Answered
+    NextCommand::Executed
 }
 
-fn reply_to(words: &[&[u8]], policy: ClientPolicy) -> Reply {
-    let name = words
+fn reply_to(arguments: &[&[u8]], policy: ClientPolicy) -> Reply {
+    let name = arguments
         .first()
         .map(|name| name.to_ascii_uppercase())
         .unwrap_or_default();
-    Reply::Text(match (name.as_slice(), words.len()) {
+    Reply::Text(match (name.as_slice(), arguments.len()) {
         (b"", _) => String::new(),
         (b"PING", _) if !policy.ready => "-ERR draining\r\n".into(),
         (b"PING", 1) => "+PONG\r\n".into(),
-        (b"PING", 2) if words[1].len() > MAX_PING_BYTES => "-ERR the text is too long\r\n".into(),
+        (b"PING", 2) if arguments[1].len() > MAX_PING_BYTES => {
+            "-ERR the text is too long\r\n".into()
+        }
         (b"PING", 2) => {
-            let text = String::from_utf8_lossy(words[1]);
+            let text = String::from_utf8_lossy(arguments[1]);
             format!("${}\r\n{text}\r\n", text.len())
         }
         (b"QUIT", _) => return Reply::Last("+OK\r\n"),
-        (b"MSG.PUT", _) => match resp::put(words) {
+        (b"MSG.PUT", _) => match resp::parse_put(arguments) {
             Ok(put) => {
-                let body = words[4].to_vec();
+                let body = arguments[4].to_vec();
                 return Reply::Put(NewMessage { put, body });
             }
-            Err(why) => format!("-ERR {why}\r\n"),
+            Err(e) => format!("-ERR {e}\r\n"),
         },
         _ => format!("-ERR unknown command '{}'\r\n", name.escape_ascii()),
     })
 }
 
-/// Queues an answer and sends it at once, since the client waits for it only for a short while.
-fn answer(runtime: &mut Runtime, id: ConnectionId, text: &str) {
+/// Queues a reply and sends it at once, since the client waits for it only briefly.
+fn send_reply(runtime: &mut Runtime, id: ConnectionId, text: &str) {
     let now = runtime.now;
     if let Some(conn) = runtime.connections.get_mut(id) {
-        conn.queue_answer(text, now);
+        conn.queue_reply(text, now);
     }
-    // An error shows again at the end of the client's turn.
+    // `flush_or_close` flushes again and then reports the error.
     runtime.connections.flush(id).ok();
 }
 
-/// A client hands in a message.
+/// Submits a client's message for delivery and replies whether it was accepted.
 fn put_message(delivery: &mut Delivery, id: ConnectionId, new: NewMessage) {
-    // A client that has ended its side may have given up and handed the message in elsewhere: accepted here too, it would
-    // be sent twice. This happens when the process was suspended. A client that ends its side early and still listens
-    // gets a needless -BUSY.
-    let listens = delivery
+    // A client that has closed its side may have timed out and submitted the message elsewhere, as happens while this
+    // process is suspended; accepted here too, the message would be delivered twice. A client that only shuts down its
+    // sending side early gets an unnecessary -BUSY.
+    let peer_open = delivery
         .runtime
         .connections
         .get(id)
@@ -209,7 +212,7 @@
         body,
         attempts: vec![],
     };
-    let admission = match listens {
+    let admission = match peer_open {
         true => delivery.admit(message),
         false => Err(Rejection::NoCapacity),
     };
@@ -226,7 +229,7 @@
             "-BUSY\r\n"
         }
     };
-    answer(&mut delivery.runtime, id, text);
+    send_reply(&mut delivery.runtime, id, text);
     if let Ok(Admission::New(message)) = admission {
         delivery.decide(&[message]);
     }
--- a/crates/daemon/src/client/mod.rs
+++ b/crates/daemon/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients: commands in, in order, an answer to each.
+//! Client connections: each command is answered, in the order of arrival.
 
 mod accept;
 mod closing;
@@ -12,5 +12,5 @@
 pub(crate) use policy::ClientPolicy;
 pub(crate) use session::{handle_ready, handle_ready_and_close_idle, handle_timeout};
 
-/// The most memory that the buffers of a client take.
+/// Upper bound of the memory for the buffers of one client.
 pub(crate) const CLIENT_BUFFER_BYTES: usize = resp::MAX_COMMAND_BYTES + 8 * 1024;
--- a/crates/daemon/src/client/policy.rs
+++ b/crates/daemon/src/client/policy.rs
@@ -1,10 +1,10 @@
-//! How clients are treated.
+//! The policy for client connections.
 
-/// How clients are treated, as the phase of the shutdown and the operator have it.
+/// The policy for client connections; depends on the shutdown phase and on whether an operator drains the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientPolicy {
-    /// `PING` is answered with `PONG`, else with an error.
+    /// Whether `PING` is answered with `PONG` rather than with an error.
     pub(crate) ready: bool,
-    /// Clients between requests are closed; they send their next request elsewhere.
+    /// Whether clients between requests are closed, so that they send their next request elsewhere.
     pub(crate) close_idle: bool,
 }
--- a/crates/daemon/src/connection/occupancy.rs
+++ b/crates/daemon/src/connection/capacity.rs
@@ -1,4 +1,4 @@
-//! Whether connections are left, and which client is closed first when none is.
+//! Connection limits, and the choice of the client to evict at the limit.
 
 use super::id::ConnectionId;
 use super::limits::MAX_ADMIN_CONNECTIONS;
@@ -8,31 +8,29 @@
 use bellsill_core::interface::Nanos;
 
 impl ConnectionTable {
-    /// Whether clients hold all connections that they may.
-    pub(crate) fn clients_full(&self) -> bool {
-        self.clients >= self.limits.clients
+    /// Whether the limit on client connections is reached.
+    pub(crate) fn client_limit_reached(&self) -> bool {
+        self.client_count >= self.limits.clients
     }
 
-    /// Whether any client is connected.
     pub(crate) fn has_clients(&self) -> bool {
-        self.clients > 0
+        self.client_count > 0
     }
 
-    /// Whether all descriptors are taken but those of operators.
+    /// Whether the limit on connections, admin connections excluded, is reached.
     pub(crate) fn is_full(&self) -> bool {
-        self.len() - self.admins >= self.limits.connections
+        self.len() - self.admin_count >= self.limits.connections
     }
 
-    /// Whether operators hold all connections that they may.
-    pub(crate) fn admin_full(&self) -> bool {
-        self.admins >= MAX_ADMIN_CONNECTIONS
+    /// Whether the limit on admin connections is reached.
+    pub(crate) fn admin_limit_reached(&self) -> bool {
+        self.admin_count >= MAX_ADMIN_CONNECTIONS
     }
 
-    /// The client to close when another one needs its place: first one that lingers after its last answer, then one that
-    /// never sent anything, then one between requests, then one in the middle of a request; of equals the one that has
-    /// been silent longest. `silent_since` and `idle_since` are the times since when the second kind, and the last two,
-    /// must have sent nothing.
-    pub(crate) fn least_needed_client(
+    /// The client to evict for a new one. In order of preference: a client that lingers after its last reply, one that
+    /// connected before `silent_since` and never sent anything, one between requests, and one in the middle of a request,
+    /// the last two only if they have sent nothing since `idle_since`. Among equals, the one that has been silent longest.
+    pub(crate) fn eviction_candidate(
         &self,
         silent_since: Nanos,
         idle_since: Nanos,
--- a/crates/daemon/src/connection/id.rs
+++ b/crates/daemon/src/connection/id.rs
@@ -1,8 +1,8 @@
-//! The ids of connections.
+//! Connection ids.
 
 use crate::slot_table::SlotId;
 
-/// The number of a connection; a later connection never has the same one.
+/// Identifies a connection; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId(u64);
 
--- a/crates/daemon/src/connection/limits.rs
+++ b/crates/daemon/src/connection/limits.rs
@@ -1,24 +1,25 @@
-//! How the process's descriptors are divided.
+//! Division of the process's file descriptors.
 
-/// Descriptors of the process that are not connections: standard streams, listener, poller, signals, journal.
+/// Descriptors reserved for what is not a connection: standard streams, listener, poller, signals, journal.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// A process can work with no fewer connections than this, whatever the limit says.
+/// Lower bound of the connection limit, whatever the descriptor limit; the process cannot work with fewer.
 const MIN_CONNECTIONS: usize = 8;
-/// Operators have this many descriptors of their own, so that they are answered in a crowd of clients.
+/// Maximum number of admin connections. Their descriptors are reserved, so that operators are served even when clients
+/// have reached their limit.
 pub(crate) const MAX_ADMIN_CONNECTIONS: usize = 8;
 
-/// The most connections that may be open.
+/// Maximum numbers of open connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionLimits {
-    /// All but those of operators.
+    /// All connections except admin connections.
     pub(super) connections: usize,
-    /// Of these, the most that clients may hold.
+    /// Client connections, which are among `connections`.
     pub(super) clients: usize,
 }
 
 impl ConnectionLimits {
-    /// From the limit on descriptors, of which `reserved` are kept from clients, and from how many clients' buffers the
-    /// memory has place for.
+    /// Computes the limits from the descriptor limit, of which `reserved` are not available to clients, and from the
+    /// number of clients whose buffers fit into memory.
     pub(crate) fn new(descriptors: usize, reserved: usize, clients_by_memory: usize) -> Self {
         let connections = descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Sets the descriptors of operators aside.
+    /// Reserves the descriptors of admin connections.
     pub(super) fn reserve_for_admin(&mut self) {
         self.connections = self
             .connections
--- a/crates/daemon/src/connection/listeners.rs
+++ b/crates/daemon/src/connection/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners for clients and for operators, and the pipe on which signals arrive.
+//! The client and admin listeners, and the pipe that reports signals.
 
 use super::id::ConnectionId;
 use super::role::Role;
@@ -9,11 +9,11 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// A read of the signals' pipe takes this much.
+/// Size of the buffer for reads from the signal pipe.
 const SIGNAL_BUFFER_BYTES: usize = 64;
 
 impl ConnectionTable {
-    /// The next client that waits to be accepted; `bound` is that of both buffers.
+    /// Accepts the next waiting client, if any; `bound` limits its input and its output buffer.
     pub(crate) fn accept_client(&mut self, bound: usize) -> io::Result<Option<ConnectionId>> {
         let Some(listener) = &self.listener else {
             return Ok(None);
@@ -34,14 +34,15 @@
                     input: bound,
                     output: bound,
                 };
-                self.insert(stream, role, bounds, Handshake::Over).map(Some)
+                self.insert(stream, role, bounds, Handshake::Complete)
+                    .map(Some)
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
             Err(e) => Err(e),
         }
     }
 
-    /// Listens for operators too.
+    /// Adds the admin listener.
     pub(crate) fn listen_admin(&mut self, listener: TcpListener) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         add(&self.poller, &listener, Event::readable(ADMIN_LISTENER))?;
@@ -50,7 +51,8 @@
         Ok(())
     }
 
-    /// The next operator that waits to be accepted; `bound` is that of both buffers. The listener is armed again.
+    /// Accepts the next waiting admin connection, if any, and re-arms the listener; `bound` limits its input and its output
+    /// buffer.
     pub(crate) fn accept_admin(&mut self, bound: usize) -> io::Result<Option<ConnectionId>> {
         let Some(listener) = &self.admin_listener else {
             return Ok(None);
@@ -61,22 +63,22 @@
         self.insert_accepted(accepted, Role::Admin, bound)
     }
 
-    /// Has the poller watch the clients' listener again.
+    /// Re-arms the client listener in the poller.
     pub(crate) fn arm_listener(&self) -> io::Result<()> {
         self.listener.as_ref().map_or(Ok(()), |l| {
             self.poller.modify(l, Event::readable(CLIENT_LISTENER))
         })
     }
 
-    /// Closes the clients' listener.
+    /// Closes the client listener.
     pub(crate) fn close_listener(&mut self) {
         if let Some(listener) = self.listener.take() {
-            // It is closed all the same, and the kernel removes it then.
+            // Ignored: the kernel removes the descriptor from the poller when it is closed.
             self.poller.delete(&listener).ok();
         }
     }
 
-    /// Empties the pipe of signals and arms it again.
+    /// Drains the signal pipe and re-arms it.
     pub(crate) fn drain_signals(&mut self) -> io::Result<()> {
         let mut ring = RingBuffer::new(SIGNAL_BUFFER_BYTES);
         ring.read_from(&mut self.signals)?;
--- a/crates/daemon/src/connection/mod.rs
+++ b/crates/daemon/src/connection/mod.rs
@@ -1,9 +1,10 @@
-//! The sockets: the table of connections, the listeners and the poller. Nothing here knows what is said on a connection.
+//! Sockets: the connection table, the listeners and the poller. This module is independent of the protocols spoken.
 
+mod capacity;
 mod id;
 mod limits;
 mod listeners;
-mod occupancy;
+
 mod role;
 mod socket;
 mod table;
--- a/crates/daemon/src/connection/role.rs
+++ b/crates/daemon/src/connection/role.rs
@@ -1,17 +1,17 @@
-//! Who is at the other end of a connection.
+//! The role of a connection's peer.
 
 use bellsill_core::interface::EndpointId;
 
-/// Who is at the other end of a connection.
+/// The role of a connection's peer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Role {
-    /// A client that hands in messages.
+    /// A client that submits messages.
     Client,
-    /// An endpoint, to which messages are delivered.
+    /// An endpoint that messages are delivered to.
     Endpoint(EndpointId),
-    /// Discovery or a control process, whose configuration is watched.
+    /// Discovery or a control process, which sends the watched configuration.
     Watch,
-    /// The platform, which takes notifications.
+    /// The platform, which receives notifications.
     Notifications,
     /// An operator.
     Admin,
--- a/crates/daemon/src/connection/socket.rs
+++ b/crates/daemon/src/connection/socket.rs
@@ -1,69 +1,68 @@
-//! One connection: its socket, its buffers and what is known of the other side.
+//! A connection: its socket, its buffers and the state of its peer.
 
 use super::role::Role;
 use crate::ring_buffer::RingBuffer;
 use bellsill_core::interface::Nanos;
 use std::net::{SocketAddr, TcpStream};
 
-/// The most bytes that a connection buffers.
+/// Maximum sizes of a connection's buffers in bytes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BufferBounds {
-    /// Received and not read yet.
+    /// Bytes received and not parsed yet.
     pub(crate) input: usize,
-    /// Queued and not sent yet.
+    /// Bytes queued and not sent yet.
     pub(crate) output: usize,
 }
 
-/// What the poller watches a connection for.
+/// The readiness events that the poller reports for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Interest {
     pub(super) read: bool,
     pub(super) write: bool,
 }
 
-/// One connection.
+/// An open connection.
 pub(crate) struct Connection {
     pub(super) stream: TcpStream,
-    /// Who is at the other end.
     pub(crate) role: Role,
-    /// The address that it was opened to; none where the other side opened it.
+    /// The address that was connected to; `None` for an accepted connection.
     pub(crate) opened_to: Option<SocketAddr>,
-    /// Received and not read yet.
+    /// Bytes received and not parsed yet.
     pub(crate) input: RingBuffer,
-    /// Queued and not sent yet.
+    /// Bytes queued and not sent yet.
     pub(crate) output: RingBuffer,
-    /// The TCP handshake is not over.
+    /// Whether the TCP handshake is still in progress.
     pub(crate) connecting: bool,
-    /// It is closed once its output is sent.
+    /// Whether to close the connection once its output is sent.
     pub(crate) close_after_output: bool,
-    /// The other side sends no more.
+    /// Whether the peer has shut down its sending side.
     pub(crate) peer_closed: bool,
-    /// Its sending side is shut down; what still arrives is discarded until the other side ends too.
+    /// Whether the sending side is shut down; input is discarded until the peer closes its side too.
     pub(crate) lingering: bool,
-    /// When it was established, or used last.
+    /// When the connection was established or last used.
     pub(crate) last_active: Nanos,
-    /// When a client sent something last.
+    /// When a client last sent something.
     pub(crate) last_received: Nanos,
-    /// A client that has had an answer.
+    /// Whether a client has received a reply other than an error; `-BUSY` counts as a reply.
     pub(crate) replied: bool,
-    /// How many error answers a client has had.
-    pub(crate) protocol_errors: u32,
-    /// None once the poller has reported it, which it does once.
+    /// Number of error replies to a client, without `-BUSY`.
+    pub(crate) error_replies: u32,
+    /// What the connection is armed for in the poller; `None` after an event, since the poller is in one-shot mode.
     pub(super) armed: Option<Interest>,
 }
 
 impl Connection {
-    /// Queues an answer to a client.
-    pub(crate) fn queue_answer(&mut self, answer: &str, now: Nanos) {
-        match answer.starts_with('-') && !answer.starts_with("-BUSY") {
-            true => self.protocol_errors += 1,
-            false if answer.is_empty() => return,
+    /// Queues a reply to a client. Error replies do not count as activity.
+    pub(crate) fn queue_reply(&mut self, reply: &str, now: Nanos) {
+        match reply.starts_with('-') && !reply.starts_with("-BUSY") {
+            true => self.error_replies += 1,
+            false if reply.is_empty() => return,
             false => (self.replied, self.last_active) = (true, now),
         }
-        self.output.push(answer.as_bytes());
+        self.output.push(reply.as_bytes());
     }
 
-    /// Whether it is between requests: no request has begun to arrive and no answer is left to be read.
+    /// Whether the connection is between requests: both buffers are empty.
     pub(crate) fn is_idle(&self) -> bool {
         self.input.is_empty() && self.output.is_empty()
     }
--- a/crates/daemon/src/connection/table.rs
+++ b/crates/daemon/src/connection/table.rs
@@ -1,4 +1,4 @@
-//! The table of connections: the one owner of every socket and of the poller.
+//! The connection table, which owns the poller and all sockets registered with it.
 
 use super::id::ConnectionId;
 use super::limits::ConnectionLimits;
@@ -13,34 +13,34 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// The poller's keys of what is not a connection; the numbers of connections stay far below.
+/// Poller keys of sources that are not connections; connection ids stay far below them.
 pub(super) const CLIENT_LISTENER: usize = usize::MAX - 1;
 pub(super) const SIGNALS: usize = usize::MAX - 2;
 pub(super) const ADMIN_LISTENER: usize = usize::MAX - 3;
-/// A connection's number is used as the poller's key.
+/// A connection id must fit into a poller key.
 const _: () = assert!(usize::BITS == 64);
 
-/// What the poller has reported.
+/// An event reported by the poller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PollEvent {
-    /// A client waits to be accepted.
+    /// A client is waiting to be accepted.
     ClientListener,
-    /// An operator waits to be accepted.
+    /// An admin connection is waiting to be accepted.
     AdminListener,
-    /// A signal has arrived.
+    /// A signal has been received.
     Signals,
-    /// A connection can be read or written.
+    /// A connection is readable or writable.
     Connection(ConnectionId),
 }
 
-/// Whether the TCP handshake of a new connection is over.
+/// State of a new connection's TCP handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Handshake {
-    UnderWay,
-    Over,
+    InProgress,
+    Complete,
 }
 
-/// All connections of the process.
+/// All connections, the listeners and the signal pipe.
 pub(crate) struct ConnectionTable {
     pub(super) poller: Poller,
     events: Events,
@@ -49,22 +49,22 @@
     pub(super) admin_listener: Option<TcpListener>,
     pub(super) signals: UnixStream,
     pub(super) limits: ConnectionLimits,
-    pub(super) clients: usize,
-    pub(super) admins: usize,
+    pub(super) client_count: usize,
+    pub(super) admin_count: usize,
 }
 
-/// The one place where the poller is handed a source.
+/// Adds a source to the poller. All sources are added here, which confines the unsafe code.
 #[expect(
     unsafe_code,
     reason = "the poller borrows descriptors without a lifetime"
 )]
 pub(super) fn add(poller: &Poller, source: &impl AsRawFd, event: Event) -> io::Result<()> {
-    // SAFETY: whatever is added is owned by `ConnectionTable`, which deletes it from the poller before it is closed.
+    // SAFETY: every source is owned by `ConnectionTable`, which deletes it from the poller before closing it.
     unsafe { poller.add(source, event) }
 }
 
 impl ConnectionTable {
-    /// A table with the clients' listener and the pipe of signals.
+    /// Creates a table with the client listener and the signal pipe.
     pub(crate) fn new(
         listener: TcpListener,
         signals: UnixStream,
@@ -83,12 +83,12 @@
             admin_listener: None,
             signals,
             limits,
-            clients: 0,
-            admins: 0,
+            client_count: 0,
+            admin_count: 0,
         })
     }
 
-    /// Waits until something happens, at most for `timeout`.
+    /// Waits for events, at most for `timeout`.
     pub(crate) fn wait(&mut self, timeout: Option<Duration>) -> io::Result<Vec<PollEvent>> {
         self.events.clear();
         match self.poller.wait(&mut self.events, timeout) {
@@ -104,7 +104,7 @@
                 key => {
                     let id = ConnectionId::from_raw(key as u64);
                     match self.connections.get_mut(id) {
-                        // The poller reports once, then waits to be armed again.
+                        // The poller is in one-shot mode: the connection must be re-armed.
                         Some(conn) => conn.armed = None,
                         None => continue,
                     }
@@ -115,12 +115,12 @@
         Ok(seen)
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub(crate) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Opens a connection; it is established once it is writable without an error.
+    /// Starts to open a connection, which is established once it is writable without an error.
     pub(crate) fn open(
         &mut self,
         to: SocketAddr,
@@ -137,7 +137,7 @@
             Err(e) if !connect_in_progress(&e) => return Err(e),
             _ => {}
         }
-        let id = self.insert(socket.into(), role, bounds, Handshake::UnderWay)?;
+        let id = self.insert(socket.into(), role, bounds, Handshake::InProgress)?;
         if let Some(conn) = self.get_mut(id) {
             conn.opened_to = Some(to);
         }
@@ -151,9 +151,9 @@
         bounds: BufferBounds,
         handshake: Handshake,
     ) -> io::Result<ConnectionId> {
-        // Small writes should not wait for acknowledgements; without the option the connection works too.
+        // Small writes should not wait for acknowledgements. A failure is ignored: the connection works without the option.
         stream.set_nodelay(true).ok();
-        let connecting = handshake == Handshake::UnderWay;
+        let connecting = handshake == Handshake::InProgress;
         let interest = Interest {
             read: !connecting,
             write: connecting,
@@ -171,13 +171,13 @@
             last_active: 0,
             last_received: 0,
             replied: false,
-            protocol_errors: 0,
+            error_replies: 0,
             armed: Some(interest),
         });
         let conn = self.connections.get(id).expect("just inserted");
         let added = add(&self.poller, &conn.stream, event(id, interest));
-        self.clients += usize::from(role == Role::Client);
-        self.admins += usize::from(role == Role::Admin);
+        self.client_count += usize::from(role == Role::Client);
+        self.admin_count += usize::from(role == Role::Admin);
         if let Err(e) = added {
             self.close(id);
             return Err(e);
@@ -185,12 +185,12 @@
         Ok(id)
     }
 
-    /// The one place where a connection is closed.
+    /// Closes a connection and removes it from the poller. All connections are closed here.
     pub(crate) fn close(&mut self, id: ConnectionId) {
         if let Some(conn) = self.connections.remove(id) {
-            self.clients -= usize::from(conn.role == Role::Client);
-            self.admins -= usize::from(conn.role == Role::Admin);
-            // It is closed all the same, and the kernel removes it then.
+            self.client_count -= usize::from(conn.role == Role::Client);
+            self.admin_count -= usize::from(conn.role == Role::Admin);
+            // Ignored: the kernel removes the descriptor from the poller when it is closed.
             self.poller.delete(&conn.stream).ok();
         }
     }
@@ -210,7 +210,7 @@
         self.connections.iter()
     }
 
-    /// The numbers of all clients' connections.
+    /// The ids of all client connections.
     pub(crate) fn clients(&self) -> Vec<ConnectionId> {
         self.iter()
             .filter(|(_, c)| c.role == Role::Client)
@@ -218,7 +218,7 @@
             .collect()
     }
 
-    /// Ends the handshake of a connection that the poller has reported, with its error if it failed.
+    /// Completes the handshake of a connection that the poller has reported, or returns the error of the handshake.
     pub(crate) fn finish_connect(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
@@ -226,13 +226,13 @@
         if let Some(e) = conn.stream.take_error()? {
             return Err(e);
         }
-        // The poller reports when the handshake is over: with no peer then, it has failed.
+        // The poller reports the end of the handshake; a socket without a peer address has then failed to connect.
         conn.stream.peer_addr()?;
         conn.connecting = false;
         Ok(())
     }
 
-    /// Shuts down the sending side, so that the other side can read all that was sent before.
+    /// Shuts down the sending side, so that the peer can read everything that was sent before.
     pub(crate) fn shutdown_write(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
@@ -241,7 +241,7 @@
         conn.stream.shutdown(Shutdown::Write)
     }
 
-    /// Reads what has arrived into the input buffer.
+    /// Reads the available input into the input buffer.
     pub(crate) fn read(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
@@ -250,7 +250,7 @@
         Ok(())
     }
 
-    /// Sends as much of the output buffer as the kernel takes.
+    /// Sends as much of the output buffer as the kernel accepts, and re-arms the connection.
     pub(crate) fn flush(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id).filter(|c| !c.connecting) else {
             return Ok(());
@@ -259,18 +259,18 @@
         self.arm(id)
     }
 
-    /// Has the poller watch for what the connection waits for. With a full input buffer, or much output that the other
-    /// side does not read, nothing more is read from it.
+    /// Re-arms the connection in the poller. While the input buffer is full, or the output buffer is more than half full
+    /// because the peer does not read, the connection is not watched for input.
     pub(crate) fn arm(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(conn) = self.connections.get_mut(id) else {
             return Ok(());
         };
-        let unread = conn.output.len() > conn.output.remaining_capacity();
+        let peer_reads_slowly = conn.output.len() > conn.output.remaining_capacity();
         let interest = Interest {
             read: !conn.connecting
                 && !conn.peer_closed
                 && conn.input.remaining_capacity() > 0
-                && !unread,
+                && !peer_reads_slowly,
             write: conn.connecting || !conn.output.is_empty(),
         };
         if conn.armed != Some(interest) {
@@ -286,7 +286,7 @@
         let open: Vec<ConnectionId> = self.iter().map(|(id, _)| id).collect();
         open.into_iter().for_each(|id| self.close(id));
         self.close_listener();
-        // What is deleted here is closed next, and the kernel removes it then.
+        // Errors are ignored: the kernel removes the descriptors from the poller when they are closed next.
         if let Some(listener) = self.admin_listener.take() {
             self.poller.delete(&listener).ok();
         }
@@ -294,7 +294,7 @@
     }
 }
 
-/// Whether a connect with this error is under way; one that was interrupted also continues by itself.
+/// Whether this error of `connect` means that the handshake is in progress; an interrupted one continues too.
 fn connect_in_progress(e: &io::Error) -> bool {
     e.raw_os_error() == Some(libc::EINPROGRESS)
         || matches!(
--- a/crates/daemon/src/timer.rs
+++ b/crates/daemon/src/timer.rs
@@ -4,40 +4,40 @@
 use crate::message_slot::MessageSlot;
 use bellsill_core::interface::Nanos;
 
-/// How often is looked for what another process that shares the state folder has left or changed there.
+/// Interval of the checks for files that another process sharing the state folder has left or changed there.
 pub(crate) const SHARED_STATE_CHECK_INTERVAL: Nanos = 100_000_000;
-/// Between status lines.
+/// Interval of the status lines in the log.
 pub(crate) const STATUS_INTERVAL: Nanos = 10_000_000_000;
 
-/// What is to be done at a time. Of timers that expire at the same time the first in this order comes first.
+/// The timers of the event loop. Timers that expire at the same time fire in the order of this enum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The decisions asked to be woken up.
+    /// The decision logic asked to be called at this time.
     Wakeup,
     /// An attempt has reached its deadline.
     Attempt(MessageSlot),
-    /// A connection has been connecting, idle, or without an expected answer for too long.
+    /// A connection has been connecting, idle, or without expected input for too long.
     Connection(ConnectionId),
-    /// The watch of the configuration is to be opened again.
+    /// The watch of the configuration is due to be reopened.
     WatchReconnect,
-    /// Notifications that failed are to be sent again.
+    /// Failed notifications are due to be sent again.
     NotificationRetry,
-    /// Clients may be accepted again.
+    /// The pause in accepting clients is over.
     AcceptClients,
-    /// A client has input left from its last turn.
+    /// A client's connection may have unhandled input.
     ReadClient(ConnectionId),
     /// The current phase of the shutdown is over.
     ShutdownPhase,
-    /// The status line is to be logged.
+    /// The status line is due.
     StatusLog,
-    /// A process that shared the state folder may have left a journal.
+    /// The state folder is due to be checked for journals left by processes that shared it.
     AdoptJournals,
-    /// Another process that shares the state folder may have changed the list of disabled endpoints.
+    /// The list of disabled endpoints is due to be checked for changes by another process that shares the state folder.
     DisabledEndpoints,
-    /// Records that could not be written to the journal are to be written.
+    /// Journal records whose write failed are due to be written again.
     JournalRetry,
-    /// Destinations are to be looked up again.
+    /// Destinations are due to be looked up again.
     LookupRetry,
-    /// The scope file is to be saved.
+    /// The scope file is due to be saved.
     SaveScope,
 }
--- a/crates/daemon/tests/resp.rs
+++ b/crates/daemon/tests/resp.rs
@@ -19,9 +19,9 @@
             );
         }
         let complete = bytes.len();
-        assert_eq!(resp::command(&bytes[..cut % complete]), Ok(None));
+        assert_eq!(resp::parse_command(&bytes[..cut % complete]), Ok(None));
         bytes.extend(rest);
-        let (ranges, taken) = resp::command(&bytes).unwrap().unwrap();
+        let (ranges, taken) = resp::parse_command(&bytes).unwrap().unwrap();
         taken == complete
             && ranges
                 .iter()
@@ -46,7 +46,7 @@
             }
         }
         for bytes in [&bytes, &similar] {
-            resp::command(bytes).ok();
+            resp::parse_command(bytes).ok();
         }
         true
     }
