--- a/crates/daemon/src/client/accept.rs
+++ b/crates/daemon/src/client/accept.rs
@@ -46,7 +46,7 @@
             if make_room(runtime).is_err() {
                 if !std::mem::replace(&mut self.at_limit, true) {
                     log::warn!(
-                        "client connection limit reached with {} open connections; accepting is paused",
+                        "connection limit reached with {} open connections; accepting of clients is paused",
                         runtime.connections.len()
                     );
                 }
