--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,4 +1,5 @@
-//! Admin requests: one line in, one line out (`show-stat`: lines up to `EOT`), on a listener of their own.
+//! Admin requests, which operators send to a separate listener. Each request and each reply is one line, except that the
+//! reply to `show-stat` is several lines up to `EOT`.
 
 mod commands;
 mod connections;
@@ -8,7 +9,9 @@
 
 pub use crate::metrics::{ClassCounters, MessageResult, Metrics};
 pub(crate) use commands::{AdminContext, DrainRequest, execute};
-pub(crate) use connections::{AdminInput, accept, answer, close, end_turn, next_request, read};
+pub(crate) use connections::{
+    AdminInput, accept, close, flush_or_close, next_request, queue_reply, read,
+};
 pub(crate) use disabled::{DisabledFile, refresh_disabled};
 pub use disabled::{MAX_DISABLED, load_disabled, parse_disabled};
 pub use request::{MAX_ENDPOINT_ID_BYTES, Request, RequestError, parse};
