--- a/crates/daemon/src/admin/stats.rs
+++ b/crates/daemon/src/admin/stats.rs
@@ -63,7 +63,7 @@
 
 /// The lines on the scoped configuration.
 fn scope_lines(list: &ScopedList, calls: Counters, file: &ScopeFile) -> String {
-    let (counters, unsaved) = (list.counters(), file.lacks(list));
+    let (counters, unsaved) = (list.counters(), file.has_unsaved_changes(list));
     let file = file.counters;
     let lines = [
         ("version", list.version().0),
--- a/crates/daemon/src/delivery/configuration.rs
+++ b/crates/daemon/src/delivery/configuration.rs
@@ -74,7 +74,10 @@
         if applied.changed.is_empty() && applied.dropped.is_empty() {
             return;
         }
-        self.apply_list(&endpoint_list::list_of(applied, self.discovery.names()));
+        self.apply_list(&endpoint_list::list_from_changes(
+            applied,
+            self.discovery.names(),
+        ));
         let dropped: BTreeSet<u64> = applied
             .dropped
             .iter()
@@ -104,7 +107,7 @@
             self.runtime.close_idle_connections(endpoint);
             self.runtime.abort_connecting(endpoint);
         }
-        self.discovery.applied(list.version);
+        self.discovery.set_version(list.version);
         for endpoint in not_serving {
             self.runtime.close_idle_connections(endpoint);
         }
@@ -119,7 +122,7 @@
             self.dispatcher
                 .set_disabled(now, id, true, &mut self.runtime);
         }
-        let scope = if list.whole {
+        let scope = if list.complete {
             EndpointUpdate::Snapshot
         } else {
             EndpointUpdate::Delta
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -99,7 +99,7 @@
     }
 
     /// A document of this version has been applied.
-    pub(crate) fn applied(&mut self, version: u64) {
+    pub(crate) fn set_version(&mut self, version: u64) {
         self.watch.set_version(version);
     }
 
--- a/crates/daemon/src/endpoint/list.rs
+++ b/crates/daemon/src/endpoint/list.rs
@@ -43,7 +43,7 @@
                     retry_after_until,
                     ..entry
                 })),
-                Err(UnreadableAddress) => endpoint_list::warn_of_entry("addr"),
+                Err(UnreadableAddress) => endpoint_list::warn_skipped_entry("addr"),
             }
         }
         // By number: a search for each endpoint would stop the loop for seconds with a list of thousands.
@@ -52,7 +52,7 @@
             .iter()
             .map(|e| (e.endpoint, e.serving))
             .collect();
-        if list.whole {
+        if list.complete {
             let unlisted = self.ids().filter(|id| !listed.contains_key(id));
             update.not_serving.extend(unlisted);
         }
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -34,7 +34,7 @@
     /// Discovery's version; zero for changes of the scoped configuration, whose entries have versions of their own.
     pub version: u64,
     /// It is complete: an endpoint that it does not name is removed.
-    pub whole: bool,
+    pub complete: bool,
     /// The entries, in the list's order.
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -51,8 +51,8 @@
         log::warn!("discovery: a line without a version or servers was skipped");
         return None;
     };
-    let whole = json.get("full").and_then(Value::as_bool).unwrap_or(false);
-    let repeated = if whole {
+    let complete = json.get("full").and_then(Value::as_bool).unwrap_or(false);
+    let repeated = if complete {
         repeated_entries(servers)
     } else {
         BTreeSet::new()
@@ -66,12 +66,12 @@
         }
         match read_endpoint(server, names) {
             Ok(endpoint) => endpoints.push(endpoint),
-            Err(UnreadableField(field)) => warn_of_entry(field),
+            Err(UnreadableField(field)) => warn_skipped_entry(field),
         }
     }
     Some(EndpointList {
         version,
-        whole,
+        complete,
         endpoints,
     })
 }
@@ -106,7 +106,7 @@
 }
 
 /// Logs that an entry was skipped for one of its fields.
-pub fn warn_of_entry(field: &str) {
+pub fn warn_skipped_entry(field: &str) {
     log::warn!("discovery: an entry was skipped, its {field} cannot be read");
 }
 
@@ -176,7 +176,7 @@
 }
 
 /// The changes to the scoped configuration as a list. An entry whose weight makes no sense is logged and skipped.
-pub fn list_of(applied: &Applied, names: &PlatformNames) -> EndpointList {
+pub fn list_from_changes(applied: &Applied, names: &PlatformNames) -> EndpointList {
     let changed = applied
         .changed
         .iter()
@@ -192,14 +192,14 @@
     let endpoints = dropped.chain(changed).collect();
     EndpointList {
         version: 0,
-        whole: false,
+        complete: false,
         endpoints,
     }
 }
 
 fn listed(entry: &EndpointEntry, names: &PlatformNames) -> Option<ListedEndpoint> {
     let Ok(rate) = names.rate_from_weight(entry.weight) else {
-        warn_of_entry("weight");
+        warn_skipped_entry("weight");
         return None;
     };
     Some(ListedEndpoint {
--- a/crates/daemon/src/scope.rs
+++ b/crates/daemon/src/scope.rs
@@ -87,13 +87,13 @@
     }
 
     /// Whether the list has changed since it was saved last.
-    pub fn lacks(&self, list: &ScopedList) -> bool {
+    pub fn has_unsaved_changes(&self, list: &ScopedList) -> bool {
         self.saved_revision != Some(list.revision())
     }
 
     /// Saves the list where it has changed since it was saved last.
     pub fn save(&mut self, list: &ScopedList) {
-        if !self.lacks(list) {
+        if !self.has_unsaved_changes(list) {
             return;
         }
         match self.write(&list.to_bytes(&self.dispatcher)) {
