--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: what to do, and with which files.
+//! The command line: commands, options and exit statuses.
 
 use crate::event_loop::Daemon;
 use crate::logger;
@@ -13,35 +13,37 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit status where a process could not start or had to stop.
+/// The exit status of a process that could not start or stopped because of an error.
 const FAILURE: u8 = 1;
-/// The exit status of a bad command line or configuration.
-const BAD_USAGE: u8 = 2;
+/// The exit status for an invalid command line or configuration.
+const USAGE_ERROR: u8 = 2;
 
 const HELP: &str = "\
-bellsill delivers messages to other firms' systems.
+bellsill delivers messages to the systems of other companies.
 
 Usage: bellsill COMMAND [OPTIONS]
 
 Commands:
   serve      run a dispatcher in the foreground
-  check      read the configuration, say what is wrong with it, and end
+  check      check the configuration, print any error, and exit
   control    run a control process in the foreground
   version    print the version
-  help       print this
+  help       print this help
 
 Options of serve and check:
-  --config FILE   the configuration (else RELAY_CONFIG)
-  --state DIR     the folder that lasts (else RELAY_STATE, else the configuration's `state`)
+  --config FILE   the configuration file (default: RELAY_CONFIG)
+  --state DIR     the state directory (default: RELAY_STATE, then the configuration's `state`)
   --installation FILE
-                  have the part of the configuration that the control processes named there send
-                  (else BELLSILL_INSTALLATION, else everything that discovery sends)
-  --log LEVEL     error, warn, info, debug or off (info)
+                  the installation file: hold only the part of the configuration that its control processes send
+                  (default: BELLSILL_INSTALLATION; without it, everything that discovery sends)
+  --log LEVEL     error, warn, info, debug or off (default: info)
 
-Options of control: --config FILE (of a control process, see docs/configuration.md) and --log LEVEL.
+Options of control:
+  --config FILE   the configuration file of a control process, see docs/configuration.md
+  --log LEVEL     error, warn, info, debug or off (default: info)
 
-On SIGHUP serve reads the configuration again and applies a new `discovery`; the log says which other changes need a
-restart. Exit status: 0 after a shutdown by signal, 1 on a failure, 2 on a bad command line or configuration.
+On SIGHUP, serve reloads the configuration and applies a changed `discovery`; changes that need a restart are logged.
+Exit status: 0 after a shutdown by signal, 1 on a failure, 2 on an invalid command line or configuration.
 ";
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -53,7 +55,7 @@
     Help,
 }
 
-/// The command line, read.
+/// The parsed command line.
 #[derive(Debug)]
 struct Arguments {
     command: Command,
@@ -63,7 +65,7 @@
     log_level: LevelFilter,
 }
 
-/// Why a command ends without success: what is printed, and the exit status.
+/// An error that ends a command: the message to print, and the exit status.
 struct CommandError {
     message: String,
     status: u8,
@@ -77,10 +79,10 @@
         }
     }
 
-    fn bad_usage(error: impl Display) -> CommandError {
+    fn usage_error(error: impl Display) -> CommandError {
         CommandError {
             message: error.to_string(),
-            status: BAD_USAGE,
+            status: USAGE_ERROR,
         }
     }
 }
@@ -117,14 +119,14 @@
         }
     }
     arguments.command =
-        command.ok_or("a command is missing: serve, check, control, version or help")?;
+        command.ok_or("missing command: expected serve, check, control, version or help")?;
     Ok(arguments)
 }
 
-/// Runs the command that the command line names, and returns the exit status.
+/// Runs the command given on the command line, and returns the exit status.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let result = parse(args)
-        .map_err(|e| CommandError::bad_usage(format!("{e}\n\n{HELP}")))
+        .map_err(|e| CommandError::usage_error(format!("{e}\n\n{HELP}")))
         .and_then(run_command);
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -149,26 +151,28 @@
     std::env::var_os(variable).map(PathBuf::from)
 }
 
-/// Reads a dispatcher's configuration, and runs it unless that was only to be checked.
+/// Reads the configuration of a dispatcher, and for `serve` runs the dispatcher.
 fn run_dispatcher(arguments: Arguments) -> Result<(), CommandError> {
     logger::start(arguments.log_level);
-    // Before anything is read: an early signal is handled once the dispatcher runs, and does not kill the process.
-    let signals = Signals::install().map_err(|e| CommandError::failure(format!("signals: {e}")))?;
+    // Signal handlers are installed before anything is read, so that an early signal does not kill the process but is
+    // handled once the dispatcher runs.
+    let signals = Signals::install()
+        .map_err(|e| CommandError::failure(format!("cannot install the signal handlers: {e}")))?;
     let config = arguments
         .config
         .or_else(|| environment_path("RELAY_CONFIG"))
         .ok_or_else(|| {
-            CommandError::bad_usage("no configuration: give --config or RELAY_CONFIG")
+            CommandError::usage_error("no configuration file: set --config or RELAY_CONFIG")
         })?;
     let state = arguments.state.or_else(|| environment_path("RELAY_STATE"));
     let installation = arguments
         .installation
         .or_else(|| environment_path("BELLSILL_INSTALLATION"));
-    let start = start::read_all(&config, state, installation.as_deref())
-        .map_err(CommandError::bad_usage)?;
+    let start = start::read_with_installation(&config, state, installation.as_deref())
+        .map_err(CommandError::usage_error)?;
     if arguments.command == Command::Check {
         println!(
-            "{}: good, for {} on {}",
+            "{}: valid configuration of dispatcher {}, listen address {}",
             config.display(),
             start.name,
             start.listen
@@ -180,14 +184,14 @@
         .map_err(CommandError::failure)
 }
 
-/// Runs a control process until a signal ends it.
+/// Runs a control process until a signal stops it.
 fn run_control(arguments: Arguments) -> Result<(), CommandError> {
     logger::start(arguments.log_level);
     let file = arguments
         .config
-        .ok_or_else(|| CommandError::bad_usage("no configuration: give --config"))?;
+        .ok_or_else(|| CommandError::usage_error("no configuration file: set --config"))?;
     let config = control_plane::Config::read(&file)
-        .map_err(|e| CommandError::bad_usage(format!("configuration: {e}")))?;
+        .map_err(|e| CommandError::usage_error(format!("configuration: {e}")))?;
     let signals = Signals::install().map_err(CommandError::failure)?;
     let stop = control_plane::Stop {
         wake: signals.wake,
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! A list of endpoints: read from discovery's JSON, and converted from and to the entries of the scoped configuration.
+//! Endpoint lists: parses them from discovery's JSON, and converts them to and from entries of the scoped
+//! configuration.
 
 use bellsill_directory::line::{EndpointEntry, EndpointState, Version};
 use bellsill_discovery_client::Applied;
@@ -7,12 +8,12 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// An endpoint as a list describes it.
+/// An endpoint as described by a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// The id under which discovery knows it.
+    /// The endpoint's id in discovery.
     pub name: String,
-    /// Where it listens; `None` where that is absent or cannot be read.
+    /// The address of the endpoint; `None` if it is missing or invalid.
     pub addr: Option<SocketAddr>,
     /// The name of its zone.
     pub zone: String,
@@ -20,53 +21,54 @@
     pub kind: String,
     /// The destination that it serves.
     pub destination: u64,
-    /// False while it drains, and once it is removed.
+    /// False if the endpoint is draining or removed.
     pub serving: bool,
-    /// The weight as the list has it.
+    /// The weight given by the list.
     pub weight: Option<f64>,
-    /// What the weight says, by [`PlatformNames::rate_from_weight`].
+    /// The rate that [`PlatformNames::rate_from_weight`] derives from the weight.
     pub rate: Option<f64>,
 }
 
-/// A list: a complete one, or changes.
+/// A list of endpoints: either complete, or only the changes since an earlier version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Discovery's version; zero for changes of the scoped configuration, whose entries have versions of their own.
+    /// The version assigned by discovery; zero for changes of the scoped configuration, in which each entry has its own
+    /// version.
     pub version: u64,
-    /// It is complete: an endpoint that it does not name is removed.
+    /// Whether the list is complete: endpoints that are missing from a complete list are removed.
     pub complete: bool,
-    /// The entries, in the list's order.
+    /// The entries, in the order of the list.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// The field of an entry that is missing or cannot be read.
+/// The name of a field of an entry that is missing or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct UnreadableField(&'static str);
+struct InvalidEntryField(&'static str);
 
-/// Reads a list. One without a version or endpoints is logged and skipped, and so is an entry that cannot be read.
+/// Parses a list. A list without a version or endpoints is logged and skipped, and so is an invalid entry.
 pub fn read(json: &Value, names: &PlatformNames) -> Option<EndpointList> {
     let version = json.get("version").and_then(Value::as_u64);
     let servers = json.get("servers").and_then(Value::as_array);
     let (Some(version), Some(servers)) = (version, servers) else {
-        log::warn!("discovery: a line without a version or servers was skipped");
+        log::warn!("discovery: skipped a line without `version` or `servers`");
         return None;
     };
     let complete = json.get("full").and_then(Value::as_bool).unwrap_or(false);
-    let repeated = if complete {
-        repeated_entries(servers)
+    let duplicates = if complete {
+        duplicate_entries(servers)
     } else {
         BTreeSet::new()
     };
     let mut endpoints = Vec::with_capacity(servers.len());
     for (position, server) in servers.iter().enumerate() {
-        if repeated.contains(&position) {
+        if duplicates.contains(&position) {
             let id = id_of(server).unwrap_or_default();
-            log::warn!("discovery: an entry was skipped, its id {id:?} is in the list twice");
+            log::warn!("discovery: skipped an entry with the duplicate id {id:?}");
             continue;
         }
         match read_endpoint(server, names) {
             Ok(endpoint) => endpoints.push(endpoint),
-            Err(UnreadableField(field)) => warn_skipped_entry(field),
+            Err(InvalidEntryField(field)) => warn_skipped_entry(field),
         }
     }
     Some(EndpointList {
@@ -85,65 +87,70 @@
     matches!(state, Some("draining" | "removed"))
 }
 
-/// The positions of entries that a complete list has twice and that do not count. Of two that differ the one that drains
-/// counts, since nothing new may go to an endpoint that drains. Changes may name an endpoint twice, the later change last.
-fn repeated_entries(servers: &[Value]) -> BTreeSet<usize> {
+/// The positions of the duplicate entries of a complete list that are skipped. If duplicates differ, the draining entry
+/// takes precedence, since a draining endpoint must not get new messages. A list of changes may contain an endpoint
+/// more than once, in the order of the changes.
+fn duplicate_entries(servers: &[Value]) -> BTreeSet<usize> {
     let draining: BTreeSet<&str> = servers
         .iter()
         .filter(|server| is_draining(server))
         .filter_map(id_of)
         .collect();
-    let mut named = BTreeSet::new();
-    let mut repeated = BTreeSet::new();
+    let mut seen = BTreeSet::new();
+    let mut duplicates = BTreeSet::new();
     for (position, server) in servers.iter().enumerate() {
         let Some(id) = id_of(server) else { continue };
-        let counts = is_draining(server) || !draining.contains(id);
-        if !counts || !named.insert(id) {
-            repeated.insert(position);
+        let takes_precedence = is_draining(server) || !draining.contains(id);
+        if !takes_precedence || !seen.insert(id) {
+            duplicates.insert(position);
         }
     }
-    repeated
+    duplicates
 }
 
-/// Logs that an entry was skipped for one of its fields.
+/// Logs that an entry was skipped because of a missing or invalid field.
 pub fn warn_skipped_entry(field: &str) {
-    log::warn!("discovery: an entry was skipped, its {field} cannot be read");
+    log::warn!("discovery: skipped an entry with a missing or invalid field `{field}`");
 }
 
-/// A field that only a serving endpoint needs: of one that takes nothing new, it does not matter what else can be read.
-fn needed_to_serve<T: Default>(
-    field: Result<T, UnreadableField>,
+/// Ignores errors in a field that only a serving endpoint needs: an endpoint that gets no new messages is applied even
+/// if the field is invalid.
+fn required_if_serving<T: Default>(
+    field: Result<T, InvalidEntryField>,
     serving: bool,
-) -> Result<T, UnreadableField> {
+) -> Result<T, InvalidEntryField> {
     match field {
         Err(_) if !serving => Ok(T::default()),
         field => field,
     }
 }
 
-fn read_endpoint(server: &Value, names: &PlatformNames) -> Result<ListedEndpoint, UnreadableField> {
+fn read_endpoint(
+    server: &Value,
+    names: &PlatformNames,
+) -> Result<ListedEndpoint, InvalidEntryField> {
     let text = |field: &'static str| {
         let text = server.get(field).and_then(Value::as_str);
-        text.ok_or(UnreadableField(field))
+        text.ok_or(InvalidEntryField(field))
     };
     let name = text("id")?;
     let serving = match text("state")? {
         "up" => true,
         "draining" | "removed" => false,
-        _ => return Err(UnreadableField("state")),
+        _ => return Err(InvalidEntryField("state")),
     };
-    let zone = needed_to_serve(text("zone"), serving)?;
-    let kind = needed_to_serve(text("kind"), serving)?;
+    let zone = required_if_serving(text("zone"), serving)?;
+    let kind = required_if_serving(text("kind"), serving)?;
     let weight = server
         .get("weight")
         .filter(|_| serving)
-        .map(|weight| weight.as_f64().ok_or(UnreadableField("weight")))
+        .map(|weight| weight.as_f64().ok_or(InvalidEntryField("weight")))
         .transpose()?;
     let rate = names
         .rate_from_weight(weight)
-        .map_err(|InvalidWeight| UnreadableField("weight"))?;
+        .map_err(|InvalidWeight| InvalidEntryField("weight"))?;
     let destination = server.get("cell").and_then(Value::as_u64);
-    let destination = needed_to_serve(destination.ok_or(UnreadableField("cell")), serving)?;
+    let destination = required_if_serving(destination.ok_or(InvalidEntryField("cell")), serving)?;
     Ok(ListedEndpoint {
         name: name.to_string(),
         addr: text("addr").ok().and_then(|addr| addr.parse().ok()),
@@ -156,8 +163,8 @@
     })
 }
 
-/// A list that comes from no control process, as entries of the scoped configuration.
-pub fn entries_of(list: &EndpointList) -> impl Iterator<Item = EndpointEntry> {
+/// Converts a list that does not come from a control process to entries of the scoped configuration.
+pub fn to_entries(list: &EndpointList) -> impl Iterator<Item = EndpointEntry> {
     let entry = |listed: &ListedEndpoint| EndpointEntry {
         id: listed.name.clone(),
         addr: listed.addr.map(|addr| addr.to_string()),
@@ -175,20 +182,20 @@
     list.endpoints.iter().map(entry)
 }
 
-/// The changes to the scoped configuration as a list. An entry whose weight makes no sense is logged and skipped.
+/// Converts changes to the scoped configuration to a list. An entry with an invalid weight is logged and skipped.
 pub fn list_from_changes(applied: &Applied, names: &PlatformNames) -> EndpointList {
     let changed = applied
         .changed
         .iter()
-        .filter_map(|entry| listed(entry, names));
+        .filter_map(|entry| listed_endpoint(entry, names));
     let dropped = applied.dropped.iter().filter_map(|entry| {
-        let gone = EndpointEntry {
+        let removed = EndpointEntry {
             state: EndpointState::Removed,
             ..entry.clone()
         };
-        listed(&gone, names)
+        listed_endpoint(&removed, names)
     });
-    // Dropped ones come first: one that was dropped and added again under the same name is there.
+    // Dropped entries come first, so that an endpoint that was dropped and added again under the same name is present.
     let endpoints = dropped.chain(changed).collect();
     EndpointList {
         version: 0,
@@ -197,7 +204,7 @@
     }
 }
 
-fn listed(entry: &EndpointEntry, names: &PlatformNames) -> Option<ListedEndpoint> {
+fn listed_endpoint(entry: &EndpointEntry, names: &PlatformNames) -> Option<ListedEndpoint> {
     let Ok(rate) = names.rate_from_weight(entry.weight) else {
         warn_skipped_entry("weight");
         return None;
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -1,23 +1,23 @@
-//! The event loop: one thread that waits for sockets, signals and timers, and hands on what happened.
+//! The single-threaded event loop: waits for sockets, signals and timers, and dispatches their events.
 
 use crate::admin::{self, AdminContext, AdminInput, DisabledFile, DrainRequest, refresh_disabled};
 use crate::client::{self, Clients};
 use crate::clock;
 use crate::connection::{ConnectionId, PollEvent, Role};
 use crate::delivery::{Adoption, Delivery};
-use crate::reload::{Configuration, Reload};
-use crate::scope::{SAVE_EVERY, ScopeFile};
+use crate::reload::{Configuration, ReloadOutcome};
+use crate::scope::{SAVE_INTERVAL, ScopeFile};
 use crate::shutdown::{Shutdown, ShutdownPhase};
 use crate::signals::{SignalFlags, Signals};
-use crate::start::Start;
-use crate::startup::{self, Parts};
+use crate::start::StartConfig;
+use crate::startup::{self, Components};
 use crate::status::log_status;
 use crate::timer::{NEIGHBOUR_CHECK_INTERVAL, STATUS_INTERVAL, Timer};
 use bellsill_core::interface::Outcome;
 use std::io;
 use std::time::Duration;
 
-/// A dispatcher as a service.
+/// A running dispatcher.
 pub struct Daemon {
     delivery: Delivery,
     clients: Clients,
@@ -29,15 +29,15 @@
 }
 
 impl Daemon {
-    /// Takes over what the journal holds, and listens. Clients are answered once it runs.
-    pub fn start(start: Start, signals: Signals) -> io::Result<Daemon> {
-        let Parts {
+    /// Recovers the state and opens the listeners. Clients are served only once [`Daemon::run`] is called.
+    pub fn start(config: StartConfig, signals: Signals) -> io::Result<Daemon> {
+        let Components {
             delivery,
             disabled_file,
             scope_file,
             configuration,
             flags,
-        } = startup::build(start, signals)?;
+        } = startup::build(config, signals)?;
         Ok(Daemon {
             delivery,
             clients: Clients::default(),
@@ -49,20 +49,21 @@
         })
     }
 
-    /// Runs until shutdown is requested and complete.
+    /// Runs until a requested shutdown is complete.
     pub fn run(&mut self) -> io::Result<()> {
         while self.shutdown.phase() != ShutdownPhase::Finished {
-            self.turn()?;
+            self.run_once()?;
         }
         self.save_scope();
         log::info!(
-            "shutdown complete, {} messages left in the journal for the next process",
+            "shutdown complete, {} pending messages left in the journal for the next process",
             self.delivery.runtime.messages().len()
         );
         Ok(())
     }
 
-    fn turn(&mut self) -> io::Result<()> {
+    /// Waits for events and handles them, then expired timers, then the work that follows each iteration.
+    fn run_once(&mut self) -> io::Result<()> {
         let wait = self
             .delivery
             .runtime
@@ -87,12 +88,13 @@
         self.expire_timers();
         self.delivery.runtime.watch_journal();
         self.delivery.runtime.send_notifications();
-        self.shutdown.finish_if_quiet(&self.delivery);
+        self.shutdown.finish_if_idle(&self.delivery);
         Ok(())
     }
 
-    /// The decisions are woken up last. After the process was suspended many timers expire together, and woken up first,
-    /// the decisions would count attempts as in flight that have timed out, and fail messages that never ran.
+    /// Handles all other timers before the wakeup of the dispatch core. After the process was suspended, many timers
+    /// expire together: a core woken first would count timed-out attempts as in flight, and fail messages that never
+    /// ran.
     fn expire_timers(&mut self) {
         self.delivery.runtime.now = clock::now();
         let now = self.delivery.runtime.now;
@@ -151,7 +153,7 @@
             Timer::AcceptClients => self.accept_clients(),
             Timer::ShutdownPhase => self.shutdown.advance(delivery, &mut self.clients),
             Timer::SaveScope => {
-                self.set_timer(Timer::SaveScope, SAVE_EVERY);
+                self.set_timer(Timer::SaveScope, SAVE_INTERVAL);
                 self.save_scope();
             }
             Timer::AdoptJournals => {
@@ -175,7 +177,7 @@
         runtime.timers.set(timer, runtime.now + after);
     }
 
-    /// If more clients wait, the poller reports their listener again.
+    /// Accepts waiting clients. If more are waiting, the poller reports the listener again.
     fn accept_clients(&mut self) {
         let _more = self.clients.accept(&mut self.delivery.runtime);
     }
@@ -200,9 +202,9 @@
 
     fn reload(&mut self) {
         match self.configuration.reload() {
-            Reload::NoFile => {}
-            Reload::Rejected => self.delivery.runtime.metrics.reload_errors += 1,
-            Reload::Taken { discovery } => {
+            ReloadOutcome::NoFile => {}
+            ReloadOutcome::Rejected => self.delivery.runtime.metrics.reload_errors += 1,
+            ReloadOutcome::Applied { discovery } => {
                 self.delivery.runtime.metrics.reloads += 1;
                 self.delivery.relocate_discovery(discovery);
             }
@@ -212,18 +214,18 @@
     fn admin_ready(&mut self, id: ConnectionId) {
         let read = admin::read(&mut self.delivery.runtime, id);
         loop {
-            let text = match admin::next_request(&mut self.delivery.runtime, id) {
+            let response = match admin::next_request(&mut self.delivery.runtime, id) {
                 AdminInput::Closed => return,
                 AdminInput::Waiting => break,
                 AdminInput::Line(Ok(request)) => self.execute(request),
                 AdminInput::Line(Err(e)) => format!("FAILURE {e}\n"),
             };
-            admin::answer(&mut self.delivery.runtime, id, &text);
+            admin::answer(&mut self.delivery.runtime, id, &response);
         }
         admin::end_turn(&mut self.delivery.runtime, id, &read);
     }
 
-    /// Does what an operator asks for, and returns the answer.
+    /// Executes an admin request and returns the response.
     fn execute(&mut self, request: admin::Request) -> String {
         let context = AdminContext {
             delivery: &mut self.delivery,
--- a/crates/daemon/src/installation.rs
+++ b/crates/daemon/src/installation.rs
@@ -1,5 +1,6 @@
-//! The installation file: which dispatcher this one is, its control processes, and the layout of zones and buckets. With
-//! it a dispatcher has a part of the configuration (`docs/configuration.md`); without it, everything that discovery sends.
+//! The installation file: the name of this dispatcher, its control processes, and the layout of zones and buckets. With
+//! an installation file, a dispatcher holds only its scope of the configuration (`docs/configuration.md`); without one,
+//! it holds everything that discovery sends.
 
 use bellsill_directory::entry::is_member_name;
 use bellsill_discovery_client::scoped_list::{DEFAULT_CACHE_DESTINATIONS, MAX_CACHED_DESTINATIONS};
@@ -11,64 +12,64 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// A longer list of control processes is a mistake.
+/// The maximum number of control processes; a longer list is assumed to be a mistake.
 const MAX_CONTROL_PROCESSES: usize = 64;
 
-/// What the file says, checked.
+/// The validated contents of an installation file.
 #[derive(Clone, Debug)]
 pub struct Installation {
-    /// The name by which this dispatcher is declared.
+    /// The name that this dispatcher is registered under.
     pub dispatcher: String,
-    /// The zone that it is in.
+    /// The zone of this dispatcher.
     pub zone: ZoneName,
-    /// Where the control processes listen.
+    /// The addresses of the control processes.
     pub control: Vec<SocketAddr>,
-    /// The zones by region, and the buckets that destinations are divided into.
+    /// The zones of each region, and the buckets that destinations are divided into.
     pub layout: Arc<Layout>,
-    /// How many destinations outside of its buckets it caches.
+    /// The maximum number of destinations outside its own buckets that it caches.
     pub cache_destinations: usize,
 }
 
-/// Why a file is rejected.
+/// An error in an installation file.
 #[derive(Debug, Error)]
 pub enum InstallationError {
-    /// It could not be read from disk.
-    #[error("{path}: cannot be read: {source}")]
+    /// The file could not be read.
+    #[error("{path}: cannot read the installation file: {source}")]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What reading it failed with.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is no TOML, or a field is missing, unknown or of another type.
-    #[error("{path}: not as an installation file has to be: {reason}")]
+    /// The file is not valid TOML, or a field is missing, unknown or of the wrong type.
+    #[error("{path}: invalid installation file: {reason}")]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Where in the file and why.
+        /// The position and cause of the error.
         reason: Box<toml::de::Error>,
     },
-    /// A field has a value that makes no sense.
+    /// A field has an invalid value.
     #[error("{path}: field `{field}`: expected {expected}")]
     Field {
         /// The file.
         path: PathBuf,
         /// The field's name.
         field: &'static str,
-        /// What its value should be.
+        /// A description of the valid values.
         expected: String,
     },
-    /// The zones and buckets make no layout.
+    /// The zones and buckets do not form a valid layout.
     #[error("{path}: fields `zones` and `buckets_per_region`: {reason}")]
     Layout {
         /// The file.
         path: PathBuf,
-        /// What is wrong with them.
+        /// The reason that the layout is invalid.
         reason: LayoutError,
     },
 }
 
-/// The file as it is written.
+/// The file as deserialized from TOML, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct InstallationFile {
@@ -98,7 +99,7 @@
 }
 
 impl Installation {
-    /// Reads a file and checks all of it.
+    /// Reads and validates a file.
     pub fn read(path: &Path) -> Result<Installation, InstallationError> {
         let text =
             std::fs::read_to_string(path).map_err(|source| InstallationError::Unreadable {
@@ -108,81 +109,82 @@
         Installation::parse(path, &text)
     }
 
-    /// Checks the text of the file at `path`.
+    /// Parses and validates the text of the file at `path`.
     pub fn parse(path: &Path, text: &str) -> Result<Installation, InstallationError> {
         let file: InstallationFile =
             toml::from_str(text).map_err(|reason| InstallationError::Malformed {
                 path: path.to_path_buf(),
                 reason: Box::new(reason),
             })?;
-        file.check().map_err(|bad| bad.in_file(path))
+        file.validate().map_err(|error| error.in_file(path))
     }
 }
 
-/// What is wrong with the text of a file, whose path is added by [`Invalid::in_file`].
-enum Invalid {
+/// A validation error without the path of the file, which [`ValidationError::in_file`] adds.
+enum ValidationError {
     Field(&'static str, String),
     Layout(LayoutError),
 }
 
-impl Invalid {
+impl ValidationError {
     fn in_file(self, path: &Path) -> InstallationError {
         let path = path.to_path_buf();
         match self {
-            Invalid::Field(field, expected) => InstallationError::Field {
+            ValidationError::Field(field, expected) => InstallationError::Field {
                 path,
                 field,
                 expected,
             },
-            Invalid::Layout(reason) => InstallationError::Layout { path, reason },
+            ValidationError::Layout(reason) => InstallationError::Layout { path, reason },
         }
     }
 }
 
 impl InstallationFile {
-    fn check(self) -> Result<Installation, Invalid> {
-        expect(
+    fn validate(self) -> Result<Installation, ValidationError> {
+        require(
             is_member_name(&self.dispatcher),
             "dispatcher",
-            "the name by which POST /v2/members declares it: letters, digits and - _ . : alone",
+            "the name that POST /v2/members registers, made up of letters, digits and - _ . : only",
         )?;
-        let distinct: BTreeSet<&SocketAddr> = self.control.iter().collect();
-        expect(
+        let unique_addresses: BTreeSet<&SocketAddr> = self.control.iter().collect();
+        require(
             (1..=MAX_CONTROL_PROCESSES).contains(&self.control.len()),
             "control",
             &format!(
                 "1 to {MAX_CONTROL_PROCESSES} addresses of control processes, such as 10.0.0.1:7400"
             ),
         )?;
-        expect(
-            distinct.len() == self.control.len(),
+        require(
+            unique_addresses.len() == self.control.len(),
             "control",
             "each address once",
         )?;
-        expect(
+        require(
             (1..=MAX_CACHED_DESTINATIONS).contains(&self.cache_destinations),
             "cache_destinations",
             &format!(
-                "a whole number from 1 to {MAX_CACHED_DESTINATIONS}, as many as a control process tells"
+                "a whole number from 1 to {MAX_CACHED_DESTINATIONS}, the most that a control process sends"
             ),
         )?;
-        expect(
+        require(
             self.zones
                 .iter()
                 .all(|zone| is_member_name(&zone.name) && is_member_name(&zone.region)),
             "zones",
-            "names of letters, digits and - _ . : alone",
+            "names made up of letters, digits and - _ . : only",
         )?;
         let zones = self
             .zones
             .iter()
             .map(|zone| (ZoneName(zone.name.clone()), RegionName(zone.region.clone())));
-        let layout = Layout::new(zones, self.buckets_per_region).map_err(Invalid::Layout)?;
+        let layout =
+            Layout::new(zones, self.buckets_per_region).map_err(ValidationError::Layout)?;
         let zone = ZoneName(self.zone);
-        expect(
+        require(
             layout.region_of(&zone).is_some(),
             "zone",
-            "one of the zones under `zones`: the one that this dispatcher runs in",
+            "one of the zones listed in `zones`: the one that this dispatcher runs in",
         )?;
         Ok(Installation {
             dispatcher: self.dispatcher,
@@ -194,10 +196,10 @@
     }
 }
 
-fn expect(holds: bool, field: &'static str, expected: &str) -> Result<(), Invalid> {
-    if holds {
+fn require(condition: bool, field: &'static str, expected: &str) -> Result<(), ValidationError> {
+    if condition {
         Ok(())
     } else {
-        Err(Invalid::Field(field, expected.to_string()))
+        Err(ValidationError::Field(field, expected.to_string()))
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,17 +1,17 @@
-//! The dispatcher as a service: the decisions of `bellsill-core` on real sockets. [`start`] reads the configuration,
-//! [`event_loop::Daemon`] runs the dispatcher; `docs/daemon.md` describes how the parts fit together.
+//! The dispatcher daemon: runs the dispatch logic of `bellsill-core` on real sockets. [`start`] reads the configuration
+//! and [`event_loop::Daemon`] runs the dispatcher; `docs/daemon.md` describes the architecture.
 //!
-//! From the top down, each module uses only those below it:
+//! The modules form layers; each one uses only those below it:
 //!
-//! | module | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`event_loop`] | polling, and the dispatch of poll events and timers |
-//! | `startup`, `reload`, `shutdown` | building the parts, reading the configuration again, the phases of a graceful shutdown |
-//! | [`client`], [`admin`] | the sessions of clients and of operators |
-//! | `delivery` | the decisions, pending messages, attempts in flight, admission, recovery |
-//! | [`endpoint`], `notification`, [`discovery`] | what is said to endpoints, to the platform, and to discovery |
-//! | [`journal`], [`scope`] | stored data |
-//! | `connection`, `timer` | sockets, the poller, and what is to be done when |
+//! | [`event_loop`] | polling, and dispatching poll events and expired timers |
+//! | `startup`, `reload`, `shutdown` | building the components, configuration reload, the phases of a graceful shutdown |
+//! | [`client`], [`admin`] | client and operator sessions |
+//! | `delivery` | the dispatch core, pending messages, attempts in flight, admission, recovery |
+//! | [`endpoint`], `notification`, [`discovery`] | communication with endpoints, with the platform and with discovery |
+//! | [`journal`], [`scope`] | persistent state |
+//! | `connection`, `timer` | sockets, the poller, and scheduled timers |
 #![deny(unsafe_code)]
 
 pub use bellsill_discovery_client::backoff;
--- a/crates/daemon/src/logger.rs
+++ b/crates/daemon/src/logger.rs
@@ -1,4 +1,4 @@
-//! A small logger: one line per record on standard error, with the time in the form 1789999999.123.
+//! A logger that writes one line per record to standard error, with a Unix timestamp such as 1789999999.123.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::fs::{File, OpenOptions};
@@ -8,14 +8,14 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 const STANDARD_ERROR: &str = "/proc/self/fd/2";
-/// A pipe takes a line of this length completely or not at all (Linux's `PIPE_BUF`).
+/// A write of up to this length to a pipe is atomic (Linux's `PIPE_BUF`).
 const MAX_LINE_BYTES: usize = 4096;
 
 struct Logger {
-    /// Standard error opened a second time where it is a pipe, so that writing to it never blocks.
+    /// A separate, non-blocking file description of standard error if it is a pipe.
     pipe: Option<File>,
-    /// Lines that were lost since the last one that was written.
-    lost_lines: AtomicU64,
+    /// The number of lines dropped since the last one that was written.
+    dropped_lines: AtomicU64,
 }
 
 impl Log for Logger {
@@ -28,32 +28,32 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut text = record.args().to_string().replace(['\n', '\r'], " ");
-        let lost_lines = self.lost_lines.load(Ordering::Relaxed);
-        if lost_lines > 0 {
-            text += &format!(" ({lost_lines} lines before this one were lost)");
+        let dropped_lines = self.dropped_lines.load(Ordering::Relaxed);
+        if dropped_lines > 0 {
+            text += &format!(" ({dropped_lines} earlier lines were dropped)");
         }
         let (seconds, millis) = (now.as_secs(), now.subsec_millis());
         let mut line = format!("{seconds}.{millis:03} {:5} {text}", record.level()).into_bytes();
         line.truncate(MAX_LINE_BYTES - 1);
         line.push(b'\n');
-        // The dispatcher has one thread: with a full pipe that nobody reads, a blocking write would stop it. Such a line is
-        // dropped and counted instead, which leaves a gap when the log collector hangs or is stopped.
+        // A blocking write to a full pipe would stop the dispatcher, which has a single thread. The line is dropped and
+        // counted instead, so the log has a gap when the log collector hangs or is stopped.
         let written = match &self.pipe {
             Some(pipe) => (&*pipe).write(&line).map(drop),
             None => std::io::stderr().write_all(&line),
         };
         match written {
-            Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                self.lost_lines.store(lost_lines + 1, Ordering::Relaxed)
-            }
-            _ => self.lost_lines.store(0, Ordering::Relaxed),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => self
+                .dropped_lines
+                .store(dropped_lines + 1, Ordering::Relaxed),
+            _ => self.dropped_lines.store(0, Ordering::Relaxed),
         }
     }
 
     fn flush(&self) {}
 }
 
-/// Starts logging at this level. A second call changes only the level.
+/// Installs the logger at the given level. A second call changes only the level.
 pub fn start(level: LevelFilter) {
     let is_pipe = std::fs::metadata(STANDARD_ERROR).is_ok_and(|m| m.file_type().is_fifo());
     let open = || {
@@ -66,9 +66,9 @@
     let pipe = is_pipe.then(open).flatten();
     let logger = Logger {
         pipe,
-        lost_lines: AtomicU64::new(0),
+        dropped_lines: AtomicU64::new(0),
     };
-    // It fails where a logger is set already.
+    // Fails if a logger is already installed.
     log::set_boxed_logger(Box::new(logger)).ok();
     log::set_max_level(level);
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `bellsill`: a dispatcher, or a control process.
+//! The `bellsill` executable, which runs a dispatcher or a control process.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -1,59 +1,66 @@
-//! Reading the configuration again.
+//! Reloads the configuration file.
 
 use crate::start::{self, Source};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Where the configuration came from.
+/// The source of the configuration, and the fields that a reload does not apply.
 pub(crate) struct Configuration {
-    /// None where it came from no file.
+    /// `None` if the configuration was not read from a file.
     source: Option<Source>,
-    /// The fields that take effect at a restart only, as they were at the start.
-    fixed: Vec<(&'static str, Value)>,
+    /// The values at startup of the fields that take effect only after a restart.
+    restart_only: Vec<(&'static str, Value)>,
 }
 
-/// What came of reading it again.
+/// The outcome of a reload.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reload {
-    /// It came from no file.
+pub(crate) enum ReloadOutcome {
+    /// The configuration was not read from a file.
     NoFile,
-    /// It cannot be read. The old one stays in force: a half-written file must not end a dispatcher that serves.
+    /// The file is invalid. The previous configuration stays in effect, so that a half-written file does not stop a
+    /// running dispatcher.
     Rejected,
-    /// It is taken.
-    Taken {
+    /// The new configuration is applied.
+    Applied {
         /// The address of discovery.
         discovery: SocketAddr,
     },
 }
 
 impl Configuration {
-    /// The configuration as it was at the start.
-    pub(crate) fn new(source: Option<Source>, fixed: Vec<(&'static str, Value)>) -> Configuration {
-        Configuration { source, fixed }
+    /// Takes the configuration as it was read at startup.
+    pub(crate) fn new(
+        source: Option<Source>,
+        restart_only: Vec<(&'static str, Value)>,
+    ) -> Configuration {
+        Configuration {
+            source,
+            restart_only,
+        }
     }
 
-    /// Reads the configuration again, and logs what has changed and needs a restart.
-    pub(crate) fn reload(&self) -> Reload {
+    /// Reloads the file, and logs each changed field that takes effect only after a restart.
+    pub(crate) fn reload(&self) -> ReloadOutcome {
         let Some(Source { file, state }) = self.source.clone() else {
-            return Reload::NoFile;
+            return ReloadOutcome::NoFile;
         };
         let new = match start::read(&file, state) {
             Ok(new) => new,
             Err(e) => {
-                log::error!("configuration not reloaded: {e}");
-                return Reload::Rejected;
+                log::error!("configuration reload failed, keeping the previous configuration: {e}");
+                return ReloadOutcome::Rejected;
             }
         };
-        for ((field, old), (_, new)) in self.fixed.iter().zip(&new.fixed) {
+        for ((field, old), (_, new)) in self.restart_only.iter().zip(&new.restart_only) {
             if old != new {
                 log::warn!(
-                    "configuration reload: `{field}` has changed but needs a restart, the old value stays in force"
+                    "configuration reload: `{field}` has changed but takes effect only after a restart"
                 );
             }
         }
         log::info!("configuration reloaded, discovery is at {}", new.discovery);
-        Reload::Taken {
+        ReloadOutcome::Applied {
             discovery: new.discovery,
         }
     }
--- a/crates/daemon/src/scope.rs
+++ b/crates/daemon/src/scope.rs
@@ -1,5 +1,6 @@
-//! The scope file: the dispatcher's part of the configuration in its state folder. It is saved periodically and read at a
-//! start, so that a restart while no control process can be reached serves what was served before.
+//! The scope file stores the dispatcher's part of the configuration in its state directory. It is saved periodically
+//! and loaded at startup, so that a dispatcher that restarts while no control process is reachable serves the same
+//! destinations.
 
 use crate::installation::Installation;
 use bellsill_discovery_client::ScopedList;
@@ -7,21 +8,22 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The name of the file in the state folder.
+/// The name of the file in the state directory.
 pub const SCOPE_FILE: &str = "scope";
-/// How often a changed list is saved, in nanoseconds: after a restart the configuration may be this old.
-pub const SAVE_EVERY: Nanos = 5_000_000_000;
-/// The part of the disk quota that the file and its replacement may take together.
-const DISK_SHARE: f64 = 0.5;
+/// How often a changed list is saved, in nanoseconds. After a restart the configuration may be out of date by this
+/// much.
+pub const SAVE_INTERVAL: Nanos = 5_000_000_000;
+/// The fraction of the disk quota for the file and its replacement together.
+const DISK_QUOTA_FRACTION: f64 = 0.5;
 
-/// Counts what happened to the file since the start.
+/// Counters of loading and saving the file since startup.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ScopeFileCounters {
-    /// Files that were there and could not be used.
+    /// Existing files that were rejected as unusable.
     pub refused: u64,
-    /// Times that it was saved.
+    /// Successful saves.
     pub saved: u64,
-    /// Times that it could not be saved.
+    /// Failed saves.
     pub failed: u64,
 }
 
@@ -30,30 +32,30 @@
     path: PathBuf,
     dispatcher: String,
     max_bytes: usize,
-    /// The list's revision when it was saved last.
+    /// The revision of the list at the last successful save.
     saved_revision: Option<u64>,
-    /// For the operators' metrics.
+    /// Counters for the metrics.
     pub counters: ScopeFileCounters,
 }
 
-/// How much of the disk quota is left for all other files.
-pub fn disk_left(disk_bytes: u64) -> u64 {
-    disk_bytes - (disk_bytes as f64 * DISK_SHARE) as u64
+/// The disk quota that remains for all other files.
+pub fn remaining_disk_bytes(disk_bytes: u64) -> u64 {
+    disk_bytes - (disk_bytes as f64 * DISK_QUOTA_FRACTION) as u64
 }
 
 impl ScopeFile {
-    /// The file of this dispatcher in a state folder with this disk quota. Nothing is read yet.
+    /// The scope file of `dispatcher` in the state directory `folder`. The file is not read yet.
     pub fn new(folder: &Path, dispatcher: &str, disk_bytes: u64) -> ScopeFile {
         ScopeFile {
             path: folder.join(SCOPE_FILE),
             dispatcher: dispatcher.to_string(),
-            max_bytes: (disk_bytes as f64 * DISK_SHARE / 2.0) as usize,
+            max_bytes: (disk_bytes as f64 * DISK_QUOTA_FRACTION / 2.0) as usize,
             saved_revision: None,
             counters: ScopeFileCounters::default(),
         }
     }
 
-    /// The list as it was saved last; `None` where there is no file. One that cannot be used is logged and counted.
+    /// Loads the last saved list; `None` if there is no usable file. An unusable file is logged and counted.
     pub fn load(&mut self, installation: &Installation) -> Option<ScopedList> {
         let bytes = match std::fs::read(&self.path) {
             Ok(bytes) => bytes,
@@ -78,20 +80,20 @@
         }
     }
 
-    fn reject(&mut self, why: &dyn std::error::Error) {
+    fn reject(&mut self, reason: &dyn std::error::Error) {
         self.counters.refused += 1;
         log::error!(
-            "{}: rejected, the configuration starts empty: {why}",
+            "{}: scope file rejected, starting without a saved configuration: {reason}",
             self.path.display()
         );
     }
 
-    /// Whether the list has changed since it was saved last.
+    /// Whether the list has changed since it was last saved.
     pub fn has_unsaved_changes(&self, list: &ScopedList) -> bool {
         self.saved_revision != Some(list.revision())
     }
 
-    /// Saves the list where it has changed since it was saved last.
+    /// Saves the list if it has changed since it was last saved.
     pub fn save(&mut self, list: &ScopedList) {
         if !self.has_unsaved_changes(list) {
             return;
@@ -103,21 +105,22 @@
             }
             Err(e) => {
                 self.counters.failed += 1;
-                log::error!("{}: cannot be saved: {e}", self.path.display());
+                log::error!("{}: cannot save the scope file: {e}", self.path.display());
             }
         }
     }
 
-    /// Replaces the file by a complete one.
+    /// Writes a new file and renames it over the old one.
     fn write(&self, bytes: &[u8]) -> io::Result<()> {
         if bytes.len() > self.max_bytes {
-            let why = format!(
-                "{} bytes are more than a quarter of the disk limit",
+            let reason = format!(
+                "its size of {} bytes exceeds a quarter of the disk quota",
                 bytes.len()
             );
-            return Err(io::Error::other(why));
+            return Err(io::Error::other(reason));
         }
-        // A name of this process: another version of the dispatcher may run beside it.
+        // The process id makes the name unique, since another version of the dispatcher may use the same state
+        // directory.
         let replacement = self
             .path
             .with_extension(format!("{}.new", std::process::id()));
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown and draining: which clients are still accepted and served, and what is still waited for.
+//! Graceful shutdown and draining: which clients are still accepted and served, and what the process waits for.
 
 use crate::client::{self, AcceptStatus, ClientPolicy, Clients};
 use crate::delivery::Delivery;
@@ -6,34 +6,36 @@
 use bellsill_core::interface::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// How long clients are accepted after the signal: the platform sends new ones for 400 ms. The connected ones are served
-/// for as long as the platform allows: closed early, all of their messages would go to other dispatchers.
+/// How long after the signal clients are accepted: the platform keeps sending new ones for 400 ms. Connected clients
+/// are served for as long as the platform allows, because closing them early would move all their messages to other
+/// dispatchers.
 const ACCEPT_CLIENTS_UNTIL: Nanos = 500 * MS;
-/// How long after the signal clients are served.
+/// How long after the signal connected clients are served.
 const SERVE_CLIENTS_UNTIL: Nanos = 2_300 * MS;
-/// How long after the signal attempts begin.
+/// How long after the signal new attempts are started.
 const CLOSE_CLIENTS_UNTIL: Nanos = 2_900 * MS;
-/// When the process ends at the latest; the platform kills it 3.7 s after the signal.
+/// The deadline for the process to exit; the platform kills it 3.7 s after the signal.
 const FINISH_BY: Nanos = 3_500 * MS;
 
 /// The phases of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ShutdownPhase {
-    /// No shutdown is requested.
+    /// No shutdown has been requested.
     Running,
-    /// Clients are still accepted.
+    /// New clients are still accepted.
     AcceptingClients,
-    /// No client is accepted; those connected are served.
+    /// New clients are not accepted; connected ones are served.
     ServingClients,
-    /// Clients are closed between requests; attempts still begin.
+    /// Clients are closed between requests; new attempts are still started.
     ClosingClients,
-    /// The decisions are not called any more; attempts in flight still end. What is pending is left to the next process.
+    /// The dispatch core is no longer called; attempts in flight may complete. Pending messages are left to the next
+    /// process.
     FinishingAttempts,
-    /// The process ends.
+    /// Shutdown is complete and the process exits.
     Finished,
 }
 
-/// How far the shutdown has come, and whether an operator drains the process.
+/// The progress of the shutdown, and whether an operator has drained the process.
 pub(crate) struct Shutdown {
     phase: ShutdownPhase,
     requested_at: Nanos,
@@ -41,7 +43,7 @@
 }
 
 impl Shutdown {
-    /// No shutdown is requested.
+    /// Creates the state of a process that is running normally.
     pub(crate) fn new() -> Shutdown {
         Shutdown {
             phase: ShutdownPhase::Running,
@@ -50,17 +52,16 @@
         }
     }
 
-    /// The present phase.
     pub(crate) fn phase(&self) -> ShutdownPhase {
         self.phase
     }
 
-    /// Whether clients are accepted: neither drained nor shutting down.
+    /// Whether clients are accepted: the process is neither drained nor past accepting clients in a shutdown.
     pub(crate) fn is_ready(&self) -> bool {
         !self.draining && self.phase < ShutdownPhase::ServingClients
     }
 
-    /// How clients are treated now.
+    /// The client policy of the current phase.
     pub(crate) fn client_policy(&self) -> ClientPolicy {
         ClientPolicy {
             ready: self.is_ready(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Begins the shutdown, unless it has begun.
+    /// Starts the shutdown, unless it is already in progress.
     pub(crate) fn request(&mut self, delivery: &mut Delivery) {
         if self.phase != ShutdownPhase::Running {
             return;
@@ -104,7 +105,7 @@
             .set(Timer::ShutdownPhase, self.requested_at + until);
         match next {
             ShutdownPhase::ServingClients => {
-                // Clients that wait are accepted: the listener would reset them when it is closed.
+                // Accept the clients in the queue: closing the listener would reset their connections.
                 while clients.accept(&mut delivery.runtime) == AcceptStatus::MoreMayWait {}
                 delivery.runtime.timers.cancel(Timer::AcceptClients);
                 delivery.runtime.connections.close_listener();
@@ -120,21 +121,22 @@
         }
     }
 
-    /// Ends the process if it shuts down and has nothing left to wait for.
-    pub(crate) fn finish_if_quiet(&mut self, delivery: &Delivery) {
-        if self.is_quiet(delivery) {
+    /// Finishes the shutdown early if there is nothing left to wait for.
+    pub(crate) fn finish_if_idle(&mut self, delivery: &Delivery) {
+        if self.is_idle(delivery) {
             self.phase = ShutdownPhase::Finished;
         }
     }
 
-    /// Only late in the shutdown are messages and connections passed over: with a large backlog, doing that in each turn
-    /// took more time than the messages themselves.
-    fn is_quiet(&self, delivery: &Delivery) -> bool {
+    /// Scans messages and connections only from `ClosingClients` on: with a large backlog, a scan in each iteration of
+    /// the event loop took more time than processing the messages.
+    fn is_idle(&self, delivery: &Delivery) -> bool {
         if self.phase < ShutdownPhase::ClosingClients {
             return false;
         }
         let runtime = &delivery.runtime;
-        // A client that is still connected is within a request, has not read its answer, or has not ended its side.
+        // A client that is still connected is in the middle of a request, has not read its response, or has not closed
+        // its side.
         let has_clients = runtime.connections.has_clients();
         match self.phase {
             ShutdownPhase::ClosingClients => {
@@ -148,19 +150,21 @@
         }
     }
 
-    /// Drains, or accepts clients again. Clients between requests are closed at once, the others when they are answered.
+    /// Starts or ends draining. When draining starts, clients between requests are closed at once and the others after
+    /// their response.
     pub(crate) fn set_draining(&mut self, draining: bool, delivery: &mut Delivery) {
         if std::mem::replace(&mut self.draining, draining) == draining {
             return;
         }
         if !draining {
-            log::info!("draining ended by an admin request");
+            log::info!("admin request: draining ended");
             return;
         }
-        log::info!("draining by an admin request");
+        log::info!("admin request: draining started");
         let policy = self.client_policy();
         for id in delivery.runtime.connections.clients() {
-            // What has arrived is answered first, and a client without an answer still has its time for a request.
+            // Requests that have already arrived are answered first. A client that has had no response yet keeps its
+            // time to send a request.
             client::ready(delivery, id, policy);
             let runtime = &mut delivery.runtime;
             if runtime.connections.get(id).is_some_and(|c| c.answered) {
--- a/crates/daemon/src/signals.rs
+++ b/crates/daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals, as flags and a byte on a pipe that wakes the event loop.
+//! Signal handling: a signal sets a flag and writes a byte to a socket pair that wakes the event loop (a self-pipe).
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io;
@@ -6,18 +6,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What the process is asked for from outside. A byte on `wake` has the event loop look at the flags.
+/// The flags that signal handlers set, and the socket that tells the event loop to check them.
 pub struct Signals {
-    /// The receiving end of the pipe.
+    /// The receiving end of the self-pipe; it becomes readable after a signal.
     pub wake: UnixStream,
-    /// Shutdown is requested.
+    /// Set when shutdown is requested.
     pub shutdown: Arc<AtomicBool>,
-    /// The configuration is to be read again.
+    /// Set when a configuration reload is requested.
     pub reload: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// SIGTERM and SIGINT request shutdown, SIGHUP a reload.
+    /// Installs the handlers: SIGTERM and SIGINT request shutdown, SIGHUP requests a reload.
     pub fn install() -> io::Result<Signals> {
         let (wake, sender) = UnixStream::pair()?;
         let signals = Signals {
@@ -30,14 +30,14 @@
             (SIGINT, &signals.shutdown),
             (SIGHUP, &signals.reload),
         ] {
-            // The flag is set before the byte is written, so that the loop finds it when it wakes up.
+            // Handlers run in the order of registration: the flag is set before the byte wakes the event loop.
             signal_hook::flag::register(signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
         }
         Ok(signals)
     }
 
-    /// Splits off the receiving end of the pipe.
+    /// Separates the receiving end of the self-pipe from the flags.
     pub(crate) fn split(self) -> (UnixStream, SignalFlags) {
         let flags = SignalFlags {
             shutdown: self.shutdown,
@@ -47,14 +47,14 @@
     }
 }
 
-/// The flags that signals set.
+/// The flags that signal handlers set.
 pub(crate) struct SignalFlags {
     shutdown: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
 
 impl SignalFlags {
-    /// The flag of a requested shutdown, for what waits at the start.
+    /// The shutdown flag, which startup checks while it retries.
     pub(crate) fn shutdown(&self) -> &AtomicBool {
         &self.shutdown
     }
@@ -64,7 +64,7 @@
         self.shutdown.load(Ordering::SeqCst)
     }
 
-    /// Whether a reload was requested since this was asked last.
+    /// Returns whether a reload was requested since the last call, and clears the flag.
     pub(crate) fn take_reload(&self) -> bool {
         self.reload.swap(false, Ordering::SeqCst)
     }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher needs at its start: the platform's configuration file, the state folder and the installation file.
+//! The configuration of a dispatcher at startup: the platform's configuration file, the state directory and the
+//! installation file.
 
 use crate::installation::{Installation, InstallationError};
 use bellsill_settings::{FieldReader, InvalidField, PlatformSettings};
@@ -9,106 +10,107 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The platform's megabyte, of its limits.
+/// Megabytes in the platform's limits are decimal.
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// Fewer sockets leave none for clients.
+/// The smallest allowed socket limit; with fewer, no sockets would be left for clients.
 const MIN_SOCKETS: u64 = 32;
-/// Names the operators' address where the file does not.
-const MANAGEMENT_VARIABLE: &str = "RELAY_MGMT";
+/// The environment variable with the admin address, used if the configuration file has none.
+const ADMIN_ADDRESS_VARIABLE: &str = "RELAY_MGMT";
 
 /// The configuration of one dispatcher.
-pub struct Start {
-    /// The name by which the platform knows it.
+pub struct StartConfig {
+    /// The dispatcher's name on the platform.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery listens, which notifications go to as well.
+    /// The address of discovery, which also receives notifications.
     pub discovery: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// The address that admin requests are accepted on, if any.
     pub mgmt: Option<SocketAddr>,
-    /// The memory limit.
+    /// The memory limit in bytes.
     pub memory_bytes: u64,
-    /// The limit of open sockets.
+    /// The limit on open sockets.
     pub sockets: usize,
-    /// The disk quota of the state folder.
+    /// The disk quota of the state directory in bytes.
     pub disk_bytes: u64,
-    /// The endpoint list as the platform knew it at the start.
+    /// The endpoint list that the platform knew when it started the dispatcher.
     pub known: Value,
-    /// The platform's settings of the decisions.
-    pub boot: PlatformSettings,
-    /// The state folder, which outlasts the process.
+    /// The platform's settings for the dispatch core.
+    pub platform: PlatformSettings,
+    /// The state directory, which persists across restarts.
     pub state: PathBuf,
-    /// Where it has only a part of the configuration; `None` where discovery sends everything.
+    /// The installation of a dispatcher that holds only a part of the configuration; `None` if discovery sends all of
+    /// it.
     pub installation: Option<Installation>,
-    /// What it was read from, to be read again on a reload; `None` where it came from no file.
+    /// The files to read again on a reload; `None` if the configuration was not read from a file.
     pub source: Option<Source>,
-    /// The fields that only a restart applies, with their values.
-    pub fixed: Vec<(&'static str, Value)>,
+    /// The values of the fields that take effect only after a restart.
+    pub restart_only: Vec<(&'static str, Value)>,
 }
 
-/// What a configuration is read from.
+/// The source of a configuration.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// The platform's file.
+    /// The platform's configuration file.
     pub file: PathBuf,
-    /// The state folder that was named beside it, in place of the file's `state`.
+    /// The state directory given on the command line or in the environment; it overrides the file's `state`.
     pub state: Option<PathBuf>,
 }
 
-/// The fields of the file that only a restart applies. `known` is the list before the start, and `seed` is new with each
-/// start: neither is compared on a reload.
+/// The fields of the file that take effect only after a restart. A reload does not compare `known`, which is only the
+/// initial list, or `seed`, which differs at each start.
 const RESTART_ONLY_FIELDS: [&str; 5] = ["name", "listen", "limits", "settings", "state"];
 
-/// Why a configuration is rejected.
+/// An error in the configuration.
 #[derive(Debug, Error)]
-pub enum StartError {
-    /// The file could not be read from disk.
+pub enum ConfigError {
+    /// The file could not be read.
     #[error("{path}: {source}")]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What reading it failed with.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is no JSON.
-    #[error("{path}: not JSON: {source}")]
+    /// The file is not valid JSON.
+    #[error("{path}: invalid JSON: {source}")]
     NotJson {
         /// The file.
         path: PathBuf,
-        /// Where in the file and why.
+        /// The position and cause of the syntax error.
         source: serde_json::Error,
     },
-    /// A field is missing, or its value makes no sense.
+    /// A field is missing or has an invalid value.
     #[error("configuration: {0}")]
     Field(InvalidField),
-    /// The environment names an operators' address that is none.
-    #[error("{path}: RELAY_MGMT: `{value}` is no address such as 127.0.0.1:9100")]
-    ManagementAddress {
-        /// The file, which names no such address.
+    /// The environment variable `RELAY_MGMT` does not hold a socket address.
+    #[error("{path}: RELAY_MGMT: `{value}` is not an address such as 127.0.0.1:9100")]
+    AdminAddress {
+        /// The configuration file, which has no `mgmt` address.
         path: PathBuf,
-        /// The variable's value.
+        /// The value of the variable.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// The installation file is rejected.
+    /// The installation file is invalid.
     #[error(transparent)]
     Installation(#[from] InstallationError),
 }
 
-impl From<InvalidField> for StartError {
+impl From<InvalidField> for ConfigError {
     fn from(invalid: InvalidField) -> Self {
-        StartError::Field(invalid)
+        ConfigError::Field(invalid)
     }
 }
 
-/// Reads the platform's file. The state folder is the one given here, or else the file's `state`.
-pub fn read(path: &Path, state: Option<PathBuf>) -> Result<Start, StartError> {
-    let text = std::fs::read_to_string(path).map_err(|source| StartError::Unreadable {
+/// Reads the platform's configuration file. `state` overrides the file's state directory.
+pub fn read(path: &Path, state: Option<PathBuf>) -> Result<StartConfig, ConfigError> {
+    let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
         path: path.to_path_buf(),
         source,
     })?;
-    let json: Value = serde_json::from_str(&text).map_err(|source| StartError::NotJson {
+    let json: Value = serde_json::from_str(&text).map_err(|source| ConfigError::NotJson {
         path: path.to_path_buf(),
         source,
     })?;
@@ -116,44 +118,42 @@
         file: path.to_path_buf(),
         state: state.clone(),
     };
-    let mut start = Start {
+    let mut start = StartConfig {
         source: Some(source),
         ..parse(&json, state)?
     };
     if start.mgmt.is_none()
-        && let Some(value) = std::env::var_os(MANAGEMENT_VARIABLE)
+        && let Some(value) = std::env::var_os(ADMIN_ADDRESS_VARIABLE)
     {
-        start.mgmt = Some(parse_management_address(path, &value)?);
+        start.mgmt = Some(parse_admin_address(path, &value)?);
     }
     Ok(start)
 }
 
-fn parse_management_address(path: &Path, value: &OsStr) -> Result<SocketAddr, StartError> {
+fn parse_admin_address(path: &Path, value: &OsStr) -> Result<SocketAddr, ConfigError> {
     let value = value.to_string_lossy();
-    value
-        .parse()
-        .map_err(|source| StartError::ManagementAddress {
-            path: path.to_path_buf(),
-            value: value.into_owned(),
-            source,
-        })
+    value.parse().map_err(|source| ConfigError::AdminAddress {
+        path: path.to_path_buf(),
+        value: value.into_owned(),
+        source,
+    })
 }
 
-/// Reads the platform's file and the installation file, if there is one.
-pub fn read_all(
+/// Reads the platform's configuration file, and the installation file if one is given.
+pub fn read_with_installation(
     path: &Path,
     state: Option<PathBuf>,
     installation: Option<&Path>,
-) -> Result<Start, StartError> {
+) -> Result<StartConfig, ConfigError> {
     let start = read(path, state)?;
     let installation = installation.map(Installation::read).transpose()?;
-    Ok(Start {
+    Ok(StartConfig {
         installation,
         ..start
     })
 }
 
-fn parse(json: &Value, state: Option<PathBuf>) -> Result<Start, InvalidField> {
+fn parse(json: &Value, state: Option<PathBuf>) -> Result<StartConfig, InvalidField> {
     let reader = FieldReader {
         json,
         path_prefix: "",
@@ -174,17 +174,20 @@
         (Some(state), _) => state,
         (None, Ok(state)) => state.into(),
         (None, Err(_)) => {
-            return Err(reader.invalid("state", "a folder that lasts, here or by RELAY_STATE"));
+            return Err(reader.invalid(
+                "state",
+                "the path of the state directory, unless --state or RELAY_STATE gives it",
+            ));
         }
     };
-    let boot = bellsill_settings::read(settings, seed, "settings")?;
-    if boot.settings.max_batch.iter().any(|most| *most > 1) {
+    let platform = bellsill_settings::read(settings, seed, "settings")?;
+    if platform.settings.max_batch.iter().any(|max| *max > 1) {
         return Err(reader.invalid(
             "settings.family-info.per-call",
-            "1 for each kind: a call to an endpoint carries one message",
+            "1 for each kind: each attempt carries one message",
         ));
     }
-    Ok(Start {
+    Ok(StartConfig {
         name: reader.string("name")?.to_string(),
         listen: address("listen")?,
         discovery: address("discovery")?,
@@ -196,11 +199,11 @@
         sockets: reader.integer_at_least(MIN_SOCKETS, "limits.sockets")? as usize,
         disk_bytes: (reader.number("limits.disk_mb")? * BYTES_PER_MEGABYTE) as u64,
         known: known.clone(),
-        boot,
+        platform,
         state,
         installation: None,
         source: None,
-        fixed: RESTART_ONLY_FIELDS
+        restart_only: RESTART_ONLY_FIELDS
             .map(|field| (field, json.get(field).cloned().unwrap_or(Value::Null)))
             .to_vec(),
     })
--- a/crates/daemon/src/start_retry.rs
+++ b/crates/daemon/src/start_retry.rs
@@ -1,17 +1,18 @@
-//! Retries of what fails temporarily at a start, in the state folder or for want of a socket, before clients are answered.
+//! Retries startup steps that fail temporarily, such as reading the state directory or opening a listener, before
+//! clients are served.
 
 use std::io::{self, ErrorKind};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a start retries: the platform counts a dispatcher that is not ready within 30 s as failed.
+/// How long startup retries: the platform treats a dispatcher that is not ready within 30 s as failed.
 const RETRY_FOR: Duration = Duration::from_secs(25);
-/// The pause between two attempts.
+/// The delay between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Errors that only the operator can mend, such as a folder without permission or an address in use: they end the start at
-/// once.
+/// Errors that only the operator can fix, such as a directory without permission or an address in use. Startup fails at
+/// once on them.
 const PERMANENT_ERRORS: [ErrorKind; 9] = [
     ErrorKind::PermissionDenied,
     ErrorKind::NotADirectory,
@@ -24,28 +25,28 @@
     ErrorKind::InvalidInput,
 ];
 
-/// Whether a call may succeed if it is made again: the disk is full or fails, or the system is out of a resource.
+/// Whether a retry may succeed: the disk is full or failing, or a system resource is exhausted.
 fn is_transient(e: &io::Error) -> bool {
-    let is_of_the_system = e.raw_os_error().is_some() || e.kind() == ErrorKind::StorageFull;
-    is_of_the_system && !PERMANENT_ERRORS.contains(&e.kind())
+    let is_system_error = e.raw_os_error().is_some() || e.kind() == ErrorKind::StorageFull;
+    is_system_error && !PERMANENT_ERRORS.contains(&e.kind())
 }
 
-/// Makes a call again and again while it fails with a transient error, unless the process has to end.
-pub fn wait_out<T>(
+/// Retries `attempt` while it fails with a transient error, until [`RETRY_FOR`] has passed or shutdown is requested.
+pub fn retry_transient<T>(
     shutdown_requested: &AtomicBool,
     mut attempt: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let give_up_at = Instant::now() + RETRY_FOR;
+    let deadline = Instant::now() + RETRY_FOR;
     let mut has_logged = false;
     loop {
         match attempt() {
             Err(e)
                 if is_transient(&e)
-                    && Instant::now() < give_up_at
+                    && Instant::now() < deadline
                     && !shutdown_requested.load(Ordering::SeqCst) =>
             {
                 if !std::mem::replace(&mut has_logged, true) {
-                    log::error!("startup waits for a temporary failure to pass: {e}");
+                    log::error!("temporary failure during startup, retrying: {e}");
                 }
                 sleep(RETRY_INTERVAL);
             }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start: the parts are built, the journal is read, and the listeners are opened.
+//! Startup: builds the components, reads the journal and opens the listeners.
 
 use crate::admin::{DisabledFile, load_disabled};
 use crate::backoff::Backoff;
@@ -11,9 +11,9 @@
 use crate::journal::{MessageJournal, Recovered};
 use crate::notification::Notifications;
 use crate::reload::Configuration;
-use crate::scope::{self, SAVE_EVERY, ScopeFile};
+use crate::scope::{self, SAVE_INTERVAL, ScopeFile};
 use crate::signals::{SignalFlags, Signals};
-use crate::start::Start;
+use crate::start::StartConfig;
 use crate::start_retry;
 use crate::timer::{NEIGHBOUR_CHECK_INTERVAL, STATUS_INTERVAL, Timer};
 use bellsill_core::interface::Settings;
@@ -24,82 +24,88 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::UnixStream;
 
-/// Clients that may wait in the kernel's queue.
+/// Length of the kernel's accept queue for client connections.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Descriptors kept from clients beside those of attempts: for the watch, notifications and lookups.
-const OTHER_CONNECTIONS: usize = 8;
+/// Sockets reserved for the watch, notifications and lookups, in addition to those reserved for attempts. Client
+/// connections cannot use them.
+const RESERVED_DISCOVERY_SOCKETS: usize = 8;
 
-/// What the event loop starts with.
-pub(crate) struct Parts {
+/// The components that the event loop runs.
+pub(crate) struct Components {
     pub(crate) delivery: Delivery,
     pub(crate) disabled_file: DisabledFile,
-    /// None where discovery tells the whole configuration.
+    /// `None` if discovery sends the complete configuration.
     pub(crate) scope_file: Option<ScopeFile>,
     pub(crate) configuration: Configuration,
     pub(crate) flags: SignalFlags,
 }
 
-/// What the state folder held.
-struct Stored {
+/// The state that was read from the state directory.
+struct StoredState {
     journal: MessageJournal,
     recovered: Recovered,
     adoption: Adoption,
     disabled: BTreeSet<String>,
 }
 
-/// Builds the parts and opens the listeners. Clients are answered once the event loop runs.
-pub(crate) fn build(start: Start, signals: Signals) -> io::Result<Parts> {
+/// Builds the components and opens the listeners. Clients are served only once the event loop runs.
+pub(crate) fn build(config: StartConfig, signals: Signals) -> io::Result<Components> {
     let now = clock::now();
     let (wake, flags) = signals.split();
-    let (watch, scope_file) = build_watch(&start);
-    let stored = read_state(&start, &flags, scope_file.is_some())?;
-    let disabled_file = DisabledFile::new(&start.state);
+    let (watch, scope_file) = build_watch(&config);
+    let stored = read_state(&config, &flags, scope_file.is_some())?;
+    let disabled_file = DisabledFile::new(&config.state);
     let mut runtime = Runtime::new(
         now,
-        listen(&start, &flags, wake)?,
+        listen(&config, &flags, wake)?,
         stored.journal,
-        Notifications::new(start.discovery),
+        Notifications::new(config.discovery),
         AttemptSettings {
-            connect_timeout: start.boot.settings.connect_timeout,
-            keep_alive: start.boot.keep_alive,
-            reports_limits: start.boot.reports_limits,
+            connect_timeout: config.platform.settings.connect_timeout,
+            keep_alive: config.platform.keep_alive,
+            reports_limits: config.platform.reports_limits,
         },
     );
-    if let Some(addr) = start.mgmt {
+    if let Some(addr) = config.mgmt {
         listen_admin(&mut runtime, addr, &flags)?;
     }
     let settings = Settings {
         caller_admission: true,
-        ..start.boot.settings
+        ..config.platform.settings
     };
-    let discovery = Discovery::new(watch, start.boot.names);
+    let discovery = Discovery::new(watch, config.platform.names);
     let mut delivery = Delivery::new(settings, discovery, runtime, stored.disabled);
-    begin(
+    initialize_delivery(
         &mut delivery,
-        &start.known,
-        start.boot.drain_grace,
+        &config.known,
+        config.platform.drain_grace,
         stored.recovered,
     );
     set_timers(&mut delivery.runtime, scope_file.is_some(), stored.adoption);
     delivery.settle();
     delivery.runtime.send_notifications();
     log::info!(
-        "{} listens on {}, {} messages pending",
-        start.name,
-        start.listen,
+        "{}: listening on {}, {} messages pending",
+        config.name,
+        config.listen,
         delivery.runtime.messages().len()
     );
-    Ok(Parts {
+    Ok(Components {
         delivery,
         disabled_file,
         scope_file,
-        configuration: Configuration::new(start.source, start.fixed),
+        configuration: Configuration::new(config.source, config.restart_only),
         flags,
     })
 }
 
-/// Endpoints first, then the watch, then the messages of an earlier process.
-fn begin(delivery: &mut Delivery, known: &Value, drain_grace: u64, recovered: Recovered) {
+/// Applies the known endpoints, then opens the watch, then recovers the messages of an earlier process.
+fn initialize_delivery(
+    delivery: &mut Delivery,
+    known: &Value,
+    drain_grace: u64,
+    recovered: Recovered,
+) {
     delivery.apply_known_list(known);
     delivery.start_watch(drain_grace);
     delivery.recover(recovered);
@@ -109,31 +115,31 @@
     let (now, timers) = (runtime.now, &mut runtime.timers);
     timers.set(Timer::StatusLog, now + STATUS_INTERVAL);
     if has_scope_file {
-        timers.set(Timer::SaveScope, now + SAVE_EVERY);
+        timers.set(Timer::SaveScope, now + SAVE_INTERVAL);
     }
     if adoption == Adoption::MoreLater {
         timers.set(Timer::AdoptJournals, now + NEIGHBOUR_CHECK_INTERVAL);
     }
 }
 
-/// The watch of the configuration, and where a dispatcher holds a part of it the file in which that outlasts the process.
-fn build_watch(start: &Start) -> (Watch, Option<ScopeFile>) {
-    let settings = &start.boot.settings;
-    let Some(installation) = &start.installation else {
+/// Creates the watch on the configuration, and the scope file if the dispatcher holds only a part of the configuration.
+fn build_watch(config: &StartConfig) -> (Watch, Option<ScopeFile>) {
+    let settings = &config.platform.settings;
+    let Some(installation) = &config.installation else {
         let backoff = Backoff::new(settings.seed, settings.dispatchers);
-        return (Watch::plain(start.discovery, backoff), None);
+        return (Watch::plain(config.discovery, backoff), None);
     };
-    let mut file = ScopeFile::new(&start.state, &installation.dispatcher, start.disk_bytes);
+    let mut file = ScopeFile::new(&config.state, &installation.dispatcher, config.disk_bytes);
     let list = file.load(installation).unwrap_or_else(|| {
         let mut list =
             ScopedList::new(installation.layout.clone(), installation.cache_destinations);
-        if let Some(known) = endpoint_list::read(&start.known, &start.boot.names) {
-            list.import_entries(endpoint_list::entries_of(&known));
+        if let Some(known) = endpoint_list::read(&config.known, &config.platform.names) {
+            list.import_entries(endpoint_list::to_entries(&known));
         }
         list
     });
     log::info!(
-        "loaded the configuration of {} destinations, version {}",
+        "loaded the configuration: {} destinations, version {}",
         list.len(),
         list.version().0
     );
@@ -145,28 +151,32 @@
     (Watch::scoped(options, list), Some(file))
 }
 
-/// Reads the journal and the disabled endpoints. What an earlier process left is taken over before clients are answered;
-/// for one that still runs the state folder is looked at again later.
-fn read_state(start: &Start, flags: &SignalFlags, has_scope_file: bool) -> io::Result<Stored> {
+/// Reads the journal and the disabled endpoints. Adopts the journals of processes that have exited before any client is
+/// served; the journals of a process that is still running are checked again later.
+fn read_state(
+    config: &StartConfig,
+    flags: &SignalFlags,
+    has_scope_file: bool,
+) -> io::Result<StoredState> {
     let journal_bytes = if has_scope_file {
-        scope::disk_left(start.disk_bytes)
+        scope::remaining_disk_bytes(config.disk_bytes)
     } else {
-        start.disk_bytes
+        config.disk_bytes
     };
-    let in_folder =
-        |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", start.state.display()));
-    let (mut journal, mut recovered) = start_retry::wait_out(flags.shutdown(), || {
-        MessageJournal::open(&start.state, journal_bytes)
+    let add_path =
+        |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", config.state.display()));
+    let (mut journal, mut recovered) = start_retry::retry_transient(flags.shutdown(), || {
+        MessageJournal::open(&config.state, journal_bytes)
     })
-    .map_err(in_folder)?;
+    .map_err(add_path)?;
     let adopted = journal.adopt();
-    let disabled = start_retry::wait_out(flags.shutdown(), || load_disabled(&start.state))
-        .map_err(in_folder)?;
+    let disabled = start_retry::retry_transient(flags.shutdown(), || load_disabled(&config.state))
+        .map_err(add_path)?;
     recovered.messages.extend(adopted.recovered.messages);
     recovered
         .pending_notifications
         .extend(adopted.recovered.pending_notifications);
-    Ok(Stored {
+    Ok(StoredState {
         journal,
         recovered,
         adoption: Adoption::from_incomplete(adopted.is_incomplete),
@@ -174,20 +184,26 @@
     })
 }
 
-/// Listens for clients.
-fn listen(start: &Start, flags: &SignalFlags, wake: UnixStream) -> io::Result<ConnectionTable> {
-    let bind = start_retry::wait_out(flags.shutdown(), || shared_listener(start.listen));
-    let listener = bind.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", start.listen)))?;
-    let client_bytes = start.memory_bytes as usize / 2;
+/// Opens the client listener.
+fn listen(
+    config: &StartConfig,
+    flags: &SignalFlags,
+    wake: UnixStream,
+) -> io::Result<ConnectionTable> {
+    let bound = start_retry::retry_transient(flags.shutdown(), || shared_listener(config.listen));
+    let listener =
+        bound.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", config.listen)))?;
+    let client_bytes = config.memory_bytes as usize / 2;
     let limits = ConnectionLimits::new(
-        start.sockets,
-        start.boot.settings.max_in_flight + OTHER_CONNECTIONS,
+        config.sockets,
+        config.platform.settings.max_in_flight + RESERVED_DISCOVERY_SOCKETS,
         client_bytes / CLIENT_BUFFER_BYTES,
     );
     ConnectionTable::new(listener, wake, limits)
 }
 
-/// A listener that a new version of the dispatcher shares with the old one until that has ended.
+/// Opens a listener with `SO_REUSEPORT`, so that a new version of the dispatcher can listen on the same address while
+/// the old one shuts down.
 fn shared_listener(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(addr),
@@ -201,12 +217,14 @@
     Ok(socket.into())
 }
 
-/// Listens for operators, whose list of disabled endpoints another process may then change.
+/// Opens the admin listener, and schedules re-reading the disabled endpoints, since an operator can change them through
+/// another process that shares the state directory.
 fn listen_admin(runtime: &mut Runtime, addr: SocketAddr, flags: &SignalFlags) -> io::Result<()> {
-    let bind = start_retry::wait_out(flags.shutdown(), || TcpListener::bind(addr));
-    bind.and_then(|listener| runtime.connections.listen_admin(listener))
+    let bound = start_retry::retry_transient(flags.shutdown(), || TcpListener::bind(addr));
+    bound
+        .and_then(|listener| runtime.connections.listen_admin(listener))
         .map_err(|e| io::Error::new(e.kind(), format!("mgmt: {addr}: {e}")))?;
-    log::info!("admin requests are served on {addr}");
+    log::info!("listening for admin requests on {addr}");
     runtime.timers.set(
         Timer::DisabledEndpoints,
         runtime.now + NEIGHBOUR_CHECK_INTERVAL,
