--- a/crates/daemon/src/admin/stats.rs
+++ b/crates/daemon/src/admin/stats.rs
@@ -82,7 +82,7 @@
         ("lookups", calls.lookups),
         ("failed_lookups", calls.failed_lookups),
         ("unsaved", u64::from(unsaved)),
-        ("refused_files", file.refused),
+        ("refused_files", file.rejected),
         ("saved_files", file.saved),
         ("failed_saves", file.failed),
     ];
--- a/crates/daemon/src/scope.rs
+++ b/crates/daemon/src/scope.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ScopeFileCounters {
     /// Existing files that were rejected as unusable.
-    pub refused: u64,
+    pub rejected: u64,
     /// Successful saves.
     pub saved: u64,
     /// Failed saves.
@@ -81,7 +81,7 @@
     }
 
     fn reject(&mut self, reason: &dyn std::error::Error) {
-        self.counters.refused += 1;
+        self.counters.rejected += 1;
         log::error!(
             "{}: scope file rejected, starting without a saved configuration: {reason}",
             self.path.display()
