--- a/crates/daemon/tests/control_command.rs
+++ b/crates/daemon/tests/control_command.rs
@@ -1,4 +1,4 @@
-//! The sub-command that runs a control process.
+//! Tests of the `control` subcommand, which runs a control process.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{Read, Write};
@@ -7,7 +7,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-fn control(file: &Path) -> Command {
+fn control_command(file: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill"));
     command
         .args(["control", "--log", "warn", "--config"])
@@ -16,20 +16,20 @@
     command
 }
 
-fn figures(address: std::net::SocketAddr) -> std::io::Result<String> {
+fn fetch_figures(address: std::net::SocketAddr) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
     stream.write_all(b"GET /v2/figures HTTP/1.1\r\nConnection: close\r\n\r\n")?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).map(|_| answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response).map(|_| response)
 }
 
 #[test]
-fn a_control_process_serves_until_sigterm_and_names_a_bad_field() {
+fn a_control_process_serves_until_sigterm_and_names_an_invalid_field() {
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("control-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("control.toml");
-    // An address of its own, so that nothing else is ever given its port.
+    // A loopback address derived from the process id, so that no other process is given its port.
     let pid = std::process::id();
     let address = format!("127.{}.{}.250:7400", 16 + pid % 200, pid / 200 % 250)
         .parse()
@@ -41,25 +41,25 @@
         state.display()
     );
     std::fs::write(&file, text.replace("\"writer\"", "\"follower\"")).unwrap();
-    let end = control(&file).output().unwrap();
-    let error = String::from_utf8(end.stderr).unwrap();
+    let output = control_command(&file).output().unwrap();
+    let error = String::from_utf8(output.stderr).unwrap();
     assert!(
-        end.status.code() == Some(2) && error.contains("field writer"),
+        output.status.code() == Some(2) && error.contains("field writer"),
         "{error}"
     );
 
     std::fs::write(&file, text).unwrap();
-    let mut child = control(&file).spawn().unwrap();
-    let begun = Instant::now();
-    while !figures(address).is_ok_and(|answer| answer.contains("\"version\":0")) {
+    let mut child = control_command(&file).spawn().unwrap();
+    let started = Instant::now();
+    while !fetch_figures(address).is_ok_and(|response| response.contains("\"version\":0")) {
         assert!(
-            begun.elapsed() < Duration::from_secs(20),
-            "it does not answer"
+            started.elapsed() < Duration::from_secs(20),
+            "the control process does not respond"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
-    let second = control(&file).output().unwrap();
-    assert_eq!(second.status.code(), Some(1), "its address is taken");
+    let second = control_command(&file).output().unwrap();
+    assert_eq!(second.status.code(), Some(1), "the address is in use");
     kill_process(Pid::from_child(&child), Signal::TERM).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(0));
 }
--- a/crates/daemon/tests/control_plane_processes.rs
+++ b/crates/daemon/tests/control_plane_processes.rs
@@ -1,5 +1,5 @@
-//! Three dispatchers and three control processes: killed, suspended and resumed, and partitioned. Each test waits for what
-//! has to happen, and asserts no times.
+//! Tests with three dispatchers and three control processes that are killed, suspended and resumed, or partitioned.
+//! Each test waits for the expected result and makes no assertions about time.
 
 use bellsill_test_support::endpoint::{Endpoint, OK};
 use bellsill_test_support::installation::Installation;
@@ -7,7 +7,7 @@
 use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 
-/// Some of these are in buckets that a dispatcher holds, the others it looks up.
+/// Each dispatcher holds the buckets of some of these destinations and looks the others up.
 const DESTINATIONS: std::ops::Range<u64> = 0..8;
 
 #[test]
@@ -15,15 +15,18 @@
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "as first written");
+    installation.all_reach(DESTINATIONS, &first, "first version");
     let looked_up: u64 = installation
         .dispatchers
         .iter()
         .map(|d| d.scope("cached"))
         .sum();
-    assert!(looked_up > 0, "some are of buckets of others");
+    assert!(
+        looked_up > 0,
+        "some destinations are in buckets of other dispatchers"
+    );
     installation.write(DESTINATIONS, &second);
-    installation.all_reach(DESTINATIONS, &second, "as written anew");
+    installation.all_reach(DESTINATIONS, &second, "second version");
 }
 
 #[test]
@@ -42,7 +45,7 @@
 }
 
 #[test]
-fn a_suspended_control_process_is_left_for_another_one() {
+fn dispatchers_switch_from_a_suspended_control_process_to_another_one() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
@@ -51,7 +54,7 @@
         process.signal(Signal::STOP);
     }
     installation.write(DESTINATIONS, &second);
-    installation.all_reach(DESTINATIONS, &second, "with two that stand still");
+    installation.all_reach(DESTINATIONS, &second, "with two suspended");
     for process in &installation.control[1..] {
         process.signal(Signal::CONT);
     }
@@ -67,26 +70,30 @@
     installation.all_reach(DESTINATIONS, &first, "before");
     installation.dispatchers[0].process.signal(Signal::STOP);
     installation.write(DESTINATIONS, &second);
-    installation.dispatchers[1].reaches(0, &second, "by another one meanwhile");
+    installation.dispatchers[1].reaches(0, &second, "by another dispatcher");
     installation.dispatchers[0].process.signal(Signal::CONT);
     installation.all_reach(DESTINATIONS, &second, "after");
 }
 
 #[test]
-fn a_partitioned_dispatcher_serves_what_it_has_and_catches_up_afterwards() {
+fn a_partitioned_dispatcher_serves_its_last_configuration_and_catches_up_afterwards() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "before the cut");
-    let cut_off = &installation.dispatchers[0];
-    cut_off.cut(true);
+    installation.all_reach(DESTINATIONS, &first, "before the partition");
+    let partitioned = &installation.dispatchers[0];
+    partitioned.cut(true);
     installation.write(DESTINATIONS, &second);
-    installation.dispatchers[1].reaches(0, &second, "by another one");
+    installation.dispatchers[1].reaches(0, &second, "by another dispatcher");
     for destination in DESTINATIONS {
-        cut_off.reaches(destination, &first, &format!("cut off for {destination}"));
+        partitioned.reaches(
+            destination,
+            &first,
+            &format!("partitioned, for {destination}"),
+        );
     }
-    cut_off.cut(false);
-    installation.all_reach(DESTINATIONS, &second, "after the cut");
+    partitioned.cut(false);
+    installation.all_reach(DESTINATIONS, &second, "after the partition");
 }
 
 #[test]
@@ -95,7 +102,7 @@
     let mut installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
     installation.all_reach(DESTINATIONS, &first, "before");
-    wait_for("the list to be saved", || {
+    wait_for("the scope file to be saved", || {
         installation.dispatchers[0].scope("unsaved") == 0
     });
     installation
--- a/crates/daemon/tests/discovery_backoff.rs
+++ b/crates/daemon/tests/discovery_backoff.rs
@@ -1,4 +1,4 @@
-//! The pauses between calls to discovery, of one dispatcher and of a fleet.
+//! Tests of the backoff between requests to discovery, for a single dispatcher and for a fleet.
 
 use bellsill_core::interface::Nanos;
 use bellsill_daemon::backoff::{Backoff, CONNECT_TIMEOUT, FIRST_LINE_TIMEOUT, SILENCE_TIMEOUT};
@@ -7,17 +7,17 @@
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// The operators' requirement: whatever the backoff after failed calls, a change has to be known 6 s after discovery had it
-/// and could be reached. The backoff was up to 18 s once.
+/// The operators require that, whatever the backoff after failed requests, a dispatcher knows a change within 6 s of
+/// discovery having it and being reachable. The backoff used to reach 18 s.
 #[test]
-fn after_any_failure_the_next_first_line_comes_before_a_change_is_overdue() {
+fn after_any_failure_the_next_first_line_arrives_within_the_limit_for_changes() {
     for dispatchers in [1, 3, 30, 100, 300, u32::MAX] {
         for seed in 0..200 {
             let mut backoff = Backoff::new(seed, dispatchers);
             assert!((0..40).all(
                 |_| backoff.next_delay(0) + CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT < 6 * SECOND
             ));
-            for spent in [
+            for elapsed in [
                 0,
                 FIRST_LINE_TIMEOUT,
                 CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT,
@@ -25,11 +25,11 @@
                 20 * SECOND,
             ] {
                 backoff.reset();
-                let most =
-                    6 * SECOND - (CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT + spent).min(6 * SECOND - 2);
-                assert!((0..40).all(|_| backoff.next_delay(spent) < most));
+                let max_delay = 6 * SECOND
+                    - (CONNECT_TIMEOUT + FIRST_LINE_TIMEOUT + elapsed).min(6 * SECOND - 2);
+                assert!((0..40).all(|_| backoff.next_delay(elapsed) < max_delay));
             }
-            // Until then messages are routed by a list that may be old.
+            // The first delay must be short, since until then messages are routed by a list that may be out of date.
             assert!(
                 backoff.first_delay(0) == 0
                     && backoff.first_delay(SECOND / 4) <= SECOND / 8
@@ -39,17 +39,18 @@
     }
 }
 
-/// Found on herd+vast: 70 of 100 dispatchers, killed together, polled each 250 ms, and for 19 s none was answered. Discovery
-/// answers in turn, one call of each dispatcher in 8 s, abandoned calls included. A call whose turn may still come is kept
-/// open while others are made: with pauses of at most 6 s no dispatcher would be answered otherwise.
+/// Regression test for the scenario `herd+vast`: 70 of 100 dispatchers, killed together, sent a request every 250 ms,
+/// and none was answered for 19 s. Discovery answers in order, one request per dispatcher in 8 s, abandoned requests
+/// included. A request that may still be answered is therefore kept open while others are made: with delays of at most
+/// 6 s, no dispatcher would be answered otherwise.
 #[test]
-fn a_fleet_that_starts_together_is_served_in_turn() {
+fn a_fleet_that_starts_at_once_is_served_without_repeated_polling() {
     for dispatchers in [3, 30, 100, 300, 1000] {
         let mut backoffs: Vec<Backoff> = (0..dispatchers as u64)
             .map(|n| Backoff::new(n, dispatchers as u32))
             .collect();
         let mut due: BTreeSet<(Nanos, usize)> = (0..dispatchers).map(|n| (0, n)).collect();
-        // When the first of its open calls is answered.
+        // For each dispatcher, when the first of its open requests is answered.
         let mut answered_at: Vec<Option<Nanos>> = vec![None; dispatchers];
         let (mut free_at, mut calls) = (0, 0);
         while let Some((at, n)) = due.pop_first() {
@@ -68,21 +69,21 @@
             }
             assert!(
                 calls < 50 * dispatchers,
-                "{dispatchers} dispatchers never stop polling"
+                "{dispatchers} dispatchers keep polling"
             );
         }
         let last = answered_at
             .iter()
-            .map(|t| t.expect("each is answered"))
+            .map(|t| t.expect("every dispatcher is answered"))
             .max()
             .unwrap();
         assert!(
             calls <= dispatchers * 4,
-            "{calls} calls of {dispatchers} dispatchers"
+            "{calls} requests from {dispatchers} dispatchers"
         );
         assert!(
             last < 9 * SECOND,
-            "{dispatchers} dispatchers: the last was served after {} s",
+            "{dispatchers} dispatchers: the last one was answered after {} s",
             last / SECOND
         );
     }
--- a/crates/daemon/tests/discovery_watch.rs
+++ b/crates/daemon/tests/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: followed over breaks, and moved on SIGHUP.
+//! Tests of the watch on discovery: reconnecting after failures, and changing its address on SIGHUP.
 
 use bellsill_test_support::client::{fresh, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
@@ -19,34 +19,37 @@
     let mut process = DispatcherProcess::new(program!(), &[(&first, 7)]);
     process.start();
     let mut client = process.client();
-    let tell = |version: u64, entries: Vec<Value>| {
+    let publish_changes = |version: u64, entries: Vec<Value>| {
         process
             .platform
             .publish("\n{\"not\": json\n{\"version\":true}\n\n");
         let line = json!({"version": version, "full": false, "servers": entries});
         process.platform.publish(&format!("{line}\n"));
     };
-    let nonsense =
+    let invalid =
         json!({"id": "e9", "addr": "nowhere", "zone": "z", "kind": "k", "cell": 7, "state": "up"});
-    tell(
+    publish_changes(
         2,
         vec![
-            nonsense,
+            invalid,
             second.entry("e1", 7, "up"),
             first.entry("e0", 7, "draining"),
         ],
     );
-    wait_for("messages at the newcomer", || {
-        client.message("notice", 7, 8000, "to whom");
+    wait_for("a message at the new endpoint", || {
+        client.message("notice", 7, 8000, "to any endpoint");
         !second.calls().is_empty()
     });
     for _ in 0..10 {
-        client.message("notice", 7, 8000, "not to the first");
+        client.message("notice", 7, 8000, "while the first drains");
     }
-    let bodies = |e: &Endpoint, body: &str| e.calls().iter().filter(|c| c.body == body).count();
-    wait_for("all of them", || bodies(&second, "not to the first") == 10);
-    assert_eq!(bodies(&first, "not to the first"), 0);
-    // The watch disconnects: it is reopened after the last version.
+    let count_calls =
+        |e: &Endpoint, body: &str| e.calls().iter().filter(|c| c.body == body).count();
+    wait_for("all messages at the second endpoint", || {
+        count_calls(&second, "while the first drains") == 10
+    });
+    assert_eq!(count_calls(&first, "while the first drains"), 0);
+    // Disconnect the watch: it must be reopened from the last version.
     for watch in process.platform.watches.lock().unwrap().drain(..) {
         watch.shutdown(std::net::Shutdown::Both).unwrap();
     }
@@ -61,38 +64,38 @@
             .unwrap()
     };
     wait_for("a new watch", || since().contains("since=2 "));
-    tell(
+    publish_changes(
         3,
         vec![first.entry("e0", 7, "up"), second.entry("e1", 7, "removed")],
     );
-    wait_for("messages at the first again", || {
-        client.message("notice", 7, 8000, "back");
-        bodies(&first, "back") > 0
+    wait_for("a message at the first endpoint again", || {
+        client.message("notice", 7, 8000, "after draining");
+        count_calls(&first, "after draining") > 0
     });
 }
 
 #[test]
-fn an_endpoint_listed_twice_gets_no_new_message_if_it_drains() {
+fn an_endpoint_with_duplicate_entries_gets_no_new_message_if_one_of_them_is_draining() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut process = DispatcherProcess::new(program!(), &[(&first, 7), (&second, 7)]);
     let servers = process.json["known"]["servers"].as_array_mut().unwrap();
-    let drains = first.entry("e0", 7, "draining");
-    servers.insert(0, drains);
-    let twice = second.entry("e1", 7, "up");
-    servers.push(twice);
+    let draining = first.entry("e0", 7, "draining");
+    servers.insert(0, draining);
+    let duplicate = second.entry("e1", 7, "up");
+    servers.push(duplicate);
     process.start();
     let mut client = process.client();
     for n in 1..9 {
         client.message("payment", 7, 8000, "x");
-        wait_for("the message at the second", || {
+        wait_for("the message at the second endpoint", || {
             second.calls().len() == n || !first.calls().is_empty()
         });
     }
     assert_eq!(first.calls().len(), 0);
 }
 
-/// Seen with a scoped configuration: the connection of a call that was out when its endpoint moved was kept for the next call,
-/// and with one message after another all went to the old address.
+/// Regression test for a fault seen with a scoped configuration: when an endpoint was relocated during an attempt, the
+/// connection of the attempt went back to the pool, and a series of messages all went to the old address.
 #[test]
 fn the_connection_of_an_attempt_whose_endpoint_was_relocated_is_not_reused() {
     let (old, new) = (
@@ -105,25 +108,26 @@
         vec![up("e0", &old.local_addr().unwrap().to_string(), 7)].into();
     process.start();
     let mut client = process.client();
-    client.message("notice", 7, 8000, "out");
-    let mut out = accept(&old);
-    request(&mut out).unwrap();
-    let moved = vec![new.entry("e0", 7, "up"), new.entry("e1", 8, "up")];
+    client.message("notice", 7, 8000, "before the relocation");
+    let mut attempt = accept(&old);
+    request(&mut attempt).unwrap();
+    let relocated = vec![new.entry("e0", 7, "up"), new.entry("e1", 8, "up")];
     process.platform.publish(&format!(
         "{}\n",
-        json!({"version": 5, "full": false, "servers": moved})
+        json!({"version": 5, "full": false, "servers": relocated})
     ));
-    wait_for("the list", || process.metric("members") == 2);
-    out.get_mut()
+    wait_for("the list to be applied", || process.metric("members") == 2);
+    attempt
+        .get_mut()
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         .unwrap();
     let mut end = [0];
     assert_eq!(
-        out.read(&mut end).unwrap(),
+        attempt.read(&mut end).unwrap(),
         0,
-        "it is closed, and nothing more comes on it"
+        "the connection is closed without another request"
     );
-    client.message("notice", 7, 8000, "after");
+    client.message("notice", 7, 8000, "after the relocation");
     wait_for("the message at the new address", || new.calls().len() == 1);
 }
 
@@ -135,8 +139,8 @@
         "{}\n",
         json!({"version": 5, "full": false, "servers": []})
     ));
-    // The stand-in keeps the connection open and sends nothing more.
-    wait_for("another watch", || {
+    // The platform stand-in keeps the connection open and sends nothing more.
+    wait_for("a reopened watch", || {
         process
             .platform
             .since
@@ -161,10 +165,10 @@
         json!({"version": 90, "full": false, "servers": []})
     ));
     let mut client = process.client();
-    let once = client.message("payment", 7, 8000, "may have run");
-    wait_for("the call", || failing.calls().len() == 1);
+    let id = client.message("payment", 7, 8000, "may have run");
+    wait_for("the attempt", || failing.calls().len() == 1);
     let old = std::mem::replace(&mut process.platform, Platform::start());
-    // What cannot be taken changes nothing.
+    // An invalid configuration changes nothing.
     std::fs::write(process.folder.join("config.json"), "{\"listen\":").unwrap();
     process.signal(Signal::HUP);
     assert_eq!(client.send(b"PING\r\n"), "+PONG");
@@ -173,25 +177,26 @@
     process.signal(Signal::HUP);
     assert_eq!(client.send(b"PING\r\n"), "+PONG");
     assert_eq!(process.platform.since.lock().unwrap().len(), 0);
-    // A new discovery takes over the watch, from the beginning, and the notices that are owed; the rest stays.
+    // With a new discovery address, the watch is opened there from version 0 and pending notifications are sent there.
+    // The changed `listen` is not applied.
     process.json["discovery"] = process.platform.addr.clone().into();
     process.json["listen"] = "127.0.0.1:1".into();
     drop(process.command("check"));
     process.signal(Signal::HUP);
-    wait_for("the notice", || {
-        process.platform.notification(&once).is_some()
+    wait_for("the notification", || {
+        process.platform.notification(&id).is_some()
     });
     process.platform.publish(&format!(
         "{}\n",
         json!({"version": 3, "full": true, "servers": [other.entry("e1", 7, "up")]})
     ));
     assert!(process.platform.since.lock().unwrap()[0].contains("since=0 "));
-    wait_for("a message by the new list", || {
-        client.message("notice", 7, 8000, "to whom");
+    wait_for("a message to an endpoint of the new list", || {
+        client.message("notice", 7, 8000, "to any endpoint");
         !other.calls().is_empty()
     });
     let mut end = [0];
-    wait_for("the end of the old watch", || {
+    wait_for("the old watch to be closed", || {
         old.watches
             .lock()
             .unwrap()
@@ -200,15 +205,16 @@
     });
 }
 
-/// A discovery whose calls the test answers one by one, by hand.
-fn by_hand() -> (TcpListener, Value) {
+/// A discovery listener whose requests the test itself answers, and its address.
+fn manual_discovery() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     (listener, addr.into())
 }
 
-/// The next call of a watch, once all of it has come; other connections are for notices, and are dropped.
-fn next_watch(at: &TcpListener) -> (TcpStream, String) {
+/// Accepts the next watch request and returns its connection and request line. Other connections are for notifications
+/// and are dropped.
+fn accept_watch(at: &TcpListener) -> (TcpStream, String) {
     loop {
         let mut from = accept(at);
         if let Some((head, _)) = request(&mut from)
@@ -219,36 +225,37 @@
     }
 }
 
-fn says(to: &mut TcpStream, text: &str) -> std::io::Result<()> {
+fn write_chunk(to: &mut TcpStream, text: &str) -> std::io::Result<()> {
     write!(to, "{:x}\r\n{text}\r\n", text.len())
 }
 
-const CHUNKED: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const CHUNKED_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Seen on another customer's roll+mass, where a drain's grace is 250 ms: restarted dispatchers asked for the list up to 1 s
-/// after their start, and sent messages to what drained, as the platform's agent knew.
+/// Regression test: at another installation, with a drain grace of 250 ms (scenario `roll+mass`), restarted dispatchers
+/// requested the list up to 1 s after startup, and meanwhile sent messages to endpoints that were draining, as the
+/// platform's agent knew.
 #[test]
 fn the_watch_is_opened_before_the_first_client_is_answered() {
-    let (discovery, addr) = by_hand();
+    let (discovery, addr) = manual_discovery();
     let mut process = DispatcherProcess::new(program!(), &[]);
     process.json["discovery"] = addr;
     process.json["settings"]["balancers"] = json!(300);
-    // Elsewhere it may take half of the grace.
+    // With a longer grace, the first request may be delayed by up to half of it.
     process.json["settings"]["guarantees"]["drain-grace-ns"] = json!(0);
     process.start();
     discovery.set_nonblocking(true).unwrap();
-    assert!(discovery.accept().is_ok(), "no call has come");
+    assert!(discovery.accept().is_ok(), "the watch has not been opened");
 }
 
 #[test]
-fn a_watch_whose_line_never_ends_is_reopened() {
-    let (discovery, addr) = by_hand();
+fn a_watch_with_an_unterminated_line_is_reopened() {
+    let (discovery, addr) = manual_discovery();
     let mut process = DispatcherProcess::new(program!(), &[]);
     process.json["discovery"] = addr;
     process.start();
-    let (mut first, _) = next_watch(&discovery);
-    first.write_all(CHUNKED).unwrap();
-    says(
+    let (mut first, _) = accept_watch(&discovery);
+    first.write_all(CHUNKED_RESPONSE_HEAD).unwrap();
+    write_chunk(
         &mut first,
         &format!(
             "{}\n{{\"version\":",
@@ -256,36 +263,42 @@
         ),
     )
     .unwrap();
-    // It drips until it is closed, which only another call brings about.
-    let drips = std::thread::spawn(move || {
-        while says(&mut first, " ").is_ok() {
+    // Keep sending single bytes until the dispatcher closes the connection, which it does only after opening another
+    // one.
+    let sender = std::thread::spawn(move || {
+        while write_chunk(&mut first, " ").is_ok() {
             std::thread::sleep(std::time::Duration::from_millis(100));
         }
     });
-    let (_second, head) = next_watch(&discovery);
+    let (_second, head) = accept_watch(&discovery);
     assert!(
         head.contains("since=5 "),
-        "from the last line that was whole: {head}"
+        "reopened from the last complete line: {head}"
     );
-    drips.join().unwrap();
+    sender.join().unwrap();
 }
 
-/// A discovery that serves few calls a second answers in turn: a call given up before its turn would be served for nothing.
+/// A discovery server with a low request rate answers requests in order, including abandoned ones, so giving up a
+/// queued request would waste its place in the queue.
 #[test]
-fn a_slow_watch_request_is_kept_beside_a_second_one_and_the_first_to_answer_is_used() {
-    let (discovery, addr) = by_hand();
+fn a_slow_watch_request_stays_open_beside_a_second_one_and_the_first_response_is_used() {
+    let (discovery, addr) = manual_discovery();
     let endpoint = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[]);
     process.json["discovery"] = addr;
     process.start();
-    let (mut first, _) = next_watch(&discovery);
-    first.write_all(CHUNKED).unwrap();
-    let (mut second, _) = next_watch(&discovery);
+    let (mut first, _) = accept_watch(&discovery);
+    first.write_all(CHUNKED_RESPONSE_HEAD).unwrap();
+    let (mut second, _) = accept_watch(&discovery);
     let list = json!({"version": 2, "full": true, "servers": [endpoint.entry("e0", 7, "up")]});
-    says(&mut first, &format!("{list}\n")).unwrap();
+    write_chunk(&mut first, &format!("{list}\n")).unwrap();
     let mut end = [0];
-    assert_eq!(second.read(&mut end).unwrap(), 0, "the other one is closed");
-    wait_for("a message by the list", || {
+    assert_eq!(
+        second.read(&mut end).unwrap(),
+        0,
+        "the other request is closed"
+    );
+    wait_for("a message to an endpoint of the list", || {
         let id = fresh();
         process
             .client()
@@ -295,20 +308,20 @@
 }
 
 #[test]
-fn an_indented_list_is_read_and_a_truncated_one_hides_none_after_it() {
+fn an_indented_list_is_parsed_and_a_truncated_list_does_not_hide_later_ones() {
     let endpoint = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[]);
     process.start();
     let list = |version: u64, servers: Value| json!({"version": version, "full": true, "servers": servers});
     let text =
         serde_json::to_string_pretty(&list(2, json!([endpoint.entry("e0", 7, "up")]))).unwrap();
-    // Broken off, then one on a line of its own, then one over many lines.
+    // A truncated list, then a list on a single line, then a list over several lines.
     process.platform.publish(&format!(
         "{}\n{}\n{text}\n",
         &text[..text.len() - 9],
         list(1, json!([]))
     ));
-    wait_for("a message by the list", || {
+    wait_for("a message to an endpoint of the list", || {
         let id = fresh();
         process
             .client()
--- a/crates/daemon/tests/graceful_shutdown.rs
+++ b/crates/daemon/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A dispatcher that shuts down on SIGTERM, alone or for a new version, loses no message.
+//! Tests that a dispatcher loses no message when it shuts down on SIGTERM, alone or during an upgrade to a new version.
 
 use bellsill_test_support::client::{Client, connect, fresh, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
@@ -19,11 +19,12 @@
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
     let mut client = process.client();
-    let held = client.message("notice", 7, 20_000, "held");
-    wait_for("a refusal", || process.never_ran(&held));
+    let pending = client.message("notice", 7, 20_000, "pending");
+    wait_for("a rejected attempt", || process.never_ran(&pending));
     e.set_behavior(OK);
     process.signal(Signal::TERM);
-    // New clients may still come for a moment, and old ones ask on; what is not answered was not read.
+    // For a short time new clients are still accepted, and connected ones are served. A request without a response was
+    // not read.
     let late = fresh();
     let try_late = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect(&process.listen)?;
@@ -35,23 +36,23 @@
     };
     let answer = try_late().unwrap_or_default();
     assert!(answer.is_empty() || answer == "+OK\r\n", "{answer}");
-    assert_eq!(client.line(), "", "closed");
+    assert_eq!(client.line(), "", "the connection is closed");
     assert_eq!(
         process.child.take().unwrap().wait().unwrap().code(),
         Some(0)
     );
     process.start();
     let last = process.client().message("notice", 7, 8000, "last");
-    let gone_out = |id: &str| {
+    let count_calls = |id: &str| {
         e.calls()
             .iter()
             .filter(|c| c.header("X-Trace-Id") == id)
             .count()
     };
-    wait_for("a later message", || gone_out(&last) == 1);
-    wait_for("the message held", || gone_out(&held) >= 2);
+    wait_for("a later message", || count_calls(&last) == 1);
+    wait_for("the pending message", || count_calls(&pending) >= 2);
     wait_for("the late message", || {
-        answer.is_empty() || gone_out(&late) >= 1
+        answer.is_empty() || count_calls(&late) >= 1
     });
 }
 
@@ -66,11 +67,11 @@
     wait_for("a closed listener", || {
         TcpStream::connect(&process.listen).is_err()
     });
-    client.message("notice", 7, 8000, "behind it");
+    client.message("notice", 7, 8000, "after closing");
     wait_for("the message", || {
-        e.calls().iter().any(|c| c.body == "behind it")
+        e.calls().iter().any(|c| c.body == "after closing")
     });
-    assert_eq!(client.line(), "", "closed");
+    assert_eq!(client.line(), "", "the connection is closed");
     assert_eq!(
         process.child.take().unwrap().wait().unwrap().code(),
         Some(0)
@@ -82,35 +83,36 @@
     let e = Endpoint::start(Behavior::Hangs);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
-    let once = process.client().message("payment", 7, 20_000, "x");
-    wait_for("the call", || e.calls().len() == 1);
+    let id = process.client().message("payment", 7, 20_000, "x");
+    wait_for("the attempt", || e.calls().len() == 1);
     process.signal(Signal::TERM);
-    let mut end = None;
-    wait_for("the dispatcher's end", || {
-        end = process.child.as_mut().unwrap().try_wait().unwrap();
-        end.is_some()
+    let mut status = None;
+    wait_for("the dispatcher to exit", || {
+        status = process.child.as_mut().unwrap().try_wait().unwrap();
+        status.is_some()
     });
-    assert_eq!(end.unwrap().code(), Some(0));
+    assert_eq!(status.unwrap().code(), Some(0));
     process.start();
-    wait_for("the message's end", || {
-        process.platform.notification(&once).is_some()
+    wait_for("the notification of the message", || {
+        process.platform.notification(&id).is_some()
     });
     assert_eq!(
-        process.platform.notification(&once).unwrap()["result"],
+        process.platform.notification(&id).unwrap()["result"],
         "dead"
     );
     assert_eq!(e.calls().len(), 1);
 }
 
-/// A client that hands in messages until it is stopped, and notes those that are accepted.
-fn hand_in_until(listen: &str, stop: &AtomicBool, taken: &Mutex<Vec<String>>) {
-    let mut kept: Option<Client> = None;
+/// Submits messages until `stop` is set, and records the ids of accepted ones.
+fn submit_until(listen: &str, stop: &AtomicBool, accepted: &Mutex<Vec<String>>) {
+    let mut open: Option<Client> = None;
     while !stop.load(Ordering::SeqCst) {
-        // Closed between requests, a client sends its request again on a new connection, under the same id.
+        // A client whose connection is closed between requests repeats its request on a new connection, with the same
+        // id.
         let id = fresh();
         let request = put(&id, "c=payment,d=20000,dest=7", "x");
         for _ in 0..100 {
-            let Ok(mut client) = kept.take().map_or_else(|| connect(listen), Ok) else {
+            let Ok(mut client) = open.take().map_or_else(|| connect(listen), Ok) else {
                 continue;
             };
             let mut line = String::new();
@@ -120,8 +122,8 @@
                 .is_ok_and(|n| n > 0)
             {
                 assert_eq!(line, "+OK\r\n");
-                taken.lock().unwrap().push(id);
-                kept = Some(client);
+                accepted.lock().unwrap().push(id);
+                open = Some(client);
                 break;
             }
         }
@@ -136,54 +138,54 @@
     process.json["mgmt"] = process.mgmt_at(0).into();
     process.json["settings"]["limits"]["max-open"] = json!(1000);
     process.start();
-    let (stop, taken) = (
+    let (stop, accepted) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(Mutex::new(Vec::new())),
     );
     let clients: Vec<_> = (0..4)
         .map(|_| {
-            let (listen, stop, taken) = (
+            let (listen, stop, accepted) = (
                 process.listen.clone(),
                 Arc::clone(&stop),
-                Arc::clone(&taken),
+                Arc::clone(&accepted),
             );
-            std::thread::spawn(move || hand_in_until(&listen, &stop, &taken))
+            std::thread::spawn(move || submit_until(&listen, &stop, &accepted))
         })
         .collect();
-    let count = || taken.lock().unwrap().len();
-    let more = |many: usize| {
+    let count = || accepted.lock().unwrap().len();
+    let wait_for_accepted = |number: usize| {
         let from = count();
-        wait_for("messages", || count() >= from + many);
+        wait_for("accepted messages", || count() >= from + number);
     };
-    more(40);
+    wait_for_accepted(40);
     let mut old = process.child.take().unwrap();
     process.json["mgmt"] = process.mgmt_at(1).into();
     process.start_beside();
-    more(40);
+    wait_for_accepted(40);
     rustix::process::kill_process(rustix::process::Pid::from_child(&old), Signal::TERM).unwrap();
     assert_eq!(old.wait().unwrap().code(), Some(0));
-    more(40);
+    wait_for_accepted(40);
     stop.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().unwrap());
-    let taken = taken.lock().unwrap().clone();
-    wait_for("all of them", || {
-        e.calls().len() >= taken.len() && process.metric("pending") == 0
+    let accepted = accepted.lock().unwrap().clone();
+    wait_for("all messages to be delivered", || {
+        e.calls().len() >= accepted.len() && process.metric("pending") == 0
     });
     let mut calls: Vec<String> = e
         .calls()
         .iter()
         .map(|c| c.header("X-Trace-Id").to_string())
         .collect();
-    let all = calls.len();
+    let total = calls.len();
     calls.sort();
     calls.dedup();
     assert_eq!(
         (calls.len(), process.platform.notifications()),
-        (all, vec![]),
-        "none twice, none given up"
+        (total, vec![]),
+        "no message is delivered twice or abandoned"
     );
     assert!(
-        taken.iter().all(|id| calls.binary_search(id).is_ok()),
-        "none lost"
+        accepted.iter().all(|id| calls.binary_search(id).is_ok()),
+        "no message is lost"
     );
 }
--- a/crates/daemon/tests/scoped_configuration.rs
+++ b/crates/daemon/tests/scoped_configuration.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a part of the configuration, from a control process that the test itself stands in for.
+//! Tests of a dispatcher with a scoped configuration, which it gets from a stand-in for a control process.
 
 use bellsill_test_support::client::{fresh, put};
 use bellsill_test_support::control_stand_in::{BUCKETS, Control};
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// A dispatcher `d1` of zone `north`; `south` is of another region.
+/// A dispatcher `d1` in zone `north`; the zone `south` is in another region.
 struct ScopedDispatcher {
     process: DispatcherProcess,
     installation: PathBuf,
@@ -45,20 +45,20 @@
         self.process.start_by(command);
     }
 
-    /// Ends the process as an operator would, so that it saves what it knows.
+    /// Stops the process with SIGTERM, on which it saves its scope file.
     fn stop(&mut self) {
         self.process.signal(rustix::process::Signal::TERM);
         let mut child = self.process.child.take().unwrap();
         assert!(child.wait().unwrap().success());
     }
 
-    /// What the dispatcher's own figures say.
+    /// The value of one of the dispatcher's `scope` metrics.
     fn scope(&self, name: &str) -> u64 {
         self.process.metric(&format!("scope.{name}"))
     }
 }
 
-fn bodies(endpoint: &Endpoint, body: &str) -> usize {
+fn count_calls(endpoint: &Endpoint, body: &str) -> usize {
     endpoint
         .calls()
         .iter()
@@ -66,14 +66,14 @@
         .count()
 }
 
-fn delivered(endpoint: &Endpoint, body: &str) {
+fn wait_for_delivery(endpoint: &Endpoint, body: &str) {
     wait_for(&format!("the message {body:?}"), || {
-        bodies(endpoint, body) > 0
+        count_calls(endpoint, body) > 0
     });
 }
 
-/// Hands in one message after another until one has come to the endpoint, whatever the ones before are answered.
-fn delivered_in_the_end(
+/// Submits messages until one of them reaches the endpoint, ignoring the responses to the earlier ones.
+fn submit_until_delivered(
     dispatcher: &ScopedDispatcher,
     endpoint: &Endpoint,
     destination: u64,
@@ -85,9 +85,9 @@
             .process
             .client()
             .send(&put(&fresh(), &fields, body));
-        // The room for messages is small.
+        // The limit on pending messages is low.
         std::thread::sleep(std::time::Duration::from_millis(50));
-        bodies(endpoint, body) > 0
+        count_calls(endpoint, body) > 0
     });
 }
 
@@ -97,45 +97,50 @@
     control.write("e0", &first.addr, "north", 7, true);
     let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || {
+    wait_for("complete buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
     let mut client = dispatcher.process.client();
-    client.message("notice", 7, 8000, "held");
-    delivered(&first, "held");
-    assert!(control.lookup_queries().is_empty(), "it was known");
+    client.message("notice", 7, 8000, "cached");
+    wait_for_delivery(&first, "cached");
+    assert!(
+        control.lookup_queries().is_empty(),
+        "the entry is cached, no lookup is needed"
+    );
     control.write("e0", &first.addr, "north", 7, false);
     control.write("e1", &second.addr, "north", 7, true);
-    delivered_in_the_end(&dispatcher, &second, 7, "after the change");
+    submit_until_delivered(&dispatcher, &second, 7, "after the change");
     assert_eq!(control.watch_queries(), ["follow=1&since=0&dispatcher=d1"]);
 }
 
 #[test]
-fn a_message_for_another_destination_is_accepted_and_delivered_once_its_entry_is_known() {
+fn a_message_for_an_uncached_destination_is_accepted_and_delivered_after_a_lookup() {
     let (endpoint, control) = (Endpoint::start(OK), Control::start());
     control.write("e0", &endpoint.addr, "south", 47, true);
     control.fail_lookups(true);
     let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
     let mut client = dispatcher.process.client();
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     for body in ["first", "second"] {
         client.message("notice", 47, 20_000, body);
-        taken.push(body);
+        accepted.push(body);
     }
-    wait_for("lookups that fail", || control.lookup_queries().len() > 1);
+    wait_for("failed lookups", || control.lookup_queries().len() > 1);
     assert!(endpoint.calls().is_empty());
     control.fail_lookups(false);
-    taken.iter().for_each(|body| delivered(&endpoint, body));
-    // From then on its changes are sent.
+    accepted
+        .iter()
+        .for_each(|body| wait_for_delivery(&endpoint, body));
+    // After the lookup, the control process sends changes of the destination.
     let lookups = control.lookup_queries().len();
     let other = Endpoint::start(OK);
     control.write("e0", &other.addr, "south", 47, true);
-    delivered_in_the_end(&dispatcher, &other, 47, "moved");
+    submit_until_delivered(&dispatcher, &other, 47, "moved");
     assert_eq!(
         control.lookup_queries().len(),
         lookups,
-        "it is asked for once"
+        "it is looked up only once"
     );
     assert!(
         control
@@ -154,20 +159,20 @@
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || {
+    wait_for("complete buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
     dispatcher
         .process
         .client()
         .message("notice", 7, 20_000, "waits");
-    wait_for("a first call", || !endpoint.calls().is_empty());
+    wait_for("a first attempt", || !endpoint.calls().is_empty());
     control.take_buckets_away();
     wait_for("the buckets to be lost", || {
         dispatcher.scope("complete_buckets") == 0
     });
     endpoint.set_behavior(OK);
-    wait_for("its delivery", || {
+    wait_for("the message to be delivered", || {
         dispatcher
             .process
             .metric("downstream_requests.notice.completed")
@@ -186,21 +191,21 @@
     let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
     let mut client = dispatcher.process.client();
-    let id = client.message("payment", 47, 1000, "to nobody");
-    wait_for("its end", || {
+    let id = client.message("payment", 47, 1000, "no endpoint");
+    wait_for("the notification of the expired message", || {
         dispatcher.process.platform.notification(&id).is_some()
     });
     assert!(!control.lookup_queries().is_empty());
     let answer = client.send(&put(&fresh(), "c=payment,d=1000,k=,dest=47", "x"));
     assert_eq!(answer, "-ERR dest: unknown destination");
-    // One that comes to be is served.
+    // A destination that is created later is served.
     let endpoint = Endpoint::start(OK);
     control.write("e0", &endpoint.addr, "south", 47, true);
-    delivered_in_the_end(&dispatcher, &endpoint, 47, "at last");
+    submit_until_delivered(&dispatcher, &endpoint, 47, "created later");
 }
 
 #[test]
-fn with_all_control_processes_dead_a_restart_serves_what_was_known() {
+fn with_all_control_processes_down_a_restart_serves_the_saved_configuration() {
     let (held, cached, control) = (Endpoint::start(OK), Endpoint::start(OK), Control::start());
     control.write("e0", &held.addr, "north", 7, true);
     control.write("e1", &cached.addr, "south", 47, true);
@@ -211,29 +216,29 @@
     client.message("notice", 47, 8000, "before");
     [&held, &cached]
         .into_iter()
-        .for_each(|endpoint| delivered(endpoint, "before"));
+        .for_each(|endpoint| wait_for_delivery(endpoint, "before"));
     drop(client);
     dispatcher.stop();
-    // Nobody listens there any more.
-    let dead = ScopedDispatcher::new(&["127.0.0.1:1"], 8);
-    std::fs::copy(&dead.installation, &dispatcher.installation).unwrap();
+    // No process listens on port 1.
+    let unreachable = ScopedDispatcher::new(&["127.0.0.1:1"], 8);
+    std::fs::copy(&unreachable.installation, &dispatcher.installation).unwrap();
     dispatcher.start();
     let mut client = dispatcher.process.client();
     client.message("notice", 7, 8000, "after");
     client.message("notice", 47, 8000, "after");
     [&held, &cached]
         .into_iter()
-        .for_each(|endpoint| delivered(endpoint, "after"));
-    // One that is not known is taken, and ends by its time.
+        .for_each(|endpoint| wait_for_delivery(endpoint, "after"));
+    // A message for an unknown destination is accepted, and expires at its deadline.
     let id = client.message("payment", 48, 1000, "unknown");
-    wait_for("its end", || {
+    wait_for("the notification of the expired message", || {
         dispatcher.process.platform.notification(&id).is_some()
     });
-    // It resumes from its version when control is back.
+    // The watch resumes from its version once the control process is reachable.
     drop(client);
     dispatcher.stop();
-    let alive = ScopedDispatcher::new(&[&control.addr], 8);
-    std::fs::copy(&alive.installation, &dispatcher.installation).unwrap();
+    let reachable = ScopedDispatcher::new(&[&control.addr], 8);
+    std::fs::copy(&reachable.installation, &dispatcher.installation).unwrap();
     dispatcher.start();
     let query = control.next_watch(1);
     assert!(
@@ -248,7 +253,7 @@
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || {
+    wait_for("complete buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
     dispatcher.stop();
@@ -260,7 +265,7 @@
     dispatcher.start();
     assert_eq!(dispatcher.scope("refused_files"), 1);
     assert_eq!(control.next_watch(1), "follow=1&since=0&dispatcher=d1");
-    delivered_in_the_end(&dispatcher, &endpoint, 7, "anew");
+    submit_until_delivered(&dispatcher, &endpoint, 7, "fetched again");
 }
 
 #[test]
@@ -280,10 +285,10 @@
     dispatcher.start();
     let mut client = dispatcher.process.client();
     for (n, endpoint) in endpoints.iter().enumerate() {
-        client.message("notice", 40 + n as u64, 8000, "each");
-        delivered(endpoint, "each");
+        client.message("notice", 40 + n as u64, 8000, "looked up");
+        wait_for_delivery(endpoint, "looked up");
     }
-    wait_for("the oldest to be forgotten", || {
+    wait_for("the least recently used destination to be evicted", || {
         control
             .lookup_queries()
             .iter()
@@ -299,9 +304,9 @@
             .next_watch(1)
             .ends_with("buckets=0,1,2,3&cells=41,42")
     );
-    // What gave way is asked for again when it is wanted.
-    client.message("notice", 40, 8000, "again");
-    delivered(&endpoints[0], "again");
+    // An evicted destination is looked up again when a message needs it.
+    client.message("notice", 40, 8000, "after eviction");
+    wait_for_delivery(&endpoints[0], "after eviction");
 }
 
 #[test]
@@ -319,7 +324,7 @@
     dispatcher.process.kill();
     control.fail_lookups(false);
     dispatcher.start();
-    delivered(&endpoint, "waits");
+    wait_for_delivery(&endpoint, "waits");
 }
 
 #[test]
@@ -335,7 +340,7 @@
     dispatcher.start();
     let mut client = dispatcher.process.client();
     client.message("notice", 40, 20_000, "waits");
-    wait_for("a first call", || !full.calls().is_empty());
+    wait_for("a first attempt", || !full.calls().is_empty());
     let completed = || {
         dispatcher
             .process
@@ -343,18 +348,20 @@
     };
     for (n, cell) in [41, 42, 41, 43, 44].into_iter().enumerate() {
         client.message("notice", cell, 8000, "is delivered");
-        wait_for("its answer", || completed() == n as u64 + 1);
+        wait_for("the message to be completed", || {
+            completed() == n as u64 + 1
+        });
     }
-    // The second one was used longest ago, then the first one; the message for 40 still waits.
+    // 42 was the least recently used one, then 41; the message for 40 is still pending.
     let last = control.lookup_queries().last().unwrap().clone();
     assert!(last.contains("cells=44&forget=41"), "{last}");
-    let asked = control
+    let lookups = control
         .lookup_queries()
         .into_iter()
         .filter(|query| query.contains("cells=40"));
-    assert_eq!(asked.count(), 1, "it never gave way");
+    assert_eq!(lookups.count(), 1, "it was never evicted");
     full.set_behavior(OK);
-    wait_for("what waited", || completed() == 6);
+    wait_for("the pending message to be completed", || completed() == 6);
 }
 
 #[test]
@@ -363,7 +370,7 @@
     control.write("e0", &endpoint.addr, "north", 7, true);
     let mut dispatcher = ScopedDispatcher::new(&[&control.addr], 8);
     dispatcher.start();
-    wait_for("the buckets", || {
+    wait_for("complete buckets", || {
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
     control.send_snapshot_line();
@@ -379,7 +386,7 @@
         ),
         (1, 1)
     );
-    delivered_in_the_end(&dispatcher, &endpoint, 7, "as ever");
+    submit_until_delivered(&dispatcher, &endpoint, 7, "after the rejected line");
 }
 
 #[test]
@@ -391,12 +398,12 @@
     dispatcher
         .process
         .client()
-        .message("notice", 7, 8000, "by the list of the start");
-    delivered(&endpoint, "by the list of the start");
+        .message("notice", 7, 8000, "from the known list");
+    wait_for_delivery(&endpoint, "from the known list");
 }
 
-/// Installation files with one error each, and what is said of it.
-fn bad_installations(good: &str) -> [(String, &'static str); 9] {
+/// Installation files with one error each, and the expected error text.
+fn invalid_installations(good: &str) -> [(String, &'static str); 9] {
     [
         (
             good.replace("\"d1\"", "\"d 1\""),
@@ -438,28 +445,28 @@
 }
 
 #[test]
-fn an_installation_file_is_checked_completely_and_errors_are_named() {
+fn an_invalid_installation_file_is_rejected_with_the_name_of_the_field() {
     let process = ScopedDispatcher::new(&["127.0.0.1:7400"], 8);
     let good = std::fs::read_to_string(&process.installation).unwrap();
     let check = |text: &str| {
         std::fs::write(&process.installation, text).unwrap();
         let mut command = process.process.command("check");
-        let done = command
+        let output = command
             .arg("--installation")
             .arg(&process.installation)
             .output()
             .unwrap();
         (
-            done.status.code().unwrap(),
-            String::from_utf8(done.stderr).unwrap(),
+            output.status.code().unwrap(),
+            String::from_utf8(output.stderr).unwrap(),
         )
     };
     assert_eq!(check(&good).0, 0);
-    for (text, says) in bad_installations(&good) {
-        let (status, said) = check(&text);
+    for (text, expected) in invalid_installations(&good) {
+        let (status, error) = check(&text);
         assert!(
-            status == 2 && said.contains(says),
-            "expected {says}, got {status} with {said}"
+            status == 2 && error.contains(expected),
+            "expected {expected}, got status {status} with {error}"
         );
     }
 }
