--- a/crates/daemon/src/start_retry.rs
+++ b/crates/daemon/src/start_retry.rs
@@ -31,7 +31,7 @@
     is_system_error && !PERMANENT_ERRORS.contains(&e.kind())
 }
 
-/// Retries `attempt` while it fails with a transient error, until [`RETRY_FOR`] has passed or shutdown is requested.
+/// Retries `attempt` while it fails with a transient error, until `RETRY_FOR` has passed or shutdown is requested.
 pub fn retry_transient<T>(
     shutdown_requested: &AtomicBool,
     mut attempt: impl FnMut() -> io::Result<T>,
