--- a/crates/daemon/src/admin/stats.rs
+++ b/crates/daemon/src/admin/stats.rs
@@ -63,7 +63,7 @@
 
 /// Renders the metrics of the scoped configuration.
 fn scope_lines(list: &ScopedList, discovery: Counters, file: &ScopeFile) -> String {
-    let (counters, unsaved) = (list.counters(), file.lacks(list));
+    let (counters, unsaved) = (list.counters(), file.has_unsaved_changes(list));
     let file = file.counters;
     let lines = [
         ("version", list.version().0),
@@ -82,7 +82,7 @@
         ("lookups", discovery.lookups),
         ("failed_lookups", discovery.failed_lookups),
         ("unsaved", u64::from(unsaved)),
-        ("refused_files", file.refused),
+        ("refused_files", file.rejected),
         ("saved_files", file.saved),
         ("failed_saves", file.failed),
     ];
--- a/crates/daemon/src/endpoint/list.rs
+++ b/crates/daemon/src/endpoint/list.rs
@@ -44,7 +44,7 @@
                     retry_after_until,
                     ..entry
                 })),
-                Err(InvalidAddress) => endpoint_list::warn_of_entry("addr"),
+                Err(InvalidAddress) => endpoint_list::warn_skipped_entry("addr"),
             }
         }
         // Indexed by endpoint: a linear search for each one would block the event loop for seconds on a list of
@@ -54,7 +54,7 @@
             .iter()
             .map(|e| (e.endpoint, e.serving))
             .collect();
-        if list.whole {
+        if list.complete {
             let unlisted = self.ids().filter(|id| !listed.contains_key(id));
             update.not_serving.extend(unlisted);
         }
