--- a/crates/config-log/src/error.rs
+++ b/crates/config-log/src/error.rs
@@ -107,7 +107,7 @@
 
 /// A snapshot that was not used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rejected {
+pub struct RejectedSnapshot {
     /// The snapshot's file.
     pub file: PathBuf,
     /// Why it was not used.
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use codec::{FORMAT_VERSION, MAX_RECORD_BYTES};
 pub use config_log::{ConfigLog, OpenedLog};
-pub use error::{Damage, LogError, RejectReason, Rejected};
+pub use error::{Damage, LogError, RejectReason, RejectedSnapshot};
 pub use recovery::{Recovered, RecoveryReport};
 pub use segment::NewRecord;
 pub use segment_reader::Record;
--- a/crates/config-log/src/recovery.rs
+++ b/crates/config-log/src/recovery.rs
@@ -1,7 +1,7 @@
 //! Reading what the directory of a log has when it is opened: the latest usable snapshot, and the records after it.
 
 use crate::directory::{Directory, Listing};
-use crate::error::{LogError, RejectReason, Rejected};
+use crate::error::{LogError, RejectReason, RejectedSnapshot};
 use crate::segment::Segment;
 use crate::segment_reader::{self, Record, SegmentContent, Tail};
 use crate::snapshot::{self, Snapshot, SnapshotFile};
@@ -23,7 +23,7 @@
     /// Bytes at the end of the log that an unfinished write left there; they are cut off.
     pub torn_bytes: u64,
     /// Snapshots that were not used. The files of damaged ones are kept until the next snapshot.
-    pub rejected: Vec<Rejected>,
+    pub rejected: Vec<RejectedSnapshot>,
 }
 
 /// The state of a log after recovery, ready to be appended to.
@@ -70,10 +70,13 @@
         .map(|pair| pair[0])
 }
 
-fn remove_unfinished(directory: &Directory, listing: &Listing) -> Result<Vec<Rejected>, LogError> {
+fn remove_unfinished(
+    directory: &Directory,
+    listing: &Listing,
+) -> Result<Vec<RejectedSnapshot>, LogError> {
     let remove = |file: &std::path::PathBuf| {
         directory.remove(file)?;
-        Ok(Rejected {
+        Ok(RejectedSnapshot {
             file: file.clone(),
             reason: RejectReason::Unfinished,
         })
@@ -87,7 +90,7 @@
     /// The indices of the usable ones, in order.
     usable: Vec<u64>,
     latest: Option<Snapshot>,
-    rejected: Vec<Rejected>,
+    rejected: Vec<RejectedSnapshot>,
 }
 
 fn read_snapshots(directory: &Directory, listing: &Listing) -> Result<SnapshotFiles, LogError> {
@@ -99,7 +102,9 @@
                 files.usable.push(index);
                 files.latest = Some(snapshot);
             }
-            SnapshotFile::Rejected(reason) => files.rejected.push(Rejected { file, reason }),
+            SnapshotFile::Rejected(reason) => {
+                files.rejected.push(RejectedSnapshot { file, reason })
+            }
         }
     }
     Ok(files)
--- a/crates/config-log/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -2,7 +2,7 @@
 
 use bellsill_config_log::{
     ConfigLog, Damage, LogError, MAX_RECORD_BYTES, NewRecord, OpenedLog, Record, Recovered,
-    RejectReason, Rejected,
+    RejectReason, RejectedSnapshot,
 };
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -381,7 +381,7 @@
     assert_holds(&recovered, Some(4), 4);
     assert_eq!(
         recovered.report.rejected,
-        [Rejected {
+        [RejectedSnapshot {
             file: unfinished.clone(),
             reason: RejectReason::Unfinished
         }]
--- a/crates/control-plane/src/storage.rs
+++ b/crates/control-plane/src/storage.rs
@@ -1,7 +1,8 @@
 //! The state directory: the log of the configuration's records with snapshots.
 
 use bellsill_config_log::{
-    ConfigLog, LogError, NewRecord, OpenedLog, RecoveryReport, RejectReason, Rejected, Snapshot,
+    ConfigLog, LogError, NewRecord, OpenedLog, RecoveryReport, RejectReason, RejectedSnapshot,
+    Snapshot,
 };
 use bellsill_directory::record::{self, InvalidRecord, LoggedRecord};
 use bellsill_directory::snapshot::{SnapshotError, SnapshotReader, encoded_parts};
@@ -31,7 +32,7 @@
     )]
     NoSnapshot {
         /// The damaged snapshot.
-        rejected: Rejected,
+        rejected: RejectedSnapshot,
     },
     /// A record can't be decoded.
     #[error("{}: record {index} is refused: {error}", directory.display())]
