--- a/crates/config-log/src/config_log.rs
+++ b/crates/config-log/src/config_log.rs
@@ -148,7 +148,7 @@
 
     fn check_usable(&self) -> Result<(), LogError> {
         if self.failed {
-            return Err(LogError::Failed {
+            return Err(LogError::PreviousWriteFailed {
                 directory: self.directory.path().to_owned(),
             });
         }
--- a/crates/config-log/src/error.rs
+++ b/crates/config-log/src/error.rs
@@ -42,7 +42,7 @@
     },
     /// There is a gap between this segment and what comes before it.
     #[error(
-        "{} begins after record {after}, but the snapshots and logs before it end with {reached}: a file is missing or \
+        "{} begins after record {previous_index}, but the snapshots and logs before it end with {last_index}: a file is missing or \
          a snapshot was refused. Restore it, or copy the directory of another control process over this one",
         file.display()
     )]
@@ -50,9 +50,9 @@
         /// The segment after the gap.
         file: PathBuf,
         /// The index that its records come after.
-        after: u64,
+        previous_index: u64,
         /// The last index before the gap.
-        reached: u64,
+        last_index: u64,
     },
     /// The payload exceeds [`MAX_RECORD_BYTES`].
     #[error("a record of {length} bytes is longer than {MAX_RECORD_BYTES}: split it")]
@@ -76,7 +76,7 @@
     },
     /// An earlier write or sync failed.
     #[error("an earlier write to {} failed, so what is on disk is not known: restart the process", directory.display())]
-    Failed {
+    PreviousWriteFailed {
         /// The directory of the log.
         directory: PathBuf,
     },
@@ -87,22 +87,22 @@
 pub enum Damage {
     /// The header of the segment is wrong or damaged.
     #[error("this is not the header of a log")]
-    FileHeader,
+    SegmentHeader,
     /// The checksum of a record's header does not match.
     #[error("the checksum of a record's header does not match")]
-    RecordHeader,
+    RecordHeaderChecksum,
     /// The checksum of a payload does not match.
     #[error("the checksum of a record does not match")]
-    Payload,
+    PayloadChecksum,
     /// A record ends beyond the end of the file.
     #[error("a record ends beyond the file, though others follow")]
-    Incomplete,
+    TruncatedRecord,
     /// A record exceeds [`MAX_RECORD_BYTES`].
     #[error("a record is longer than {MAX_RECORD_BYTES} bytes")]
-    TooLong,
+    RecordTooLong,
     /// Indices do not rise.
     #[error("the index of a record does not follow the one before")]
-    Index,
+    IndexOutOfOrder,
 }
 
 /// A snapshot that was not used.
@@ -128,16 +128,16 @@
     UnknownFormat(u32),
     /// Its content is damaged.
     #[error("its checksum does not match")]
-    Checksum,
+    ChecksumMismatch,
     /// Its records do not match its count.
     #[error("its records are not those that it counts")]
-    Count,
+    RecordCountMismatch,
     /// One of its records exceeds [`MAX_RECORD_BYTES`].
     #[error("one of its records is longer than {MAX_RECORD_BYTES} bytes")]
-    TooLong,
+    RecordTooLong,
     /// Its index differs from the one in its file name.
     #[error("its index is not that of its name")]
-    Index,
+    IndexMismatch,
 }
 
 /// Adds the action and the file to an error of the operating system.
--- a/crates/config-log/src/recovery.rs
+++ b/crates/config-log/src/recovery.rs
@@ -143,8 +143,8 @@
         if after > content.last_index {
             return Err(LogError::MissingRecords {
                 file,
-                after,
-                reached: content.last_index,
+                previous_index: after,
+                last_index: content.last_index,
             });
         }
         let tail = if logs.last() == Some(&after) {
--- a/crates/config-log/src/segment_reader.rs
+++ b/crates/config-log/src/segment_reader.rs
@@ -40,7 +40,7 @@
         offset: offset as u64,
         damage,
     };
-    let header = FileHeader::decode(&bytes).ok_or_else(|| corrupt(0, Damage::FileHeader))?;
+    let header = FileHeader::decode(&bytes).ok_or_else(|| corrupt(0, Damage::SegmentHeader))?;
     if header.format != FORMAT_VERSION {
         return Err(LogError::UnknownFormat {
             file: path.to_owned(),
@@ -48,7 +48,7 @@
         });
     }
     if header.after != after {
-        return Err(corrupt(0, Damage::FileHeader));
+        return Err(corrupt(0, Damage::SegmentHeader));
     }
     let mut records = Vec::new();
     let mut offset = FileHeader::LENGTH;
@@ -74,19 +74,19 @@
 }
 
 fn decode_record(bytes: &[u8], last: u64) -> Result<Record, Damage> {
-    let header = RecordHeader::decode(bytes).ok_or(Damage::RecordHeader)?;
+    let header = RecordHeader::decode(bytes).ok_or(Damage::RecordHeaderChecksum)?;
     let length = header.length as usize;
     if length > MAX_RECORD_BYTES {
-        return Err(Damage::TooLong);
+        return Err(Damage::RecordTooLong);
     }
     let payload = bytes[RecordHeader::LENGTH..]
         .get(..length)
-        .ok_or(Damage::Incomplete)?;
+        .ok_or(Damage::TruncatedRecord)?;
     if crc32fast::hash(payload) != header.payload_checksum {
-        return Err(Damage::Payload);
+        return Err(Damage::PayloadChecksum);
     }
     if header.index <= last {
-        return Err(Damage::Index);
+        return Err(Damage::IndexOutOfOrder);
     }
     Ok(Record {
         index: header.index,
@@ -97,7 +97,7 @@
 /// Whether damage is what a write without a sync leaves: no later record states that this offset was durable. A header
 /// with a valid checksum was written on purpose, so a wrong length or index in it is not a torn write.
 fn is_torn(bytes: &[u8], damaged: usize, damage: Damage) -> bool {
-    let intentional = matches!(damage, Damage::TooLong | Damage::Index);
+    let intentional = matches!(damage, Damage::RecordTooLong | Damage::IndexOutOfOrder);
     let proves_durable = |offset: usize| {
         RecordHeader::decode(&bytes[offset..]).is_some_and(|header| header.durable > damaged as u64)
     };
--- a/crates/config-log/src/snapshot.rs
+++ b/crates/config-log/src/snapshot.rs
@@ -59,7 +59,7 @@
     let bytes = fs::read(path).map_err(io_error("read", path))?;
     Ok(match decode(&bytes) {
         Ok(snapshot) if snapshot.index == index => SnapshotFile::Usable(snapshot),
-        Ok(_) => SnapshotFile::Rejected(RejectReason::Index),
+        Ok(_) => SnapshotFile::Rejected(RejectReason::IndexMismatch),
         Err(reason) => SnapshotFile::Rejected(reason),
     })
 }
@@ -74,7 +74,7 @@
         return Err(RejectReason::NotASnapshot);
     }
     if crc32fast::hash(content) != u32::from_le_bytes(*checksum) {
-        return Err(RejectReason::Checksum);
+        return Err(RejectReason::ChecksumMismatch);
     }
     match reader.u32().ok_or(too_short)? {
         FORMAT_VERSION => {}
@@ -89,17 +89,22 @@
 fn decode_records(reader: &mut Reader, count: u64) -> Result<Vec<Vec<u8>>, RejectReason> {
     let mut records = Vec::new();
     for _ in 0..count {
-        let length = reader.u32().ok_or(RejectReason::Count)? as usize;
+        let length = reader.u32().ok_or(RejectReason::RecordCountMismatch)? as usize;
         if length > MAX_RECORD_BYTES {
-            return Err(RejectReason::TooLong);
+            return Err(RejectReason::RecordTooLong);
         }
-        records.push(reader.take(length).ok_or(RejectReason::Count)?.to_vec());
+        records.push(
+            reader
+                .take(length)
+                .ok_or(RejectReason::RecordCountMismatch)?
+                .to_vec(),
+        );
     }
     let rest = reader.take(COUNT_BYTES);
     if rest.is_some() && reader.is_empty() {
         Ok(records)
     } else {
-        Err(RejectReason::Count)
+        Err(RejectReason::RecordCountMismatch)
     }
 }
 
--- a/crates/config-log/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -253,7 +253,7 @@
     assert!(matches!(
         open_error(&directory),
         LogError::Corrupt {
-            damage: Damage::Incomplete,
+            damage: Damage::TruncatedRecord,
             ..
         }
     ));
@@ -326,8 +326,8 @@
         matches!(
             error,
             LogError::MissingRecords {
-                after: 50,
-                reached: 2,
+                previous_index: 50,
+                last_index: 2,
                 ..
             }
         ),
@@ -430,8 +430,8 @@
         matches!(
             error,
             LogError::MissingRecords {
-                after: 3,
-                reached: 0,
+                previous_index: 3,
+                last_index: 0,
                 ..
             }
         ),
@@ -469,7 +469,7 @@
         matches!(
             error,
             LogError::Corrupt {
-                damage: Damage::TooLong,
+                damage: Damage::RecordTooLong,
                 ..
             }
         ),
@@ -491,8 +491,8 @@
     assert!(matches!(
         open_error(&directory),
         LogError::MissingRecords {
-            after: 50,
-            reached: 2,
+            previous_index: 50,
+            last_index: 2,
             ..
         }
     ));
