--- a/crates/config-log/src/directory.rs
+++ b/crates/config-log/src/directory.rs
@@ -1,35 +1,35 @@
-//! The directory of a log: the names of its files, its lock, and atomic creation of files.
+//! The directory of a log: file names, the lock file, and atomic file creation.
 
 use crate::error::{LogError, io_error};
 use std::fs::{self, File, TryLockError};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-const LOG_PREFIX: &str = "log.";
+const SEGMENT_PREFIX: &str = "log.";
 const SNAPSHOT_PREFIX: &str = "snapshot.";
-/// Ends the name of a file that is being written.
+/// The suffix of files whose writing has not finished.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 const LOCK_NAME: &str = "lock";
 
-/// The directory of one log, locked for this process.
+/// The directory of a log, locked by this process.
 pub(crate) struct Directory {
     path: PathBuf,
-    /// Holds the lock until it is closed.
+    /// The open lock file; closing it releases the lock.
     _lock: File,
 }
 
-/// The files of a directory, in the order of their indices.
+/// The files in the directory of a log, in ascending order of their indices.
 #[derive(Default)]
 pub(crate) struct Listing {
-    /// The index that each segment comes after.
-    pub(crate) logs: Vec<u64>,
+    /// The indices in the names of the segments; the records of each segment have higher ones.
+    pub(crate) segments: Vec<u64>,
     pub(crate) snapshots: Vec<u64>,
-    /// Files whose writing was not finished.
+    /// Temporary files left behind by unfinished writes.
     pub(crate) temporary: Vec<PathBuf>,
 }
 
 impl Directory {
-    /// Creates the directory if it doesn't exist, and locks it.
+    /// Opens and locks the directory, and creates it if it doesn't exist.
     pub(crate) fn open(path: &Path) -> Result<Directory, LogError> {
         fs::create_dir_all(path).map_err(io_error("create", path))?;
         let lock_path = path.join(LOCK_NAME);
@@ -50,8 +50,9 @@
         &self.path
     }
 
-    pub(crate) fn log_path(&self, after: u64) -> PathBuf {
-        self.path.join(format!("{LOG_PREFIX}{after:020}"))
+    pub(crate) fn segment_path(&self, previous_index: u64) -> PathBuf {
+        self.path
+            .join(format!("{SEGMENT_PREFIX}{previous_index:020}"))
     }
 
     pub(crate) fn snapshot_path(&self, index: u64) -> PathBuf {
@@ -67,19 +68,19 @@
             };
             if name.ends_with(TEMPORARY_SUFFIX) {
                 listing.temporary.push(path);
-            } else if let Some(after) = index_of_name(name, LOG_PREFIX) {
-                listing.logs.push(after);
-            } else if let Some(index) = index_of_name(name, SNAPSHOT_PREFIX) {
+            } else if let Some(previous_index) = parse_index(name, SEGMENT_PREFIX) {
+                listing.segments.push(previous_index);
+            } else if let Some(index) = parse_index(name, SNAPSHOT_PREFIX) {
                 listing.snapshots.push(index);
             }
         }
-        listing.logs.sort_unstable();
+        listing.segments.sort_unstable();
         listing.snapshots.sort_unstable();
         listing.temporary.sort_unstable();
         Ok(listing)
     }
 
-    /// Writes a file under a temporary name, makes it durable, and renames it to its final name.
+    /// Writes a file under a temporary name, syncs it, and renames it to its final name.
     pub(crate) fn write_atomically(
         &self,
         path: &Path,
@@ -90,7 +91,8 @@
         let temporary = PathBuf::from(temporary);
         let written = write_durably(&temporary, write);
         if written.is_err() {
-            // The write's error is the one to report; recovery removes unfinished files too.
+            // An error of the removal is ignored: the write error is the one to report, and the next recovery removes
+            // remaining temporary files.
             fs::remove_file(&temporary).ok();
         }
         written?;
@@ -102,14 +104,14 @@
         fs::remove_file(path).map_err(io_error("remove", path))
     }
 
-    /// Makes the names of the files durable.
+    /// Syncs the directory, which makes the creation, renaming and removal of its files durable.
     pub(crate) fn sync(&self) -> Result<(), LogError> {
         let synced = File::open(&self.path).and_then(|directory| directory.sync_all());
         synced.map_err(io_error("sync", &self.path))
     }
 }
 
-/// Writes bytes, and names the file in the error.
+/// Writes bytes, and adds the file's path to an error.
 pub(crate) fn write_all(file: &mut impl Write, path: &Path, bytes: &[u8]) -> Result<(), LogError> {
     file.write_all(bytes).map_err(io_error("write", path))
 }
@@ -123,6 +125,6 @@
     file.sync_all().map_err(io_error("sync", path))
 }
 
-fn index_of_name(name: &str, prefix: &str) -> Option<u64> {
+fn parse_index(name: &str, prefix: &str) -> Option<u64> {
     name.strip_prefix(prefix)?.parse().ok()
 }
--- a/crates/config-log/src/lib.rs
+++ b/crates/config-log/src/lib.rs
@@ -1,15 +1,15 @@
-//! A versioned log with snapshots on disk, independent of what its records contain.
+//! A durable record log with snapshots, independent of what its records contain.
 //!
-//! A record is bytes with an index; indices rise, starting at 1. A snapshot is the complete state that the records up to
-//! an index lead to, as a list of byte strings. The directory of a log contains
-//! - `log.INDEX`: a segment, the records after that index up to the next segment;
-//! - `snapshot.INDEX`: the two latest snapshots, so that the earlier one with its segments can be used if the later one is
-//!   damaged;
-//! - `lock`, which keeps a second process out.
+//! A record is a byte string with an index; indices start at 1 and increase strictly, but may have gaps. A snapshot is
+//! the complete state after all records up to an index, as a list of byte strings. The directory of a log contains
+//! - `log.INDEX`: a segment, which holds the records after that index up to the start of the next segment;
+//! - `snapshot.INDEX`: the two latest snapshots; if the later one is damaged, the earlier one and the segments after it
+//!   are used;
+//! - `lock`: a lock file, which prevents a second process from opening the log.
 //!
-//! [`ConfigLog::append`] writes and [`ConfigLog::sync`] makes durable: a caller announces a record after the sync. What was
-//! written without a sync may be lost in a crash; what is left of it is cut off and counted. If synced data is damaged, the
-//! log is not opened, see [`LogError::Corrupt`].
+//! [`ConfigLog::append`] writes a record and [`ConfigLog::sync`] makes it durable; a caller must not announce a record
+//! before the sync. A crash may lose records that were not synced; on opening, an incomplete remainder of them is
+//! truncated and its size reported. If synced data is damaged, opening the log fails with [`LogError::Corrupt`].
 
 mod codec;
 mod config_log;
--- a/crates/config-log/src/segment.rs
+++ b/crates/config-log/src/segment.rs
@@ -1,6 +1,6 @@
-//! Appending to one file of records, `log.INDEX`.
+//! Appending to a segment, `log.INDEX`.
 
-use crate::codec::{FORMAT_VERSION, FileHeader, RecordHeader};
+use crate::codec::{FORMAT_VERSION, RecordHeader, SegmentHeader};
 use crate::directory::{Directory, write_all};
 use crate::error::{LogError, io_error};
 use std::fs::File;
@@ -10,64 +10,63 @@
 /// A record to be appended.
 #[derive(Clone, Copy, Debug)]
 pub struct NewRecord<'a> {
-    /// Higher than that of every earlier record.
+    /// Must be higher than that of every earlier record and snapshot.
     pub index: u64,
     /// The record's content.
     pub payload: &'a [u8],
 }
 
-/// A file of records that is appended to.
+/// The segment that records are appended to.
 pub(crate) struct Segment {
     path: PathBuf,
     file: File,
-    /// The index that its records come after.
-    after: u64,
+    /// The index that all its records are higher than.
+    previous_index: u64,
     length: u64,
-    /// How many of its bytes have been synced.
-    durable: u64,
+    /// The length in bytes up to which the file has been synced.
+    durable_length: u64,
 }
 
 impl Segment {
-    /// Creates the file for the records after an index.
-    pub(crate) fn create(directory: &Directory, after: u64) -> Result<Segment, LogError> {
-        let path = directory.log_path(after);
-        let header = FileHeader {
+    /// Creates the segment for the records after `previous_index`.
+    pub(crate) fn create(directory: &Directory, previous_index: u64) -> Result<Segment, LogError> {
+        let path = directory.segment_path(previous_index);
+        let header = SegmentHeader {
             format: FORMAT_VERSION,
-            after,
+            previous_index,
         }
         .encode();
         directory.write_atomically(&path, |file, path| write_all(file, path, &header))?;
-        Segment::open(&path, after, header.len() as u64)
+        Segment::open(&path, previous_index, header.len() as u64)
     }
 
-    /// Opens a file to append to its first `length` bytes; what follows them is cut off.
-    pub(crate) fn open(path: &Path, after: u64, length: u64) -> Result<Segment, LogError> {
+    /// Opens a segment for appending, and truncates it to `length` bytes.
+    pub(crate) fn open(path: &Path, previous_index: u64, length: u64) -> Result<Segment, LogError> {
         let file = File::options()
             .append(true)
             .open(path)
             .map_err(io_error("open", path))?;
         file.set_len(length)
             .and_then(|()| file.sync_all())
-            .map_err(io_error("cut", path))?;
+            .map_err(io_error("truncate", path))?;
         Ok(Segment {
             path: path.to_owned(),
             file,
-            after,
+            previous_index,
             length,
-            durable: length,
+            durable_length: length,
         })
     }
 
-    /// The index that the records come after.
-    pub(crate) fn after(&self) -> u64 {
-        self.after
+    pub(crate) fn previous_index(&self) -> u64 {
+        self.previous_index
     }
 
     pub(crate) fn length(&self) -> u64 {
         self.length
     }
 
-    /// Writes records in one go; after an error the file is truncated to its previous length, if that is possible.
+    /// Appends records as one batch. On an error the file is truncated to its previous length, if possible.
     pub(crate) fn append(&mut self, records: &[NewRecord]) -> Result<(), AppendError> {
         let mut bytes = Vec::new();
         for record in records {
@@ -79,33 +78,33 @@
                 self.length += bytes.len() as u64;
                 Ok(())
             }
-            Err(source) => Err(self.undo(io_error("append to", &self.path)(source))),
+            Err(source) => Err(self.roll_back(io_error("append to", &self.path)(source))),
         }
     }
 
-    /// Makes what was appended durable.
+    /// Makes all appended records durable.
     pub(crate) fn sync(&mut self) -> Result<(), LogError> {
         self.file
             .sync_data()
             .map_err(io_error("sync", &self.path))?;
-        self.durable = self.length;
+        self.durable_length = self.length;
         Ok(())
     }
 
     fn record_header(&self, record: &NewRecord) -> RecordHeader {
         RecordHeader {
             length: u32::try_from(record.payload.len())
-                .expect("checked against the longest record"),
+                .expect("the length was checked against MAX_RECORD_BYTES"),
             index: record.index,
-            durable: self.durable,
+            durable_length: self.durable_length,
             payload_checksum: crc32fast::hash(record.payload),
         }
     }
 
-    fn undo(&self, error: LogError) -> AppendError {
+    fn roll_back(&self, error: LogError) -> AppendError {
         AppendError {
             error,
-            undone: self.file.set_len(self.length).is_ok(),
+            rolled_back: self.file.set_len(self.length).is_ok(),
         }
     }
 }
@@ -113,6 +112,6 @@
 /// Why records could not be appended.
 pub(crate) struct AppendError {
     pub(crate) error: LogError,
-    /// Whether the file is as it was before.
-    pub(crate) undone: bool,
+    /// Whether the file was truncated to its previous length.
+    pub(crate) rolled_back: bool,
 }
--- a/crates/config-log/src/segment_reader.rs
+++ b/crates/config-log/src/segment_reader.rs
@@ -1,58 +1,62 @@
-//! Reading one file of records, `log.INDEX`, and telling a torn tail from damage.
+//! Reading a segment, `log.INDEX`, and distinguishing a torn tail from corruption.
 
-use crate::codec::{FORMAT_VERSION, FileHeader, MAX_RECORD_BYTES, RecordHeader};
+use crate::codec::{FORMAT_VERSION, MAX_RECORD_BYTES, RecordHeader, SegmentHeader};
 use crate::error::{Damage, LogError, io_error};
 use std::fs;
 use std::path::Path;
 
-/// A record that was read.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its position in the log.
+    /// The index of the record; indices may have gaps.
     pub index: u64,
-    /// Its content.
+    /// The record's content.
     pub payload: Vec<u8>,
 }
 
-/// The content of a file of records.
+/// The content of a segment.
 pub(crate) struct SegmentContent {
     pub(crate) records: Vec<Record>,
-    /// The length of the header and the complete records.
+    /// The length in bytes of the header and the complete records.
     pub(crate) length: u64,
-    /// What follows them, left by an unfinished write.
+    /// The number of bytes after them, left by an unfinished write.
     pub(crate) torn_bytes: u64,
 }
 
-/// Whether a file may end in an unfinished write.
+/// Whether a segment may end in an unfinished write.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Tail {
-    /// The last file: it was being written when the process ended.
+    /// The last segment: the process may have stopped during a write to it.
     MayBeTorn,
-    /// An earlier file: it was durable before the next one was made.
+    /// An earlier segment: it was synced before the next one was created.
     Complete,
 }
 
-/// Reads a file of records that come after an index.
-pub(crate) fn read(path: &Path, after: u64, tail: Tail) -> Result<SegmentContent, LogError> {
+/// Reads a segment, and checks that its header states `previous_index`.
+pub(crate) fn read(
+    path: &Path,
+    previous_index: u64,
+    tail: Tail,
+) -> Result<SegmentContent, LogError> {
     let bytes = fs::read(path).map_err(io_error("read", path))?;
     let corrupt = |offset: usize, damage| LogError::Corrupt {
         file: path.to_owned(),
         offset: offset as u64,
         damage,
     };
-    let header = FileHeader::decode(&bytes).ok_or_else(|| corrupt(0, Damage::SegmentHeader))?;
+    let header = SegmentHeader::decode(&bytes).ok_or_else(|| corrupt(0, Damage::SegmentHeader))?;
     if header.format != FORMAT_VERSION {
         return Err(LogError::UnknownFormat {
             file: path.to_owned(),
             found: header.format,
         });
     }
-    if header.after != after {
+    if header.previous_index != previous_index {
         return Err(corrupt(0, Damage::SegmentHeader));
     }
     let mut records = Vec::new();
-    let mut offset = FileHeader::LENGTH;
-    let mut last = after;
+    let mut offset = SegmentHeader::LENGTH;
+    let mut last = previous_index;
     while offset < bytes.len() {
         match decode_record(&bytes[offset..], last) {
             Ok(record) => {
@@ -94,12 +98,14 @@
     })
 }
 
-/// Whether damage is what a write without a sync leaves: no later record states that this offset was durable. A header
-/// with a valid checksum was written on purpose, so a wrong length or index in it is not a torn write.
-fn is_torn(bytes: &[u8], damaged: usize, damage: Damage) -> bool {
-    let intentional = matches!(damage, Damage::RecordTooLong | Damage::IndexOutOfOrder);
-    let proves_durable = |offset: usize| {
-        RecordHeader::decode(&bytes[offset..]).is_some_and(|header| header.durable > damaged as u64)
+/// Whether damage can result from an interrupted write that was not synced. This is not the case if a later record
+/// header states that the damaged offset was already synced. A record header with a valid checksum is as it was
+/// written, so an invalid length or index in it isn't a torn write either.
+fn is_torn(bytes: &[u8], damaged_offset: usize, damage: Damage) -> bool {
+    let written_invalid = matches!(damage, Damage::RecordTooLong | Damage::IndexOutOfOrder);
+    let proves_synced = |offset: usize| {
+        RecordHeader::decode(&bytes[offset..])
+            .is_some_and(|header| header.durable_length > damaged_offset as u64)
     };
-    !intentional && !(damaged + 1..bytes.len()).any(proves_durable)
+    !written_invalid && !(damaged_offset + 1..bytes.len()).any(proves_synced)
 }
--- a/crates/config-log/src/snapshot.rs
+++ b/crates/config-log/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! A snapshot file, `snapshot.INDEX`: a magic number, the format, the index, the records each with its length, their
-//! number, and the checksum of all of it.
+//! The snapshot file, `snapshot.INDEX`. It consists of a magic number, the format version, the index, the records, each
+//! preceded by its length, the number of records, and a checksum of everything before it.
 
-use crate::codec::{CHECKSUM_BYTES, FORMAT_VERSION, MAX_RECORD_BYTES, Reader, SNAPSHOT_MAGIC};
+use crate::codec::{ByteReader, CHECKSUM_BYTES, FORMAT_VERSION, MAX_RECORD_BYTES, SNAPSHOT_MAGIC};
 use crate::directory::{Directory, write_all};
 use crate::error::{LogError, RejectReason, io_error};
 use crc32fast::Hasher;
@@ -9,19 +9,19 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-/// The length of the number of records, which precedes the checksum.
+/// The length in bytes of the record count, which precedes the checksum.
 const COUNT_BYTES: usize = 8;
 
-/// The complete state that the records up to an index lead to.
+/// The complete state after all records up to an index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The index of the last record that it includes.
+    /// The index of the last record that the state includes.
     pub index: u64,
-    /// The state, in the caller's encoding.
+    /// The state, encoded by the caller.
     pub records: Vec<Vec<u8>>,
 }
 
-/// Writes a snapshot; the file gets its final name once it is durable.
+/// Writes a snapshot to a temporary file, and renames it once it is durable.
 pub(crate) fn write(
     directory: &Directory,
     index: u64,
@@ -46,15 +46,15 @@
     })
 }
 
-/// What a snapshot file turned out to be.
+/// The result of reading a snapshot file.
 pub(crate) enum SnapshotFile {
-    /// It is complete and undamaged.
+    /// The file is complete and undamaged.
     Usable(Snapshot),
-    /// It could be read, but is not the snapshot that its name states.
+    /// The file is readable, but its content is not a valid snapshot of its index.
     Rejected(RejectReason),
 }
 
-/// Reads the snapshot file of an index.
+/// Reads a snapshot file, and checks that its index matches the one in its name.
 pub(crate) fn read(path: &Path, index: u64) -> Result<SnapshotFile, LogError> {
     let bytes = fs::read(path).map_err(io_error("read", path))?;
     Ok(match decode(&bytes) {
@@ -69,7 +69,7 @@
     let (content, checksum) = bytes
         .split_last_chunk::<CHECKSUM_BYTES>()
         .ok_or(too_short)?;
-    let mut reader = Reader::new(content);
+    let mut reader = ByteReader::new(content);
     if reader.array() != Some(SNAPSHOT_MAGIC) {
         return Err(RejectReason::NotASnapshot);
     }
@@ -86,7 +86,7 @@
     Ok(Snapshot { index, records })
 }
 
-fn decode_records(reader: &mut Reader, count: u64) -> Result<Vec<Vec<u8>>, RejectReason> {
+fn decode_records(reader: &mut ByteReader, count: u64) -> Result<Vec<Vec<u8>>, RejectReason> {
     let mut records = Vec::new();
     for _ in 0..count {
         let length = reader.u32().ok_or(RejectReason::RecordCountMismatch)? as usize;
@@ -100,15 +100,15 @@
                 .to_vec(),
         );
     }
-    let rest = reader.take(COUNT_BYTES);
-    if rest.is_some() && reader.is_empty() {
+    let count_field = reader.take(COUNT_BYTES);
+    if count_field.is_some() && reader.is_empty() {
         Ok(records)
     } else {
         Err(RejectReason::RecordCountMismatch)
     }
 }
 
-/// Writes a file and the checksum of all that was written.
+/// Writes a file, and appends the checksum of its content.
 struct ChecksummedWriter<'a> {
     file: BufWriter<&'a mut File>,
     path: &'a Path,
@@ -127,7 +127,8 @@
                 length: record.len(),
             });
         }
-        let length = u32::try_from(record.len()).expect("checked against the longest record");
+        let length =
+            u32::try_from(record.len()).expect("the length was checked against MAX_RECORD_BYTES");
         self.write(&length.to_le_bytes())?;
         self.write(record)
     }
