--- a/crates/config-log/tests/log.rs
+++ b/crates/config-log/tests/log.rs
@@ -1,4 +1,4 @@
-//! Reopening logs: complete, with a torn tail, damaged, with partial snapshots, too long records and missing files.
+//! Reopening a log that is intact, has a torn tail, damage, unfinished snapshots, too long records or missing files.
 
 use bellsill_config_log::{
     ConfigLog, Damage, LogError, MAX_RECORD_BYTES, NewRecord, OpenedLog, Record, Recovered,
@@ -8,9 +8,10 @@
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// Header of a file of records, and of each record.
-const FILE_HEADER: usize = 24;
-const RECORD_HEADER: usize = 28;
+/// The length of a segment header in bytes.
+const SEGMENT_HEADER_BYTES: usize = 24;
+/// The length of a record header in bytes.
+const RECORD_HEADER_BYTES: usize = 28;
 
 fn payload(index: u64) -> Vec<u8> {
     format!("record {index}").into_bytes()
@@ -20,7 +21,7 @@
     NewRecord { index, payload }
 }
 
-fn state(index: u64) -> Vec<Vec<u8>> {
+fn state_at(index: u64) -> Vec<Vec<u8>> {
     (1..=index).map(payload).collect()
 }
 
@@ -31,10 +32,10 @@
 fn open_error(directory: &TempDir) -> LogError {
     ConfigLog::open(directory.path())
         .err()
-        .expect("the log is rejected")
+        .expect("opening the log fails")
 }
 
-/// Appends records up to an index, each durable before the next.
+/// Appends records up to an index, with a sync after each.
 fn append_to(log: &mut ConfigLog, last: u64) {
     for index in log.last_index() + 1..=last {
         log.append(index, &payload(index)).unwrap();
@@ -42,13 +43,14 @@
     }
 }
 
-fn snapshot_at(log: &mut ConfigLog, index: u64) {
+fn append_and_snapshot(log: &mut ConfigLog, index: u64) {
     append_to(log, index);
-    log.write_snapshot(index, state(index).into_iter()).unwrap();
+    log.write_snapshot(index, state_at(index).into_iter())
+        .unwrap();
 }
 
-/// Asserts that the snapshot and the records after it are all records up to an index.
-fn assert_holds(recovered: &Recovered, snapshot: Option<u64>, last: u64) {
+/// Asserts that the snapshot and the records after it together contain all records up to `last`.
+fn assert_recovered(recovered: &Recovered, snapshot: Option<u64>, last: u64) {
     assert_eq!(
         recovered.snapshot.as_ref().map(|snapshot| snapshot.index),
         snapshot
@@ -70,10 +72,10 @@
             .iter()
             .map(|record| record.payload.clone()),
     );
-    assert_eq!(found, state(last));
+    assert_eq!(found, state_at(last));
 }
 
-fn files(directory: &TempDir, prefix: &str) -> Vec<PathBuf> {
+fn files_with_prefix(directory: &TempDir, prefix: &str) -> Vec<PathBuf> {
     let paths = fs::read_dir(directory.path())
         .unwrap()
         .map(|entry| entry.unwrap().path());
@@ -90,7 +92,7 @@
     found
 }
 
-fn file_of(directory: &TempDir, kind: &str, index: u64) -> PathBuf {
+fn file_path(directory: &TempDir, kind: &str, index: u64) -> PathBuf {
     directory.path().join(format!("{kind}.{index:020}"))
 }
 
@@ -100,7 +102,7 @@
     fs::write(path, bytes).unwrap();
 }
 
-fn cut(path: &Path, length: usize) {
+fn truncate(path: &Path, length: usize) {
     let bytes = fs::read(path).unwrap();
     fs::write(path, &bytes[..length]).unwrap();
 }
@@ -109,8 +111,11 @@
 fn a_new_log_is_empty() {
     let directory = TempDir::new().unwrap();
     let OpenedLog { log, recovered } = open(&directory);
-    assert_holds(&recovered, None, 0);
-    assert_eq!((log.last_index(), log.bytes()), (0, FILE_HEADER as u64));
+    assert_recovered(&recovered, None, 0);
+    assert_eq!(
+        (log.last_index(), log.bytes()),
+        (0, SEGMENT_HEADER_BYTES as u64)
+    );
 }
 
 #[test]
@@ -118,10 +123,10 @@
     let directory = TempDir::new().unwrap();
     for last in [3, 3, 7] {
         append_to(&mut open(&directory).log, last);
-        assert_holds(&open(&directory).recovered, None, last);
+        assert_recovered(&open(&directory).recovered, None, last);
     }
     let OpenedLog { log, recovered } = open(&directory);
-    let bytes = FILE_HEADER + 7 * (RECORD_HEADER + payload(1).len());
+    let bytes = SEGMENT_HEADER_BYTES + 7 * (RECORD_HEADER_BYTES + payload(1).len());
     assert_eq!(log.bytes(), bytes as u64);
     assert_eq!(
         (recovered.report.torn_bytes, recovered.report.rejected.len()),
@@ -144,7 +149,7 @@
     assert!(
         log.append_batch(&[new_record(10, b"ten"), new_record(10, b"ten")])
             .is_err(),
-        "all or none"
+        "a batch is appended completely or not at all"
     );
     drop(log);
     let recovered = open(&directory).recovered;
@@ -164,21 +169,21 @@
 
 #[test]
 fn a_torn_tail_is_truncated_and_counted_at_every_length() {
-    let record = RECORD_HEADER + payload(3).len();
+    let record = RECORD_HEADER_BYTES + payload(3).len();
     for left in 1..record {
         let directory = TempDir::new().unwrap();
         append_to(&mut open(&directory).log, 3);
-        cut(
-            &file_of(&directory, "log", 0),
-            FILE_HEADER + 2 * record + left,
+        truncate(
+            &file_path(&directory, "log", 0),
+            SEGMENT_HEADER_BYTES + 2 * record + left,
         );
         let OpenedLog { mut log, recovered } = open(&directory);
-        assert_holds(&recovered, None, 2);
+        assert_recovered(&recovered, None, 2);
         assert_eq!(recovered.report.torn_bytes, left as u64);
         append_to(&mut log, 5);
         drop(log);
         let recovered = open(&directory).recovered;
-        assert_holds(&recovered, None, 5);
+        assert_recovered(&recovered, None, 5);
         assert_eq!(recovered.report.torn_bytes, 0);
     }
 }
@@ -196,24 +201,24 @@
         .collect();
     log.append_batch(&batch).unwrap();
     drop(log);
-    let file = file_of(&directory, "log", 0);
+    let file = file_path(&directory, "log", 0);
     let mut bytes = fs::read(&file).unwrap();
     bytes[durable + 10..durable + 50].fill(0);
     fs::write(&file, &bytes).unwrap();
     let recovered = open(&directory).recovered;
-    assert_holds(&recovered, None, 2);
+    assert_recovered(&recovered, None, 2);
     assert_eq!(recovered.report.torn_bytes, (bytes.len() - durable) as u64);
 }
 
 #[test]
 fn a_flipped_bit_before_the_last_record_is_reported_as_corruption() {
-    let record = RECORD_HEADER + payload(1).len();
+    let record = RECORD_HEADER_BYTES + payload(1).len();
     let complete = TempDir::new().unwrap();
     append_to(&mut open(&complete).log, 4);
-    let bytes = fs::read(file_of(&complete, "log", 0)).unwrap();
-    for byte in 0..FILE_HEADER + 3 * record {
+    let bytes = fs::read(file_path(&complete, "log", 0)).unwrap();
+    for byte in 0..SEGMENT_HEADER_BYTES + 3 * record {
         let directory = TempDir::new().unwrap();
-        let file = file_of(&directory, "log", 0);
+        let file = file_path(&directory, "log", 0);
         fs::write(&file, &bytes).unwrap();
         flip_bit(&file, byte);
         let damaged = fs::read(&file).unwrap();
@@ -227,8 +232,8 @@
             panic!("byte {byte}: {error}")
         };
         let expected = byte
-            .checked_sub(FILE_HEADER)
-            .map_or(0, |byte| FILE_HEADER + byte / record * record);
+            .checked_sub(SEGMENT_HEADER_BYTES)
+            .map_or(0, |byte| SEGMENT_HEADER_BYTES + byte / record * record);
         assert_eq!((named, *offset), (&file, expected as u64), "byte {byte}");
         assert!(
             error
@@ -236,7 +241,11 @@
                 .contains("Copy the directory of another control process"),
             "{error}"
         );
-        assert_eq!(fs::read(&file).unwrap(), damaged, "nothing was changed");
+        assert_eq!(
+            fs::read(&file).unwrap(),
+            damaged,
+            "the segment is unchanged"
+        );
     }
 }
 
@@ -244,12 +253,12 @@
 fn a_truncated_earlier_segment_is_reported_as_corruption() {
     let directory = TempDir::new().unwrap();
     let mut log = open(&directory).log;
-    snapshot_at(&mut log, 3);
+    append_and_snapshot(&mut log, 3);
     append_to(&mut log, 5);
     drop(log);
-    let first = file_of(&directory, "log", 0);
-    cut(&first, fs::read(&first).unwrap().len() - 1);
-    flip_bit(&file_of(&directory, "snapshot", 3), 30);
+    let first = file_path(&directory, "log", 0);
+    truncate(&first, fs::read(&first).unwrap().len() - 1);
+    flip_bit(&file_path(&directory, "snapshot", 3), 30);
     assert!(matches!(
         open_error(&directory),
         LogError::Corrupt {
@@ -263,11 +272,11 @@
 fn an_unknown_format_version_is_rejected() {
     let directory = TempDir::new().unwrap();
     drop(open(&directory));
-    let file = file_of(&directory, "log", 0);
+    let file = file_path(&directory, "log", 0);
     let mut bytes = fs::read(&file).unwrap();
     bytes[8] = 2;
-    let checksum = crc32fast::hash(&bytes[..FILE_HEADER - 4]);
-    bytes[FILE_HEADER - 4..].copy_from_slice(&checksum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes[..SEGMENT_HEADER_BYTES - 4]);
+    bytes[SEGMENT_HEADER_BYTES - 4..].copy_from_slice(&checksum.to_le_bytes());
     fs::write(&file, bytes).unwrap();
     assert!(matches!(
         open_error(&directory),
@@ -280,17 +289,17 @@
     let directory = TempDir::new().unwrap();
     let mut log = open(&directory).log;
     for index in [4, 9, 15, 22] {
-        snapshot_at(&mut log, index);
-        assert_eq!(log.bytes(), FILE_HEADER as u64);
+        append_and_snapshot(&mut log, index);
+        assert_eq!(log.bytes(), SEGMENT_HEADER_BYTES as u64);
         append_to(&mut log, index + 2);
     }
     drop(log);
-    assert_holds(&open(&directory).recovered, Some(22), 24);
-    let kept = [15, 22].map(|index| file_of(&directory, "snapshot", index));
-    assert_eq!(files(&directory, "snapshot"), kept);
+    assert_recovered(&open(&directory).recovered, Some(22), 24);
+    let kept = [15, 22].map(|index| file_path(&directory, "snapshot", index));
+    assert_eq!(files_with_prefix(&directory, "snapshot"), kept);
     assert_eq!(
-        files(&directory, "log"),
-        [15, 22].map(|after| file_of(&directory, "log", after))
+        files_with_prefix(&directory, "log"),
+        [15, 22].map(|previous_index| file_path(&directory, "log", previous_index))
     );
 }
 
@@ -300,7 +309,8 @@
     let mut log = open(&directory).log;
     append_to(&mut log, 10);
     for index in [6, 8, 8, 9] {
-        log.write_snapshot(index, state(index).into_iter()).unwrap();
+        log.write_snapshot(index, state_at(index).into_iter())
+            .unwrap();
     }
     assert!(matches!(
         log.write_snapshot(7, std::iter::empty()),
@@ -308,7 +318,7 @@
     ));
     append_to(&mut log, 12);
     drop(log);
-    assert_holds(&open(&directory).recovered, Some(9), 12);
+    assert_recovered(&open(&directory).recovered, Some(9), 12);
 }
 
 #[test]
@@ -316,11 +326,11 @@
     let directory = TempDir::new().unwrap();
     let mut log = open(&directory).log;
     append_to(&mut log, 2);
-    log.write_snapshot(50, state(50).into_iter()).unwrap();
+    log.write_snapshot(50, state_at(50).into_iter()).unwrap();
     append_to(&mut log, 52);
     drop(log);
-    assert_holds(&open(&directory).recovered, Some(50), 52);
-    flip_bit(&file_of(&directory, "snapshot", 50), 40);
+    assert_recovered(&open(&directory).recovered, Some(50), 52);
+    flip_bit(&file_path(&directory, "snapshot", 50), 40);
     let error = open_error(&directory);
     assert!(
         matches!(
@@ -335,37 +345,37 @@
     );
 }
 
-/// Every truncation and every flipped byte.
+/// Tests truncation at every length and a flipped bit in every byte.
 #[test]
 fn a_damaged_snapshot_is_counted_and_the_previous_one_used() {
     let complete = TempDir::new().unwrap();
     let mut log = open(&complete).log;
-    snapshot_at(&mut log, 4);
-    snapshot_at(&mut log, 7);
+    append_and_snapshot(&mut log, 4);
+    append_and_snapshot(&mut log, 7);
     append_to(&mut log, 9);
     drop(log);
-    let bytes = fs::read(file_of(&complete, "snapshot", 7)).unwrap();
-    let cuts = (0..bytes.len()).map(|length| bytes[..length].to_vec());
-    let flips = (0..bytes.len()).map(|byte| {
+    let bytes = fs::read(file_path(&complete, "snapshot", 7)).unwrap();
+    let truncated = (0..bytes.len()).map(|length| bytes[..length].to_vec());
+    let flipped_bits = (0..bytes.len()).map(|byte| {
         let mut flipped = bytes.clone();
         flipped[byte] ^= 1;
         flipped
     });
-    for damaged in cuts.chain(flips) {
-        let file = file_of(&complete, "snapshot", 7);
+    for damaged in truncated.chain(flipped_bits) {
+        let file = file_path(&complete, "snapshot", 7);
         fs::write(&file, damaged).unwrap();
         let recovered = open(&complete).recovered;
-        assert_holds(&recovered, Some(4), 9);
+        assert_recovered(&recovered, Some(4), 9);
         assert_eq!(recovered.report.rejected.len(), 1);
         assert_eq!(recovered.report.rejected[0].file, file);
     }
     let mut log = open(&complete).log;
-    snapshot_at(&mut log, 11);
-    let kept = [4, 11].map(|index| file_of(&complete, "snapshot", index));
+    append_and_snapshot(&mut log, 11);
+    let kept = [4, 11].map(|index| file_path(&complete, "snapshot", index));
     assert_eq!(
-        files(&complete, "snapshot"),
+        files_with_prefix(&complete, "snapshot"),
         kept,
-        "the damaged one is removed"
+        "the damaged snapshot is removed"
     );
 }
 
@@ -373,12 +383,12 @@
 fn an_unfinished_snapshot_is_counted_and_removed() {
     let directory = TempDir::new().unwrap();
     let mut log = open(&directory).log;
-    snapshot_at(&mut log, 4);
+    append_and_snapshot(&mut log, 4);
     drop(log);
     let unfinished = directory.path().join("snapshot.00000000000000000009.tmp");
     fs::write(&unfinished, b"bsl-snp\n").unwrap();
     let recovered = open(&directory).recovered;
-    assert_holds(&recovered, Some(4), 4);
+    assert_recovered(&recovered, Some(4), 4);
     assert_eq!(
         recovered.report.rejected,
         [RejectedSnapshot {
@@ -389,42 +399,42 @@
     assert!(!unfinished.exists());
 }
 
-/// The states of the directory between the steps of a snapshot: a crash may leave any of them.
+/// Tests the state that a crash leaves behind after the snapshot was renamed and before the next segment was created.
 #[test]
 fn a_crash_between_the_steps_of_a_snapshot_loses_nothing() {
     let directory = TempDir::new().unwrap();
     let mut log = open(&directory).log;
-    snapshot_at(&mut log, 3);
+    append_and_snapshot(&mut log, 3);
     append_to(&mut log, 6);
     drop(log);
-    let before = files(&directory, "")
+    let files_before = files_with_prefix(&directory, "")
         .into_iter()
         .map(|file| (file.clone(), fs::read(file).unwrap()));
-    let before: Vec<(PathBuf, Vec<u8>)> = before.collect();
-    snapshot_at(&mut open(&directory).log, 6);
-    // The snapshot has its name, the next log is not there yet.
-    fs::remove_file(file_of(&directory, "log", 6)).unwrap();
-    before
+    let files_before: Vec<(PathBuf, Vec<u8>)> = files_before.collect();
+    append_and_snapshot(&mut open(&directory).log, 6);
+    // Restores the files from before the snapshot, and removes the segment that it started.
+    fs::remove_file(file_path(&directory, "log", 6)).unwrap();
+    files_before
         .iter()
         .for_each(|(file, bytes)| fs::write(file, bytes).unwrap());
     let OpenedLog { mut log, recovered } = open(&directory);
-    assert_holds(&recovered, Some(6), 6);
+    assert_recovered(&recovered, Some(6), 6);
     append_to(&mut log, 8);
     drop(log);
-    assert_holds(&open(&directory).recovered, Some(6), 8);
-    flip_bit(&file_of(&directory, "snapshot", 6), 25);
-    assert_holds(&open(&directory).recovered, Some(3), 8);
+    assert_recovered(&open(&directory).recovered, Some(6), 8);
+    flip_bit(&file_path(&directory, "snapshot", 6), 25);
+    assert_recovered(&open(&directory).recovered, Some(3), 8);
 }
 
 #[test]
 fn a_missing_segment_is_reported() {
     let directory = TempDir::new().unwrap();
     let mut log = open(&directory).log;
-    snapshot_at(&mut log, 3);
+    append_and_snapshot(&mut log, 3);
     append_to(&mut log, 5);
     drop(log);
-    fs::remove_file(file_of(&directory, "snapshot", 3)).unwrap();
-    fs::remove_file(file_of(&directory, "log", 0)).unwrap();
+    fs::remove_file(file_path(&directory, "snapshot", 3)).unwrap();
+    fs::remove_file(file_path(&directory, "log", 0)).unwrap();
     let error = open_error(&directory);
     assert!(
         matches!(
@@ -453,13 +463,13 @@
     );
     let rejected = log.write_snapshot(1, [longest.clone(), too_long].into_iter());
     assert!(matches!(rejected, Err(LogError::RecordTooLong { .. })));
-    assert!(files(&directory, "snapshot").is_empty());
+    assert!(files_with_prefix(&directory, "snapshot").is_empty());
     append_to(&mut log, 2);
     drop(log);
-    // The length of the second record, with a checksum of its header that matches.
-    let file = file_of(&directory, "log", 0);
+    // Sets a too large length in the header of the second record, and updates the header checksum.
+    let file = file_path(&directory, "log", 0);
     let mut bytes = fs::read(&file).unwrap();
-    let second = FILE_HEADER + RECORD_HEADER + MAX_RECORD_BYTES;
+    let second = SEGMENT_HEADER_BYTES + RECORD_HEADER_BYTES + MAX_RECORD_BYTES;
     bytes[second..second + 4].copy_from_slice(&(MAX_RECORD_BYTES as u32 + 1).to_le_bytes());
     let checksum = crc32fast::hash(&bytes[second..second + 24]);
     bytes[second + 24..second + 28].copy_from_slice(&checksum.to_le_bytes());
@@ -482,12 +492,12 @@
     let directory = TempDir::new().unwrap();
     let mut log = open(&directory).log;
     append_to(&mut log, 2);
-    log.write_snapshot(50, state(50).into_iter()).unwrap();
+    log.write_snapshot(50, state_at(50).into_iter()).unwrap();
     drop(log);
-    fs::remove_file(file_of(&directory, "log", 50)).unwrap();
+    fs::remove_file(file_path(&directory, "log", 50)).unwrap();
     append_to(&mut open(&directory).log, 52);
-    assert_holds(&open(&directory).recovered, Some(50), 52);
-    flip_bit(&file_of(&directory, "snapshot", 50), 40);
+    assert_recovered(&open(&directory).recovered, Some(50), 52);
+    flip_bit(&file_path(&directory, "snapshot", 50), 40);
     assert!(matches!(
         open_error(&directory),
         LogError::MissingRecords {
