--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -1,4 +1,4 @@
-//! The assignment: the two holders of each bucket, and the buckets of each member.
+//! The assignment: the holders of each bucket and the buckets of each member.
 
 use crate::change::{AssignmentChange, BucketHolders, REPLICAS};
 use crate::error::PlacementError;
@@ -7,7 +7,8 @@
 use crate::names::MemberName;
 use std::collections::BTreeMap;
 
-/// Which members hold which buckets. Created empty or from a table, and changed only by applying the next change.
+/// The mapping between buckets and the members that hold them. Created empty or from a table, and modified only by
+/// applying the next change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     layout: Layout,
@@ -17,7 +18,7 @@
 }
 
 impl Assignment {
-    /// The assignment before the first one: no bucket has a holder.
+    /// The initial assignment, in which no bucket has a holder.
     pub fn empty(layout: Layout) -> Assignment {
         let holders = vec![[const { None }; REPLICAS]; layout.buckets() as usize];
         Assignment {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Applies the change that leads to the next epoch; any other is rejected and changes nothing.
+    /// Applies the change that leads to the next epoch. Any other change is rejected and modifies nothing.
     pub fn apply(&mut self, change: &AssignmentChange) -> Result<(), PlacementError> {
         let expected = self.next_epoch();
         if change.epoch != expected {
@@ -62,7 +63,7 @@
         change
             .moved
             .iter()
-            .try_for_each(|moved| self.check(moved))?;
+            .try_for_each(|moved| self.validate(moved))?;
         change
             .moved
             .iter()
@@ -71,31 +72,31 @@
         Ok(())
     }
 
-    /// The holders of a bucket of the layout; either may be absent.
+    /// The holders of a bucket of the layout. `None` stands for a replica without a holder.
     pub fn holders(&self, bucket: BucketId) -> [Option<&MemberName>; REPLICAS] {
         self.holders[bucket.0 as usize]
             .each_ref()
             .map(Option::as_ref)
     }
 
-    /// The buckets that a member holds, in order.
+    /// The buckets that a member holds, in ascending order.
     pub fn buckets_of(&self, member: &MemberName) -> &[BucketId] {
         self.buckets_by_member
             .get(member)
             .map_or(&[], Vec::as_slice)
     }
 
-    /// The members that hold a bucket, in order.
+    /// The members that hold at least one bucket, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &MemberName> {
         self.buckets_by_member.keys()
     }
 
-    /// All buckets, in order.
+    /// All buckets, in ascending order.
     pub fn buckets(&self) -> impl Iterator<Item = BucketId> + use<> {
         (0..self.layout.buckets()).map(BucketId)
     }
 
-    /// The epoch of the last change applied; 0 before the first.
+    /// The epoch of the last applied change, or 0 before the first change.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
@@ -109,7 +110,7 @@
         Epoch(self.epoch.0 + 1)
     }
 
-    fn check(&self, moved: &BucketHolders) -> Result<(), PlacementError> {
+    fn validate(&self, moved: &BucketHolders) -> Result<(), PlacementError> {
         let buckets = self.layout.buckets();
         if moved.bucket.0 >= buckets {
             return Err(PlacementError::UnknownBucket {
@@ -129,9 +130,9 @@
     }
 
     fn set_holders(&mut self, moved: &BucketHolders) {
-        let place = moved.bucket.0 as usize;
-        let before = std::mem::replace(&mut self.holders[place], moved.holders.clone());
-        for member in before.iter().flatten() {
+        let index = moved.bucket.0 as usize;
+        let previous = std::mem::replace(&mut self.holders[index], moved.holders.clone());
+        for member in previous.iter().flatten() {
             self.remove_from_index(member, moved.bucket);
         }
         for member in moved.holders.iter().flatten() {
@@ -141,8 +142,8 @@
 
     fn add_to_index(&mut self, member: &MemberName, bucket: BucketId) {
         let held = self.buckets_by_member.entry(member.clone()).or_default();
-        if let Err(place) = held.binary_search(&bucket) {
-            held.insert(place, bucket);
+        if let Err(position) = held.binary_search(&bucket) {
+            held.insert(position, bucket);
         }
     }
 
@@ -150,8 +151,8 @@
         let Some(held) = self.buckets_by_member.get_mut(member) else {
             return;
         };
-        if let Ok(place) = held.binary_search(&bucket) {
-            held.remove(place);
+        if let Ok(position) = held.binary_search(&bucket) {
+            held.remove(position);
         }
         if held.is_empty() {
             self.buckets_by_member.remove(member);
--- a/crates/placement/src/candidate.rs
+++ b/crates/placement/src/candidate.rs
@@ -1,36 +1,36 @@
-//! The members of a region that replicas may be placed on.
+//! Members of a region that can hold replicas, with their load.
 
 use crate::hash::RendezvousScore;
 use crate::ids::BucketId;
 use crate::share::Share;
 
-/// How much spare capacity a candidate has; the first is chosen before the others.
+/// How much spare capacity a candidate has. Earlier variants are preferred as targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum SpareCapacity {
     FarBelowShare,
     BelowShare,
     AtShare,
-    WithinBound,
+    BelowMaxLoad,
 }
 
-/// A member that buckets of the region may be placed on.
+/// A member that can hold buckets of the region.
 pub(crate) struct Candidate {
     name_hash: u64,
     weight: f64,
     zone: usize,
     share: Share,
-    /// Whether it was far below its share before the plan.
+    /// Whether it was far below its fair share before the plan.
     deficient: bool,
-    /// The buckets it holds, numbered within the region.
+    /// The buckets it holds, as indices within the region.
     held: Vec<usize>,
-    // What follows from the load is cached, because it is read far more often than the load changes.
+    // Values derived from the load are cached because they are read far more often than the load changes.
     spare_capacity: Option<SpareCapacity>,
-    over_bound: usize,
+    over_max_load: usize,
     excess: f64,
 }
 
 impl Candidate {
-    /// A candidate without buckets.
+    /// Creates a candidate that holds no buckets.
     pub(crate) fn new(name_hash: u64, weight: f64, zone: usize, share: Share) -> Candidate {
         let mut candidate = Candidate {
             name_hash,
@@ -40,10 +40,10 @@
             deficient: false,
             held: Vec::new(),
             spare_capacity: None,
-            over_bound: 0,
+            over_max_load: 0,
             excess: 0.0,
         };
-        candidate.update();
+        candidate.update_cached();
         candidate
     }
 
@@ -55,12 +55,12 @@
         &self.held
     }
 
-    /// How many replicas it holds.
+    /// The number of replicas it holds.
     pub(crate) fn load(&self) -> usize {
         self.held.len()
     }
 
-    /// What it is given where others have enough.
+    /// The load it is filled up to with replicas of other members.
     pub(crate) fn floor(&self) -> usize {
         self.share.floor
     }
@@ -69,17 +69,17 @@
         self.deficient
     }
 
-    /// None where it is at its bound.
+    /// `None` if it has reached its maximum load.
     pub(crate) fn spare_capacity(&self) -> Option<SpareCapacity> {
         self.spare_capacity
     }
 
-    /// By how many replicas it is above its bound.
-    pub(crate) fn over_bound(&self) -> usize {
-        self.over_bound
+    /// The number of replicas above its maximum load.
+    pub(crate) fn over_max_load(&self) -> usize {
+        self.over_max_load
     }
 
-    /// How far it is above its share; below 0 where it is below.
+    /// Its load minus its fair share, in replicas.
     pub(crate) fn excess(&self) -> f64 {
         self.excess
     }
@@ -90,7 +90,7 @@
 
     pub(crate) fn add(&mut self, bucket: usize) {
         self.held.push(bucket);
-        self.update();
+        self.update_cached();
     }
 
     pub(crate) fn remove(&mut self, bucket: usize) {
@@ -98,27 +98,27 @@
             .held
             .iter()
             .position(|held| *held == bucket)
-            .expect("a bucket is removed from its holder");
+            .expect("the candidate holds the bucket");
         self.held.swap_remove(position);
-        self.update();
+        self.update_cached();
     }
 
-    /// Decides from the present load whether it is far below its share.
+    /// Marks it as deficient if its current load is far below its fair share.
     pub(crate) fn mark_deficient(&mut self) {
         self.deficient = self.share.is_deficient(self.load());
-        self.update();
+        self.update_cached();
     }
 
-    /// Nothing more can be given to it as a deficient member.
+    /// Stops treating it as deficient because no further replica can be moved to it.
     pub(crate) fn clear_deficient(&mut self) {
         self.deficient = false;
-        self.update();
+        self.update_cached();
     }
 
-    fn update(&mut self) {
+    fn update_cached(&mut self) {
         let load = self.load();
         self.spare_capacity = self.spare_capacity_at(load);
-        self.over_bound = load.saturating_sub(self.share.most);
+        self.over_max_load = load.saturating_sub(self.share.max_load);
         self.excess = self.share.excess(load);
     }
 
@@ -129,8 +129,8 @@
             Some(SpareCapacity::BelowShare)
         } else if load < self.share.ceiling {
             Some(SpareCapacity::AtShare)
-        } else if load < self.share.most {
-            Some(SpareCapacity::WithinBound)
+        } else if load < self.share.max_load {
+            Some(SpareCapacity::BelowMaxLoad)
         } else {
             None
         }
--- a/crates/placement/src/error.rs
+++ b/crates/placement/src/error.rs
@@ -1,64 +1,70 @@
-//! Why members cannot be placed, or a change cannot be applied.
+//! Errors of planning and applying changes of the assignment.
 
 use crate::ids::{BucketId, Epoch};
 use crate::names::{MemberName, ZoneName};
 use thiserror::Error;
 
-/// Why a plan or a change is rejected; the assignment stays as it was.
+/// Why planning fails or a change is rejected. The assignment stays unchanged.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlacementError {
-    /// The layout does not have the zone of a member.
+    /// The zone of a member is not in the layout.
     #[error(
-        "member {member} is in zone {zone}, which the layout does not have: declare the zone with its region"
+        "member {member} is in zone {zone}, which is not in the layout: declare the zone and its region"
     )]
     UnknownZone {
-        /// The member with that zone.
+        /// The member in that zone.
         member: MemberName,
-        /// The zone that is not declared.
+        /// The undeclared zone.
         zone: ZoneName,
     },
     /// Two members have the same name.
     #[error("member {member} is declared twice: declare it once")]
     DuplicateMember {
-        /// The name of both.
+        /// The duplicate name.
         member: MemberName,
     },
     /// A weight is negative or not finite.
-    #[error("member {member} has the weight {weight}: declare a finite one of nought or more")]
+    #[error("member {member} has the weight {weight}: declare a finite number of 0 or more")]
     InvalidWeight {
         /// The member with that weight.
         member: MemberName,
         /// The declared weight.
         weight: f64,
     },
-    /// A change is not the next one.
+    /// A change does not lead to the next epoch.
     #[error(
-        "the change leads to epoch {found:?}, the next one is {expected:?}: ask for the changes in between"
+        "the change leads to epoch {}, expected epoch {}: request the missing changes",
+        .found.0,
+        .expected.0
     )]
     EpochOutOfOrder {
-        /// The epoch that the next change leads to.
+        /// The epoch after the current one.
         expected: Epoch,
         /// The epoch that this change leads to.
         found: Epoch,
     },
-    /// A change names a bucket that the layout does not have.
+    /// A change contains a bucket that is not in the layout.
     #[error(
-        "the change names bucket {bucket:?}, the layout has {buckets}: both processes need the same layout"
+        "the change contains bucket {}, but the layout has {buckets} buckets: \
+         both processes need the same layout",
+        .bucket.0
     )]
     UnknownBucket {
-        /// The bucket that the change names.
+        /// The bucket in the change.
         bucket: BucketId,
-        /// How many buckets the layout has.
+        /// The number of buckets in the layout.
         buckets: u32,
     },
-    /// A change places both replicas of a bucket on one member.
+    /// A change places both replicas of a bucket on the same member.
     #[error(
-        "the change gives both replicas of bucket {bucket:?} to {member}: it is damaged, ask for it again"
+        "the change places both replicas of bucket {} on member {member}: \
+         the change is corrupt, request it again",
+        .bucket.0
     )]
     SameHolderTwice {
-        /// The bucket of both replicas.
+        /// The bucket.
         bucket: BucketId,
-        /// The member that would hold both.
+        /// The member that would hold both replicas.
         member: MemberName,
     },
 }
--- a/crates/placement/src/ids.rs
+++ b/crates/placement/src/ids.rs
@@ -1,17 +1,17 @@
-//! The numbers of buckets and assignments.
+//! Identifiers of buckets and versions of the assignment.
 
 use serde::{Deserialize, Serialize};
 
-/// A group of destinations of one region that are placed together. Numbered over all regions: region 0 has the buckets
-/// `0..buckets_per_region`, region 1 the next ones, and so on.
+/// A group of destinations of one region that are placed together. The numbering spans all regions: region 0 has the
+/// buckets `0..buckets_per_region`, region 1 the following ones, and so on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BucketId(
-    /// The number over all regions.
+    /// Unique across all regions.
     pub u32,
 );
 
-/// Counts the assignments of buckets to dispatchers, from 1 on.
+/// The version of the assignment of buckets to dispatchers. Each change increments it by 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/placement/src/layout.rs
+++ b/crates/placement/src/layout.rs
@@ -1,4 +1,4 @@
-//! The layout: which zones make up which region, and how many buckets a region has.
+//! The layout: the zones of each region and the number of buckets per region.
 
 use crate::hash;
 use crate::ids::BucketId;
@@ -7,67 +7,71 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Buckets of a region unless configured otherwise.
+/// The default number of buckets per region.
 ///
-/// Reasoned for 7 regions, 22 zones, 1,900 dispatchers (about 271 a region, 86 a zone) and 730,000 destinations:
-/// - Load: 2,048 buckets with two replicas are about 15 for each dispatcher, so one bucket more or less is 7 % of its load,
-///   within [`LOAD_TOLERANCE`](crate::LOAD_TOLERANCE); with 512 it would be 26 %. A bucket has about 51 destinations.
-/// - Change: a lost zone moves about a third of its region's 4,096 replicas, 1,365. A change must reach every dispatcher
-///   within 3 s at 17 KB/s, 51 KB; at 18 bytes a moved replica it is 24 KB. With 8,192 buckets it would be 98 KB.
+/// Derived for 7 regions, 22 zones, 1,900 dispatchers (about 271 per region, 86 per zone) and 730,000 destinations:
+/// - Load: 2,048 buckets with two replicas each are about 15 replicas per dispatcher. One replica is then 7 % of its
+///   load, within [`LOAD_TOLERANCE`](crate::LOAD_TOLERANCE); with 512 buckets it would be 26 %. A bucket has about 51
+///   destinations.
+/// - Size of a change: losing a zone moves about a third of the 4,096 replicas of its region, 1,365. A change must
+///   reach every dispatcher within 3 s at 17 KB/s, which allows 51 KB; at 18 bytes per moved replica it takes 24 KB.
+///   With 8,192 buckets it would take 98 KB.
 pub const DEFAULT_BUCKETS_PER_REGION: u32 = 2048;
 
-/// The number of a region: its position among the names of all regions in order.
+/// The index of a region in the sorted list of region names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RegionId(
-    /// The position, from 0 on.
+    /// Starts at 0.
     pub u32,
 );
 
-/// One zone and its region, as operators declare them.
+/// A zone and its region as declared by the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDeclaration {
     /// Unique in the layout.
     pub zone: ZoneName,
-    /// One region may have several zones.
+    /// A region may have several zones.
     pub region: RegionName,
 }
 
-/// Why a layout is rejected.
+/// Why a layout is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LayoutError {
     /// No zone is declared.
-    #[error("the layout has no zone: declare at least one zone with its region")]
+    #[error("the layout has no zones: declare at least one zone and its region")]
     NoZones,
-    /// A zone is declared twice, in different regions.
+    /// A zone is declared in two different regions.
     #[error(
-        "zone {zone} is declared in region {first} and in region {second}: declare it in one of them"
+        "zone {zone} is declared in regions {first} and {second}: declare it in only one of them"
     )]
     ZoneInTwoRegions {
-        /// The zone that is declared twice.
+        /// The zone that is declared in both regions.
         zone: ZoneName,
         /// The region of its first declaration.
         first: RegionName,
         /// The region of its second declaration.
         second: RegionName,
     },
-    /// The number of buckets of a region is 0.
+    /// The number of buckets per region is 0.
+    #[error("buckets_per_region is 0: set it to {DEFAULT_BUCKETS_PER_REGION}, for example")]
+    NoBuckets,
+    /// Bucket numbers would not fit in 32 bits.
     #[error(
-        "a region has no buckets: set buckets_per_region to {DEFAULT_BUCKETS_PER_REGION}, for instance"
+        "{regions} regions with {buckets_per_region} buckets each exceed the total limit of {limit} buckets: \
+         reduce buckets_per_region",
+        limit = u32::MAX
     )]
-    NoBuckets,
-    /// Bucket numbers would not fit into 32 bits.
-    #[error("{regions} regions of {buckets_per_region} buckets are more than {most} in all: set fewer", most = u32::MAX)]
     TooManyBuckets {
-        /// How many regions the zones are declared in.
+        /// The number of regions.
         regions: usize,
-        /// How many buckets each of them has.
+        /// The number of buckets per region.
         buckets_per_region: u32,
     },
 }
 
-/// The zones, their regions and the buckets of each region. Equal layouts number regions and buckets alike, in whatever
-/// order their zones were declared; another region may renumber them.
+/// The zones, their regions and the buckets of each region. The numbering of regions and buckets does not depend on the
+/// order in which zones are declared. Adding or removing a region may renumber them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "LayoutDeclaration", into = "LayoutDeclaration")]
 pub struct Layout {
@@ -77,7 +81,7 @@
 }
 
 impl Layout {
-    /// A layout of the declared zones; a zone declared twice in the same region counts once.
+    /// Creates a layout from the declared zones. A zone declared twice in the same region counts once.
     pub fn new(
         zones: impl IntoIterator<Item = (ZoneName, RegionName)>,
         buckets_per_region: u32,
@@ -92,7 +96,7 @@
         check_bucket_count(regions.len(), buckets_per_region)?;
         let region_by_zone = declared
             .into_iter()
-            .map(|(zone, region)| (zone, region_number(&regions, &region)))
+            .map(|(zone, region)| (zone, region_id(&regions, &region)))
             .collect();
         Ok(Layout {
             region_by_zone,
@@ -101,38 +105,38 @@
         })
     }
 
-    /// The region of a zone, where it is declared.
+    /// The region of a zone, or `None` if the zone is not declared.
     pub fn region_of(&self, zone: &ZoneName) -> Option<RegionId> {
         self.region_by_zone.get(zone).copied()
     }
 
-    /// The bucket of a destination of a region of this layout.
+    /// The bucket of a destination in a region of this layout.
     pub fn bucket_of(&self, region: RegionId, destination: u64) -> BucketId {
         let within_region = hash::bucket_within_region(destination, self.buckets_per_region);
         BucketId(region.0 * self.buckets_per_region + within_region)
     }
 
-    /// How many buckets all regions have.
+    /// The number of buckets of all regions.
     pub fn buckets(&self) -> u32 {
         self.buckets_per_region * self.region_count()
     }
 
-    /// How many buckets each region has.
+    /// The number of buckets per region.
     pub fn buckets_per_region(&self) -> u32 {
         self.buckets_per_region
     }
 
-    /// The region of a bucket, where it is one of this layout.
+    /// The region of a bucket, or `None` if the bucket is not in this layout.
     pub fn region_of_bucket(&self, bucket: BucketId) -> Option<RegionId> {
         (bucket.0 < self.buckets()).then_some(RegionId(bucket.0 / self.buckets_per_region))
     }
 
-    /// The regions, by number.
+    /// All regions, in ascending order.
     pub fn regions(&self) -> impl Iterator<Item = RegionId> + use<> {
         (0..self.region_count()).map(RegionId)
     }
 
-    /// The name of a region, where it is one of this layout.
+    /// The name of a region, or `None` if the region is not in this layout.
     pub fn region_name(&self, region: RegionId) -> Option<&RegionName> {
         self.regions.get(region.0 as usize)
     }
@@ -143,7 +147,8 @@
     }
 
     fn region_count(&self) -> u32 {
-        u32::try_from(self.regions.len()).expect("the bucket count is checked to fit")
+        u32::try_from(self.regions.len())
+            .expect("Layout::new checks that the bucket count fits in 32 bits")
     }
 }
 
@@ -168,13 +173,17 @@
 
 impl From<Layout> for LayoutDeclaration {
     fn from(layout: Layout) -> LayoutDeclaration {
-        let declare = |(zone, region): (ZoneName, RegionId)| ZoneDeclaration {
+        let to_declaration = |(zone, region): (ZoneName, RegionId)| ZoneDeclaration {
             zone,
             region: layout.regions[region.0 as usize].clone(),
         };
         LayoutDeclaration {
             buckets_per_region: layout.buckets_per_region,
-            zones: layout.region_by_zone.into_iter().map(declare).collect(),
+            zones: layout
+                .region_by_zone
+                .into_iter()
+                .map(to_declaration)
+                .collect(),
         }
     }
 }
@@ -218,9 +227,11 @@
     })
 }
 
-fn region_number(regions: &[RegionName], region: &RegionName) -> RegionId {
-    let place = regions
+fn region_id(regions: &[RegionName], region: &RegionName) -> RegionId {
+    let index = regions
         .binary_search(region)
-        .expect("every declared region is listed");
-    RegionId(u32::try_from(place).expect("the bucket count is checked to fit"))
+        .expect("the list contains every declared region");
+    RegionId(
+        u32::try_from(index).expect("Layout::new checks that the bucket count fits in 32 bits"),
+    )
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,9 +1,10 @@
-//! Placement: which dispatchers hold the configuration of which destinations. No I/O, clock or threads.
+//! Placement: assigns the configuration of destinations to dispatchers. Performs no I/O, reads no clock and starts no
+//! threads.
 //!
-//! A destination hashes to a bucket of its region ([`Layout::bucket_of`]). An [`Assignment`] names two holders for each
-//! bucket, in different zones of the region. [`Assignment::plan`] compares it with the members present and returns an
-//! [`AssignmentChange`] that moves only what it must; [`Assignment::apply`] applies the change, at the process that
-//! planned it and at those that follow it.
+//! A destination hashes to a bucket of its region ([`Layout::bucket_of`]). An [`Assignment`] has two holders for each
+//! bucket, in different zones of the region. [`Assignment::plan`] compares it with the present members and returns an
+//! [`AssignmentChange`] that moves close to the minimum number of replicas. [`Assignment::apply`] applies the change,
+//! both in the leader that planned it and in its followers.
 
 mod assignment;
 mod candidate;
--- a/crates/placement/src/lower_bound.rs
+++ b/crates/placement/src/lower_bound.rs
@@ -1,27 +1,28 @@
-//! A lower bound of the moves of a plan.
+//! A lower bound of the number of moves of a plan.
 
 use crate::change::REPLICAS;
 use crate::region_state::RegionState;
 
-/// The least number of moves of any plan with the same bounds from this state on. Every replica without a holder and every
-/// one above a bound must go somewhere, and every replica that a member lacks must come; one move may do both, but not
-/// where a replica without a holder goes to the zone of its bucket's other replica.
-pub(crate) fn least_moves(state: &RegionState) -> usize {
-    let over_bounds: usize = state
+/// A lower bound of the number of moves of any plan that starts from this state and keeps the same load bounds. Every
+/// replica without a holder and every replica above a member's maximum load must be placed elsewhere, and every
+/// deficient member must receive replicas up to its floor. One move can do both, except that a replica without a holder
+/// cannot be placed in the zone of the other replica of its bucket.
+pub(crate) fn min_moves(state: &RegionState) -> usize {
+    let over_max_load: usize = state
         .candidates()
         .iter()
-        .map(|candidate| candidate.over_bound())
+        .map(|candidate| candidate.over_max_load())
         .sum();
-    let must_go = over_bounds + missing_replicas(state);
-    let lacking = lacking_by_zone(state);
-    let of_one_zone = must_go_elsewhere(state)
+    let must_leave = over_max_load + missing_replicas(state);
+    let shortfalls = shortfall_by_zone(state);
+    let max_of_one_zone = barred_by_zone(state)
         .into_iter()
-        .zip(&lacking)
-        .map(|(go, come)| go + come)
+        .zip(&shortfalls)
+        .map(|(barred, shortfall)| barred + shortfall)
         .max();
-    must_go
-        .max(lacking.iter().sum())
-        .max(of_one_zone.unwrap_or(0))
+    must_leave
+        .max(shortfalls.iter().sum())
+        .max(max_of_one_zone.unwrap_or(0))
 }
 
 fn missing_replicas(state: &RegionState) -> usize {
@@ -32,25 +33,26 @@
     state.holders().iter().map(missing).sum()
 }
 
-/// For each zone the replicas that must go to another zone, because the other replica of their bucket is in this one.
-fn must_go_elsewhere(state: &RegionState) -> Vec<usize> {
-    let mut must_go = vec![0; state.zones()];
+/// For each zone, the number of replicas without a holder that must be placed in another zone because the other replica
+/// of their bucket is in this zone.
+fn barred_by_zone(state: &RegionState) -> Vec<usize> {
+    let mut barred = vec![0; state.zones()];
     if state.replicas() == REPLICAS {
         for holders in state.holders() {
             if let [Some(holder), None] | [None, Some(holder)] = holders {
-                must_go[state.candidates()[*holder].zone()] += 1;
+                barred[state.candidates()[*holder].zone()] += 1;
             }
         }
     }
-    must_go
+    barred
 }
 
-/// For each zone the replicas that its members lack that are far below their share.
-fn lacking_by_zone(state: &RegionState) -> Vec<usize> {
-    let mut lacking = vec![0; state.zones()];
+/// For each zone, the number of replicas that its deficient members need to reach their floor.
+fn shortfall_by_zone(state: &RegionState) -> Vec<usize> {
+    let mut shortfalls = vec![0; state.zones()];
     let candidates = state.candidates().iter();
     for candidate in candidates.filter(|candidate| candidate.is_deficient()) {
-        lacking[candidate.zone()] += candidate.floor() - candidate.load();
+        shortfalls[candidate.zone()] += candidate.floor() - candidate.load();
     }
-    lacking
+    shortfalls
 }
--- a/crates/placement/src/member.rs
+++ b/crates/placement/src/member.rs
@@ -1,4 +1,4 @@
-//! Members: the declared dispatchers.
+//! A member: a declared dispatcher.
 
 use crate::names::{MemberName, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -8,10 +8,10 @@
 pub struct Member {
     /// Unique among all members.
     pub name: MemberName,
-    /// Decides its region; both replicas of a bucket are never in one zone.
+    /// Determines its region. The two replicas of a bucket are never in the same zone.
     pub zone: ZoneName,
-    /// Its share of the load against the other members of its region; a member with weight 0 holds nothing.
+    /// Its load relative to the other members of its region. A member with weight 0 holds no buckets.
     pub weight: f64,
-    /// Whether it takes part in the assignment now.
+    /// Whether it can currently hold buckets.
     pub present: bool,
 }
--- a/crates/placement/src/names.rs
+++ b/crates/placement/src/names.rs
@@ -1,4 +1,4 @@
-//! The names of zones, regions and members: one type each, so that they cannot be confused.
+//! Names of zones, regions and members. Each has its own type so that the compiler rejects mix-ups.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,12 +9,12 @@
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(transparent)]
         pub struct $name(
-            /// The name as it is declared.
+            /// The name as declared.
             pub String,
         );
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -35,14 +35,14 @@
 }
 
 name_type! {
-    /// A zone: members that may fail together, such as those of a data centre.
+    /// The name of a zone: a group of members that may fail together, such as those of a data center.
     ZoneName
 }
 name_type! {
-    /// A region: a group of zones near one another.
+    /// The name of a region: a group of zones that are close to one another.
     RegionName
 }
 name_type! {
-    /// A member: one dispatcher.
+    /// The name of a member, which is one dispatcher.
     MemberName
 }
--- a/crates/placement/src/place_missing.rs
+++ b/crates/placement/src/place_missing.rs
@@ -1,4 +1,4 @@
-//! The first step of a plan: places the replicas without a holder.
+//! The first step of a plan: places replicas that have no holder.
 
 use crate::candidate::SpareCapacity;
 use crate::change::REPLICAS;
@@ -6,7 +6,7 @@
 use crate::transfer::free_capacity_outside;
 use std::cmp::Ordering;
 
-/// A candidate that a replica may be placed on.
+/// A candidate that a replica can be placed on.
 #[derive(Clone, Copy)]
 struct Target {
     spare_capacity: SpareCapacity,
@@ -35,18 +35,18 @@
     for slot in 0..REPLICAS {
         let replica = Replica { bucket, slot };
         if state.holder(replica).is_none() && state.lacks_replica(bucket) {
-            place(state, replica, &targets);
+            place_replica(state, replica, &targets);
         }
     }
 }
 
-fn place(state: &mut RegionState, replica: Replica, targets: &[Option<Target>]) {
+fn place_replica(state: &mut RegionState, replica: Replica, targets: &[Option<Target>]) {
     let other_zone = state.other_zone(replica);
-    let elsewhere = targets
+    let in_other_zones = targets
         .iter()
         .enumerate()
         .filter(|(zone, _)| Some(*zone) != other_zone);
-    let best = elsewhere
+    let best = in_other_zones
         .filter_map(|(_, target)| *target)
         .min_by(Target::compare);
     let candidate = match best {
@@ -58,7 +58,8 @@
     }
 }
 
-/// For each zone the candidate with the most spare capacity, and among such ones with the best score.
+/// For each zone without a replica of the bucket, the candidate with the most spare capacity; the best score breaks
+/// ties.
 fn best_targets(state: &RegionState, bucket: usize) -> Vec<Option<Target>> {
     let mut best: Vec<Option<Target>> = vec![None; state.zones()];
     let occupied: Vec<bool> = (0..state.zones())
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans an assignment region by region, and records what changes.
+//! Plans the assignment region by region and collects the changes.
 
 use crate::assignment::Assignment;
 use crate::candidate::Candidate;
@@ -7,7 +7,7 @@
 use crate::hash;
 use crate::ids::BucketId;
 use crate::layout::{Layout, RegionId};
-use crate::lower_bound::least_moves;
+use crate::lower_bound::min_moves;
 use crate::member::Member;
 use crate::names::{MemberName, ZoneName};
 use crate::region_plan;
@@ -16,11 +16,11 @@
 use std::collections::{BTreeSet, HashMap};
 
 impl Assignment {
-    /// The change that places all buckets on the members that are present. The order of `members` makes no difference.
-    /// A replica stays where it is while its holder is present and within its bound; a member far below its fair share,
-    /// as a new one, is filled up to it.
+    /// Plans the change that places all buckets on the present members. The result does not depend on the order of
+    /// `members`. A replica keeps its holder while that member is present and within its maximum load, unless it is
+    /// needed to fill a member far below its fair share, such as a new one, or to free capacity.
     pub fn plan(&self, members: &[Member]) -> Result<AssignmentChange, PlacementError> {
-        let members = in_order(members)?;
+        let members = sorted_by_name(members)?;
         let mut change = AssignmentChange {
             epoch: self.next_epoch(),
             moved: Vec::new(),
@@ -28,23 +28,23 @@
             least_possible: 0,
             warnings: Vec::new(),
         };
-        for members_of_region in by_region(self.layout(), &members)? {
+        for members_of_region in group_by_region(self.layout(), &members)? {
             plan_region(self, &members_of_region, &mut change);
         }
         Ok(change)
     }
 }
 
-/// The members that take part in the assignment of one region, in the order of their names.
+/// The members of one region that can hold buckets, ordered by name.
 struct RegionMembers<'a> {
     region: RegionId,
     members: Vec<&'a Member>,
-    /// The zones that have such members, in order.
+    /// The zones of these members, ordered by name.
     zones: Vec<&'a ZoneName>,
 }
 
 impl RegionMembers<'_> {
-    /// How many replicas of a bucket the region can have.
+    /// The number of replicas per bucket that the region can hold.
     fn replicas(&self) -> usize {
         self.zones.len().min(REPLICAS)
     }
@@ -55,7 +55,7 @@
             .iter()
             .map(|member| WeightInZone {
                 weight: member.weight,
-                zone: self.zone_number(&member.zone),
+                zone: self.zone_index(&member.zone),
             })
             .collect();
         let shares = fair_shares(&weights, self.zones.len(), buckets, self.replicas());
@@ -75,16 +75,16 @@
             .collect()
     }
 
-    fn zone_number(&self, zone: &ZoneName) -> usize {
+    fn zone_index(&self, zone: &ZoneName) -> usize {
         self.zones
             .binary_search(&zone)
-            .expect("the zones are those of the members")
+            .expect("the list contains the zone of every member")
     }
 
     fn warning(&self, layout: &Layout) -> Option<PlacementWarning> {
         let region = layout
             .region_name(self.region)
-            .expect("a region of the layout")
+            .expect("the region comes from the layout")
             .clone();
         match self.zones.len() {
             0 => Some(PlacementWarning::NoMembers { region }),
@@ -94,8 +94,8 @@
     }
 }
 
-/// The members in the order of their names, each with a name and a weight that can be used.
-fn in_order(members: &[Member]) -> Result<Vec<&Member>, PlacementError> {
+/// Sorts the members by name and checks that names are unique and weights valid.
+fn sorted_by_name(members: &[Member]) -> Result<Vec<&Member>, PlacementError> {
     let mut members: Vec<&Member> = members.iter().collect();
     members.sort_unstable_by_key(|member| &member.name);
     if let Some(pair) = members.windows(2).find(|pair| pair[0].name == pair[1].name) {
@@ -115,7 +115,7 @@
     }
 }
 
-fn by_region<'a>(
+fn group_by_region<'a>(
     layout: &Layout,
     members: &[&'a Member],
 ) -> Result<Vec<RegionMembers<'a>>, PlacementError> {
@@ -151,7 +151,7 @@
     let current = current_holders(assignment, region, first_bucket);
     let candidates = region.candidates(layout.buckets_per_region());
     let mut state = RegionState::new(first_bucket, candidates, current, region.replicas());
-    change.least_possible += least_moves(&state);
+    change.least_possible += min_moves(&state);
     region_plan::run(&mut state);
     change.moved_replicas += state.moved_replicas();
     change.warnings.extend(region.warning(layout));
@@ -166,21 +166,21 @@
     }
 }
 
-/// The holders of the region's buckets as indices of its members; those that take no part any more are left out.
+/// The holders of the region's buckets as indices into its members, without holders that can no longer hold buckets.
 fn current_holders(
     assignment: &Assignment,
     region: &RegionMembers,
     first_bucket: BucketId,
 ) -> Vec<Holders> {
-    let numbers: HashMap<&MemberName, usize> = region
+    let indices: HashMap<&MemberName, usize> = region
         .members
         .iter()
         .enumerate()
-        .map(|(number, member)| (&member.name, number))
+        .map(|(index, member)| (&member.name, index))
         .collect();
-    let number_of =
-        |holder: Option<&MemberName>| holder.and_then(|member| numbers.get(member).copied());
+    let index_of =
+        |holder: Option<&MemberName>| holder.and_then(|member| indices.get(member).copied());
     (first_bucket.0..first_bucket.0 + assignment.layout().buckets_per_region())
-        .map(|bucket| assignment.holders(BucketId(bucket)).map(number_of))
+        .map(|bucket| assignment.holders(BucketId(bucket)).map(index_of))
         .collect()
 }
--- a/crates/placement/src/region_plan.rs
+++ b/crates/placement/src/region_plan.rs
@@ -1,21 +1,23 @@
-//! Places the buckets of one region: weighted rendezvous hashing with bounded load, beginning from the current holders.
+//! Places the buckets of one region by weighted rendezvous hashing with bounded loads, starting from the current
+//! holders.
 //!
-//! The steps, each moving as little as it can:
-//! 1. Replicas without a holder go to members below their fair share, the one with the best score first.
-//! 2. Replicas that step 1 placed are spread evenly; that moves nothing more.
-//! 3. Members far below their fair share, as new ones, are filled up to it from those that are furthest above theirs.
-//! 4. Members above their bound give the rest of the excess to those that are furthest below their share.
+//! The steps, each of which tries to move as few replicas as possible:
+//! 1. Place replicas without a holder, preferably on members below their fair share, and among those on the member with
+//!    the best score.
+//! 2. Balance the replicas that step 1 placed. This moves no additional replicas.
+//! 3. Fill members far below their fair share, such as new ones, from the members furthest above theirs.
+//! 4. Move the remaining replicas above a member's maximum load to the members furthest below their share.
 //!
-//! Where all members outside of a zone are full, a replica of another bucket is moved into that zone first to free
-//! capacity. That always works while the zone does not hold every bucket, since the bounds of the other zones suffice for
-//! one replica of each bucket.
+//! If all members outside a zone are full, a replica of another bucket is first moved into that zone to free capacity.
+//! This always works unless the zone already holds every bucket, because the maximum loads of the other zones suffice
+//! for one replica of each bucket.
 
 use crate::candidate::SpareCapacity;
 use crate::place_missing::place_missing_replicas;
 use crate::region_state::RegionState;
 use crate::transfer::{
-    Movable, transfer, transfer_from_any, transfer_from_any_through_another_zone,
-    transfer_through_another_zone,
+    Movable, transfer, transfer_from_any, transfer_from_any_through_other_zone,
+    transfer_through_other_zone,
 };
 
 /// Places every replica.
@@ -42,7 +44,7 @@
 fn fill_deficient(state: &mut RegionState) {
     while let Some(target) = most_deficient(state) {
         let filled = transfer_from_any(state, target, Movable::Any)
-            .or_else(|_nothing_movable| transfer_from_any_through_another_zone(state, target));
+            .or_else(|_no_movable_replica| transfer_from_any_through_other_zone(state, target));
         if filled.is_err() {
             state.candidate_mut(target).clear_deficient();
         }
@@ -60,16 +62,17 @@
 
 fn relieve_overloaded(state: &mut RegionState) {
     for source in 0..state.candidates().len() {
-        while state.candidates()[source].over_bound() > 0 {
-            if !relieve(state, source) {
+        while state.candidates()[source].over_max_load() > 0 {
+            if !move_one_away(state, source) {
                 break;
             }
         }
     }
 }
 
-/// Moves one replica to the member furthest below its share that can hold it. Returns whether there is one.
-fn relieve(state: &mut RegionState, source: usize) -> bool {
+/// Moves one replica of the source to the member furthest below its share that can hold it. Returns whether a replica
+/// was moved.
+fn move_one_away(state: &mut RegionState, source: usize) -> bool {
     let candidates = state.candidates();
     let mut targets: Vec<usize> = (0..candidates.len())
         .filter(|index| candidates[*index].spare_capacity().is_some())
@@ -85,6 +88,6 @@
             return true;
         }
     }
-    let first = targets.first();
-    first.is_some_and(|target| transfer_through_another_zone(state, source, *target).is_ok())
+    let least_loaded = targets.first();
+    least_loaded.is_some_and(|target| transfer_through_other_zone(state, source, *target).is_ok())
 }
--- a/crates/placement/src/region_state.rs
+++ b/crates/placement/src/region_state.rs
@@ -1,4 +1,4 @@
-//! Which candidate holds which replica of a region, before a plan and as far as the plan has come.
+//! The holders of the replicas of a region, before planning and at the current step of the plan.
 
 use crate::candidate::Candidate;
 use crate::change::REPLICAS;
@@ -6,13 +6,13 @@
 use crate::ids::BucketId;
 use std::cmp::Ordering;
 
-/// The holders of one bucket, as indices of candidates.
+/// The holders of one bucket, as indices into the candidates.
 pub(crate) type Holders = [Option<usize>; REPLICAS];
 
 /// One of the two replicas of a bucket of the region.
 #[derive(Clone, Copy)]
 pub(crate) struct Replica {
-    /// Numbered within the region.
+    /// The index of the bucket within the region.
     pub(crate) bucket: usize,
     pub(crate) slot: usize,
 }
@@ -30,18 +30,18 @@
 pub(crate) struct RegionState {
     first_bucket: BucketId,
     candidates: Vec<Candidate>,
-    /// How many zones have candidates.
+    /// The number of zones that have candidates.
     zones: usize,
-    /// The holders that could stay when the plan began.
+    /// The holders before planning, without those that cannot keep their replica.
     initial: Vec<Holders>,
     holders: Vec<Holders>,
-    /// How many replicas a bucket can have.
+    /// The number of replicas that a bucket can have.
     replicas: usize,
 }
 
 impl RegionState {
-    /// The state before a plan. `current` are the current holders, without those that are no candidates any more; of two
-    /// in the same zone the first one stays.
+    /// The state before planning. `current` contains the current holders that are still candidates. If both holders of
+    /// a bucket are in the same zone, only the first one is kept.
     pub(crate) fn new(
         first_bucket: BucketId,
         mut candidates: Vec<Candidate>,
@@ -55,7 +55,7 @@
             .unwrap_or(0);
         let initial: Vec<Holders> = current
             .into_iter()
-            .map(|holders| in_different_zones(&candidates, holders))
+            .map(|holders| keep_different_zones(&candidates, holders))
             .collect();
         for (bucket, holders) in initial.iter().enumerate() {
             for holder in holders.iter().flatten() {
@@ -92,12 +92,12 @@
         &self.holders
     }
 
-    /// How many replicas a bucket can have.
+    /// The number of replicas that a bucket can have.
     pub(crate) fn replicas(&self) -> usize {
         self.replicas
     }
 
-    /// How many replicas are held by another candidate than before the plan.
+    /// The number of replicas whose holder did not hold the bucket before planning.
     pub(crate) fn moved_replicas(&self) -> usize {
         let moved = |(initial, holders): (&Holders, &Holders)| {
             holders
@@ -118,31 +118,31 @@
         self.holders[replica.bucket][replica.slot]
     }
 
-    /// The replica of a bucket that this candidate holds.
+    /// The replica of the bucket that the candidate holds.
     pub(crate) fn replica_of(&self, bucket: usize, holder: usize) -> Replica {
         let slot = usize::from(self.holders[bucket][0] != Some(holder));
         Replica { bucket, slot }
     }
 
-    /// Whether a replica has another holder than before the plan, or none.
+    /// Whether the replica has no holder, or one that did not hold the bucket before planning.
     pub(crate) fn has_moved(&self, replica: Replica) -> bool {
         let holder = self.holder(replica);
         holder.is_none() || !self.initial[replica.bucket].contains(&holder)
     }
 
-    /// The zone of the other replica of the bucket, if that one has a holder.
+    /// The zone of the other replica of the bucket, if that replica has a holder.
     pub(crate) fn other_zone(&self, replica: Replica) -> Option<usize> {
         let holder = self.holder(replica.other())?;
         Some(self.candidates[holder].zone())
     }
 
-    /// Whether a bucket has a replica in a zone.
+    /// Whether the bucket has a replica in the zone.
     pub(crate) fn is_held_in(&self, bucket: usize, zone: usize) -> bool {
         let mut holders = self.holders[bucket].iter().flatten();
         holders.any(|holder| self.candidates[*holder].zone() == zone)
     }
 
-    /// Places or moves a replica on another candidate.
+    /// Places a replica on the target, or moves it there from its current holder.
     pub(crate) fn set_holder(&mut self, replica: Replica, target: usize) {
         let source = self.holders[replica.bucket][replica.slot].replace(target);
         if let Some(source) = source {
@@ -152,27 +152,27 @@
     }
 
     pub(crate) fn score(&self, bucket: usize, candidate: usize) -> RendezvousScore {
-        let offset = u32::try_from(bucket).expect("buckets are numbered by 32 bits");
+        let offset = u32::try_from(bucket).expect("bucket numbers fit in 32 bits");
         self.candidates[candidate].score(BucketId(self.first_bucket.0 + offset))
     }
 
-    /// Orders candidates by how far they are above their share, the furthest below first.
+    /// Orders candidates by their load relative to their share, the furthest below it first.
     pub(crate) fn compare_excess(&self, a: usize, b: usize) -> Ordering {
         let excess = |index: usize| self.candidates[index].excess();
         excess(a).total_cmp(&excess(b))
     }
 
-    /// Orders candidates by how far they are above their bound, then above their share, the furthest first.
+    /// Orders candidates by the excess over their maximum load, then over their share, the largest excess first.
     pub(crate) fn compare_surplus(&self, a: usize, b: usize) -> Ordering {
-        let over_bound = |index: usize| self.candidates[index].over_bound();
-        over_bound(b)
-            .cmp(&over_bound(a))
+        let over_max_load = |index: usize| self.candidates[index].over_max_load();
+        over_max_load(b)
+            .cmp(&over_max_load(a))
             .then(self.compare_excess(b, a))
             .then(a.cmp(&b))
     }
 }
 
-fn in_different_zones(candidates: &[Candidate], holders: Holders) -> Holders {
+fn keep_different_zones(candidates: &[Candidate], holders: Holders) -> Holders {
     match holders {
         [Some(first), Some(second)] if candidates[first].zone() == candidates[second].zone() => {
             [Some(first), None]
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -1,4 +1,4 @@
-//! A complete assignment in the form that snapshots have.
+//! The serialized form of a complete assignment, used in snapshots.
 
 use crate::assignment::Assignment;
 use crate::change::REPLICAS;
@@ -11,62 +11,64 @@
 use std::collections::{BTreeMap, HashSet};
 use thiserror::Error;
 
-/// A complete assignment. Each name is written once; holders are indices into `members`.
+/// A complete assignment. Each member name occurs once; holders are indices into `members`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignmentTable {
-    /// Of the functions that chose the buckets, see [`HASH_VERSION`].
+    /// The version of the hash functions that assigned destinations to buckets, see [`HASH_VERSION`].
     pub hash_version: u32,
-    /// The epoch of the last change that was applied.
+    /// The epoch of the last applied change.
     pub epoch: Epoch,
     /// The layout that bucket numbers refer to.
     pub layout: Layout,
-    /// The members that hold a bucket, in order.
+    /// The members that hold at least one bucket, ordered by name.
     pub members: Vec<MemberName>,
-    /// The holders of each bucket, by its number.
+    /// The holders of each bucket, indexed by bucket number.
     pub holders: Vec<[Option<u32>; REPLICAS]>,
 }
 
-/// Why a table is rejected.
+/// Why a table is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
-    /// The buckets were chosen by other hash functions.
+    /// The table uses another version of the hash functions.
     #[error(
-        "the table was made with hash version {found}, this program has {HASH_VERSION}: run the program that made it"
+        "the table uses hash version {found}, this program supports {HASH_VERSION}: run the program version that wrote it"
     )]
     HashVersion {
         /// The version in the table.
         found: u32,
     },
-    /// A holder is not among the declared members.
+    /// A member of the table is not declared.
     #[error(
-        "the table names the member {member}, which is not declared: declare it, or start from an empty table"
+        "the table contains member {member}, which is not declared: declare it or start with an empty table"
     )]
     UnknownMember {
-        /// The member that is not declared.
+        /// The undeclared member.
         member: MemberName,
     },
-    /// The table and its own layout differ in the number of buckets.
+    /// The number of buckets in the table differs from that of its layout.
     #[error(
-        "the table has the holders of {found} buckets, its layout {expected}: it is damaged, take an earlier one"
+        "the table has holders for {found} buckets, but its layout has {expected} buckets: \
+         the table is corrupt, use an earlier one"
     )]
     BucketCount {
-        /// The buckets of the layout.
+        /// The number of buckets in the layout.
         expected: u32,
-        /// The buckets of the table.
+        /// The number of buckets in the table.
         found: usize,
     },
-    /// A holder is an invalid index, or both holders are the same.
+    /// A holder index is out of range, or both holders are the same.
     #[error(
-        "the table gives bucket {bucket:?} to a member it does not list, or twice to one: it is damaged"
+        "bucket {} of the table has a holder index out of range or the same holder twice: the table is corrupt",
+        .bucket.0
     )]
     InvalidHolder {
-        /// The bucket with that holder.
+        /// The bucket with the invalid holders.
         bucket: BucketId,
     },
 }
 
 impl Assignment {
-    /// The complete assignment, for a snapshot.
+    /// Converts the assignment to a table for a snapshot.
     pub fn to_table(&self) -> AssignmentTable {
         let members: Vec<MemberName> = self.members().cloned().collect();
         let indices: BTreeMap<&MemberName, u32> = members.iter().zip(0..).collect();
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The assignment of a table whose members are all declared, present or not.
+    /// Restores the assignment from a table. All members of the table must be declared, but need not be present.
     pub fn from_table(
         table: &AssignmentTable,
         declared: &[Member],
@@ -129,9 +131,9 @@
     indices: [Option<u32>; REPLICAS],
     members: &[MemberName],
 ) -> Result<[Option<MemberName>; REPLICAS], TableError> {
-    let listed = |index: Option<u32>| index.is_none_or(|index| (index as usize) < members.len());
-    let twice = indices[0].is_some() && indices[0] == indices[1];
-    if twice || !indices.into_iter().all(listed) {
+    let in_range = |index: Option<u32>| index.is_none_or(|index| (index as usize) < members.len());
+    let same_holder = indices[0].is_some() && indices[0] == indices[1];
+    if same_holder || !indices.into_iter().all(in_range) {
         return Err(TableError::InvalidHolder { bucket });
     }
     Ok(indices.map(|index| index.map(|index| members[index as usize].clone())))
--- a/crates/placement/src/transfer.rs
+++ b/crates/placement/src/transfer.rs
@@ -1,31 +1,31 @@
-//! Moves single replicas from one member to another; the steps of a plan decide which members.
+//! Moves single replicas between members. The steps of a plan select the members.
 
 use crate::change::REPLICAS;
 use crate::region_state::{RegionState, Replica};
 
-/// Which replicas may be moved away from a member.
+/// Which replicas of a member may be moved.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Movable {
-    /// Those that this plan has moved already.
+    /// Only replicas that this plan has already moved.
     AlreadyMoved,
     Any,
 }
 
-/// No replica can be moved as asked.
+/// No replica satisfies the conditions of the move.
 #[derive(Debug)]
-pub(crate) struct NothingMovable;
+pub(crate) struct NoMovableReplica;
 
-/// Moves one replica to the target from the member furthest above its share that has one for it.
+/// Moves one replica to the target from the member furthest above its share that has a suitable replica.
 pub(crate) fn transfer_from_any(
     state: &mut RegionState,
     target: usize,
     movable: Movable,
-) -> Result<(), NothingMovable> {
+) -> Result<(), NoMovableReplica> {
     let mut sources = sources(state);
     if sources.is_empty() {
-        return Err(NothingMovable);
+        return Err(NoMovableReplica);
     }
-    // The first nearly always has one, so the others are sorted only where it has not.
+    // The first source nearly always has a suitable replica; the others are sorted only if it does not.
     sources.select_nth_unstable_by(0, |a, b| state.compare_surplus(*a, *b));
     if transfer(state, sources[0], target, movable).is_ok() {
         return Ok(());
@@ -36,29 +36,29 @@
             return Ok(());
         }
     }
-    Err(NothingMovable)
+    Err(NoMovableReplica)
 }
 
-/// Moves one replica from the member furthest above its share by way of a member of a third zone.
-pub(crate) fn transfer_from_any_through_another_zone(
+/// Relocates load from the member furthest above its share to the target through a member of another zone.
+pub(crate) fn transfer_from_any_through_other_zone(
     state: &mut RegionState,
     target: usize,
-) -> Result<(), NothingMovable> {
+) -> Result<(), NoMovableReplica> {
     let source = sources(state)
         .into_iter()
         .min_by(|a, b| state.compare_surplus(*a, *b))
-        .ok_or(NothingMovable)?;
-    transfer_through_another_zone(state, source, target)
+        .ok_or(NoMovableReplica)?;
+    transfer_through_other_zone(state, source, target)
 }
 
-/// Moves a replica of a third member to the target, and one of the source to that member.
-pub(crate) fn transfer_through_another_zone(
+/// Moves a replica of an intermediate member to the target, and a replica of the source to the intermediate member.
+pub(crate) fn transfer_through_other_zone(
     state: &mut RegionState,
     source: usize,
     target: usize,
-) -> Result<(), NothingMovable> {
-    let between = free_capacity_by(state, target).ok_or(NothingMovable)?;
-    transfer(state, source, between, Movable::Any)
+) -> Result<(), NoMovableReplica> {
+    let intermediate = free_capacity_by_moving_to(state, target).ok_or(NoMovableReplica)?;
+    transfer(state, source, intermediate, Movable::Any)
 }
 
 pub(crate) fn transfer(
@@ -66,13 +66,13 @@
     source: usize,
     target: usize,
     movable: Movable,
-) -> Result<(), NothingMovable> {
-    let replica = best_replica(state, source, target, movable).ok_or(NothingMovable)?;
+) -> Result<(), NoMovableReplica> {
+    let replica = best_replica(state, source, target, movable).ok_or(NoMovableReplica)?;
     state.set_holder(replica, target);
     Ok(())
 }
 
-/// Frees capacity on a member outside of a zone, and returns that member.
+/// Frees capacity on a member outside the zone by moving one of its replicas into the zone. Returns that member.
 pub(crate) fn free_capacity_outside(state: &mut RegionState, zone: usize) -> Option<usize> {
     let candidates = state.candidates();
     let in_zone = |index: &usize| {
@@ -82,11 +82,11 @@
     let target = (0..candidates.len())
         .filter(in_zone)
         .min_by(|a, b| state.compare_excess(*a, *b))?;
-    free_capacity_by(state, target)
+    free_capacity_by_moving_to(state, target)
 }
 
-/// Moves a replica of a bucket that has none in the target's zone to the target, and returns the member that held it.
-fn free_capacity_by(state: &mut RegionState, target: usize) -> Option<usize> {
+/// Moves a replica of a bucket that has no replica in the target's zone to the target. Returns its previous holder.
+fn free_capacity_by_moving_to(state: &mut RegionState, target: usize) -> Option<usize> {
     let zone = state.candidates()[target].zone();
     let (bucket, holders) = state
         .holders()
@@ -96,12 +96,12 @@
             !state.is_held_in(*bucket, zone) && **holders != [None; REPLICAS]
         })?;
     let slot = holders.iter().position(Option::is_some)?;
-    let relieved = holders[slot];
+    let previous_holder = holders[slot];
     state.set_holder(Replica { bucket, slot }, target);
-    relieved
+    previous_holder
 }
 
-/// The members that hold more than the least they are given.
+/// The members whose load is above their floor.
 fn sources(state: &RegionState) -> Vec<usize> {
     let candidates = state.candidates();
     (0..candidates.len())
@@ -109,8 +109,8 @@
         .collect()
 }
 
-/// The replica of the source that the target may hold: one that has moved already before one that has not, one whose
-/// other replica stays before one whose other replica is new too, and the best score.
+/// The best replica of the source to move to the target. Replicas that this plan has already moved are preferred, then
+/// those whose other replica has not moved, then those with the best score.
 fn best_replica(
     state: &RegionState,
     source: usize,
@@ -132,6 +132,6 @@
         .filter(|replica| state.other_zone(*replica) != target_zone)
         .filter(|replica| movable == Movable::Any || state.has_moved(*replica))
         .map(|replica| (rank(replica), replica))
-        .min_by(|(a, _), (b, _)| a.partial_cmp(b).expect("scores are numbers"))
+        .min_by(|(a, _), (b, _)| a.partial_cmp(b).expect("scores are never NaN"))
         .map(|(_, replica)| replica)
 }
--- a/crates/placement/tests/assignment.rs
+++ b/crates/placement/tests/assignment.rs
@@ -204,7 +204,7 @@
     assert!(
         change.warnings[0]
             .to_string()
-            .contains("declare dispatchers in a second zone of it")
+            .contains("declare or start dispatchers in a second zone of the region")
     );
     members.iter_mut().for_each(|member| member.present = true);
     assert!(step(&mut assignment, &members).warnings.is_empty());
