--- a/crates/placement/tests/assignment.rs
+++ b/crates/placement/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Layouts, changes, tables, members and the warnings for operators.
+//! Tests of layouts, changes, tables, member validation and warnings.
 
 mod common;
 
@@ -7,12 +7,12 @@
     HASH_VERSION, Layout, LayoutError, Member, PlacementError, PlacementWarning, RegionId,
     RegionName, TableError, ZoneName,
 };
-use common::{layout, member, step, zone};
+use common::{layout, member, plan_and_apply, zone};
 
 const BUCKETS: u32 = 64;
 
-/// One region of three zones with four members each.
-fn small() -> (Assignment, Vec<Member>) {
+/// An empty assignment for one region of three zones, and four members in each zone.
+fn small_assignment() -> (Assignment, Vec<Member>) {
     let members = (0..12)
         .map(|number| member(number, zone(0, number % 3)))
         .collect();
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_destination_stays_in_its_bucket() {
-    // Fixed by HASH_VERSION 1: another result needs another version.
+fn the_bucket_of_a_destination_is_stable() {
+    // HASH_VERSION 1 determines these values. A change of the results requires a new version.
     let layout = layout(&[3, 3], DEFAULT_BUCKETS_PER_REGION);
     let buckets =
         [0, 1, 729_999, u64::MAX].map(|destination| layout.bucket_of(RegionId(1), destination).0);
@@ -43,21 +43,21 @@
     }
     assert!(
         counts.iter().all(|count| (50..=150).contains(count)),
-        "five deviations of 100"
+        "every bucket is within five standard deviations of the mean of 100 destinations"
     );
 }
 
 #[test]
-fn a_layout_is_the_same_in_any_order_of_its_zones() {
+fn the_order_of_zones_does_not_affect_the_layout() {
     let zones =
         [("b1", "b"), ("a1", "a"), ("a2", "a")].map(|(zone, region)| (zone.into(), region.into()));
-    let forwards = Layout::new(zones.clone(), 8).unwrap();
-    let backwards = Layout::new(zones.into_iter().rev(), 8).unwrap();
-    assert_eq!(forwards, backwards);
-    assert_eq!(forwards.region_of(&"b1".into()), Some(RegionId(1)));
-    assert_eq!(forwards.region_of(&"c1".into()), None);
-    let written = serde_json::to_string(&forwards).unwrap();
-    assert_eq!(serde_json::from_str::<Layout>(&written).unwrap(), forwards);
+    let in_order = Layout::new(zones.clone(), 8).unwrap();
+    let reversed = Layout::new(zones.into_iter().rev(), 8).unwrap();
+    assert_eq!(in_order, reversed);
+    assert_eq!(in_order.region_of(&"b1".into()), Some(RegionId(1)));
+    assert_eq!(in_order.region_of(&"c1".into()), None);
+    let json = serde_json::to_string(&in_order).unwrap();
+    assert_eq!(serde_json::from_str::<Layout>(&json).unwrap(), in_order);
 }
 
 #[test]
@@ -73,10 +73,10 @@
         Layout::new(zones(&[("z", "r")]), 0),
         Err(LayoutError::NoBuckets)
     );
-    let twice = Layout::new(zones(&[("z", "r"), ("z", "s")]), 8);
+    let duplicate = Layout::new(zones(&[("z", "r"), ("z", "s")]), 8);
     let [zone, first, second] = ["z", "r", "s"];
     assert_eq!(
-        twice,
+        duplicate,
         Err(LayoutError::ZoneInTwoRegions {
             zone: zone.into(),
             first: first.into(),
@@ -96,7 +96,7 @@
 
 #[test]
 fn an_epoch_out_of_order_is_rejected_and_changes_nothing() {
-    let (mut assignment, members) = small();
+    let (mut assignment, members) = small_assignment();
     let first = assignment.plan(&members).unwrap();
     assert_eq!(first.epoch, Epoch(1));
     for wrong in [0, 2, 3] {
@@ -116,26 +116,29 @@
     }
     assert_eq!(assignment, Assignment::empty(layout(&[3], BUCKETS)));
     assignment.apply(&first).unwrap();
-    assert!(assignment.apply(&first).is_err(), "once only");
+    assert!(
+        assignment.apply(&first).is_err(),
+        "a change must be applied only once"
+    );
     assert_eq!(assignment.epoch(), Epoch(1));
 }
 
 #[test]
-fn a_damaged_change_is_rejected_as_a_whole() {
-    let (mut assignment, members) = small();
+fn an_invalid_change_is_rejected_without_partial_effect() {
+    let (mut assignment, members) = small_assignment();
     let complete = assignment.plan(&members).unwrap();
-    let mut outside = complete.clone();
-    outside.moved.last_mut().unwrap().bucket = BucketId(BUCKETS);
+    let mut out_of_range = complete.clone();
+    out_of_range.moved.last_mut().unwrap().bucket = BucketId(BUCKETS);
     let rejected = PlacementError::UnknownBucket {
         bucket: BucketId(BUCKETS),
         buckets: BUCKETS,
     };
-    assert_eq!(assignment.apply(&outside), Err(rejected));
-    let mut twice = complete;
-    let last = twice.moved.last_mut().unwrap();
+    assert_eq!(assignment.apply(&out_of_range), Err(rejected));
+    let mut duplicate = complete;
+    let last = duplicate.moved.last_mut().unwrap();
     last.holders[1] = last.holders[0].clone();
     assert!(matches!(
-        assignment.apply(&twice),
+        assignment.apply(&duplicate),
         Err(PlacementError::SameHolderTwice { .. })
     ));
     assert_eq!(assignment.epoch(), Epoch(0));
@@ -144,39 +147,39 @@
 
 #[test]
 fn a_follower_that_applies_the_changes_has_the_same_assignment() {
-    let (mut writer, mut members) = small();
-    let mut follower = writer.clone();
+    let (mut leader, mut members) = small_assignment();
+    let mut follower = leader.clone();
     for lost in 0..4 {
         members[lost].present = false;
-        let change = step(&mut writer, &members);
-        let written = serde_json::to_string(&change).unwrap();
+        let change = plan_and_apply(&mut leader, &members);
+        let json = serde_json::to_string(&change).unwrap();
         follower
-            .apply(&serde_json::from_str(&written).unwrap())
+            .apply(&serde_json::from_str(&json).unwrap())
             .unwrap();
-        assert_eq!(follower, writer);
+        assert_eq!(follower, leader);
     }
 }
 
 #[test]
 fn invalid_members_are_rejected() {
-    let (assignment, members) = small();
-    let with = |wrong: Member| {
+    let (assignment, members) = small_assignment();
+    let rejection_with = |wrong: Member| {
         assignment
             .plan(&[&members[..], &[wrong]].concat())
             .unwrap_err()
     };
-    let elsewhere = with(member(12, zone(5, 0)));
-    assert!(matches!(elsewhere, PlacementError::UnknownZone { .. }));
+    let unknown_zone = rejection_with(member(12, zone(5, 0)));
+    assert!(matches!(unknown_zone, PlacementError::UnknownZone { .. }));
     assert!(
-        elsewhere.to_string().contains("declare the zone"),
-        "{elsewhere}"
+        unknown_zone.to_string().contains("declare the zone"),
+        "{unknown_zone}"
     );
     assert!(matches!(
-        with(members[3].clone()),
+        rejection_with(members[3].clone()),
         PlacementError::DuplicateMember { .. }
     ));
     for weight in [-1.0, f64::NAN, f64::INFINITY] {
-        let rejected = with(Member {
+        let rejected = rejection_with(Member {
             weight,
             ..member(12, zone(0, 0))
         });
@@ -189,11 +192,11 @@
 
 #[test]
 fn a_region_with_one_zone_has_one_replica_and_a_warning() {
-    let (mut assignment, mut members) = small();
+    let (mut assignment, mut members) = small_assignment();
     members
         .iter_mut()
         .for_each(|member| member.present = member.zone == zone(0, 1));
-    let change = step(&mut assignment, &members);
+    let change = plan_and_apply(&mut assignment, &members);
     assert_eq!(
         change.warnings,
         [PlacementWarning::OneZone {
@@ -207,7 +210,11 @@
             .contains("declare or start dispatchers in a second zone of the region")
     );
     members.iter_mut().for_each(|member| member.present = true);
-    assert!(step(&mut assignment, &members).warnings.is_empty());
+    assert!(
+        plan_and_apply(&mut assignment, &members)
+            .warnings
+            .is_empty()
+    );
 }
 
 #[test]
@@ -216,7 +223,7 @@
     let members: Vec<Member> = (0..4)
         .map(|number| member(number, zone(1, number % 2)))
         .collect();
-    let change = step(&mut assignment, &members);
+    let change = plan_and_apply(&mut assignment, &members);
     assert_eq!(
         change.warnings,
         [PlacementWarning::NoMembers {
@@ -228,27 +235,27 @@
 
 #[test]
 fn a_member_without_weight_holds_nothing() {
-    let (mut assignment, mut members) = small();
-    step(&mut assignment, &members);
+    let (mut assignment, mut members) = small_assignment();
+    plan_and_apply(&mut assignment, &members);
     members[5].weight = 0.0;
-    step(&mut assignment, &members);
+    plan_and_apply(&mut assignment, &members);
     assert!(assignment.buckets_of(&members[5].name).is_empty());
 }
 
 #[test]
-fn a_member_that_changes_its_zone_shares_no_bucket_with_its_new_neighbours() {
-    let (mut assignment, mut members) = small();
-    step(&mut assignment, &members);
+fn a_member_that_changes_its_zone_shares_no_bucket_with_members_of_its_new_zone() {
+    let (mut assignment, mut members) = small_assignment();
+    plan_and_apply(&mut assignment, &members);
     members[0].zone = zone(0, 1);
-    step(&mut assignment, &members);
+    plan_and_apply(&mut assignment, &members);
 }
 
 #[test]
 fn a_table_restores_the_assignment() {
-    let (mut assignment, members) = small();
-    step(&mut assignment, &members);
-    let written = serde_json::to_string(&assignment.to_table()).unwrap();
-    let read: AssignmentTable = serde_json::from_str(&written).unwrap();
+    let (mut assignment, members) = small_assignment();
+    plan_and_apply(&mut assignment, &members);
+    let json = serde_json::to_string(&assignment.to_table()).unwrap();
+    let read: AssignmentTable = serde_json::from_str(&json).unwrap();
     let absent: Vec<Member> = members
         .iter()
         .cloned()
@@ -262,8 +269,8 @@
 
 #[test]
 fn an_invalid_table_is_rejected() {
-    let (mut assignment, members) = small();
-    step(&mut assignment, &members);
+    let (mut assignment, members) = small_assignment();
+    plan_and_apply(&mut assignment, &members);
     let table = assignment.to_table();
     let rejected = |table: &AssignmentTable, members: &[Member]| {
         Assignment::from_table(table, members).unwrap_err()
@@ -275,12 +282,12 @@
             member: members[0].name.clone()
         }
     );
-    let other_hash = AssignmentTable {
+    let other_version = AssignmentTable {
         hash_version: 2,
         ..table.clone()
     };
     assert_eq!(
-        rejected(&other_hash, &members),
+        rejected(&other_version, &members),
         TableError::HashVersion { found: 2 }
     );
     let mut short = table.clone();
@@ -293,10 +300,10 @@
         }
     );
     for wrong in [[Some(12), None], [Some(1), Some(1)]] {
-        let mut damaged = table.clone();
-        damaged.holders[7] = wrong;
+        let mut invalid = table.clone();
+        invalid.holders[7] = wrong;
         assert_eq!(
-            rejected(&damaged, &members),
+            rejected(&invalid, &members),
             TableError::InvalidHolder {
                 bucket: BucketId(7)
             }
@@ -311,7 +318,7 @@
     let members: Vec<Member> = (0..40)
         .map(|number| member(number, zone_of(number)))
         .collect();
-    step(&mut assignment, &members);
+    plan_and_apply(&mut assignment, &members);
     let loads: Vec<usize> = members
         .iter()
         .map(|member| assignment.buckets_of(&member.name).len())
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Layouts and members for the tests of placement, and the rules that every assignment keeps.
+//! Layouts and members for placement tests, and checks of the invariants of every assignment.
 
 use bellsill_placement::{
     Assignment, AssignmentChange, Layout, Member, MemberName, REPLICAS, RegionName, ZoneName,
@@ -9,14 +9,11 @@
     ZoneName(format!("region-{region}-zone-{zone}"))
 }
 
-pub(crate) fn layout(zones_by_region: &[usize], buckets_per_region: u32) -> Layout {
-    let zones = zones_by_region
-        .iter()
-        .enumerate()
-        .flat_map(|(region, zones)| {
-            (0..*zones)
-                .map(move |number| (zone(region, number), RegionName(format!("region-{region}"))))
-        });
+pub(crate) fn layout(zone_counts: &[usize], buckets_per_region: u32) -> Layout {
+    let zones = zone_counts.iter().enumerate().flat_map(|(region, zones)| {
+        (0..*zones)
+            .map(move |number| (zone(region, number), RegionName(format!("region-{region}"))))
+    });
     Layout::new(zones, buckets_per_region).unwrap()
 }
 
@@ -29,26 +26,26 @@
     }
 }
 
-/// Plans and applies, and checks the rules that every plan keeps.
-pub(crate) fn step(assignment: &mut Assignment, members: &[Member]) -> AssignmentChange {
+/// Plans a change, applies it and checks the invariants of every plan.
+pub(crate) fn plan_and_apply(assignment: &mut Assignment, members: &[Member]) -> AssignmentChange {
     let change = assignment.plan(members).unwrap();
     let before = assignment.clone();
     assignment.apply(&change).unwrap();
     assert_eq!(
         change.moved_replicas,
-        new_holders(&before, assignment),
-        "moved replicas are counted"
+        count_moved_replicas(&before, assignment),
+        "moved_replicas must equal the number of moved replicas"
     );
     assert!(
         change.moved_replicas >= change.least_possible,
-        "a lower bound: {change:?}"
+        "least_possible must be a lower bound: {change:?}"
     );
-    check(assignment, members);
+    check_invariants(assignment, members);
     change
 }
 
-/// How many replicas are held by a member that did not hold the bucket before.
-pub(crate) fn new_holders(before: &Assignment, after: &Assignment) -> usize {
+/// The number of replicas held by a member that did not hold the bucket before.
+pub(crate) fn count_moved_replicas(before: &Assignment, after: &Assignment) -> usize {
     let new = |bucket| {
         let held = before.holders(bucket);
         after
@@ -61,9 +58,9 @@
     after.buckets().map(new).sum()
 }
 
-/// Every bucket has as many holders as the region has zones with members, two at most; holders are present, of the
-/// bucket's region, in different zones, and within their bound.
-pub(crate) fn check(assignment: &Assignment, members: &[Member]) {
+/// Checks that every bucket has as many holders as its region has zones with members, up to two, and that the holders
+/// are present, in the region of the bucket, in different zones, and within their maximum load.
+pub(crate) fn check_invariants(assignment: &Assignment, members: &[Member]) {
     let layout = assignment.layout();
     let by_name: BTreeMap<&MemberName, &Member> = members
         .iter()
@@ -102,12 +99,12 @@
                     .buckets_of(&holder.name)
                     .binary_search(&bucket)
                     .is_ok(),
-                "index of {holder:?}"
+                "{bucket:?} is missing in the index of {holder:?}"
             );
         }
         assert!(
             holders.len() < REPLICAS || holders[0].zone != holders[1].zone,
-            "zones of {bucket:?}"
+            "both holders of {bucket:?} are in one zone"
         );
     }
     let indexed: usize = members
@@ -118,12 +115,12 @@
     assert_eq!(
         indexed,
         assignment.buckets().map(held).sum::<usize>(),
-        "the index has nothing else"
+        "the index must contain only held buckets"
     );
-    check_bounds(assignment, members, &weights);
+    check_max_loads(assignment, members, &weights);
 }
 
-fn check_bounds(
+fn check_max_loads(
     assignment: &Assignment,
     members: &[Member],
     weights: &BTreeMap<(u32, &ZoneName), f64>,
@@ -140,20 +137,20 @@
             continue;
         };
         let zone_share = zone_share(*zone_weight, &zones, f64::from(layout.buckets_per_region()));
-        let bound = (zone_share * member.weight / zone_weight * 1.1 - 1e-6).ceil();
+        let max_load = (zone_share * member.weight / zone_weight * 1.1 - 1e-6).ceil();
         let load = assignment.buckets_of(&member.name).len() as f64;
         assert!(
-            load <= bound,
-            "{member:?} holds {load}, its bound is {bound}"
+            load <= max_load,
+            "{member:?} holds {load} replicas, its maximum load is {max_load}"
         );
     }
 }
 
-/// The replicas of a zone in proportion to its weight, found by bisection: the scale at which the zones, each cut at one
-/// replica of every bucket, have two of each.
+/// The fair share of a zone in replicas, computed independently of the implementation. Bisection finds the scale at
+/// which all zones, each capped at one replica per bucket, together hold all replicas.
 fn zone_share(weight: f64, zones: &[f64], buckets: f64) -> f64 {
     let total = buckets * zones.len().min(REPLICAS) as f64;
-    let placed = |scale: f64| {
+    let replicas_at = |scale: f64| {
         zones
             .iter()
             .map(|zone| (zone * scale).min(buckets))
@@ -165,7 +162,7 @@
     );
     for _ in 0..200 {
         let middle = (low + high) / 2.0;
-        if placed(middle) < total {
+        if replicas_at(middle) < total {
             low = middle
         } else {
             high = middle
--- a/crates/placement/tests/fleet.rs
+++ b/crates/placement/tests/fleet.rs
@@ -1,24 +1,25 @@
-//! The fleet of full size: what losses, returns, weights and joins move, against the least possible.
+//! Tests with a full-size fleet: the number of moves when members and zones are lost, return, change their weight or
+//! join, compared with the minimum possible.
 
 mod common;
 
 use bellsill_placement::{
     Assignment, AssignmentChange, DEFAULT_BUCKETS_PER_REGION, Layout, Member, MemberName, ZoneName,
 };
-use common::{layout, member, step, zone};
+use common::{layout, member, plan_and_apply, zone};
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Zones of each region of the fleet of full size: 7 regions, 22 zones.
+/// The number of zones of each region of the full-size fleet: 7 regions, 22 zones.
 const FULL_ZONES: [usize; 7] = [3, 3, 3, 3, 3, 3, 4];
-/// Dispatchers of the fleet of full size.
+/// The number of dispatchers of the full-size fleet.
 const FULL_MEMBERS: usize = 1900;
 
-/// A change moves at most this much of the least possible.
-const MOST_AGAINST_LEAST: f64 = 1.1;
+/// The maximum ratio of the moves of a change to the minimum possible.
+const MAX_MOVES_RATIO: f64 = 1.1;
 
-/// The fleet of full size, its dispatchers spread over all zones.
+/// The layout and members of the full-size fleet, with dispatchers distributed over all zones.
 fn full_fleet() -> (Layout, Vec<Member>) {
     let zones: Vec<ZoneName> = FULL_ZONES
         .iter()
@@ -31,7 +32,7 @@
     (layout(&FULL_ZONES, DEFAULT_BUCKETS_PER_REGION), members)
 }
 
-/// How many replicas those members hold that are not present.
+/// The number of replicas held by absent members.
 fn held_by_absent(assignment: &Assignment, members: &[Member]) -> usize {
     let absent = members.iter().filter(|member| !member.present);
     absent
@@ -39,48 +40,48 @@
         .sum()
 }
 
-fn placed() -> (Assignment, Vec<Member>) {
+fn placed_full_fleet() -> (Assignment, Vec<Member>) {
     let (layout, members) = full_fleet();
     let mut assignment = Assignment::empty(layout);
-    step(&mut assignment, &members);
+    plan_and_apply(&mut assignment, &members);
     (assignment, members)
 }
 
-/// Plans and applies, and holds the moves against the least that any plan must move for this cause.
-fn step_within(
-    what: &str,
+/// Plans and applies a change and compares its moves with the minimum that any plan needs for this cause.
+fn plan_and_apply_within(
+    cause: &str,
     assignment: &mut Assignment,
     members: &[Member],
-    least: usize,
+    min_moves: usize,
 ) -> AssignmentChange {
-    let change = step(assignment, members);
+    let change = plan_and_apply(assignment, members);
     println!(
-        "{what}: moved {}, least {least}, bound {}",
+        "{cause}: moved {}, minimum {min_moves}, lower bound {}",
         change.moved_replicas, change.least_possible
     );
     assert!(
-        change.least_possible >= least,
-        "{what}: the plan's own bound covers the cause"
+        change.least_possible >= min_moves,
+        "{cause}: the lower bound of the plan is below the minimum"
     );
-    let most = least as f64 * MOST_AGAINST_LEAST;
+    let max_moves = min_moves as f64 * MAX_MOVES_RATIO;
     assert!(
-        change.moved_replicas as f64 <= most,
-        "{what}: moved {}, least {least}",
+        change.moved_replicas as f64 <= max_moves,
+        "{cause}: moved {}, minimum {min_moves}",
         change.moved_replicas
     );
     change
 }
 
-fn set_present(members: &mut [Member], present: bool, which: impl Fn(usize, &Member) -> bool) {
+fn set_presence(members: &mut [Member], present: bool, selects: impl Fn(usize, &Member) -> bool) {
     members
         .iter_mut()
         .enumerate()
-        .filter(|(number, member)| which(*number, member))
+        .filter(|(number, member)| selects(*number, member))
         .for_each(|(_, member)| member.present = present);
 }
 
-/// Replicas that members that hold none must be given: the whole number below the fair share of each region.
-fn fair_shares_of_empty(assignment: &Assignment, members: &[Member]) -> usize {
+/// The number of replicas that members without any must receive: the sum of their fair shares, each rounded down.
+fn replicas_to_fill_empty_members(assignment: &Assignment, members: &[Member]) -> usize {
     let layout = assignment.layout();
     let region = |member: &Member| layout.region_of(&member.zone).unwrap();
     let weight = |of| -> f64 {
@@ -99,8 +100,8 @@
     empty.map(|member| share(member).floor() as usize).sum()
 }
 
-fn assert_each_bucket_has_a_live_holder(assignment: &Assignment, members: &[Member]) {
-    let live: BTreeSet<&MemberName> = members
+fn assert_each_bucket_has_a_present_holder(assignment: &Assignment, members: &[Member]) {
+    let present: BTreeSet<&MemberName> = members
         .iter()
         .filter(|member| member.present)
         .map(|member| &member.name)
@@ -111,21 +112,21 @@
             holders
                 .into_iter()
                 .flatten()
-                .any(|holder| live.contains(holder)),
+                .any(|holder| present.contains(holder)),
             "{bucket:?}: {holders:?}"
         );
     }
 }
 
 #[test]
-fn the_first_plan_is_even() {
-    let (assignment, members) = placed();
+fn the_first_plan_balances_the_load() {
+    let (assignment, members) = placed_full_fleet();
     let loads: BTreeSet<usize> = members
         .iter()
         .map(|member| assignment.buckets_of(&member.name).len())
         .collect();
     println!("loads {loads:?}");
-    // 4,096 replicas on 258 to 346 members of a region.
+    // Each region has 4,096 replicas on 258 to 346 members.
     assert!(
         loads.first() >= Some(&11) && loads.last() <= Some(&16),
         "{loads:?}"
@@ -133,60 +134,61 @@
 }
 
 #[test]
-fn one_member_lost_and_back_moves_near_the_least() {
-    let (mut assignment, mut members) = placed();
+fn losing_and_restoring_one_member_moves_close_to_the_minimum() {
+    let (mut assignment, mut members) = placed_full_fleet();
     for number in [0, 777, 1899] {
-        set_present(&mut members, false, |lost, _| lost == number);
-        let least = held_by_absent(&assignment, &members);
-        step_within("one lost", &mut assignment, &members, least);
-        set_present(&mut members, true, |_, _| true);
-        let least = fair_shares_of_empty(&assignment, &members);
-        step_within("one back", &mut assignment, &members, least);
+        set_presence(&mut members, false, |lost, _| lost == number);
+        let min_moves = held_by_absent(&assignment, &members);
+        plan_and_apply_within("one lost", &mut assignment, &members, min_moves);
+        set_presence(&mut members, true, |_, _| true);
+        let min_moves = replicas_to_fill_empty_members(&assignment, &members);
+        plan_and_apply_within("one back", &mut assignment, &members, min_moves);
     }
 }
 
 #[test]
-fn each_zone_lost_and_back_moves_near_the_least() {
+fn losing_and_restoring_any_zone_moves_close_to_the_minimum() {
     for (region, zones) in FULL_ZONES.into_iter().enumerate() {
         for number in 0..zones {
-            let (mut assignment, mut members) = placed();
+            let (mut assignment, mut members) = placed_full_fleet();
             let lost = zone(region, number);
-            set_present(&mut members, false, |_, member| member.zone == lost);
-            assert_each_bucket_has_a_live_holder(&assignment, &members);
-            let least = held_by_absent(&assignment, &members);
-            step_within("zone lost", &mut assignment, &members, least);
-            set_present(&mut members, true, |_, _| true);
-            let least = fair_shares_of_empty(&assignment, &members);
-            step_within("zone back", &mut assignment, &members, least);
+            set_presence(&mut members, false, |_, member| member.zone == lost);
+            assert_each_bucket_has_a_present_holder(&assignment, &members);
+            let min_moves = held_by_absent(&assignment, &members);
+            plan_and_apply_within("zone lost", &mut assignment, &members, min_moves);
+            set_presence(&mut members, true, |_, _| true);
+            let min_moves = replicas_to_fill_empty_members(&assignment, &members);
+            plan_and_apply_within("zone back", &mut assignment, &members, min_moves);
         }
     }
 }
 
 #[test]
-fn a_tenth_absent_and_back_moves_near_the_least() {
-    let (mut assignment, mut members) = placed();
-    set_present(&mut members, false, |number, _| number % 10 == 3);
-    let least = held_by_absent(&assignment, &members);
-    let change = step_within("a tenth absent", &mut assignment, &members, least);
+fn losing_and_restoring_a_tenth_of_members_moves_close_to_the_minimum() {
+    let (mut assignment, mut members) = placed_full_fleet();
+    set_presence(&mut members, false, |number, _| number % 10 == 3);
+    let min_moves = held_by_absent(&assignment, &members);
+    let change = plan_and_apply_within("a tenth absent", &mut assignment, &members, min_moves);
     assert_eq!(
-        change.moved_replicas, least,
-        "moved replicas are spread before anything else moves"
+        change.moved_replicas, min_moves,
+        "replicas of lost members must be balanced without further moves"
     );
-    set_present(&mut members, true, |_, _| true);
-    let least = fair_shares_of_empty(&assignment, &members);
-    step_within("a tenth back", &mut assignment, &members, least);
+    set_presence(&mut members, true, |_, _| true);
+    let min_moves = replicas_to_fill_empty_members(&assignment, &members);
+    plan_and_apply_within("a tenth back", &mut assignment, &members, min_moves);
 }
 
+/// A member that restarts within the grace period stays present, so its restart must move nothing.
 #[test]
-fn a_restart_within_the_grace_moves_nothing() {
-    let (mut assignment, members) = placed();
-    let change = step(&mut assignment, &members);
+fn planning_again_without_changes_moves_nothing() {
+    let (mut assignment, members) = placed_full_fleet();
+    let change = plan_and_apply(&mut assignment, &members);
     assert!(change.is_empty());
     assert_eq!((change.moved_replicas, change.least_possible), (0, 0));
 }
 
-/// The processor time that this thread has taken.
-fn processor_time() -> Duration {
+/// The CPU time used by this thread.
+fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(
         u64::try_from(time.tv_sec).unwrap(),
@@ -196,24 +198,24 @@
 
 #[test]
 fn plans_for_the_whole_fleet_are_fast() {
-    /// The processor time that one plan may take; other programs may be busy.
+    /// The maximum CPU time of one plan. CPU time, unlike wall time, does not count waiting for other processes.
     const BUDGET: Duration = Duration::from_millis(200);
-    let (assignment, mut members) = placed();
+    let (assignment, mut members) = placed_full_fleet();
     let empty = Assignment::empty(assignment.layout().clone());
     let plan_time = |from: &Assignment, members: &[Member]| {
-        let begin = processor_time();
+        let begin = thread_cpu_time();
         from.plan(members).unwrap();
-        processor_time() - begin
+        thread_cpu_time() - begin
     };
     let first = plan_time(&empty, &members);
     let unchanged = plan_time(&assignment, &members);
-    set_present(&mut members, false, |_, member| {
+    set_presence(&mut members, false, |_, member| {
         member.zone.as_str().ends_with("zone-0")
     });
     let zones_lost = plan_time(&assignment, &members);
     let mut without_zones = assignment;
-    step(&mut without_zones, &members);
-    set_present(&mut members, true, |_, _| true);
+    plan_and_apply(&mut without_zones, &members);
+    set_presence(&mut members, true, |_, _| true);
     let zones_back = plan_time(&without_zones, &members);
     println!(
         "first {first:?}, unchanged {unchanged:?}, a zone of each region lost {zones_lost:?}, back {zones_back:?}"
@@ -226,30 +228,34 @@
 }
 
 #[test]
-fn a_returned_zone_gets_at_most_one_replica_of_a_bucket() {
-    let (mut assignment, mut members) = placed();
-    set_present(&mut members, false, |_, member| member.zone == zone(2, 1));
-    step(&mut assignment, &members);
-    set_present(&mut members, true, |_, _| true);
-    let change = step(&mut assignment, &members);
+fn a_restored_zone_gets_at_most_one_replica_of_a_bucket() {
+    let (mut assignment, mut members) = placed_full_fleet();
+    set_presence(&mut members, false, |_, member| member.zone == zone(2, 1));
+    plan_and_apply(&mut assignment, &members);
+    set_presence(&mut members, true, |_, _| true);
+    let change = plan_and_apply(&mut assignment, &members);
     let buckets = change.moved.len();
-    assert_eq!(buckets, change.moved_replicas, "the other holder stays");
+    assert_eq!(
+        buckets, change.moved_replicas,
+        "the other holder of each bucket must stay"
+    );
 }
 
 #[test]
-fn members_that_join_move_near_the_least() {
-    let (mut assignment, mut members) = placed();
-    for (joined, place) in [(1, zone(0, 0)), (30, zone(3, 2)), (86, zone(6, 3))] {
+fn joining_members_move_close_to_the_minimum() {
+    let (mut assignment, mut members) = placed_full_fleet();
+    for (joined, zone_of_joined) in [(1, zone(0, 0)), (30, zone(3, 2)), (86, zone(6, 3))] {
         let first = members.len();
-        members.extend((first..first + joined).map(|number| member(number, place.clone())));
-        let least = fair_shares_of_empty(&assignment, &members);
-        step_within("joined", &mut assignment, &members, least);
+        members
+            .extend((first..first + joined).map(|number| member(number, zone_of_joined.clone())));
+        let min_moves = replicas_to_fill_empty_members(&assignment, &members);
+        plan_and_apply_within("joined", &mut assignment, &members, min_moves);
     }
 }
 
 #[test]
-fn weights_that_change_move_near_the_least() {
-    let (mut assignment, mut members) = placed();
+fn changing_weights_moves_close_to_the_minimum() {
+    let (mut assignment, mut members) = placed_full_fleet();
     let layout = assignment.layout().clone();
     let region_size = |members: &[Member], of: &Member| {
         members
@@ -262,19 +268,19 @@
         members[number].weight = weight;
         let held = assignment.buckets_of(&members[number].name).len() as f64;
         let share = f64::from(2 * layout.buckets_per_region()) * weight / (others + weight);
-        let least = if weight > 1.0 {
+        let min_moves = if weight > 1.0 {
             share.floor() - held
         } else {
             held - (share * 1.1).ceil()
         };
-        step_within("weight", &mut assignment, &members, least as usize);
+        plan_and_apply_within("weight", &mut assignment, &members, min_moves as usize);
     }
 }
 
 #[test]
-fn a_long_sequence_of_changes_moves_near_the_least() {
+fn a_long_sequence_of_changes_moves_close_to_the_minimum() {
     const CHANGES: usize = 150;
-    let (mut assignment, mut members) = placed();
+    let (mut assignment, mut members) = placed_full_fleet();
     let mut random = 42_u64;
     let mut next = |below: usize| {
         random = random
@@ -282,7 +288,7 @@
             .wrapping_add(1_442_695_040_888_963_407);
         (random >> 33) as usize % below
     };
-    let (mut moved, mut least) = (0, 0);
+    let (mut moved, mut min_moves) = (0, 0);
     for _ in 0..CHANGES {
         for _ in 0..=next(20) {
             let number = next(members.len());
@@ -291,28 +297,28 @@
                 _ => members[number].present = !members[number].present,
             }
         }
-        let change = step(&mut assignment, &members);
-        let most = (change.least_possible as f64 * MOST_AGAINST_LEAST).ceil();
+        let change = plan_and_apply(&mut assignment, &members);
+        let max_moves = (change.least_possible as f64 * MAX_MOVES_RATIO).ceil();
         assert!(
-            change.moved_replicas as f64 <= most,
-            "{} of {}",
+            change.moved_replicas as f64 <= max_moves,
+            "moved {}, lower bound {}",
             change.moved_replicas,
             change.least_possible
         );
         moved += change.moved_replicas;
-        least += change.least_possible;
+        min_moves += change.least_possible;
     }
-    println!("{CHANGES} changes: moved {moved}, least {least}");
+    println!("{CHANGES} changes: moved {moved}, lower bound {min_moves}");
 }
 
 #[test]
-fn the_change_of_a_lost_zone_is_small() {
-    let (mut assignment, mut members) = placed();
-    set_present(&mut members, false, |_, member| member.zone == zone(0, 0));
-    let change = serde_json::to_string(&step(&mut assignment, &members))
+fn the_change_after_losing_a_zone_is_small() {
+    let (mut assignment, mut members) = placed_full_fleet();
+    set_presence(&mut members, false, |_, member| member.zone == zone(0, 0));
+    let change = serde_json::to_string(&plan_and_apply(&mut assignment, &members))
         .unwrap()
         .len();
     let table = serde_json::to_string(&assignment.to_table()).unwrap().len();
-    println!("a change {change} bytes, a table {table} bytes");
+    println!("change: {change} bytes, table: {table} bytes");
     assert!(change < 150_000 && table < 300_000, "{change} {table}");
 }
