--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -107,7 +107,7 @@
                 self.fill_lines += 1;
                 self.fill_bytes += bytes as u64;
             }
-            LineKind::KeepAlive => self.keepalive_lines += 1,
+            LineKind::Heartbeat => self.keepalive_lines += 1,
         }
     }
 }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -348,7 +348,7 @@
         let Some(directory) = replica.directory() else {
             return server::no_configuration();
         };
-        metrics.lookups += request.cells.len() as u64;
+        metrics.lookups += request.destinations.len() as u64;
         server::look_up_response(directory, request)
     }
 
--- a/crates/control-plane/src/replica.rs
+++ b/crates/control-plane/src/replica.rs
@@ -86,7 +86,7 @@
             return Ok(());
         };
         let applied = directory.apply(&logged)?;
-        self.watchers.applied(&applied, directory);
+        self.watchers.record_applied(&applied, directory);
         self.unsynced.push(logged);
         Ok(())
     }
--- a/crates/control-plane/src/replication.rs
+++ b/crates/control-plane/src/replication.rs
@@ -101,8 +101,8 @@
             point.version.0
         );
         let mut restore = Restore::begin(self.layout.clone(), point, Retention::default());
-        restore.members(line.members.into_iter().map(|line| line.member).collect())?;
-        restore.assignment(&line.table.ok_or(LineError::NoAssignment)?)?;
+        restore.add_members(line.members.into_iter().map(|line| line.member).collect())?;
+        restore.set_assignment(&line.table.ok_or(LineError::NoAssignment)?)?;
         self.transfer = Some(Box::new(restore));
         Ok(())
     }
@@ -110,7 +110,7 @@
     fn add_entries(&mut self, line: CompleteLine) -> Result<(), LineError> {
         let restore = self.transfer.as_mut().ok_or(LineError::NoTransfer)?;
         for entry in line.servers {
-            restore.endpoint(entry)?;
+            restore.add_endpoint(entry)?;
         }
         Ok(())
     }
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -128,7 +128,7 @@
         RequestedScope::Complete => WatchStart::FollowerTransfer,
         RequestedScope::Member { .. }
             if request.since > Version(0)
-                && !directory.remembers(request.log.as_ref(), request.since) =>
+                && !directory.can_resume_from(request.log.as_ref(), request.since) =>
         {
             WatchStart::RestartedDispatcher
         }
@@ -149,7 +149,7 @@
 
 /// The destinations that a dispatcher has looked up.
 pub(crate) fn look_up_response(directory: &Directory, request: &LookUpRequest) -> Response {
-    let destinations: Vec<u64> = request.cells.iter().copied().collect();
+    let destinations: Vec<u64> = request.destinations.iter().copied().collect();
     Response::json(&ScopedLine {
         version: directory.version(),
         log: directory.log().0.clone(),
--- a/crates/control-plane/src/storage.rs
+++ b/crates/control-plane/src/storage.rs
@@ -234,7 +234,7 @@
     };
     let mut reader = SnapshotReader::new(layout, keeping);
     for part in snapshot.records {
-        reader.part(&part).map_err(rejected)?;
+        reader.read_part(&part).map_err(rejected)?;
     }
     reader.finish().map_err(rejected)
 }
--- a/crates/control-plane/tests/list_convergence.rs
+++ b/crates/control-plane/tests/list_convergence.rs
@@ -74,7 +74,7 @@
 
     fn apply(&mut self, logged: &LoggedRecord) {
         let applied = self.directory.apply(logged).expect("a good record");
-        self.watchers.applied(&applied, &self.directory);
+        self.watchers.record_applied(&applied, &self.directory);
     }
 }
 
@@ -169,7 +169,7 @@
             let now = self.now;
             let server = self.server(is_leader);
             match server.watchers.next_line(id, &server.directory, now) {
-                Some(line) if line.kind == LineKind::KeepAlive => return false,
+                Some(line) if line.kind == LineKind::Heartbeat => return false,
                 Some(line) => drop(
                     self.list
                         .apply_document(&line.bytes)
--- a/crates/directory/src/entry.rs
+++ b/crates/directory/src/entry.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 /// The longest name of an endpoint, a zone or a kind.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// The longest name of a dispatcher.
-pub const LONGEST_MEMBER_NAME: usize = 64;
+pub const MAX_MEMBER_NAME_BYTES: usize = 64;
 /// The highest weight that makes sense.
 pub const MAX_WEIGHT: f64 = 1e9;
 /// An upper bound on what an entry takes on a line beside its names: field names, punctuation and numbers.
@@ -51,7 +51,7 @@
             InvalidEntry::Name(field) => {
                 write!(
                     f,
-                    "{field}: expected 1 to {LONGEST_NAME} visible ASCII characters without quotes"
+                    "{field}: expected 1 to {MAX_NAME_BYTES} visible ASCII characters without quotes"
                 )
             }
             InvalidEntry::Address(address) => {
@@ -78,13 +78,13 @@
 /// Whether this can be a name: it needs no escaping in JSON or in a request, so its length on a line is known.
 pub fn is_name(name: &str) -> bool {
     let visible = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
-    (1..=LONGEST_NAME).contains(&name.len()) && name.bytes().all(visible)
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(visible)
 }
 
 /// Whether this can be the name of a dispatcher: it needs no escaping in requests.
 pub fn is_member_name(name: &str) -> bool {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
-    (1..=LONGEST_MEMBER_NAME).contains(&name.len()) && name.bytes().all(plain)
+    (1..=MAX_MEMBER_NAME_BYTES).contains(&name.len()) && name.bytes().all(plain)
 }
 
 impl TryFrom<EndpointEntry> for Endpoint {
--- a/crates/directory/src/feed.rs
+++ b/crates/directory/src/feed.rs
@@ -9,16 +9,16 @@
 use serde::Serialize;
 
 /// An empty line is sent after this time without another one.
-pub const EMPTY_LINE_AFTER: Nanos = 500_000_000;
+pub const HEARTBEAT_INTERVAL: Nanos = 500_000_000;
 /// A watcher without changes is sent the current version this often, so that its `since` does not become too old.
-pub const VERSION_LINE_EVERY: Nanos = 5_000_000_000;
+pub const VERSION_LINE_INTERVAL: Nanos = 5_000_000_000;
 /// What fills take of a dispatcher's network, unless configured otherwise: its budget for configuration is 17 KB/s.
 pub const FILL_RATE: RateLimit = RateLimit {
     bytes_per_second: 8 * 1024,
     burst_bytes: 16 * 1024,
 };
 /// What the transfer to another control process takes.
-pub const TRANSFER_PACE: RateLimit = RateLimit {
+pub const TRANSFER_RATE: RateLimit = RateLimit {
     bytes_per_second: 8 * 1024 * 1024,
     burst_bytes: 1024 * 1024,
 };
@@ -31,7 +31,7 @@
     /// It fills buckets, or is a piece of a transfer.
     Fill,
     /// It shows that the connection is alive.
-    KeepAlive,
+    Heartbeat,
 }
 
 /// A line to write, its end included.
@@ -70,7 +70,7 @@
         let scope = Scope::start(&request, directory);
         let limits = match scope {
             Scope::Member(_) => fill_pace,
-            Scope::Complete(_) => TRANSFER_PACE,
+            Scope::Complete(_) => TRANSFER_RATE,
         };
         let ahead =
             request.log.as_ref() == Some(directory.log()) && request.since > directory.version();
@@ -132,10 +132,10 @@
     }
 
     fn empty_line(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
-        if now < self.last_line + EMPTY_LINE_AFTER {
+        if now < self.last_line + HEARTBEAT_INTERVAL {
             return None;
         }
-        let version_due = now >= self.last_version_line + VERSION_LINE_EVERY;
+        let version_due = now >= self.last_version_line + VERSION_LINE_INTERVAL;
         if version_due && !self.is_waiting() && self.scope.sent() < directory.version() {
             self.last_version_line = now;
             return Some(FeedLine {
@@ -144,7 +144,7 @@
             });
         }
         Some(FeedLine {
-            kind: LineKind::KeepAlive,
+            kind: LineKind::Heartbeat,
             bytes: b"\n".to_vec(),
         })
     }
@@ -156,12 +156,13 @@
             RequestedScope::Member {
                 name,
                 buckets,
-                cells,
+                destinations,
             } => {
-                let known = directory.remembers(request.log.as_ref(), request.since);
+                let known = directory.can_resume_from(request.log.as_ref(), request.since);
                 let same_log = request.log.as_ref() == Some(directory.log());
                 let since = if same_log { request.since } else { Version(0) };
-                let scope = MemberScope::start(name, since, known, buckets, cells, directory);
+                let scope =
+                    MemberScope::start(name, since, known, buckets, destinations, directory);
                 Scope::Member(Box::new(scope))
             }
             RequestedScope::Complete => Scope::Complete(CompleteScope::start(
--- a/crates/directory/src/history.rs
+++ b/crates/directory/src/history.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// The most changes that are retained: of endpoints, of members, and of assignments.
-pub const MOST_CHANGES: usize = 100_000;
+pub const MAX_RETAINED_CHANGES: usize = 100_000;
 
 struct EncodedRecord {
     version: Version,
--- a/crates/directory/src/request.rs
+++ b/crates/directory/src/request.rs
@@ -36,7 +36,7 @@
         /// Buckets of which it knows every entry.
         buckets: BTreeSet<BucketId>,
         /// Destinations outside of its buckets that it caches.
-        cells: BTreeSet<u64>,
+        destinations: BTreeSet<u64>,
     },
     /// The complete configuration, for a control process that follows.
     Complete,
@@ -48,7 +48,7 @@
     /// The dispatcher, which has a watch here.
     pub dispatcher: MemberName,
     /// The destinations.
-    pub cells: BTreeSet<u64>,
+    pub destinations: BTreeSet<u64>,
     /// Destinations whose changes are not needed any more.
     pub forget: BTreeSet<u64>,
 }
@@ -79,7 +79,7 @@
     log: Option<LogId>,
     dispatcher: Option<MemberName>,
     buckets: BTreeSet<BucketId>,
-    cells: BTreeSet<u64>,
+    destinations: BTreeSet<u64>,
     forget: BTreeSet<u64>,
 }
 
@@ -90,7 +90,7 @@
         if !fields.follow {
             return Ok(TargetsRequest::LookUp(LookUpRequest {
                 dispatcher: fields.dispatcher.ok_or(DISPATCHER_MISSING)?,
-                cells: fields.cells,
+                destinations: fields.destinations,
                 forget: fields.forget,
             }));
         }
@@ -100,7 +100,7 @@
             RequestedScope::Member {
                 name: fields.dispatcher.ok_or(DISPATCHER_MISSING)?,
                 buckets: fields.buckets,
-                cells: fields.cells,
+                destinations: fields.destinations,
             }
         };
         Ok(TargetsRequest::Watch(WatchRequest {
@@ -137,7 +137,7 @@
                 "buckets" => {
                     fields.buckets = list("buckets", &value)?.into_iter().map(BucketId).collect()
                 }
-                "cells" => fields.cells = list("cells", &value)?,
+                "cells" => fields.destinations = list("cells", &value)?,
                 "forget" => fields.forget = list("forget", &value)?,
                 _ => {}
             }
--- a/crates/directory/src/snapshot.rs
+++ b/crates/directory/src/snapshot.rs
@@ -9,7 +9,7 @@
 /// The version of the format of the parts.
 const FORMAT: u32 = 1;
 /// The most endpoints in one part.
-const MOST_ENDPOINTS_IN_PART: usize = 1000;
+const MAX_ENDPOINTS_IN_PART: usize = 1000;
 
 /// One part of a snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
     /// The format has another version.
     UnknownFormat(u32),
     /// The zones or buckets are not those of this process.
-    OtherLayout,
+    LayoutMismatch,
     /// Parts are missing, or in another order than they were written in.
     OutOfOrder,
     /// The last part is missing, or its count of endpoints is not theirs.
@@ -67,7 +67,7 @@
                     "its format is {format}, this program reads {FORMAT}; run the program that wrote it"
                 )
             }
-            SnapshotError::OtherLayout => write!(
+            SnapshotError::LayoutMismatch => write!(
                 f,
                 "its zones or buckets_per_region are others than those configured; set them as they were, \
                  or begin with an empty state directory"
@@ -118,7 +118,7 @@
     let entries = directory.entries();
     let mut indexes = entries.after(None);
     std::iter::from_fn(move || {
-        let next = indexes.by_ref().take(MOST_ENDPOINTS_IN_PART);
+        let next = indexes.by_ref().take(MAX_ENDPOINTS_IN_PART);
         let part: Vec<EndpointEntry> = next.filter_map(|index| entries.entry(index)).collect();
         (!part.is_empty()).then_some(SnapshotPart::Endpoints(part))
     })
@@ -148,7 +148,7 @@
     }
 
     /// Reads the next part.
-    pub fn part(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
+    pub fn read_part(&mut self, bytes: &[u8]) -> Result<(), SnapshotError> {
         let part: SnapshotPart = record::decode(bytes).map_err(SnapshotError::Part)?;
         if self.ended {
             return Err(SnapshotError::OutOfOrder);
@@ -164,14 +164,14 @@
             ) => self.read_head(format, point, layout),
             (SnapshotPart::Members { members, table }, Some(restore)) if !self.has_members => {
                 self.has_members = true;
-                restore.members(members).map_err(SnapshotError::Apply)?;
-                restore.assignment(&table).map_err(SnapshotError::Apply)
+                restore.add_members(members).map_err(SnapshotError::Apply)?;
+                restore.set_assignment(&table).map_err(SnapshotError::Apply)
             }
             (SnapshotPart::Endpoints(entries), Some(restore)) if self.has_members => {
                 self.endpoints += entries.len();
                 entries
                     .into_iter()
-                    .try_for_each(|entry| restore.endpoint(entry))
+                    .try_for_each(|entry| restore.add_endpoint(entry))
                     .map_err(SnapshotError::Apply)
             }
             (SnapshotPart::End { endpoints }, Some(_)) if self.has_members => {
@@ -196,7 +196,7 @@
             return Err(SnapshotError::UnknownFormat(format));
         }
         if layout != self.layout {
-            return Err(SnapshotError::OtherLayout);
+            return Err(SnapshotError::LayoutMismatch);
         }
         self.restore = Some(Restore::begin(layout, point, self.keeping));
         Ok(())
--- a/crates/directory/src/state.rs
+++ b/crates/directory/src/state.rs
@@ -7,7 +7,7 @@
 mod removals;
 mod restore;
 
-pub use bounds::{MOST_MEMBERS, MOST_REMOVED, Retention};
+pub use bounds::{MAX_MEMBERS, MAX_REMOVED_ENDPOINTS, Retention};
 pub use directory::{Applied, Directory};
 pub use error::{ApplyError, EndpointError, MemberError};
 pub use point::{LogId, RestorePoint};
--- a/crates/directory/src/state/bounds.rs
+++ b/crates/directory/src/state/bounds.rs
@@ -3,10 +3,10 @@
 use crate::history;
 
 /// The most removed endpoints that are retained, so that a watcher that was disconnected learns of their removal.
-pub const MOST_REMOVED: usize = 100_000;
+pub const MAX_REMOVED_ENDPOINTS: usize = 100_000;
 
 /// The most members: all of them are on the line that begins a transfer.
-pub const MOST_MEMBERS: usize = 10_000;
+pub const MAX_MEMBERS: usize = 10_000;
 
 /// Bounds on what a directory retains of the past.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,8 +20,8 @@
 impl Default for Retention {
     fn default() -> Self {
         Retention {
-            changes: history::MOST_CHANGES,
-            removed: MOST_REMOVED,
+            changes: history::MAX_RETAINED_CHANGES,
+            removed: MAX_REMOVED_ENDPOINTS,
         }
     }
 }
--- a/crates/directory/src/state/directory.rs
+++ b/crates/directory/src/state/directory.rs
@@ -1,6 +1,6 @@
 //! The configuration at one version, and the records that change it.
 
-use super::bounds::{MOST_MEMBERS, Retention};
+use super::bounds::{MAX_MEMBERS, Retention};
 use super::error::{ApplyError, EndpointError, MemberError};
 use super::point::{LogId, RestorePoint};
 use super::removals::Removals;
@@ -117,7 +117,7 @@
     }
 
     /// Whether a watcher that knows this version of this log can be sent just the changes in its scope.
-    pub fn remembers(&self, log: Option<&LogId>, since: Version) -> bool {
+    pub fn can_resume_from(&self, log: Option<&LogId>, since: Version) -> bool {
         log == Some(&self.log) && since >= self.forgotten()
     }
 
@@ -174,7 +174,7 @@
             if !self.member_indices.contains_key(&member.name) {
                 new.insert(&member.name);
             }
-            if self.members.len() + new.len() > MOST_MEMBERS {
+            if self.members.len() + new.len() > MAX_MEMBERS {
                 return Err((index, MemberError::TooMany));
             }
         }
--- a/crates/directory/src/state/error.rs
+++ b/crates/directory/src/state/error.rs
@@ -1,6 +1,6 @@
 //! Why endpoints, members and records are rejected.
 
-use super::bounds::MOST_MEMBERS;
+use super::bounds::MAX_MEMBERS;
 use crate::entries::TableFull;
 use crate::entry::{InvalidEntry, MAX_WEIGHT};
 use crate::line::Version;
@@ -53,7 +53,7 @@
     UnknownZone(String),
     /// The weight is out of range.
     Weight(f64),
-    /// There would be more than [`MOST_MEMBERS`].
+    /// There would be more than [`MAX_MEMBERS`].
     TooMany,
 }
 
@@ -78,7 +78,7 @@
                     "weight: expected a number from 0 to {MAX_WEIGHT}, not {weight}"
                 )
             }
-            MemberError::TooMany => write!(f, "there would be more than {MOST_MEMBERS} members"),
+            MemberError::TooMany => write!(f, "there would be more than {MAX_MEMBERS} members"),
         }
     }
 }
@@ -104,7 +104,7 @@
     /// The table of a snapshot or transfer is rejected.
     Table(TableError),
     /// The zones or buckets are not those of this process.
-    OtherLayout,
+    LayoutMismatch,
     /// An endpoint of a snapshot or transfer cannot be read.
     Entry(InvalidEntry),
 }
@@ -123,7 +123,7 @@
             ApplyError::Member(error) => write!(f, "a member is refused: {error}"),
             ApplyError::Placement(error) => write!(f, "the assignment: {error}"),
             ApplyError::Table(error) => write!(f, "the assignment: {error}"),
-            ApplyError::OtherLayout => write!(
+            ApplyError::LayoutMismatch => write!(
                 f,
                 "the zones or buckets_per_region are others than those configured here; \
                  all control processes of an installation need the same, from its first start on"
@@ -136,7 +136,7 @@
 impl std::error::Error for ApplyError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            ApplyError::VersionOutOfOrder { .. } | ApplyError::OtherLayout => None,
+            ApplyError::VersionOutOfOrder { .. } | ApplyError::LayoutMismatch => None,
             ApplyError::Endpoint(error) => Some(error),
             ApplyError::Member(error) => Some(error),
             ApplyError::Placement(error) => Some(error),
--- a/crates/directory/src/state/restore.rs
+++ b/crates/directory/src/state/restore.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds all members.
-    pub fn members(&mut self, members: Vec<Member>) -> Result<(), ApplyError> {
+    pub fn add_members(&mut self, members: Vec<Member>) -> Result<(), ApplyError> {
         self.directory
             .check_members(&members)
             .map_err(|(_, error)| ApplyError::Member(error))?;
@@ -39,9 +39,9 @@
     }
 
     /// Adds the assignment; its members have to be added before.
-    pub fn assignment(&mut self, table: &AssignmentTable) -> Result<(), ApplyError> {
+    pub fn set_assignment(&mut self, table: &AssignmentTable) -> Result<(), ApplyError> {
         if table.layout != *self.directory.layout() {
-            return Err(ApplyError::OtherLayout);
+            return Err(ApplyError::LayoutMismatch);
         }
         let assignment =
             Assignment::from_table(table, self.directory.members()).map_err(ApplyError::Table)?;
@@ -50,7 +50,7 @@
     }
 
     /// Adds an endpoint, unless it is known in a later version already.
-    pub fn endpoint(&mut self, entry: EndpointEntry) -> Result<(), ApplyError> {
+    pub fn add_endpoint(&mut self, entry: EndpointEntry) -> Result<(), ApplyError> {
         let version = entry.version;
         if version > self.version() {
             return Err(ApplyError::VersionOutOfOrder {
--- a/crates/directory/src/watchers.rs
+++ b/crates/directory/src/watchers.rs
@@ -98,9 +98,12 @@
         directory: &Directory,
         now: Nanos,
     ) -> Result<OpenedWatch, WatchRejected> {
-        if let RequestedScope::Member { name, cells, .. } = &request.scope {
+        if let RequestedScope::Member {
+            name, destinations, ..
+        } = &request.scope
+        {
             directory.member(name).ok_or(WatchRejected::NotMember)?;
-            if cells.len() > MAX_CACHED_DESTINATIONS {
+            if destinations.len() > MAX_CACHED_DESTINATIONS {
                 return Err(WatchRejected::TooManyDestinations);
             }
         }
@@ -163,17 +166,17 @@
             .cached()
             .iter()
             .filter(|destination| !request.forget.contains(destination));
-        let added = request.cells.iter().filter(|destination| {
+        let added = request.destinations.iter().filter(|destination| {
             !scope.cached().contains(destination) || request.forget.contains(destination)
         });
         if kept.count() + added.count() > MAX_CACHED_DESTINATIONS {
             return Err(WatchRejected::TooManyDestinations);
         }
-        scope.change_cached(&request.cells, &request.forget);
+        scope.change_cached(&request.destinations, &request.forget);
         for destination in &request.forget {
             self.remove_from_index(*destination, id);
         }
-        for destination in &request.cells {
+        for destination in &request.destinations {
             let watchers = self.by_destination.entry(*destination);
             watchers.or_default().insert(id);
         }
@@ -181,7 +184,7 @@
     }
 
     /// Notes the change for the watchers that it concerns; to be called after each record that the directory has applied.
-    pub fn applied(&mut self, applied: &Applied, directory: &Directory) {
+    pub fn record_applied(&mut self, applied: &Applied, directory: &Directory) {
         match applied {
             Applied::Endpoints(indexes) => {
                 indexes
--- a/crates/directory/tests/directory/feed.rs
+++ b/crates/directory/tests/directory/feed.rs
@@ -91,7 +91,7 @@
         let line = control
             .watchers
             .next_line(watcher.id, &control.directory, control.now);
-        match line.filter(|line| line.kind != LineKind::KeepAlive) {
+        match line.filter(|line| line.kind != LineKind::Heartbeat) {
             Some(line) => drop(watcher.read_line(&line.bytes)),
             None => control.now += SECOND / 10,
         }
@@ -420,7 +420,7 @@
                 pieces += 1;
                 line.servers
                     .into_iter()
-                    .for_each(|entry| restore.endpoint(entry).expect("an endpoint"));
+                    .for_each(|entry| restore.add_endpoint(entry).expect("an endpoint"));
             }
             (Some(TransferStep::End), _) => break restore.expect("a beginning").finish(),
             (None, Some(restore)) => {
@@ -463,10 +463,10 @@
     };
     let mut restore = Restore::begin(layout(), point, Retention::default());
     restore
-        .members(line.members.into_iter().map(|line| line.member).collect())
+        .add_members(line.members.into_iter().map(|line| line.member).collect())
         .expect("members");
     restore
-        .assignment(&line.table.expect("a table"))
+        .set_assignment(&line.table.expect("a table"))
         .expect("an assignment");
     restore
 }
--- a/crates/directory/tests/directory/installation.rs
+++ b/crates/directory/tests/directory/installation.rs
@@ -80,7 +80,7 @@
             .directory
             .apply(&LoggedRecord { version, record })
             .expect("a good record");
-        self.watchers.applied(&applied, &self.directory);
+        self.watchers.record_applied(&applied, &self.directory);
         version
     }
 
@@ -120,7 +120,7 @@
                 .watchers
                 .next_line(watcher.id, &self.directory, self.now)
             {
-                Some(line) if line.kind == LineKind::KeepAlive => return lines,
+                Some(line) if line.kind == LineKind::Heartbeat => return lines,
                 Some(line) => {
                     assert!(
                         line.bytes.len() <= LONGEST_LINE,
--- a/crates/directory/tests/directory/state.rs
+++ b/crates/directory/tests/directory/state.rs
@@ -19,7 +19,7 @@
 fn restored(parts: impl Iterator<Item = Vec<u8>>) -> Result<Directory, SnapshotError> {
     let mut reader = SnapshotReader::new(layout(), Retention::default());
     for part in parts {
-        reader.part(&part)?;
+        reader.read_part(&part)?;
     }
     reader.finish()
 }
@@ -223,7 +223,10 @@
     let zones = [(ZoneName::from("north-1"), RegionName::from("north"))];
     let other = Layout::new(zones, BUCKETS_PER_REGION).expect("a layout");
     let mut reader = SnapshotReader::new(other, Retention::default());
-    assert_eq!(reader.part(&parts[0]), Err(SnapshotError::OtherLayout));
+    assert_eq!(
+        reader.read_part(&parts[0]),
+        Err(SnapshotError::LayoutMismatch)
+    );
 }
 
 #[test]
