--- a/crates/directory/src/bucket_fill.rs
+++ b/crates/directory/src/bucket_fill.rs
@@ -1,4 +1,4 @@
-//! Sends the entries of buckets that a dispatcher has gained, a few lines at a time.
+//! The fill of buckets that a dispatcher has gained: yields lines with their entries.
 
 use crate::entries::EntryIndex;
 use crate::line::{EndpointEntry, EndpointState, Version};
@@ -7,24 +7,24 @@
 use bellsill_placement::BucketId;
 use std::collections::{HashMap, VecDeque};
 
-/// The bytes of the entries on a line: few, so that a change never waits long behind one.
-const LINE_ENTRY_BYTES: usize = 8 * 1024;
+/// The maximum size of the entries on a line. It is small so that a fill line delays a change only briefly.
+const MAX_ENTRY_BYTES: usize = 8 * 1024;
 
-/// What the next line of a fill holds.
+/// The content of the next line of a fill.
 #[derive(Default)]
 pub(crate) struct FillLine {
     pub(crate) entries: Vec<EndpointEntry>,
-    /// The buckets that are complete with this line.
+    /// The buckets of which this line contains the last entries.
     pub(crate) filled: Vec<BucketId>,
 }
 
-/// The buckets that are still to be sent, and how far.
+/// The buckets that are not completely sent, and the progress of the first.
 #[derive(Default)]
 pub(crate) struct BucketFill {
-    /// The version at which each bucket was gained. Later changes are sent as such, and left out of the fill.
+    /// The version at which each bucket was gained. Later changes are sent as changes and omitted from the fill.
     gained_at: HashMap<BucketId, Version>,
     order: VecDeque<BucketId>,
-    /// The last entry sent of the first bucket.
+    /// The last entry of the first bucket that has been sent.
     last_sent: Option<EntryIndex>,
 }
 
@@ -42,22 +42,22 @@
         self.order.retain(|other| *other != bucket);
     }
 
-    /// The version at which a bucket was gained, if it is not filled yet.
+    /// The version at which a bucket was gained, or `None` once it is filled.
     pub(crate) fn gained_at(&self, bucket: BucketId) -> Option<Version> {
         self.gained_at.get(&bucket).copied()
     }
 
-    /// The next line, which completes `max_buckets` at most; none where all buckets are filled.
+    /// The next line, which completes at most `max_buckets` buckets, or `None` if all buckets are filled.
     pub(crate) fn next_line(
         &mut self,
         directory: &Directory,
         max_buckets: usize,
     ) -> Option<FillLine> {
         let mut line = FillLine::default();
-        let mut budget = LineBudget::new(LINE_ENTRY_BYTES);
+        let mut budget = LineBudget::new(MAX_ENTRY_BYTES);
         while let Some(bucket) = self.order.front().copied() {
-            let sent = self.send_bucket(bucket, directory, &mut line.entries, &mut budget);
-            if sent.is_err() {
+            let added = self.add_bucket_entries(bucket, directory, &mut line.entries, &mut budget);
+            if added.is_err() {
                 break;
             }
             self.order.pop_front();
@@ -71,8 +71,8 @@
         Some(line).filter(|line| !line.entries.is_empty() || !line.filled.is_empty())
     }
 
-    /// Adds entries of the first bucket until it is complete.
-    fn send_bucket(
+    /// Adds the remaining entries of the first bucket to the line, until the budget is used up.
+    fn add_bucket_entries(
         &mut self,
         bucket: BucketId,
         directory: &Directory,
--- a/crates/directory/src/complete_line.rs
+++ b/crates/directory/src/complete_line.rs
@@ -1,4 +1,4 @@
-//! The lines of a watch on the complete configuration, by which one control process follows another.
+//! The lines of a watch on the complete configuration, which the leader sends to a follower.
 
 use crate::entry::{Endpoint, InvalidEntry};
 use crate::line::{EndpointEntry, Version};
@@ -7,18 +7,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The longest line among control processes, in bytes. Only changes of the assignment come near it: those of endpoints
-/// keep to
-/// [`LONGEST_LINE`](crate::line::LONGEST_LINE).
+/// The longest line between control processes, in bytes. Only lines with members or the assignment come near it; lines
+/// with endpoints alone are at most [`LONGEST_LINE`](crate::line::LONGEST_LINE) long.
 pub const MAX_COMPLETE_LINE_BYTES: usize = 4 * 1024 * 1024;
 
 /// The position of a line in the transfer of the complete configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TransferStep {
-    /// The first line, with the members and the assignment. What follows replaces everything known before.
+    /// The first line, with the members and the assignment. The transfer replaces all earlier state of the follower.
     Begin,
-    /// A line with endpoints as they are now, in any order.
+    /// A line with the current values of endpoints, in any order.
     Piece,
     /// The last line.
     End,
@@ -27,7 +26,7 @@
 /// A member with the version of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberLine {
-    /// The member as it is now.
+    /// The new value of the member.
     #[serde(flatten)]
     pub member: Member,
     /// The version of the change.
@@ -38,7 +37,7 @@
 /// A change of the assignment with its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AssignmentLine {
-    /// What has changed.
+    /// The change.
     #[serde(flatten)]
     pub change: AssignmentChange,
     /// The version of the change.
@@ -46,53 +45,53 @@
     pub version: Version,
 }
 
-/// One line of a watch on the complete configuration. Without `transfer` it has changes; those of one version are on one
-/// line.
+/// One line of a watch on the complete configuration. A line without `transfer` contains changes; all changes of one
+/// version are on the same line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompleteLine {
-    /// All changes up to this version have been sent with this line.
+    /// After this line, all changes up to this version have been sent.
     pub version: Version,
     /// Always false, as in a scoped watch.
     pub full: bool,
-    /// The log that versions count; absent except on the first line and at the beginning of a transfer.
+    /// The log to which the versions belong; present only on the first line and at the beginning of a transfer.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub log: String,
     /// Present on the lines of a transfer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub transfer: Option<TransferStep>,
-    /// At the beginning of a transfer: removals up to this version may be missing in it.
+    /// At the beginning of a transfer: the transfer may omit endpoints that were removed up to this version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub forgotten: Option<Version>,
     /// At the beginning of a transfer: the assignment.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub table: Option<AssignmentTable>,
-    /// Members that have changed; at the beginning of a transfer all of them.
+    /// Members that have changed; at the beginning of a transfer, all members.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<MemberLine>,
     /// Changes of the assignment.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub assignment: Vec<AssignmentLine>,
-    /// Endpoints that have changed, or that a transfer has reached.
+    /// Endpoints that have changed or, on a piece of a transfer, the next endpoints.
     pub servers: Vec<EndpointEntry>,
 }
 
-/// Why the changes of a line are not records.
+/// Why the changes of a line cannot be converted to records.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidChanges {
     /// An endpoint is invalid.
     Entry(InvalidEntry),
-    /// Changes of different kinds have the same version.
+    /// Changes of different kinds have the same version, or the assignment changes twice in one version.
     MixedVersion(Version),
 }
 
 impl std::fmt::Display for InvalidChanges {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            InvalidChanges::Entry(error) => write!(f, "an endpoint cannot be read: {error}"),
+            InvalidChanges::Entry(error) => write!(f, "invalid endpoint: {error}"),
             InvalidChanges::MixedVersion(version) => {
                 write!(
                     f,
-                    "version {} changes endpoints, members or the assignment at once",
+                    "version {} mixes changes of endpoints, members or the assignment",
                     version.0
                 )
             }
@@ -103,7 +102,7 @@
 impl std::error::Error for InvalidChanges {}
 
 impl CompleteLine {
-    /// Adds the changes of a record.
+    /// Adds the changes of a record to the line.
     pub fn add(&mut self, logged: LoggedRecord) {
         let version = logged.version;
         match logged.record {
@@ -127,7 +126,7 @@
         }
     }
 
-    /// The changes of the line as records, in the order of their versions.
+    /// Converts the changes of the line to records, sorted by version.
     pub fn into_records(self) -> Result<Vec<LoggedRecord>, InvalidChanges> {
         let mut records: BTreeMap<Version, Record> = BTreeMap::new();
         for entry in self.servers {
--- a/crates/directory/src/complete_scope.rs
+++ b/crates/directory/src/complete_scope.rs
@@ -1,4 +1,5 @@
-//! The scope of a control process that follows: every record, or the complete configuration where records are missing.
+//! The scope of a follower: every record, or a transfer of the complete configuration if the history lacks records that
+//! it needs.
 
 use crate::complete_line::{CompleteLine, MemberLine, TransferStep};
 use crate::entries::EntryIndex;
@@ -7,35 +8,34 @@
 use crate::record::{MAX_ENDPOINTS_IN_RECORD, Record};
 use crate::state::{Directory, LogId};
 
-/// The most endpoints on one line of changes, so that it keeps to [`LONGEST_LINE`].
+/// The maximum number of endpoints on one line of changes, so that the line stays within [`LONGEST_LINE`].
 const MAX_ENDPOINTS_ON_LINE: usize = MAX_ENDPOINTS_IN_RECORD;
-/// What a piece may take beside its entries.
-const BYTES_BESIDE_ENTRIES: usize = 512;
+/// The maximum size of a piece without its entries.
+const MAX_BYTES_WITHOUT_ENTRIES: usize = 512;
 
-/// How far a transfer is.
+/// The progress of a transfer.
 #[derive(Clone, Copy)]
 enum Transfer {
-    /// It has to begin.
+    /// The transfer has yet to begin.
     Due,
-    /// Endpoints at indices after this one have not been sent, except those that changed after the transfer began: these
-    /// are sent as changes.
+    /// Endpoints at indices after this one have not been sent, except those that changed after the transfer began,
+    /// which are sent as changes.
     After {
         index: Option<EntryIndex>,
         began_at: Version,
     },
 }
 
-/// What one control process is sent, and how far.
+/// What one follower is sent, and how much of it has been sent.
 pub(crate) struct CompleteScope {
     /// All changes up to this version have been sent.
     sent: Version,
-    /// The first line has been sent.
-    begun: bool,
+    first_line_sent: bool,
     transfer: Option<Transfer>,
 }
 
 impl CompleteScope {
-    /// Begins after a version where all records from there on are in the history, else with a transfer.
+    /// Starts after the version `since` if the history has all records from there on, else with a transfer.
     pub(crate) fn start(
         log: Option<&LogId>,
         since: Version,
@@ -44,7 +44,7 @@
         let known = log == Some(directory.log()) && directory.history().covers(since);
         CompleteScope {
             sent: since,
-            begun: false,
+            first_line_sent: false,
             transfer: (!known).then_some(Transfer::Due),
         }
     }
@@ -53,27 +53,28 @@
         self.sent
     }
 
-    /// The next line of changes, or the one that begins a transfer.
+    /// The next line of changes, or the first line of a transfer.
     pub(crate) fn next_changes(&mut self, directory: &Directory) -> Option<CompleteLine> {
         let behind = !directory.history().covers(self.sent);
         if behind || matches!(self.transfer, Some(Transfer::Due)) {
             return Some(self.begin_transfer(directory));
         }
         let mut line = self.next_records(directory);
-        if self.begun && line.version == self.sent {
+        if self.first_line_sent && line.version == self.sent {
             return None;
         }
-        if !self.begun {
+        if !self.first_line_sent {
             line.log = directory.log().0.clone();
         }
-        self.begun = true;
+        self.first_line_sent = true;
         self.sent = line.version;
         Some(line)
     }
 
-    /// The next records that fit on one line: endpoints together, others alone, since they may be long.
+    /// The next records that fit on one line. Records of endpoints share a line; any other record may be long and has a
+    /// line to itself.
     fn next_records(&self, directory: &Directory) -> CompleteLine {
-        let mut line = self.empty_line();
+        let mut line = self.new_line();
         let mut endpoints = 0;
         for logged in directory.history().after(self.sent) {
             if let Record::EndpointsChanged(changed) = &logged.record {
@@ -93,13 +94,13 @@
         line
     }
 
-    /// The next piece of a transfer, or its end; to be called only when all changes have been sent.
+    /// The next piece of a transfer, or its end. Call only once all changes have been sent.
     pub(crate) fn next_piece(&mut self, directory: &Directory) -> Option<CompleteLine> {
         let Some(Transfer::After { index, began_at }) = self.transfer else {
             return None;
         };
-        let mut line = self.empty_line();
-        let mut budget = LineBudget::new(LONGEST_LINE - BYTES_BESIDE_ENTRIES);
+        let mut line = self.new_line();
+        let mut budget = LineBudget::new(LONGEST_LINE - MAX_BYTES_WITHOUT_ENTRIES);
         let mut last = index;
         let entries = directory.entries();
         let unchanged = entries
@@ -128,13 +129,13 @@
         Some(line)
     }
 
-    /// A line with just the current version; to be called only when all changes have been sent.
+    /// A line with only the current version. Call only once all changes have been sent.
     pub(crate) fn version_line(&mut self, directory: &Directory) -> CompleteLine {
         self.sent = directory.version();
-        self.empty_line()
+        self.new_line()
     }
 
-    fn empty_line(&self) -> CompleteLine {
+    fn new_line(&self) -> CompleteLine {
         CompleteLine {
             version: self.sent,
             ..CompleteLine::default()
@@ -143,7 +144,7 @@
 
     fn begin_transfer(&mut self, directory: &Directory) -> CompleteLine {
         let version = directory.version();
-        self.begun = true;
+        self.first_line_sent = true;
         self.sent = version;
         self.transfer = Some(Transfer::After {
             index: None,
--- a/crates/directory/src/entries.rs
+++ b/crates/directory/src/entries.rs
@@ -1,4 +1,4 @@
-//! All endpoints of the configuration in compact storage, found by name, by bucket and by destination.
+//! A compact table of all endpoints of the configuration, indexed by name and by bucket.
 
 use crate::entry::Endpoint;
 use crate::line::{EndpointEntry, EndpointState, Version};
@@ -12,16 +12,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EntryIndex(u32);
 
-/// The index of a name that many endpoints share.
+/// The index of an interned name of a zone or kind.
 type NameIndex = u16;
 
-/// One endpoint as it is stored: names that many endpoints share are indices.
+/// One endpoint as the table stores it, with interned names of zone and kind.
 struct StoredEndpoint {
     id: Box<str>,
     address: Option<SocketAddr>,
     destination: u64,
     version: Version,
-    /// NaN where there is none.
+    /// NaN if there is none.
     weight: f64,
     bucket: BucketId,
     zone: NameIndex,
@@ -32,26 +32,26 @@
 /// Why the table has no capacity for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TableFull {
-    /// There are too many endpoints.
+    /// The maximum number of endpoints is reached.
     Endpoints,
-    /// There are too many different zones and kinds.
+    /// The maximum number of distinct zones and kinds is reached.
     Names,
 }
 
-/// The endpoints of all regions.
+/// The endpoints of all regions, including removed ones that are still retained.
 pub struct EntryTable {
     rows: Vec<Option<StoredEndpoint>>,
     free: Vec<EntryIndex>,
     by_id: HashTable<EntryIndex>,
     hasher: RandomState,
-    /// The endpoints of each bucket in the order of their indices, by the bucket's number.
+    /// The endpoints of each bucket, by bucket number; sorted by index.
     by_bucket: Vec<Vec<EntryIndex>>,
-    /// The names of zones and kinds.
+    /// The interned names of zones and kinds.
     names: Vec<Box<str>>,
 }
 
 impl EntryTable {
-    /// An empty table for endpoints in this many buckets.
+    /// Creates an empty table for endpoints in this number of buckets.
     pub fn new(buckets: u32) -> EntryTable {
         EntryTable {
             rows: Vec::new(),
@@ -63,12 +63,12 @@
         }
     }
 
-    /// How many endpoints there are, with those in the state removed.
+    /// The number of endpoints, including those in the state `Removed`.
     pub fn len(&self) -> usize {
         self.rows.len() - self.free.len()
     }
 
-    /// Whether there are no endpoints.
+    /// Whether the table contains no endpoints.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -81,14 +81,14 @@
             .copied()
     }
 
-    /// The endpoints of a bucket, in the order of their indices.
+    /// The endpoints of a bucket, sorted by index.
     pub fn in_bucket(&self, bucket: BucketId) -> &[EntryIndex] {
         self.by_bucket
             .get(bucket.0 as usize)
             .map_or(&[], Vec::as_slice)
     }
 
-    /// The endpoints at indices after this one, or all of them.
+    /// The endpoints at indices after this one, or all endpoints for `None`, sorted by index.
     pub fn after(&self, index: Option<EntryIndex>) -> impl Iterator<Item = EntryIndex> {
         let first = index.map_or(0, |index| index.0 as usize + 1);
         let used = self
@@ -120,7 +120,7 @@
         self.row(index).map(|row| row.state)
     }
 
-    /// The endpoint, as records hold it.
+    /// The endpoint, as records contain it.
     pub fn endpoint(&self, index: EntryIndex) -> Option<Endpoint> {
         let row = self.row(index)?;
         Some(Endpoint {
@@ -134,7 +134,7 @@
         })
     }
 
-    /// The endpoint, as lines hold it.
+    /// The endpoint, as lines contain it.
     pub fn entry(&self, index: EntryIndex) -> Option<EndpointEntry> {
         let version = self.version(index)?;
         Some(self.endpoint(index)?.into_entry(version))
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Adds or replaces an endpoint. The caller has checked the capacity, and that a known endpoint stays in its bucket.
+    /// Adds or replaces an endpoint. The caller must have checked the capacity, and that an existing endpoint stays in
+    /// its bucket.
     pub(crate) fn put(
         &mut self,
         endpoint: &Endpoint,
--- a/crates/directory/src/entry.rs
+++ b/crates/directory/src/entry.rs
@@ -1,47 +1,48 @@
-//! One endpoint of the configuration, validated, as records hold it.
+//! One validated endpoint of the configuration, as records contain it.
 
 use crate::line::{EndpointEntry, EndpointState, Version};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest name of an endpoint, a zone or a kind.
+/// The maximum length of the name of an endpoint, a zone or a kind.
 pub const MAX_NAME_BYTES: usize = 128;
-/// The longest name of a dispatcher.
+/// The maximum length of the name of a dispatcher.
 pub const MAX_MEMBER_NAME_BYTES: usize = 64;
-/// The highest weight that makes sense.
+/// The maximum weight of an endpoint or a member.
 pub const MAX_WEIGHT: f64 = 1e9;
-/// An upper bound on what an entry takes on a line beside its names: field names, punctuation and numbers.
-const BYTES_BESIDE_NAMES: usize = 200;
+/// An upper bound on the bytes of an entry on a line without its names: field names, punctuation and numbers.
+const MAX_BYTES_WITHOUT_NAMES: usize = 200;
 
 /// An endpoint of a destination, without the version of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// The endpoint's name, unique in the configuration.
+    /// The endpoint's name; unique in the configuration.
     pub id: String,
-    /// Where it listens; a removed endpoint may have none.
+    /// The address on which it listens; a removed endpoint may have none.
     pub address: Option<SocketAddr>,
-    /// Decides its region.
+    /// The zone, which determines the region.
     pub zone: String,
-    /// The kind of endpoint, by the platform's name.
+    /// The kind of endpoint, as the platform names it.
     pub kind: String,
     /// The number of its destination.
     pub destination: u64,
-    /// Whether it takes messages.
+    /// Whether it accepts messages.
     pub state: EndpointState,
-    /// What the operators declare of its capacity.
+    /// The relative capacity, as declared by the operators.
     pub weight: Option<f64>,
 }
 
 /// Why an entry is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvalidEntry {
-    /// The named field is not a name: empty, too long, or with characters other than visible ASCII.
+    /// The value of this field is not a valid name: it is empty, too long, or has characters other than visible ASCII,
+    /// or a quote or backslash.
     Name(&'static str),
-    /// The address is not one such as `10.0.0.1:9000`.
+    /// The address cannot be parsed; expected an IP address and a port, such as `10.0.0.1:9000`.
     Address(String),
-    /// An endpoint that is not removed has no address.
+    /// The address is missing, although the endpoint is not removed.
     AddressMissing,
-    /// The weight is not from 0 to [`MAX_WEIGHT`].
+    /// The weight is not in the range from 0 to [`MAX_WEIGHT`].
     Weight(f64),
 }
 
@@ -75,16 +76,17 @@
 
 impl std::error::Error for InvalidEntry {}
 
-/// Whether this can be a name: it needs no escaping in JSON or in a request, so its length on a line is known.
+/// Whether this is a valid name. A valid name needs no escaping in JSON or in a request, so its length on a line is
+/// known.
 pub fn is_name(name: &str) -> bool {
     let visible = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'\\';
     (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(visible)
 }
 
-/// Whether this can be the name of a dispatcher: it needs no escaping in requests.
+/// Whether this is a valid name of a dispatcher. A valid name needs no escaping in the query of a request.
 pub fn is_member_name(name: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
-    (1..=MAX_MEMBER_NAME_BYTES).contains(&name.len()) && name.bytes().all(plain)
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
+    (1..=MAX_MEMBER_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
 
 impl TryFrom<EndpointEntry> for Endpoint {
@@ -127,7 +129,7 @@
 }
 
 impl Endpoint {
-    /// The entry of a line, with the version of the endpoint's last change.
+    /// Converts to the entry of a line, with the version of the endpoint's last change.
     pub fn into_entry(self, version: Version) -> EndpointEntry {
         EndpointEntry {
             id: self.id,
@@ -142,7 +144,7 @@
     }
 }
 
-/// An upper bound on the bytes that the entry takes on a line.
+/// An upper bound on the size of the entry on a line, in bytes.
 pub(crate) fn max_line_bytes(entry: &EndpointEntry) -> usize {
-    BYTES_BESIDE_NAMES + entry.id.len() + entry.zone.len() + entry.kind.len()
+    MAX_BYTES_WITHOUT_NAMES + entry.id.len() + entry.zone.len() + entry.kind.len()
 }
--- a/crates/directory/src/feed.rs
+++ b/crates/directory/src/feed.rs
@@ -1,4 +1,4 @@
-//! What one watcher is sent: a cursor over the configuration that yields the lines to write next.
+//! A cursor over the configuration that yields the next lines to write to one watcher.
 
 use crate::complete_scope::CompleteScope;
 use crate::line::Version;
@@ -8,74 +8,75 @@
 use crate::state::Directory;
 use serde::Serialize;
 
-/// An empty line is sent after this time without another one.
+/// A heartbeat is sent after this time without another line.
 pub const HEARTBEAT_INTERVAL: Nanos = 500_000_000;
-/// A watcher without changes is sent the current version this often, so that its `since` does not become too old.
+/// How often a watcher without changes in its scope is sent the current version, so that its `since` does not become
+/// too old to resume from.
 pub const VERSION_LINE_INTERVAL: Nanos = 5_000_000_000;
-/// What fills take of a dispatcher's network, unless configured otherwise: its budget for configuration is 17 KB/s.
+/// The default rate limit of bucket fills per dispatcher. A dispatcher's network budget for configuration is 17 KB/s.
 pub const FILL_RATE: RateLimit = RateLimit {
     bytes_per_second: 8 * 1024,
     burst_bytes: 16 * 1024,
 };
-/// What the transfer to another control process takes.
+/// The rate limit of a transfer to a follower.
 pub const TRANSFER_RATE: RateLimit = RateLimit {
     bytes_per_second: 8 * 1024 * 1024,
     burst_bytes: 1024 * 1024,
 };
 
-/// What a line is for; metrics count them separately.
+/// The purpose of a line. Metrics count each kind separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineKind {
-    /// It has changes, or just the current version.
+    /// Contains changes, or only the current version.
     Change,
-    /// It fills buckets, or is a piece of a transfer.
+    /// Fills buckets, or is a piece or the end of a transfer.
     Fill,
-    /// It shows that the connection is alive.
+    /// An empty line, which shows that the connection is alive.
     Heartbeat,
 }
 
-/// A line to write, its end included.
+/// A line to write, including its line feed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedLine {
-    /// What the line is for.
+    /// The purpose of the line.
     pub kind: LineKind,
     /// The bytes to write.
     pub bytes: Vec<u8>,
 }
 
-/// The cursor of one watcher.
+/// The position of one watcher in the configuration.
 pub struct Feed {
-    /// The request of a watcher that knows more than this process, until this process has caught up.
-    waiting: Option<WatchRequest>,
+    /// The request of a watcher that knows a later version than this process has, until this process has caught up.
+    ahead_request: Option<WatchRequest>,
     pub(crate) scope: Scope,
     rate_limiter: TokenBucket,
     last_line: Nanos,
     last_version_line: Nanos,
 }
 
-/// What a watcher is sent, and how far.
+/// The part of the configuration that a watcher is sent, and how much of it has been sent.
 pub(crate) enum Scope {
     Member(Box<MemberScope>),
     Complete(CompleteScope),
 }
 
 impl Feed {
-    /// Begins with what the request says is known.
+    /// Starts after the changes that the watcher already knows according to its request.
     pub(crate) fn start(
         request: WatchRequest,
         directory: &Directory,
-        fill_pace: RateLimit,
+        fill_rate: RateLimit,
         now: Nanos,
     ) -> Feed {
         let scope = Scope::start(&request, directory);
         let limits = match scope {
-            Scope::Member(_) => fill_pace,
+            Scope::Member(_) => fill_rate,
             Scope::Complete(_) => TRANSFER_RATE,
         };
         let ahead =
             request.log.as_ref() == Some(directory.log()) && request.since > directory.version();
         Feed {
-            waiting: Some(request).filter(|_| ahead),
+            ahead_request: Some(request).filter(|_| ahead),
             scope,
             rate_limiter: TokenBucket::new(limits, now),
             last_line: now,
@@ -83,26 +84,26 @@
         }
     }
 
-    /// Whether the watcher knows more than this process has.
+    /// Whether this process has yet to reach the version that the watcher knows; until then it sends only heartbeats.
     pub fn is_waiting(&self) -> bool {
-        self.waiting.is_some()
+        self.ahead_request.is_some()
     }
 
-    /// The next line to write, where there is one now. Changes come first, fills when all changes have been sent, and an
-    /// empty line when there was nothing else for a while.
+    /// The next line to write, if there is one now: changes first, then fills once all changes have been sent, then a
+    /// heartbeat or the current version if no line has been written for [`HEARTBEAT_INTERVAL`].
     pub fn next_line(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
-        self.end_waiting(directory);
+        self.start_once_caught_up(directory);
         let line = self
             .next_content(directory, now)
-            .or_else(|| self.empty_line(directory, now))?;
+            .or_else(|| self.idle_line(directory, now))?;
         self.last_line = now;
         Some(line)
     }
 
-    fn end_waiting(&mut self, directory: &Directory) {
+    fn start_once_caught_up(&mut self, directory: &Directory) {
         let reached = |request: &WatchRequest| request.since <= directory.version();
-        if self.waiting.as_ref().is_some_and(reached)
-            && let Some(request) = self.waiting.take()
+        if self.ahead_request.as_ref().is_some_and(reached)
+            && let Some(request) = self.ahead_request.take()
         {
             self.scope = Scope::start(&request, directory);
         }
@@ -119,7 +120,7 @@
                 bytes,
             });
         }
-        if !self.rate_limiter.is_open(now) {
+        if !self.rate_limiter.has_tokens(now) {
             return None;
         }
         let bytes = self.scope.next_filling(directory)?;
@@ -131,7 +132,7 @@
         })
     }
 
-    fn empty_line(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
+    fn idle_line(&mut self, directory: &Directory, now: Nanos) -> Option<FeedLine> {
         if now < self.last_line + HEARTBEAT_INTERVAL {
             return None;
         }
@@ -203,7 +204,7 @@
 }
 
 fn encode(line: &impl Serialize) -> Vec<u8> {
-    let mut bytes = serde_json::to_vec(line).expect("lines have no maps");
+    let mut bytes = serde_json::to_vec(line).expect("lines contain no maps");
     bytes.push(b'\n');
     bytes
 }
--- a/crates/directory/src/history.rs
+++ b/crates/directory/src/history.rs
@@ -1,16 +1,16 @@
-//! The latest records, in memory for control processes that follow.
+//! The latest records, retained in memory for followers.
 
 use crate::line::Version;
 use crate::record::{self, LoggedRecord, Record};
 use std::collections::VecDeque;
 
-/// The most changes that are retained: of endpoints, of members, and of assignments.
+/// The default maximum number of retained changes: of endpoints, of members, and of the assignment.
 pub const MAX_RETAINED_CHANGES: usize = 100_000;
 
 struct EncodedRecord {
     version: Version,
     changes: usize,
-    /// Encoded, which takes less memory than the record.
+    /// The encoded record, which takes less memory than the decoded one.
     bytes: Vec<u8>,
 }
 
@@ -18,18 +18,18 @@
 pub struct History {
     records: VecDeque<EncodedRecord>,
     changes: usize,
-    most_changes: usize,
+    max_changes: usize,
     /// Every record after this version is retained.
     floor: Version,
 }
 
 impl History {
-    /// A history that begins after this version.
-    pub fn new(floor: Version, most_changes: usize) -> History {
+    /// Creates an empty history that starts after this version.
+    pub fn new(floor: Version, max_changes: usize) -> History {
         History {
             records: VecDeque::new(),
             changes: 0,
-            most_changes,
+            max_changes,
             floor,
         }
     }
@@ -39,7 +39,7 @@
         since >= self.floor
     }
 
-    /// Adds the next record, and drops the oldest ones over the bound.
+    /// Appends the next record, and drops the oldest records while the number of changes exceeds the maximum.
     pub fn push(&mut self, logged: &LoggedRecord) {
         let changes = match &logged.record {
             Record::EndpointsChanged(endpoints) => endpoints.len(),
@@ -52,7 +52,7 @@
             changes,
             bytes: record::encode(logged),
         });
-        while self.changes > self.most_changes {
+        while self.changes > self.max_changes {
             let Some(oldest) = self.records.pop_front() else {
                 break;
             };
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The records after this version, in their order; to be called only where they are covered.
+    /// The records after this version, in order. Call only if [`covers`](Self::covers) is true for it.
     pub fn after(&self, since: Version) -> impl Iterator<Item = LoggedRecord> {
         let first = self
             .records
             .partition_point(|record| record.version <= since);
-        // They were encoded here, so that decoding cannot fail.
+        // `push` encoded these records, so decoding cannot fail.
         self.records
             .iter()
             .skip(first)
--- a/crates/directory/src/lib.rs
+++ b/crates/directory/src/lib.rs
@@ -1,5 +1,6 @@
-//! The versioned configuration of destinations, without I/O, clock or threads: its entries, the records that change them,
-//! and the lines in which a watch sends them. `docs/configuration.md` describes the requests and lines.
+//! The versioned configuration of destinations: its entries, the records that change them, and the lines in which a
+//! watch sends them. This crate does no I/O, reads no clock and starts no threads. `docs/configuration.md` describes
+//! the requests and lines.
 
 mod bucket_fill;
 pub mod complete_line;
--- a/crates/directory/src/line_budget.rs
+++ b/crates/directory/src/line_budget.rs
@@ -1,9 +1,9 @@
-//! The bytes that the entries of a line may take.
+//! Limits the size of the entries on a line.
 
 use crate::entry::max_line_bytes;
 use crate::line::EndpointEntry;
 
-/// The next entry belongs on another line.
+/// The entry does not fit on this line and must go on the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LineFull;
 
@@ -16,7 +16,7 @@
         LineBudget { bytes_left: bytes }
     }
 
-    /// Reserves the most bytes that an entry may take; nothing is reserved where they do not fit.
+    /// Reserves the maximum size of an entry. Reserves nothing if it exceeds the remaining budget.
     pub(crate) fn reserve(&mut self, entry: &EndpointEntry) -> Result<(), LineFull> {
         self.bytes_left = self
             .bytes_left
--- a/crates/directory/src/member_scope.rs
+++ b/crates/directory/src/member_scope.rs
@@ -1,4 +1,4 @@
-//! The scope of a dispatcher's watch: the buckets that it holds, and destinations that it caches beside them.
+//! The scope of a dispatcher's watch: the buckets that it holds, and the destinations outside of them that it caches.
 
 use crate::bucket_fill::BucketFill;
 use crate::entries::EntryIndex;
@@ -9,26 +9,25 @@
 use bellsill_placement::{BucketId, MemberName};
 use std::collections::{BTreeSet, HashSet};
 
-/// The most destinations outside of its buckets whose changes a watch sends.
+/// The maximum number of cached destinations of a watch.
 pub(crate) const MAX_CACHED_DESTINATIONS: usize = 4096;
-/// The most buckets that one line names as gained, or as lost.
+/// The maximum number of buckets in each of the fields `gained`, `lost` and `filled` of a line.
 const MAX_BUCKETS_ON_LINE: usize = 1024;
-/// The most bytes of a bucket's number and the comma after it.
+/// The maximum size of a bucket number with the comma after it.
 const BUCKET_BYTES: usize = 11;
-/// What a line may take beside its entries: the fields of [`ScopedLine`], three of them with the most buckets.
-const BYTES_BESIDE_ENTRIES: usize = 256 + 3 * MAX_BUCKETS_ON_LINE * BUCKET_BYTES;
-/// The most bytes of the entries on a line.
-const ENTRY_BYTES: usize = LONGEST_LINE - BYTES_BESIDE_ENTRIES;
+/// The maximum size of a line without its entries: the fields of [`ScopedLine`], three of which name buckets.
+const MAX_BYTES_WITHOUT_ENTRIES: usize = 256 + 3 * MAX_BUCKETS_ON_LINE * BUCKET_BYTES;
+/// The maximum size of the entries on a line.
+const MAX_ENTRY_BYTES: usize = LONGEST_LINE - MAX_BYTES_WITHOUT_ENTRIES;
 
-/// What one dispatcher is sent, and how far.
+/// What one dispatcher is sent, and how much of it has been sent.
 pub(crate) struct MemberScope {
     name: MemberName,
     /// All changes in the scope up to this version have been sent.
     sent: Version,
-    /// The first line has been sent.
-    begun: bool,
+    first_line_sent: bool,
     held: BTreeSet<BucketId>,
-    /// Destinations outside of the buckets.
+    /// The cached destinations, which are outside of the buckets held.
     cached: HashSet<u64>,
     pending: PendingChanges,
     gained: BTreeSet<BucketId>,
@@ -37,8 +36,8 @@
 }
 
 impl MemberScope {
-    /// The scope of a dispatcher that knows all changes up to `since` of these buckets and cached destinations, or nothing
-    /// where they are not `known`.
+    /// Creates the scope of a dispatcher with these buckets and cached destinations. If `known`, the dispatcher knows
+    /// all their changes up to `since`; otherwise it is sent everything.
     pub(crate) fn start(
         name: &MemberName,
         since: Version,
@@ -50,7 +49,7 @@
         let held = directory.held_by(name);
         let (gained, pending): (Vec<BucketId>, PendingChanges) = if known {
             let gained = held.difference(buckets).copied().collect();
-            (gained, PendingChanges::unlisted())
+            (gained, PendingChanges::incomplete())
         } else {
             let gained = held.iter().copied().collect();
             let pending = PendingChanges::listed(entries_of(cached, directory));
@@ -59,7 +58,7 @@
         let mut scope = MemberScope {
             name: name.clone(),
             sent: since,
-            begun: false,
+            first_line_sent: false,
             lost: buckets.difference(&held).copied().collect(),
             held,
             cached: cached.iter().copied().collect(),
@@ -85,13 +84,13 @@
         &self.cached
     }
 
-    /// An entry has changed that is in the scope, or was before the change.
+    /// Adds a changed entry to the pending ones. The entry may no longer be in the scope when its change is sent.
     pub(crate) fn entry_changed(&mut self, index: EntryIndex) {
         self.pending.add(index);
     }
 
-    /// The assignment has changed.
-    pub(crate) fn reassigned(&mut self, directory: &Directory) {
+    /// Updates the buckets held after a change of the assignment.
+    pub(crate) fn assignment_changed(&mut self, directory: &Directory) {
         let held = directory.held_by(&self.name);
         let gained: Vec<BucketId> = held.difference(&self.held).copied().collect();
         let lost: Vec<BucketId> = self.held.difference(&held).copied().collect();
@@ -104,35 +103,38 @@
         }
     }
 
-    /// Has the changes of the added destinations sent from now on, and no longer those of the evicted ones.
+    /// Adds and evicts cached destinations. Subsequent changes of the added ones are sent, those of the evicted ones
+    /// are not.
     pub(crate) fn change_cached(&mut self, added: &BTreeSet<u64>, evicted: &BTreeSet<u64>) {
         self.cached
             .retain(|destination| !evicted.contains(destination));
         self.cached.extend(added);
     }
 
-    /// The next line of changes; none where all have been sent.
+    /// The next line of changes, or `None` if all have been sent.
     pub(crate) fn next_changes(&mut self, directory: &Directory) -> Option<ScopedLine> {
-        self.restart_if_removals_are_forgotten(directory);
+        self.resend_all_if_removals_were_purged(directory);
         self.collect_pending(directory);
         let nothing_new = self.pending.is_empty() && self.gained.is_empty() && self.lost.is_empty();
-        if self.begun && nothing_new {
+        if self.first_line_sent && nothing_new {
             return None;
         }
         let mut line = self.new_line(directory);
-        if !self.gained.is_empty() || !self.lost.is_empty() || !self.begun {
+        if !self.gained.is_empty() || !self.lost.is_empty() || !self.first_line_sent {
             line.epoch = Some(directory.epoch());
         }
         line.gained = take_first(&mut self.gained);
         line.lost = take_first(&mut self.lost);
-        line.servers = self.pending.take(directory, LineBudget::new(ENTRY_BYTES));
+        line.servers = self
+            .pending
+            .take(directory, LineBudget::new(MAX_ENTRY_BYTES));
         self.sent = self.version_after(directory);
-        self.begun = true;
+        self.first_line_sent = true;
         line.version = self.sent;
         Some(line)
     }
 
-    /// The next line that fills buckets; to be called only when all changes have been sent.
+    /// The next line that fills buckets. Call only once all changes have been sent.
     pub(crate) fn next_filling(&mut self, directory: &Directory) -> Option<ScopedLine> {
         let fill = self.fill.next_line(directory, MAX_BUCKETS_ON_LINE)?;
         self.sent = directory.version();
@@ -144,7 +146,7 @@
         })
     }
 
-    /// A line with just the current version; to be called only when all changes have been sent.
+    /// A line with only the current version. Call only once all changes have been sent.
     pub(crate) fn version_line(&mut self, directory: &Directory) -> ScopedLine {
         self.sent = directory.version();
         ScopedLine {
@@ -165,8 +167,8 @@
         self.fill.remove(bucket);
     }
 
-    /// A watcher so slow that removals are forgotten before they were sent to it is sent everything again.
-    fn restart_if_removals_are_forgotten(&mut self, directory: &Directory) {
+    /// Sends everything again to a watcher so slow that removals were purged before they could be sent to it.
+    fn resend_all_if_removals_were_purged(&mut self, directory: &Directory) {
         let has_unsent = self.pending.needs_rescan() || !self.pending.is_empty();
         if !has_unsent || self.sent >= directory.forgotten() {
             return;
@@ -179,18 +181,18 @@
         }
     }
 
-    /// Lists the entries to be sent, each once, in the order of their versions.
+    /// Lists the changed entries to send, without duplicates and sorted by version.
     fn collect_pending(&mut self, directory: &Directory) {
         let mut pending = if self.pending.needs_rescan() {
-            PendingChanges::listed(self.later_than_sent(directory))
+            PendingChanges::listed(self.entries_after_sent(directory))
         } else {
             std::mem::replace(&mut self.pending, PendingChanges::listed(Vec::new()))
         };
-        pending.order(directory, |index| self.is_in_scope(index, directory));
+        pending.filter_and_sort(directory, |index| self.is_sent_as_change(index, directory));
         self.pending = pending;
     }
 
-    fn later_than_sent(&self, directory: &Directory) -> Vec<EntryIndex> {
+    fn entries_after_sent(&self, directory: &Directory) -> Vec<EntryIndex> {
         let entries = directory.entries();
         let held = self
             .held
@@ -201,8 +203,8 @@
             .collect()
     }
 
-    /// Whether a change of the entry is sent as such: a change that a fill will send is not sent before.
-    fn is_in_scope(&self, index: EntryIndex, directory: &Directory) -> bool {
+    /// Whether a change of the entry is sent as a change. A change that a fill will contain is left to the fill.
+    fn is_sent_as_change(&self, index: EntryIndex, directory: &Directory) -> bool {
         let entries = directory.entries();
         let destination = entries.destination(index);
         if destination.is_some_and(|destination| self.cached.contains(&destination)) {
@@ -216,7 +218,7 @@
             && gained_at.is_none_or(|gained| entries.version(index) > Some(gained))
     }
 
-    /// The version up to which all has been sent, given what is still pending.
+    /// The version up to which all changes have been sent, given those still pending.
     fn version_after(&self, directory: &Directory) -> Version {
         match self.pending.first_version(directory) {
             Some(next) => self.sent.max(Version(next.0 - 1)),
@@ -225,7 +227,7 @@
     }
 
     fn new_line(&self, directory: &Directory) -> ScopedLine {
-        let log = if self.begun {
+        let log = if self.first_line_sent {
             String::new()
         } else {
             directory.log().0.clone()
@@ -247,7 +249,7 @@
         .collect()
 }
 
-/// Takes the first buckets, as many as a line may name.
+/// Removes and returns the first [`MAX_BUCKETS_ON_LINE`] buckets.
 fn take_first(buckets: &mut BTreeSet<BucketId>) -> Vec<BucketId> {
     std::iter::from_fn(|| buckets.pop_first())
         .take(MAX_BUCKETS_ON_LINE)
--- a/crates/directory/src/pending_changes.rs
+++ b/crates/directory/src/pending_changes.rs
@@ -1,22 +1,22 @@
-//! Which entries have changed and were not sent to a watcher yet.
+//! The changed entries that have not been sent to a watcher yet.
 
 use crate::entries::EntryIndex;
 use crate::line::{EndpointEntry, Version};
 use crate::line_budget::LineBudget;
 use crate::state::Directory;
 
-/// The most entries that are listed; where more change, the scope is scanned for them.
+/// The maximum number of listed entries. If more change, the list is dropped and the scope is scanned instead.
 const MAX_PENDING: usize = 4096;
 
 pub(crate) struct PendingChanges {
     entries: Vec<EntryIndex>,
-    /// The list is not complete: every entry in the scope that is later than the version sent is pending.
+    /// The list is incomplete: all entries in the scope with a later version than the one sent are pending.
     rescan: bool,
 }
 
 impl PendingChanges {
-    /// Nothing is listed, and the scope has to be scanned.
-    pub(crate) fn unlisted() -> PendingChanges {
+    /// An empty list that is incomplete, so the scope has to be scanned.
+    pub(crate) fn incomplete() -> PendingChanges {
         PendingChanges {
             entries: Vec::new(),
             rescan: true,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether nothing is listed.
+    /// Whether no entries are listed.
     pub(crate) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -50,15 +50,19 @@
         }
     }
 
-    /// Keeps the entries in the scope, each once, in the order of their versions.
-    pub(crate) fn order(&mut self, directory: &Directory, in_scope: impl Fn(EntryIndex) -> bool) {
+    /// Removes duplicates and entries outside the scope, and sorts the rest by version.
+    pub(crate) fn filter_and_sort(
+        &mut self,
+        directory: &Directory,
+        in_scope: impl Fn(EntryIndex) -> bool,
+    ) {
         self.entries.retain(|index| in_scope(*index));
         self.entries
             .sort_unstable_by_key(|index| (directory.entries().version(*index), *index));
         self.entries.dedup();
     }
 
-    /// Takes as many of the first entries as the budget allows.
+    /// Removes and returns as many of the first entries as fit into the budget.
     pub(crate) fn take(
         &mut self,
         directory: &Directory,
@@ -79,7 +83,7 @@
         taken
     }
 
-    /// The version of the first entry.
+    /// The version of the first listed entry.
     pub(crate) fn first_version(&self, directory: &Directory) -> Option<Version> {
         let first = self.entries.first()?;
         directory.entries().version(*first)
--- a/crates/directory/src/rate_limiter.rs
+++ b/crates/directory/src/rate_limiter.rs
@@ -1,6 +1,6 @@
-//! A rate limiter: a token bucket that bounds the bytes a second that fills take of a network.
+//! A token bucket that limits the network bandwidth of bucket fills and transfers.
 
-/// Nanoseconds since a moment that all callers agree on.
+/// Nanoseconds since an arbitrary point in time that is the same for all callers.
 pub type Nanos = u64;
 
 const NANOS_PER_SECOND: f64 = 1e9;
@@ -8,13 +8,13 @@
 /// The limits of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// How fast the bucket refills.
+    /// The rate at which the bucket refills.
     pub bytes_per_second: u64,
-    /// What a full bucket holds.
+    /// The capacity of the bucket.
     pub burst_bytes: u64,
 }
 
-/// A token bucket that the last line may overdraw, so that a line is never too long for it.
+/// A token bucket that a line may overdraw, so that a line longer than the capacity can still be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     limits: RateLimit,
@@ -23,7 +23,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(limits: RateLimit, now: Nanos) -> TokenBucket {
         TokenBucket {
             limits,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Whether a line may be sent now.
-    pub(crate) fn is_open(&mut self, now: Nanos) -> bool {
+    /// Refills the bucket, and returns whether a line may be sent now.
+    pub(crate) fn has_tokens(&mut self, now: Nanos) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at) as f64 / NANOS_PER_SECOND;
         let tokens = self.tokens + elapsed * self.limits.bytes_per_second as f64;
         self.tokens = tokens.min(self.limits.burst_bytes as f64);
@@ -41,7 +41,7 @@
         self.tokens > 0.0
     }
 
-    /// Accounts for a line that is sent.
+    /// Takes the tokens for a line that is sent.
     pub(crate) fn take(&mut self, bytes: usize) {
         self.tokens -= bytes as f64;
     }
--- a/crates/directory/src/request.rs
+++ b/crates/directory/src/request.rs
@@ -1,4 +1,4 @@
-//! The requests for `/api/targets`, decoded from the query of their target.
+//! Requests to `/api/targets`, parsed from the query of the request target.
 
 use crate::line::Version;
 use crate::state::LogId;
@@ -9,56 +9,56 @@
 /// A request for the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TargetsRequest {
-    /// For all changes from a version on.
+    /// Watches all changes after a version.
     Watch(WatchRequest),
-    /// For the entries of some destinations.
+    /// Looks up the entries of some destinations.
     LookUp(LookUpRequest),
 }
 
-/// A request for all changes from a version on.
+/// A request for all changes after a version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchRequest {
-    /// The version up to which all is known.
+    /// The watcher knows all changes up to this version.
     pub since: Version,
-    /// The log that the version counts.
+    /// The log to which the version belongs.
     pub log: Option<LogId>,
-    /// What the watch is to send.
+    /// The part of the configuration to watch.
     pub scope: RequestedScope,
 }
 
-/// Whose scope a watch has, and what of it is known.
+/// The requested scope of a watch, and the parts of it that the watcher already knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestedScope {
-    /// What one dispatcher needs.
+    /// The buckets and cached destinations of one dispatcher.
     Member {
         /// The dispatcher.
         name: MemberName,
-        /// Buckets of which it knows every entry.
+        /// The buckets of which the dispatcher knows every entry.
         buckets: BTreeSet<BucketId>,
-        /// Destinations outside of its buckets that it caches.
+        /// The destinations outside of its buckets that the dispatcher caches; `cells` in the query.
         destinations: BTreeSet<u64>,
     },
-    /// The complete configuration, for a control process that follows.
+    /// The complete configuration, for a follower.
     Complete,
 }
 
-/// A request for destinations that are in no bucket of the dispatcher; its watch sends their changes from then on.
+/// A request for destinations outside of the dispatcher's buckets. From then on, its watch also sends their changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LookUpRequest {
-    /// The dispatcher, which has a watch here.
+    /// The dispatcher, which must have an open watch on this process.
     pub dispatcher: MemberName,
-    /// The destinations.
+    /// The destinations; `cells` in the query.
     pub destinations: BTreeSet<u64>,
-    /// Destinations whose changes are not needed any more.
+    /// Destinations whose changes are no longer needed.
     pub forget: BTreeSet<u64>,
 }
 
-/// A field of the query is missing or cannot be read.
+/// A field of the query is missing or invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidRequest {
     /// The field of the query.
     pub field: &'static str,
-    /// The form that it has to have.
+    /// The expected form of the value.
     pub expected: &'static str,
 }
 
@@ -70,7 +70,7 @@
 
 impl std::error::Error for InvalidRequest {}
 
-/// The fields of a query. Unknown ones are ignored: a later dispatcher may send more.
+/// The fields of a query. Unknown fields are ignored, since dispatchers of later versions may send more.
 #[derive(Default)]
 struct Fields {
     follow: bool,
@@ -84,7 +84,7 @@
 }
 
 impl TargetsRequest {
-    /// Reads the query of a request's target: what follows the question mark.
+    /// Parses the query of a request target, which is the part after the question mark.
     pub fn parse(query: &str) -> Result<TargetsRequest, InvalidRequest> {
         let fields = Fields::parse(query)?;
         if !fields.follow {
--- a/crates/directory/src/snapshot.rs
+++ b/crates/directory/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the configuration: a sequence of parts, each encoded by itself, from a first one to a last one.
+//! Snapshots of the configuration. A snapshot is a sequence of separately encoded parts, from a head to an end.
 
 use crate::line::EndpointEntry;
 use crate::record::{self, InvalidRecord};
@@ -6,9 +6,9 @@
 use bellsill_placement::{AssignmentTable, Layout, Member};
 use serde::{Deserialize, Serialize};
 
-/// The version of the format of the parts.
+/// The format version of the parts.
 const FORMAT: u32 = 1;
-/// The most endpoints in one part.
+/// The maximum number of endpoints in one part.
 const MAX_ENDPOINTS_IN_PART: usize = 1000;
 
 /// One part of a snapshot.
@@ -17,16 +17,16 @@
 pub enum SnapshotPart {
     /// The first part.
     Head {
-        /// The version of the format of the parts.
+        /// The format version of the parts.
         format: u32,
-        /// The point in the log that the snapshot is of.
+        /// The point in the log at which the snapshot was taken.
         point: RestorePoint,
-        /// The layout that bucket numbers refer to.
+        /// The layout to which bucket numbers refer.
         layout: Layout,
     },
-    /// All members, then the assignment of buckets to them.
+    /// All members, and the assignment of buckets to them.
     Members {
-        /// Present or not.
+        /// The declared dispatchers, present or not.
         members: Vec<Member>,
         /// The assignment.
         table: AssignmentTable,
@@ -35,23 +35,23 @@
     Endpoints(Vec<EndpointEntry>),
     /// The last part.
     End {
-        /// How many endpoints all parts have.
+        /// The total number of endpoints in all parts.
         endpoints: usize,
     },
 }
 
-/// Why a snapshot is rejected; nothing of it is used.
+/// Why a snapshot is rejected. No part of a rejected snapshot is used.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SnapshotError {
     /// A part cannot be decoded.
     Part(InvalidRecord),
-    /// The format has another version.
+    /// The snapshot has another format version.
     UnknownFormat(u32),
-    /// The zones or buckets are not those of this process.
+    /// The zones or buckets differ from those configured for this process.
     LayoutMismatch,
-    /// Parts are missing, or in another order than they were written in.
+    /// Parts are missing or out of order.
     OutOfOrder,
-    /// The last part is missing, or its count of endpoints is not theirs.
+    /// The last part is missing, or its count of endpoints differs from the number read.
     Incomplete,
     /// The content of a part is rejected.
     Apply(ApplyError),
@@ -60,20 +60,24 @@
 impl std::fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            SnapshotError::Part(error) => write!(f, "a part cannot be read: {error}"),
+            SnapshotError::Part(error) => write!(f, "invalid part: {error}"),
             SnapshotError::UnknownFormat(format) => {
                 write!(
                     f,
-                    "its format is {format}, this program reads {FORMAT}; run the program that wrote it"
+                    "format version {format} is not supported, expected {FORMAT}; run the program version that \
+                     wrote it"
                 )
             }
             SnapshotError::LayoutMismatch => write!(
                 f,
-                "its zones or buckets_per_region are others than those configured; set them as they were, \
-                 or begin with an empty state directory"
+                "its zones or buckets_per_region differ from the configured ones; restore the earlier settings, \
+                 or start with an empty state directory"
+            ),
+            SnapshotError::OutOfOrder => write!(f, "it is damaged: its parts are out of order"),
+            SnapshotError::Incomplete => write!(
+                f,
+                "it is damaged: its end or some of its endpoints are missing"
             ),
-            SnapshotError::OutOfOrder => write!(f, "its parts are out of order: it is damaged"),
-            SnapshotError::Incomplete => write!(f, "its end is missing: it is damaged"),
             SnapshotError::Apply(error) => write!(f, "{error}"),
         }
     }
@@ -89,7 +93,7 @@
     }
 }
 
-/// The parts of a snapshot, encoded, in their order.
+/// The encoded parts of a snapshot, in order.
 pub fn encoded_parts(directory: &Directory) -> impl Iterator<Item = Vec<u8>> {
     let head = SnapshotPart::Head {
         format: FORMAT,
@@ -124,10 +128,10 @@
     })
 }
 
-/// Reads a snapshot part by part.
+/// Restores a directory from the parts of a snapshot.
 pub struct SnapshotReader {
     layout: Layout,
-    keeping: Retention,
+    retention: Retention,
     restore: Option<Restore>,
     has_members: bool,
     endpoints: usize,
@@ -135,11 +139,11 @@
 }
 
 impl SnapshotReader {
-    /// A reader of snapshots with this layout.
-    pub fn new(layout: Layout, keeping: Retention) -> SnapshotReader {
+    /// Creates a reader that accepts snapshots with this layout.
+    pub fn new(layout: Layout, retention: Retention) -> SnapshotReader {
         SnapshotReader {
             layout,
-            keeping,
+            retention,
             restore: None,
             has_members: false,
             endpoints: 0,
@@ -198,11 +202,11 @@
         if layout != self.layout {
             return Err(SnapshotError::LayoutMismatch);
         }
-        self.restore = Some(Restore::begin(layout, point, self.keeping));
+        self.restore = Some(Restore::begin(layout, point, self.retention));
         Ok(())
     }
 
-    /// The directory, once the last part has been read.
+    /// Returns the directory, or an error if the last part has not been read.
     pub fn finish(self) -> Result<Directory, SnapshotError> {
         let restore = self.restore.filter(|_| self.ended);
         restore
--- a/crates/directory/src/state.rs
+++ b/crates/directory/src/state.rs
@@ -1,4 +1,4 @@
-//! The configuration as one control process has it: endpoints, members and the assignment, at one version.
+//! The configuration of one control process at one version: endpoints, members and the assignment.
 
 mod bounds;
 mod directory;
--- a/crates/directory/src/state/bounds.rs
+++ b/crates/directory/src/state/bounds.rs
@@ -1,19 +1,20 @@
-//! Bounds on what a directory holds.
+//! Limits on the content of a directory.
 
 use crate::history;
 
-/// The most removed endpoints that are retained, so that a watcher that was disconnected learns of their removal.
+/// The default maximum number of retained removed endpoints. They are retained so that a watcher that was disconnected
+/// is sent their removal.
 pub const MAX_REMOVED_ENDPOINTS: usize = 100_000;
 
-/// The most members: all of them are on the line that begins a transfer.
+/// The maximum number of members. It is limited since the first line of a transfer contains all of them.
 pub const MAX_MEMBERS: usize = 10_000;
 
-/// Bounds on what a directory retains of the past.
+/// Limits on the past changes that a directory retains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Retention {
-    /// Changes that are retained for control processes that follow.
+    /// The maximum number of changes retained for followers.
     pub changes: usize,
-    /// Removed endpoints.
+    /// The maximum number of retained removed endpoints.
     pub removed: usize,
 }
 
--- a/crates/directory/src/state/directory.rs
+++ b/crates/directory/src/state/directory.rs
@@ -15,14 +15,14 @@
 };
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// What a record has changed.
+/// The effect of an applied record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// These endpoints are new or differ from before.
+    /// These endpoints are new or changed.
     Endpoints(Vec<EntryIndex>),
-    /// Some members are new or differ from before; the assignment is as it was.
+    /// Some members are new or changed. The assignment is unchanged.
     Members,
-    /// These members have other buckets.
+    /// The buckets of these members may have changed.
     Assignment(BTreeSet<MemberName>),
 }
 
@@ -40,18 +40,19 @@
 }
 
 impl Directory {
-    /// An empty configuration, at the beginning of a log.
-    pub fn new(layout: Layout, log: LogId, keeping: Retention) -> Directory {
+    /// Creates an empty configuration at the beginning of a log.
+    pub fn new(layout: Layout, log: LogId, retention: Retention) -> Directory {
         let start = RestorePoint {
             log,
             version: Version(0),
             forgotten: Version(0),
         };
-        Directory::at(layout, start, keeping)
+        Directory::at(layout, start, retention)
     }
 
-    /// An empty configuration at a version of a log, to be filled with what there was at that version.
-    pub(super) fn at(layout: Layout, point: RestorePoint, keeping: Retention) -> Directory {
+    /// Creates an empty configuration at a point in a log; [`Restore`](super::restore::Restore) adds the content at
+    /// that point.
+    pub(super) fn at(layout: Layout, point: RestorePoint, retention: Retention) -> Directory {
         Directory {
             log: point.log,
             version: point.version,
@@ -60,17 +61,17 @@
             member_indices: HashMap::new(),
             assignment: Assignment::empty(layout.clone()),
             layout,
-            removals: Removals::new(point.forgotten, keeping.removed),
-            history: History::new(point.version, keeping.changes),
+            removals: Removals::new(point.forgotten, retention.removed),
+            history: History::new(point.version, retention.changes),
         }
     }
 
-    /// The log that the version counts.
+    /// The log to which the version belongs.
     pub fn log(&self) -> &LogId {
         &self.log
     }
 
-    /// The version of the last record that was applied.
+    /// The version of the last applied record.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -80,7 +81,7 @@
         &self.layout
     }
 
-    /// All endpoints, with removed ones that are not forgotten.
+    /// All endpoints, including removed ones that have not been purged.
     pub fn entries(&self) -> &EntryTable {
         &self.entries
     }
@@ -96,7 +97,7 @@
         Some(&self.members[*index])
     }
 
-    /// Which dispatchers hold which buckets.
+    /// The assignment of buckets to dispatchers.
     pub fn assignment(&self) -> &Assignment {
         &self.assignment
     }
@@ -106,17 +107,17 @@
         self.assignment.epoch()
     }
 
-    /// The latest records.
+    /// The retained latest records.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Removals up to this version may be forgotten: a watcher that knows less is sent everything again.
+    /// Removals up to this version may have been purged. A watcher with an older version is sent everything again.
     pub fn forgotten(&self) -> Version {
         self.removals.forgotten()
     }
 
-    /// Whether a watcher that knows this version of this log can be sent just the changes in its scope.
+    /// Whether a watcher that knows this version of this log needs only the later changes in its scope.
     pub fn can_resume_from(&self, log: Option<&LogId>, since: Version) -> bool {
         log == Some(&self.log) && since >= self.forgotten()
     }
@@ -126,7 +127,7 @@
         self.assignment.buckets_of(member).iter().copied().collect()
     }
 
-    /// The endpoints of a destination in all regions, with removed ones.
+    /// The endpoints of a destination in all regions, including removed ones.
     pub fn of_destination(&self, destination: u64) -> Vec<EntryIndex> {
         let buckets = self
             .layout
@@ -138,7 +139,7 @@
             .collect()
     }
 
-    /// The entries of these destinations, without removed ones, as a lookup answers them.
+    /// The entries of these destinations for the response to a lookup, without removed ones.
     pub fn look_up(&self, destinations: &[u64]) -> Vec<EndpointEntry> {
         let indexes = destinations
             .iter()
@@ -150,23 +151,23 @@
             .collect()
     }
 
-    /// Checks endpoints that are to be written together; the error has the index of the first that is rejected.
+    /// Checks endpoints that are to be written together. The error contains the index of the first that is rejected.
     pub fn check_endpoints(&self, endpoints: &[Endpoint]) -> Result<(), (usize, EndpointError)> {
         self.entries
             .check_capacity(endpoints)
             .map_err(|full| (0, EndpointError::Full(full)))?;
-        let mut named: HashMap<&str, (u64, BucketId)> = HashMap::new();
+        let mut locations: HashMap<&str, (u64, BucketId)> = HashMap::new();
         for (index, endpoint) in endpoints.iter().enumerate() {
             let bucket = self.bucket_for(endpoint).map_err(|error| (index, error))?;
-            let home = (endpoint.destination, bucket);
-            if *named.entry(&endpoint.id).or_insert(home) != home {
+            let location = (endpoint.destination, bucket);
+            if *locations.entry(&endpoint.id).or_insert(location) != location {
                 return Err((index, EndpointError::Moved(endpoint.id.clone())));
             }
         }
         Ok(())
     }
 
-    /// Checks members that are to be written together; the error has the index of the first that is rejected.
+    /// Checks members that are to be written together. The error contains the index of the first that is rejected.
     pub fn check_members(&self, members: &[Member]) -> Result<(), (usize, MemberError)> {
         let mut new = HashSet::new();
         for (index, member) in members.iter().enumerate() {
@@ -195,13 +196,13 @@
         }
     }
 
-    /// The change that the members present call for, where there is one.
+    /// Plans the change of the assignment for the members that are present, or `None` if no change is needed.
     pub fn plan(&self) -> Result<Option<AssignmentChange>, PlacementError> {
         let change = self.assignment.plan(&self.members)?;
         Ok(Some(change).filter(|change| !change.is_empty()))
     }
 
-    /// Applies the next record: all of it or nothing.
+    /// Applies the next record. A rejected record changes nothing.
     pub fn apply(&mut self, logged: &LoggedRecord) -> Result<Applied, ApplyError> {
         let expected = Version(self.version.0 + 1);
         if logged.version != expected {
@@ -235,7 +236,7 @@
         };
         self.version = logged.version;
         self.history.push(logged);
-        self.removals.forget_oldest(&mut self.entries);
+        self.removals.purge_oldest(&mut self.entries);
         Ok(applied)
     }
 
@@ -302,14 +303,14 @@
             .collect()
     }
 
-    /// Replaces the assignment by one of the same layout.
+    /// Replaces the assignment with one of the same layout.
     pub(super) fn set_assignment(&mut self, assignment: Assignment) {
         self.assignment = assignment;
     }
 
-    /// Endpoints were added in any order: orders the removals among them, and forgets the oldest over the bound.
-    pub(super) fn order_removals(&mut self) {
+    /// Sorts the removals by version, after endpoints were added in any order, and purges the oldest over the limit.
+    pub(super) fn sort_removals(&mut self) {
         self.removals.sort();
-        self.removals.forget_oldest(&mut self.entries);
+        self.removals.purge_oldest(&mut self.entries);
     }
 }
--- a/crates/directory/src/state/error.rs
+++ b/crates/directory/src/state/error.rs
@@ -9,11 +9,11 @@
 /// Why an endpoint is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointError {
-    /// The layout does not have this zone.
+    /// The layout does not contain this zone.
     UnknownZone(String),
-    /// A known endpoint is named with another destination, or in another region.
+    /// An existing endpoint is declared with another destination, or in another region.
     Moved(String),
-    /// The table has no capacity for it.
+    /// The table has no capacity left.
     Full(TableFull),
 }
 
@@ -47,13 +47,13 @@
 /// Why a member is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberError {
-    /// The name has characters that are not allowed, or a length that is not.
+    /// The name contains characters that are not allowed, is empty or is too long.
     Name(String),
-    /// The layout does not have this zone.
+    /// The layout does not contain this zone.
     UnknownZone(String),
     /// The weight is out of range.
     Weight(f64),
-    /// There would be more than [`MAX_MEMBERS`].
+    /// There would be more than [`MAX_MEMBERS`] members.
     TooMany,
 }
 
@@ -85,12 +85,12 @@
 
 impl std::error::Error for MemberError {}
 
-/// Why a record is not applied; the directory stays as it was.
+/// Why a record is not applied. The directory is unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApplyError {
-    /// A record is not the next one, or an endpoint is later than its snapshot or transfer.
+    /// A record is not the next one, or an endpoint has a later version than its snapshot or transfer.
     VersionOutOfOrder {
-        /// The version that was expected, or the latest possible.
+        /// The expected version of a record, or the latest possible version of an endpoint.
         expected: Version,
         /// The version of the record or endpoint.
         found: Version,
@@ -101,11 +101,11 @@
     Member(MemberError),
     /// A change of the assignment is rejected.
     Placement(PlacementError),
-    /// The table of a snapshot or transfer is rejected.
+    /// The assignment table of a snapshot or transfer is rejected.
     Table(TableError),
-    /// The zones or buckets are not those of this process.
+    /// The zones or buckets differ from those configured for this process.
     LayoutMismatch,
-    /// An endpoint of a snapshot or transfer cannot be read.
+    /// An endpoint of a snapshot or transfer is invalid.
     Entry(InvalidEntry),
 }
 
--- a/crates/directory/src/state/point.rs
+++ b/crates/directory/src/state/point.rs
@@ -1,23 +1,23 @@
-//! Points in the log of the configuration.
+//! A point in the log of the configuration.
 
 use crate::line::Version;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a log of the configuration. Versions of one log mean nothing in another one.
+/// Identifies a log of the configuration. Versions of different logs cannot be compared.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LogId(
-    /// Random, assigned when the log begins.
+    /// A random value, assigned when the log is created.
     pub String,
 );
 
-/// The point in the log that a snapshot or transfer is of.
+/// The point in the log at which a snapshot was taken or a transfer began.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RestorePoint {
-    /// The log that the versions count.
+    /// The log to which the versions belong.
     pub log: LogId,
-    /// All records up to this version are contained.
+    /// All records up to this version are included.
     pub version: Version,
-    /// Removals up to this version may be missing.
+    /// Endpoints that were removed up to this version may have been purged, and are then omitted.
     pub forgotten: Version,
 }
--- a/crates/directory/src/state/removals.rs
+++ b/crates/directory/src/state/removals.rs
@@ -1,23 +1,24 @@
-//! Removed endpoints that are still in the table, and how far they may be forgotten.
+//! Removed endpoints that are still in the table, and the version up to which removals may have been purged.
 
 use crate::entries::{EntryIndex, EntryTable};
 use crate::line::{EndpointState, Version};
 use std::collections::VecDeque;
 
 pub(super) struct Removals {
-    /// The oldest first. An endpoint that is up again stays listed, and is skipped when it is the oldest.
+    /// Sorted by age, oldest first. An endpoint that is no longer removed stays listed, and is skipped once it is the
+    /// oldest.
     removed: VecDeque<(Version, EntryIndex)>,
-    /// Removals up to this version may be forgotten.
+    /// Removals up to this version may have been purged.
     forgotten: Version,
-    most_removed: usize,
+    max_removed: usize,
 }
 
 impl Removals {
-    pub(super) fn new(forgotten: Version, most_removed: usize) -> Removals {
+    pub(super) fn new(forgotten: Version, max_removed: usize) -> Removals {
         Removals {
             removed: VecDeque::new(),
             forgotten,
-            most_removed,
+            max_removed,
         }
     }
 
@@ -29,14 +30,14 @@
         self.removed.push_back((version, index));
     }
 
-    /// Orders removals that were added in any order.
+    /// Sorts removals that were added in any order.
     pub(super) fn sort(&mut self) {
         self.removed.make_contiguous().sort_unstable();
     }
 
-    /// Takes the oldest removed endpoints over the bound out of the table.
-    pub(super) fn forget_oldest(&mut self, entries: &mut EntryTable) {
-        while self.removed.len() > self.most_removed {
+    /// Removes the oldest removed endpoints from the table while there are more than the maximum.
+    pub(super) fn purge_oldest(&mut self, entries: &mut EntryTable) {
+        while self.removed.len() > self.max_removed {
             let Some((version, index)) = self.removed.pop_front() else {
                 return;
             };
--- a/crates/directory/src/state/restore.rs
+++ b/crates/directory/src/state/restore.rs
@@ -1,4 +1,4 @@
-//! Builds a directory from a snapshot, or from what the leader transfers.
+//! Builds a directory from a snapshot, or from a transfer by the leader.
 
 use super::bounds::Retention;
 use super::directory::Directory;
@@ -9,20 +9,20 @@
 use crate::record::LoggedRecord;
 use bellsill_placement::{Assignment, AssignmentTable, Layout, Member};
 
-/// A directory that is being built from a snapshot, or from what the leader transfers.
+/// A directory that is being built from a snapshot, or from a transfer by the leader.
 pub struct Restore {
     directory: Directory,
 }
 
 impl Restore {
-    /// Begins with an empty directory at this point.
-    pub fn begin(layout: Layout, point: RestorePoint, keeping: Retention) -> Restore {
+    /// Starts with an empty directory at this point in a log.
+    pub fn begin(layout: Layout, point: RestorePoint, retention: Retention) -> Restore {
         Restore {
-            directory: Directory::at(layout, point, keeping),
+            directory: Directory::at(layout, point, retention),
         }
     }
 
-    /// The version of the directory so far.
+    /// The current version of the directory.
     pub fn version(&self) -> Version {
         self.directory.version()
     }
@@ -38,7 +38,7 @@
         Ok(())
     }
 
-    /// Adds the assignment; its members have to be added before.
+    /// Sets the assignment. The members must have been added before.
     pub fn set_assignment(&mut self, table: &AssignmentTable) -> Result<(), ApplyError> {
         if table.layout != *self.directory.layout() {
             return Err(ApplyError::LayoutMismatch);
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Adds an endpoint, unless it is known in a later version already.
+    /// Adds an endpoint, unless the directory already has the same or a later version of it.
     pub fn add_endpoint(&mut self, entry: EndpointEntry) -> Result<(), ApplyError> {
         let version = entry.version;
         if version > self.version() {
@@ -75,14 +75,14 @@
         Ok(())
     }
 
-    /// Applies a record that follows the version so far.
+    /// Applies the record that follows the current version.
     pub fn apply(&mut self, logged: &LoggedRecord) -> Result<(), ApplyError> {
         self.directory.apply(logged).map(drop)
     }
 
-    /// The complete directory.
+    /// Returns the complete directory.
     pub fn finish(mut self) -> Directory {
-        self.directory.order_removals();
+        self.directory.sort_removals();
         self.directory
     }
 }
--- a/crates/directory/src/watchers.rs
+++ b/crates/directory/src/watchers.rs
@@ -1,4 +1,4 @@
-//! All watchers of one control process, indexed by what they have to be sent.
+//! All watchers of one control process, indexed by the changes that they need.
 
 use crate::entries::EntryIndex;
 use crate::feed::{Feed, FeedLine, Scope};
@@ -9,29 +9,30 @@
 use bellsill_placement::MemberName;
 use std::collections::{BTreeSet, HashMap};
 
-/// Identifies a watcher; never reused.
+/// Identifies a watcher. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WatcherId(u64);
 
-/// Why a watch is not opened, or a lookup not answered.
+/// Why a watch or a lookup is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRejected {
     /// The dispatcher is not a declared member.
     NotMember,
-    /// The dispatcher has no watch here.
+    /// The dispatcher has no open watch on this process.
     NoWatch,
-    /// The watch would have too many destinations outside of its buckets.
+    /// The watch would have more than the maximum number of cached destinations.
     TooManyDestinations,
-    /// The watch knows more than this process has: an answer might be older than what the dispatcher had before.
+    /// The watcher knows a later version than this process has, so the response could be older than what the dispatcher
+    /// has.
     Behind,
 }
 
-/// A watch that was opened.
+/// The result of opening a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedWatch {
     /// The new watch.
     pub id: WatcherId,
-    /// The earlier watch of the same dispatcher, which is closed.
+    /// The earlier watch of the same dispatcher, which has been closed.
     pub replaced: Option<WatcherId>,
 }
 
@@ -41,14 +42,14 @@
     by_member: HashMap<MemberName, WatcherId>,
     by_destination: HashMap<u64, BTreeSet<WatcherId>>,
     followers: BTreeSet<WatcherId>,
-    /// Those that may have a line to be sent.
+    /// The watchers that may have a line to send.
     ready: BTreeSet<WatcherId>,
     last_id: u64,
     fill_rate: RateLimit,
 }
 
 impl Watchers {
-    /// No watchers yet; the buckets of each will be filled at this rate.
+    /// Creates an empty set of watchers. `fill_rate` limits the bucket fills of each dispatcher.
     pub fn new(fill_rate: RateLimit) -> Watchers {
         Watchers {
             feeds: HashMap::new(),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// How many watchers there are.
+    /// The number of watchers.
     pub fn len(&self) -> usize {
         self.feeds.len()
     }
@@ -71,27 +72,27 @@
         self.feeds.is_empty()
     }
 
-    /// How many watchers are control processes that follow this one.
+    /// The number of watchers that are followers.
     pub fn followers(&self) -> usize {
         self.followers.len()
     }
 
-    /// The watcher with this id, if its watch is open.
+    /// The feed of this watcher, if its watch is open.
     pub fn get(&self, id: WatcherId) -> Option<&Feed> {
         self.feeds.get(&id)
     }
 
-    /// The watchers, in no particular order.
+    /// The ids of all watchers, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = WatcherId> {
         self.feeds.keys().copied()
     }
 
-    /// The dispatchers that have a watch here.
+    /// The dispatchers that have an open watch.
     pub fn members(&self) -> impl Iterator<Item = &MemberName> {
         self.by_member.keys()
     }
 
-    /// Opens a watch.
+    /// Opens a watch. An earlier watch of the same dispatcher is closed.
     pub fn open(
         &mut self,
         request: WatchRequest,
@@ -131,7 +132,7 @@
         Ok(OpenedWatch { id, replaced })
     }
 
-    /// Closes a watch.
+    /// Closes a watch, if it is open.
     pub fn close(&mut self, id: WatcherId) {
         let Some(feed) = self.feeds.remove(&id) else {
             return;
@@ -145,11 +146,11 @@
             self.by_member.remove(scope.name());
         }
         for destination in scope.cached() {
-            self.remove_from_index(*destination, id);
+            self.remove_from_destination_index(*destination, id);
         }
     }
 
-    /// Adds destinations to a dispatcher's watch, and removes others from it.
+    /// Adds cached destinations to a dispatcher's watch, and removes others.
     pub fn change_cached_destinations(
         &mut self,
         request: &LookUpRequest,
@@ -174,7 +175,7 @@
         }
         scope.change_cached(&request.destinations, &request.forget);
         for destination in &request.forget {
-            self.remove_from_index(*destination, id);
+            self.remove_from_destination_index(*destination, id);
         }
         for destination in &request.destinations {
             let watchers = self.by_destination.entry(*destination);
@@ -183,7 +184,7 @@
         Ok(())
     }
 
-    /// Notes the change for the watchers that it concerns; to be called after each record that the directory has applied.
+    /// Queues a change for the watchers that need it. Call after the directory has applied each record.
     pub fn record_applied(&mut self, applied: &Applied, directory: &Directory) {
         match applied {
             Applied::Endpoints(indexes) => {
@@ -195,28 +196,28 @@
             Applied::Assignment(affected) => {
                 affected
                     .iter()
-                    .for_each(|member| self.reassigned(member, directory));
+                    .for_each(|member| self.assignment_changed(member, directory));
             }
         }
         self.ready.extend(&self.followers);
     }
 
-    /// A watcher can be sent more now.
+    /// Marks a watcher whose connection can be sent more.
     pub fn mark_ready(&mut self, id: WatcherId) {
         self.ready.insert(id);
     }
 
-    /// Time has passed: any watcher may have a line to be sent.
+    /// Marks all watchers, since each may have a line that depends on the time, such as a heartbeat or a fill.
     pub fn mark_all_ready(&mut self) {
         self.ready.extend(self.feeds.keys());
     }
 
-    /// The watchers that may have a line to be sent, each once.
+    /// Takes the watchers that may have a line to send.
     pub fn take_ready(&mut self) -> BTreeSet<WatcherId> {
         std::mem::take(&mut self.ready)
     }
 
-    /// The next line for a watcher, where there is one now.
+    /// The next line for a watcher, if there is one now.
     pub fn next_line(
         &mut self,
         id: WatcherId,
@@ -233,11 +234,11 @@
             return;
         };
         let holders = directory.assignment().holders(bucket).into_iter().flatten();
-        let mut concerned: BTreeSet<WatcherId> = holders
+        let mut affected: BTreeSet<WatcherId> = holders
             .filter_map(|member| self.by_member.get(member).copied())
             .collect();
-        concerned.extend(self.by_destination.get(&destination).into_iter().flatten());
-        for id in concerned {
+        affected.extend(self.by_destination.get(&destination).into_iter().flatten());
+        for id in affected {
             if let Some(scope) = self.member_scope(id) {
                 scope.entry_changed(index);
                 self.ready.insert(id);
@@ -245,12 +246,12 @@
         }
     }
 
-    fn reassigned(&mut self, member: &MemberName, directory: &Directory) {
+    fn assignment_changed(&mut self, member: &MemberName, directory: &Directory) {
         let Some(id) = self.by_member.get(member).copied() else {
             return;
         };
         if let Some(scope) = self.member_scope(id) {
-            scope.reassigned(directory);
+            scope.assignment_changed(directory);
             self.ready.insert(id);
         }
     }
@@ -265,7 +266,7 @@
         }
     }
 
-    fn remove_from_index(&mut self, destination: u64, id: WatcherId) {
+    fn remove_from_destination_index(&mut self, destination: u64, id: WatcherId) {
         let Some(ids) = self.by_destination.get_mut(&destination) else {
             return;
         };
