--- a/crates/directory/tests/directory/feed.rs
+++ b/crates/directory/tests/directory/feed.rs
@@ -1,7 +1,7 @@
-//! What watchers are sent: first lines, changes, fills, and buckets that move between them.
+//! Tests of the lines sent to watchers: first lines, changes, fills, moved buckets and transfers.
 
 use crate::installation::{
-    BUCKETS_PER_REGION, Control, SECOND, endpoint, entries_sent, layout, member, watch,
+    BUCKETS_PER_REGION, ControlFixture, SECOND, endpoint, entries_sent, layout, member, watch,
 };
 use bellsill_directory::complete_line::{CompleteLine, TransferStep};
 use bellsill_directory::entry::Endpoint;
@@ -13,31 +13,31 @@
 use bellsill_directory::watchers::{WatchRejected, Watchers};
 use std::collections::BTreeSet;
 
-const FIRST: &str = "follow=1&since=0&dispatcher=north-a";
+const INITIAL_WATCH: &str = "follow=1&since=0&dispatcher=north-a";
 
-fn control() -> Control {
-    let mut control = Control::new(Retention::default());
+fn control_with_endpoints() -> ControlFixture {
+    let mut control = ControlFixture::new(Retention::default());
     control.write_endpoints(0..40, EndpointState::Up);
     control
 }
 
 #[test]
-fn a_first_start_gains_and_fills_every_bucket_of_the_dispatcher() {
-    let mut control = control();
-    let mut watcher = control.open(FIRST);
+fn an_initial_watch_gains_and_fills_every_bucket_of_the_dispatcher() {
+    let mut control = control_with_endpoints();
+    let mut watcher = control.open(INITIAL_WATCH);
     let lines = control.read(&mut watcher);
     assert_eq!(lines[0].log, "feed");
     assert_eq!(lines[0].epoch, Some(control.directory.epoch()));
     assert_eq!(lines[0].gained.len(), BUCKETS_PER_REGION as usize);
     assert!(lines[0].servers.is_empty(), "entries are sent by fills");
-    assert_eq!(watcher.held, control.directory.held_by(&"north-a".into()));
+    assert_eq!(watcher.filled, control.directory.held_by(&"north-a".into()));
     assert_eq!(watcher.entries.len(), 40);
     assert_eq!(watcher.version, control.directory.version());
 }
 
 #[test]
-fn a_dispatcher_of_another_region_is_sent_nothing_of_it() {
-    let mut control = control();
+fn a_dispatcher_is_not_sent_endpoints_of_another_region() {
+    let mut control = control_with_endpoints();
     let mut watcher = control.open("follow=1&since=0&dispatcher=south-a");
     let lines = control.read(&mut watcher);
     assert_eq!(entries_sent(&lines), Vec::<String>::new());
@@ -47,8 +47,8 @@
 
 #[test]
 fn a_change_is_sent_once_and_before_fills() {
-    let mut control = control();
-    let mut watcher = control.open(FIRST);
+    let mut control = control_with_endpoints();
+    let mut watcher = control.open(INITIAL_WATCH);
     control.write_endpoint(7, EndpointState::Draining);
     let lines = control.read(&mut watcher);
     let change = lines
@@ -59,7 +59,7 @@
     assert_eq!(
         entries_sent(&lines).len(),
         40,
-        "the fill leaves out what was sent as a change"
+        "the fill omits entries that were sent as changes"
     );
     control.write_endpoint(8, EndpointState::Removed);
     assert_eq!(entries_sent(&control.read(&mut watcher)), ["endpoint-8"]);
@@ -67,27 +67,27 @@
 }
 
 #[test]
-fn a_watch_resumes_after_since_without_a_complete_list() {
-    let mut control = control();
-    let mut watcher = control.open(FIRST);
+fn a_resumed_watch_is_sent_only_the_changes_after_since() {
+    let mut control = control_with_endpoints();
+    let mut watcher = control.open(INITIAL_WATCH);
     control.read(&mut watcher);
     control.watchers.close(watcher.id);
     control.write_endpoint(3, EndpointState::Draining);
     control.write_endpoint(3, EndpointState::Removed);
     control.write_endpoint(50, EndpointState::Up);
-    let mut again = control.open(&watcher.next_query("north-a", "feed"));
-    let lines = control.read(&mut again);
+    let mut resumed = control.open(&watcher.resume_query("north-a", "feed"));
+    let lines = control.read(&mut resumed);
     assert!(lines[0].gained.is_empty() && lines[0].lost.is_empty());
     assert_eq!(entries_sent(&lines), ["endpoint-3", "endpoint-50"]);
-    assert_eq!(again.entries["endpoint-3"].0, EndpointState::Removed);
+    assert_eq!(resumed.entries["endpoint-3"].0, EndpointState::Removed);
 }
 
 #[test]
-fn a_watch_that_broke_during_a_fill_resumes_with_the_remaining_buckets() {
-    let mut control = Control::new(Retention::default());
+fn a_watch_interrupted_during_a_fill_resumes_with_the_remaining_buckets() {
+    let mut control = ControlFixture::new(Retention::default());
     control.write_endpoints(0..900, EndpointState::Up);
-    let mut watcher = control.open(FIRST);
-    while watcher.held.len() < 4 {
+    let mut watcher = control.open(INITIAL_WATCH);
+    while watcher.filled.len() < 4 {
         let line = control
             .watchers
             .next_line(watcher.id, &control.directory, control.now);
@@ -96,22 +96,22 @@
             None => control.now += SECOND / 10,
         }
     }
-    let filled = watcher.held.clone();
-    let mut again = control.open(&watcher.next_query("north-a", "feed"));
-    let lines = control.read(&mut again);
+    let filled = watcher.filled.clone();
+    let mut resumed = control.open(&watcher.resume_query("north-a", "feed"));
+    let lines = control.read(&mut resumed);
     let gained: BTreeSet<_> = lines[0].gained.iter().copied().collect();
     assert!(gained.is_disjoint(&filled));
     assert_eq!(gained.len() + filled.len(), BUCKETS_PER_REGION as usize);
 }
 
 #[test]
-fn after_another_log_everything_is_sent_and_foreign_buckets_are_lost() {
-    let mut control = control();
-    let beside = Endpoint {
+fn a_watch_of_another_log_is_sent_everything_and_loses_buckets_not_held() {
+    let mut control = control_with_endpoints();
+    let outside_buckets = Endpoint {
         zone: "south-1".into(),
         ..endpoint(70, EndpointState::Up)
     };
-    control.write(Record::EndpointsChanged(vec![beside]));
+    control.write(Record::EndpointsChanged(vec![outside_buckets]));
     let mut watcher =
         control.open("follow=1&since=90000&log=another&dispatcher=north-a&buckets=0,1,15&cells=70");
     let lines = control.read(&mut watcher);
@@ -127,28 +127,28 @@
     assert_eq!(
         entries_sent(&lines[..1]),
         ["endpoint-70"],
-        "the cached destination is sent at once"
+        "the cached destination is on the first line"
     );
-    assert_eq!(watcher.held.len(), BUCKETS_PER_REGION as usize);
+    assert_eq!(watcher.filled.len(), BUCKETS_PER_REGION as usize);
 }
 
 #[test]
 fn moved_buckets_are_lost_gained_and_filled() {
-    let mut control = control();
-    let mut keeper = control.open("follow=1&since=0&dispatcher=north-a");
-    let mut newcomer_mate = control.open("follow=1&since=0&dispatcher=north-b");
-    control.read(&mut keeper);
-    control.read(&mut newcomer_mate);
+    let mut control = control_with_endpoints();
+    let mut remaining = control.open("follow=1&since=0&dispatcher=north-a");
+    let mut other_remaining = control.open("follow=1&since=0&dispatcher=north-b");
+    control.read(&mut remaining);
+    control.read(&mut other_remaining);
     control.write(Record::MembersChanged(vec![member("north-c", "north-1")]));
     control.assign();
-    let mut newcomer = control.open("follow=1&since=0&dispatcher=north-c");
-    let lines = control.read(&mut keeper);
+    let mut added = control.open("follow=1&since=0&dispatcher=north-c");
+    let lines = control.read(&mut remaining);
     assert_eq!(lines.len(), 1);
     assert!(!lines[0].lost.is_empty() && lines[0].gained.is_empty());
     assert_eq!(lines[0].epoch, Some(control.directory.epoch()));
-    control.read(&mut newcomer);
-    assert_eq!(newcomer.held, lines[0].lost.iter().copied().collect());
-    // The newcomer is absent: what it held moves back, and is filled with what changed meanwhile.
+    control.read(&mut added);
+    assert_eq!(added.filled, lines[0].lost.iter().copied().collect());
+    // Once the added member is absent, its buckets move back; the fill includes the change made in the meantime.
     let moved = control.directory.entries().in_bucket(lines[0].lost[0])[0];
     let number = control
         .directory
@@ -156,30 +156,33 @@
         .destination(moved)
         .expect("an endpoint");
     let changed = control.write_endpoint(number, EndpointState::Draining);
-    let gone = bellsill_placement::Member {
+    let absent = bellsill_placement::Member {
         present: false,
         ..member("north-c", "north-1")
     };
-    control.write(Record::MembersChanged(vec![gone]));
+    control.write(Record::MembersChanged(vec![absent]));
     control.assign();
     let id = format!("endpoint-{number}");
-    keeper.entries.clear();
-    let lines = control.read(&mut keeper);
+    remaining.entries.clear();
+    let lines = control.read(&mut remaining);
     assert!(!lines[0].gained.is_empty() && lines[0].lost.is_empty());
-    assert_eq!(keeper.entries[&id], (EndpointState::Draining, changed));
-    assert_eq!(keeper.held, control.directory.held_by(&"north-a".into()));
+    assert_eq!(remaining.entries[&id], (EndpointState::Draining, changed));
+    assert_eq!(
+        remaining.filled,
+        control.directory.held_by(&"north-a".into())
+    );
 }
 
 #[test]
-fn a_change_in_a_bucket_that_is_lost_first_is_not_sent() {
-    let mut control = control();
-    let mut keeper = control.open(FIRST);
-    control.read(&mut keeper);
+fn a_pending_change_in_a_lost_bucket_is_not_sent() {
+    let mut control = control_with_endpoints();
+    let mut remaining = control.open(INITIAL_WATCH);
+    control.read(&mut remaining);
     control.write_endpoints(0..40, EndpointState::Draining);
     control.write(Record::MembersChanged(vec![member("north-c", "north-1")]));
     control.assign();
     let held = control.directory.held_by(&"north-a".into());
-    let sent = entries_sent(&control.read(&mut keeper));
+    let sent = entries_sent(&control.read(&mut remaining));
     assert!(!sent.is_empty() && sent.len() < 40);
     for id in sent {
         let index = control.directory.entries().find(&id).expect("an endpoint");
@@ -191,31 +194,31 @@
 }
 
 #[test]
-fn after_changes_that_are_no_longer_retained_everything_is_sent() {
-    let mut control = Control::new(Retention {
+fn a_watch_resumed_before_purged_removals_is_sent_everything() {
+    let mut control = ControlFixture::new(Retention {
         changes: 10,
         removed: 5,
     });
     control.write_endpoints(0..40, EndpointState::Up);
-    let mut watcher = control.open(FIRST);
+    let mut watcher = control.open(INITIAL_WATCH);
     control.read(&mut watcher);
     control.watchers.close(watcher.id);
     control.write_endpoints(0..10, EndpointState::Removed);
     assert!(control.directory.forgotten() > watcher.version);
-    let mut again = control.open(&watcher.next_query("north-a", "feed"));
-    let lines = control.read(&mut again);
+    let mut resumed = control.open(&watcher.resume_query("north-a", "feed"));
+    let lines = control.read(&mut resumed);
     assert_eq!(lines[0].gained.len(), BUCKETS_PER_REGION as usize);
-    assert_eq!(again.entries.len(), 30);
+    assert_eq!(resumed.entries.len(), 30);
 }
 
 #[test]
-fn a_slow_watcher_whose_removals_are_forgotten_is_sent_everything() {
-    let mut control = Control::new(Retention {
+fn a_slow_watcher_is_sent_everything_after_unsent_removals_are_purged() {
+    let mut control = ControlFixture::new(Retention {
         changes: 10,
         removed: 5,
     });
     control.write_endpoints(0..40, EndpointState::Up);
-    let mut watcher = control.open(FIRST);
+    let mut watcher = control.open(INITIAL_WATCH);
     control.read(&mut watcher);
     control.write_endpoints(0..10, EndpointState::Removed);
     watcher.entries.clear();
@@ -226,8 +229,8 @@
 
 #[test]
 fn a_burst_of_changes_is_sent_in_bounded_lines_with_increasing_versions() {
-    let mut control = control();
-    let mut watcher = control.open(FIRST);
+    let mut control = control_with_endpoints();
+    let mut watcher = control.open(INITIAL_WATCH);
     control.read(&mut watcher);
     control.write_endpoints(0..6000, EndpointState::Draining);
     let lines = control.read(&mut watcher);
@@ -242,10 +245,10 @@
 }
 
 #[test]
-fn fills_keep_to_their_rate_limit() {
-    let mut control = Control::new(Retention::default());
+fn fills_stay_within_the_rate_limit() {
+    let mut control = ControlFixture::new(Retention::default());
     control.write_endpoints(0..2000, EndpointState::Up);
-    let watcher = control.open(FIRST);
+    let watcher = control.open(INITIAL_WATCH);
     let (mut bytes, start) = (0, control.now);
     while control.now < start + 10 * SECOND {
         while let Some(line) =
@@ -267,8 +270,8 @@
 }
 
 #[test]
-fn changes_of_a_looked_up_destination_are_sent_from_then_on() {
-    let mut control = control();
+fn changes_of_a_destination_are_sent_after_its_lookup() {
+    let mut control = control_with_endpoints();
     let mut watcher = control.open("follow=1&since=0&dispatcher=south-a");
     control.read(&mut watcher);
     let look_up = |query: &str| -> LookUpRequest {
@@ -292,27 +295,27 @@
     control.write_endpoint(17, EndpointState::Up);
     control.write_endpoint(18, EndpointState::Up);
     assert_eq!(entries_sent(&control.read(&mut watcher)), ["endpoint-18"]);
-    // The next watch names the cached destination.
-    let query = format!("{}&cells=18", watcher.next_query("south-a", "feed"));
+    // A resumed watch names the cached destination in its query.
+    let query = format!("{}&cells=18", watcher.resume_query("south-a", "feed"));
     control.write_endpoint(18, EndpointState::Removed);
-    let mut again = control.open(&query);
-    assert_eq!(entries_sent(&control.read(&mut again)), ["endpoint-18"]);
-    let nobody = look_up("dispatcher=north-b&cells=17");
+    let mut resumed = control.open(&query);
+    assert_eq!(entries_sent(&control.read(&mut resumed)), ["endpoint-18"]);
+    let without_watch = look_up("dispatcher=north-b&cells=17");
     assert_eq!(
-        control.watchers.change_cached_destinations(&nobody),
+        control.watchers.change_cached_destinations(&without_watch),
         Err(WatchRejected::NoWatch)
     );
     let many: Vec<String> = (0..5000).map(|cell: u32| cell.to_string()).collect();
-    let many = look_up(&format!("dispatcher=south-a&cells={}", many.join(",")));
+    let too_many = look_up(&format!("dispatcher=south-a&cells={}", many.join(",")));
     assert_eq!(
-        control.watchers.change_cached_destinations(&many),
+        control.watchers.change_cached_destinations(&too_many),
         Err(WatchRejected::TooManyDestinations)
     );
 }
 
 #[test]
-fn a_dispatcher_that_is_not_declared_has_no_watch() {
-    let mut control = control();
+fn a_watch_of_an_undeclared_dispatcher_is_rejected() {
+    let mut control = control_with_endpoints();
     let rejected =
         control
             .watchers
@@ -322,19 +325,19 @@
 
 #[test]
 fn a_second_watch_of_a_dispatcher_replaces_the_first() {
-    let mut control = control();
-    let first = control.open(FIRST);
+    let mut control = control_with_endpoints();
+    let first = control.open(INITIAL_WATCH);
     let opened = control
         .watchers
-        .open(watch(FIRST), &control.directory, 0)
+        .open(watch(INITIAL_WATCH), &control.directory, 0)
         .expect("a watch");
     assert_eq!(opened.replaced, Some(first.id));
     assert_eq!(control.watchers.len(), 1);
 }
 
 #[test]
-fn a_process_that_is_behind_sends_empty_lines_until_it_has_caught_up() {
-    let mut control = control();
+fn a_process_behind_the_watcher_sends_only_heartbeats_until_it_has_caught_up() {
+    let mut control = control_with_endpoints();
     let behind = control.directory.version();
     let query = format!(
         "follow=1&since={}&log=feed&dispatcher=north-a",
@@ -351,13 +354,13 @@
 }
 
 #[test]
-fn a_follower_is_sent_every_record_or_a_transfer() {
-    let mut control = Control::new(Retention {
+fn a_follower_is_sent_every_record_or_a_complete_transfer() {
+    let mut control = ControlFixture::new(Retention {
         changes: 100,
         removed: 5,
     });
     control.write_endpoints(0..40, EndpointState::Up);
-    let lines = |control: &mut Control, query: &str| -> Vec<CompleteLine> {
+    let lines = |control: &mut ControlFixture, query: &str| -> Vec<CompleteLine> {
         let opened = control
             .watchers
             .open(watch(query), &control.directory, control.now)
@@ -400,7 +403,7 @@
 
 #[test]
 fn a_transfer_with_changes_between_its_pieces_restores_the_same_directory() {
-    let mut control = Control::new(Retention::default());
+    let mut control = ControlFixture::new(Retention::default());
     control.write_endpoints(0..2000, EndpointState::Up);
     let opened = control
         .watchers
@@ -415,7 +418,7 @@
             .expect("a line");
         let line: CompleteLine = serde_json::from_slice(&line.bytes).expect("a line");
         match (line.transfer, &mut restore) {
-            (Some(TransferStep::Begin), _) => restore = Some(begin(line)),
+            (Some(TransferStep::Begin), _) => restore = Some(begin_restore(line)),
             (Some(TransferStep::Piece), Some(restore)) => {
                 pieces += 1;
                 line.servers
@@ -454,8 +457,8 @@
     assert_eq!(differing.count(), 0);
 }
 
-/// What a follower restores from the first line of a transfer.
-fn begin(line: CompleteLine) -> Restore {
+/// Begins a restore from the first line of a transfer, as a follower does.
+fn begin_restore(line: CompleteLine) -> Restore {
     let point = RestorePoint {
         log: LogId(line.log),
         version: line.version,
@@ -472,8 +475,8 @@
 }
 
 #[test]
-fn a_change_reaches_only_the_watchers_that_it_concerns() {
-    let mut control = control();
+fn a_change_readies_only_the_watchers_with_it_in_scope() {
+    let mut control = control_with_endpoints();
     for name in ["north-a", "north-b", "south-a", "south-b"] {
         control.open(&format!("follow=1&dispatcher={name}"));
     }
--- a/crates/directory/tests/directory/installation.rs
+++ b/crates/directory/tests/directory/installation.rs
@@ -1,4 +1,5 @@
-//! A small installation: two regions of two zones each, and watchers that read every line.
+//! A fixture for tests: a control process of an installation with two regions of two zones each, and watchers that read
+//! and check every line.
 
 use bellsill_directory::entry::Endpoint;
 use bellsill_directory::feed::{FILL_RATE, LineKind};
@@ -47,19 +48,19 @@
     }
 }
 
-/// A directory with its watchers, as a control process has them.
-pub(crate) struct Control {
+/// The directory and the watchers of a control process, and the current time.
+pub(crate) struct ControlFixture {
     pub(crate) directory: Directory,
     pub(crate) watchers: Watchers,
     pub(crate) now: u64,
 }
 
-impl Control {
-    /// Four members, two in each region, among which the buckets are assigned.
-    pub(crate) fn new(keeping: Retention) -> Control {
+impl ControlFixture {
+    /// Creates a directory with four members, two in each region, and assigns the buckets to them.
+    pub(crate) fn new(retention: Retention) -> ControlFixture {
         let log = LogId("feed".into());
-        let directory = Directory::new(layout(), log, keeping);
-        let mut control = Control {
+        let directory = Directory::new(layout(), log, retention);
+        let mut control = ControlFixture {
             directory,
             watchers: Watchers::new(FILL_RATE),
             now: 0,
@@ -79,7 +80,7 @@
         let applied = self
             .directory
             .apply(&LoggedRecord { version, record })
-            .expect("a good record");
+            .expect("a valid record");
         self.watchers.record_applied(&applied, &self.directory);
         version
     }
@@ -107,12 +108,12 @@
         Watcher {
             id: opened.id,
             version: Version(0),
-            held: BTreeSet::new(),
+            filled: BTreeSet::new(),
             entries: BTreeMap::new(),
         }
     }
 
-    /// Has the watcher read all lines that it is sent until only empty ones follow.
+    /// Reads all lines for the watcher until the next one is a heartbeat, advancing the time if there is none yet.
     pub(crate) fn read(&mut self, watcher: &mut Watcher) -> Vec<ScopedLine> {
         let mut lines = Vec::new();
         loop {
@@ -142,12 +143,12 @@
     }
 }
 
-/// What a dispatcher knows from the lines that it was sent.
+/// The state of a dispatcher, built from the lines that it has been sent.
 pub(crate) struct Watcher {
     pub(crate) id: WatcherId,
     pub(crate) version: Version,
     /// Buckets of which every entry is known.
-    pub(crate) held: BTreeSet<BucketId>,
+    pub(crate) filled: BTreeSet<BucketId>,
     pub(crate) entries: BTreeMap<String, (EndpointState, Version)>,
 }
 
@@ -163,9 +164,9 @@
         assert!(!line.full);
         self.version = line.version;
         line.gained.iter().chain(&line.lost).for_each(|bucket| {
-            self.held.remove(bucket);
+            self.filled.remove(bucket);
         });
-        self.held.extend(&line.filled);
+        self.filled.extend(&line.filled);
         for entry in &line.servers {
             let known = self
                 .entries
@@ -180,10 +181,10 @@
         line
     }
 
-    /// The query of the dispatcher's next watch, with what it knows.
-    pub(crate) fn next_query(&self, name: &str, log: &str) -> String {
+    /// The query with which the dispatcher resumes its watch.
+    pub(crate) fn resume_query(&self, name: &str, log: &str) -> String {
         let buckets: Vec<String> = self
-            .held
+            .filled
             .iter()
             .map(|bucket| bucket.0.to_string())
             .collect();
--- a/crates/directory/tests/directory/main.rs
+++ b/crates/directory/tests/directory/main.rs
@@ -1,4 +1,4 @@
-//! The configuration, its records and snapshots, and what its watchers are sent.
+//! Tests of the configuration, its records and snapshots, and the lines sent to watchers.
 
 mod feed;
 mod installation;
--- a/crates/directory/tests/directory/state.rs
+++ b/crates/directory/tests/directory/state.rs
@@ -1,6 +1,6 @@
-//! The configuration at one version: records, rejections, and snapshots.
+//! Tests of the configuration at one version: records, rejections, snapshots, and the requests for it.
 
-use crate::installation::{BUCKETS_PER_REGION, Control, endpoint, layout, member, watch};
+use crate::installation::{BUCKETS_PER_REGION, ControlFixture, endpoint, layout, member, watch};
 use bellsill_directory::entry::{Endpoint, InvalidEntry};
 use bellsill_directory::line::{EndpointEntry, EndpointState, Version};
 use bellsill_directory::record::{self, LoggedRecord, Record};
@@ -9,8 +9,8 @@
 use bellsill_directory::state::{ApplyError, Directory, EndpointError, LogId, Retention};
 use bellsill_placement::{AssignmentChange, Epoch, Layout, RegionName, ZoneName};
 
-fn filled(keeping: Retention) -> Control {
-    let mut control = Control::new(keeping);
+fn control_with_removals(retention: Retention) -> ControlFixture {
+    let mut control = ControlFixture::new(retention);
     control.write_endpoints(0..40, EndpointState::Up);
     control.write_endpoints(0..8, EndpointState::Removed);
     control
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn records_are_read_as_they_were_written() {
+fn encoded_records_are_decoded_unchanged() {
     let members = vec![member("north-a", "north-1")];
     let records = [
         Record::EndpointsChanged(vec![
@@ -44,7 +44,7 @@
         ]),
         Record::MembersChanged(members),
         Record::AssignmentChanged(
-            Control::new(Retention::default())
+            ControlFixture::new(Retention::default())
                 .directory
                 .assignment()
                 .plan(&[])
@@ -63,24 +63,24 @@
     }
 }
 
-fn rejection(control: &mut Control, version: Version, record: Record) -> ApplyError {
+fn rejection(control: &mut ControlFixture, version: Version, record: Record) -> ApplyError {
     control
         .directory
         .apply(&LoggedRecord { version, record })
         .expect_err("a rejection")
 }
 
-/// A version too late is rejected, and a record with one endpoint that is valid and one that is not.
-fn rejects_endpoints(control: &mut Control, next: Version) {
-    let fine = endpoint(60, EndpointState::Up);
+/// Checks that a record that skips a version is rejected, and so is a record with a valid and an invalid endpoint.
+fn assert_endpoints_rejected(control: &mut ControlFixture, next: Version) {
+    let valid = endpoint(60, EndpointState::Up);
     let later = Version(next.0 + 1);
     let expected = ApplyError::VersionOutOfOrder {
         expected: next,
         found: later,
     };
-    let record = Record::EndpointsChanged(vec![fine.clone()]);
+    let record = Record::EndpointsChanged(vec![valid.clone()]);
     assert_eq!(rejection(control, later, record), expected);
-    let elsewhere = Endpoint {
+    let unknown_zone = Endpoint {
         zone: "west-1".into(),
         ..endpoint(61, EndpointState::Up)
     };
@@ -93,21 +93,21 @@
         ..endpoint(20, EndpointState::Up)
     };
     for (invalid, error) in [
-        (elsewhere, EndpointError::UnknownZone("west-1".into())),
+        (unknown_zone, EndpointError::UnknownZone("west-1".into())),
         (
             other_destination,
             EndpointError::Moved("endpoint-20".into()),
         ),
         (other_region, EndpointError::Moved("endpoint-20".into())),
     ] {
-        let record = Record::EndpointsChanged(vec![fine.clone(), invalid]);
+        let record = Record::EndpointsChanged(vec![valid.clone(), invalid]);
         let rejected = rejection(control, next, record);
         assert_eq!(rejected, ApplyError::Endpoint(error));
     }
 }
 
-/// A member in an unknown zone is rejected, and a change of the assignment that skips an epoch.
-fn rejects_members_and_changes(control: &mut Control, next: Version) {
+/// Checks that a member in an unknown zone is rejected, and so is a change of the assignment that skips an epoch.
+fn assert_members_and_assignment_rejected(control: &mut ControlFixture, next: Version) {
     let record = Record::MembersChanged(vec![member("north-z", "west-1")]);
     let error = rejection(control, next, record);
     assert!(matches!(error, ApplyError::Member(_)), "{error}");
@@ -122,11 +122,11 @@
 
 #[test]
 fn a_rejected_record_changes_nothing() {
-    let mut control = filled(Retention::default());
+    let mut control = control_with_removals(Retention::default());
     let (version, before) = (control.directory.version(), all_entries(&control.directory));
     let next = Version(version.0 + 1);
-    rejects_endpoints(&mut control, next);
-    rejects_members_and_changes(&mut control, next);
+    assert_endpoints_rejected(&mut control, next);
+    assert_members_and_assignment_rejected(&mut control, next);
     assert_eq!(
         (control.directory.version(), all_entries(&control.directory)),
         (version, before)
@@ -135,56 +135,56 @@
 
 #[test]
 fn invalid_entries_are_rejected() {
-    let good = endpoint(1, EndpointState::Up).into_entry(Version(0));
+    let valid = endpoint(1, EndpointState::Up).into_entry(Version(0));
     let rejection = |entry: EndpointEntry| Endpoint::try_from(entry).expect_err("a rejection");
     assert_eq!(
         rejection(EndpointEntry {
             id: "two words".into(),
-            ..good.clone()
+            ..valid.clone()
         }),
         InvalidEntry::Name("id")
     );
     assert_eq!(
         rejection(EndpointEntry {
             kind: "\"".into(),
-            ..good.clone()
+            ..valid.clone()
         }),
         InvalidEntry::Name("kind")
     );
     assert_eq!(
         rejection(EndpointEntry {
             zone: "z".repeat(129),
-            ..good.clone()
+            ..valid.clone()
         }),
         InvalidEntry::Name("zone")
     );
     assert_eq!(
         rejection(EndpointEntry {
             addr: None,
-            ..good.clone()
+            ..valid.clone()
         }),
         InvalidEntry::AddressMissing
     );
     assert_eq!(
         rejection(EndpointEntry {
             weight: Some(-1.0),
-            ..good.clone()
+            ..valid.clone()
         }),
         InvalidEntry::Weight(-1.0)
     );
-    let bad_address = EndpointEntry {
+    let invalid_address = EndpointEntry {
         addr: Some("nowhere".into()),
-        ..good
+        ..valid
     };
     assert_eq!(
-        rejection(bad_address),
+        rejection(invalid_address),
         InvalidEntry::Address("nowhere".into())
     );
 }
 
 #[test]
-fn a_snapshot_restores_everything_and_takes_further_records() {
-    let mut control = filled(Retention {
+fn a_restored_snapshot_is_complete_and_applies_further_records() {
+    let mut control = control_with_removals(Retention {
         changes: 100,
         removed: 5,
     });
@@ -205,24 +205,24 @@
 
 #[test]
 fn damaged_snapshots_are_rejected() {
-    let control = filled(Retention::default());
+    let control = control_with_removals(Retention::default());
     let parts: Vec<Vec<u8>> = encoded_parts(&control.directory).collect();
-    let without = |place: usize| {
+    let restore_without = |omitted: usize| {
         let kept = parts
             .iter()
             .enumerate()
-            .filter(move |(index, _)| *index != place);
+            .filter(move |(index, _)| *index != omitted);
         restored(kept.map(|(_, part)| part.clone())).err()
     };
-    assert_eq!(without(0), Some(SnapshotError::OutOfOrder));
-    assert_eq!(without(1), Some(SnapshotError::OutOfOrder));
-    assert_eq!(without(2), Some(SnapshotError::Incomplete));
-    assert_eq!(without(3), Some(SnapshotError::Incomplete));
-    let half = parts.iter().map(|part| part[..part.len() / 2].to_vec());
-    assert!(matches!(restored(half), Err(SnapshotError::Part(_))));
+    assert_eq!(restore_without(0), Some(SnapshotError::OutOfOrder));
+    assert_eq!(restore_without(1), Some(SnapshotError::OutOfOrder));
+    assert_eq!(restore_without(2), Some(SnapshotError::Incomplete));
+    assert_eq!(restore_without(3), Some(SnapshotError::Incomplete));
+    let truncated = parts.iter().map(|part| part[..part.len() / 2].to_vec());
+    assert!(matches!(restored(truncated), Err(SnapshotError::Part(_))));
     let zones = [(ZoneName::from("north-1"), RegionName::from("north"))];
-    let other = Layout::new(zones, BUCKETS_PER_REGION).expect("a layout");
-    let mut reader = SnapshotReader::new(other, Retention::default());
+    let other_layout = Layout::new(zones, BUCKETS_PER_REGION).expect("a layout");
+    let mut reader = SnapshotReader::new(other_layout, Retention::default());
     assert_eq!(
         reader.read_part(&parts[0]),
         Err(SnapshotError::LayoutMismatch)
@@ -230,8 +230,8 @@
 }
 
 #[test]
-fn a_removed_endpoint_is_forgotten_and_may_be_declared_again() {
-    let mut control = filled(Retention {
+fn a_purged_endpoint_can_be_declared_again() {
+    let mut control = control_with_removals(Retention {
         changes: 100,
         removed: 5,
     });
@@ -241,16 +241,16 @@
     assert_eq!(control.directory.look_up(&[0]).len(), 1);
     assert!(
         control.directory.look_up(&[7]).is_empty(),
-        "removed endpoints are in no lookup"
+        "a lookup omits removed endpoints"
     );
-    // An endpoint that is up again is not forgotten when its removal is the oldest.
+    // An endpoint that is up again is not purged once its removal is the oldest.
     control.write_endpoint(7, EndpointState::Up);
     control.write_endpoints(10..20, EndpointState::Removed);
     assert_eq!(control.directory.look_up(&[7]).len(), 1);
 }
 
 #[test]
-fn requests_are_parsed_or_rejected_by_field() {
+fn valid_requests_are_parsed_and_rejections_name_the_invalid_field() {
     for (query, field) in [
         ("follow=1&since=x&dispatcher=a", "since"),
         ("follow=1&since=1", "dispatcher"),
