--- a/crates/directory/src/state.rs
+++ b/crates/directory/src/state.rs
@@ -1,4 +1,4 @@
-//! The configuration as one control process has it: endpoints, members and the assignment, at one version.
+//! The configuration of one control process at one version: endpoints, members and the assignment.
 
 mod bounds;
 mod directory;
@@ -7,7 +7,7 @@
 mod removals;
 mod restore;
 
-pub use bounds::{MOST_MEMBERS, MOST_REMOVED, Retention};
+pub use bounds::{MAX_MEMBERS, MAX_REMOVED_ENDPOINTS, Retention};
 pub use directory::{Applied, Directory};
 pub use error::{ApplyError, EndpointError, MemberError};
 pub use point::{LogId, RestorePoint};
