--- a/crates/core/src/control/idle_connections.rs
+++ b/crates/core/src/control/idle_connections.rs
@@ -16,7 +16,7 @@
 /// After a route has been unused for this long, a single drop is enough to avoid idle connections.
 const LONG_IDLE_TIME: Nanos = 2_000 * MS;
 
-/// What an attempt reveals about idle connections.
+/// An observation of idle connections from the outcome of an attempt.
 pub(super) struct ConnectionObservation {
     /// The connection was reset.
     pub(super) reset: bool,
--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -18,11 +18,11 @@
     pub endpoint: EndpointId,
     /// A hash of the endpoint's name, identical on every dispatcher.
     pub name_hash: u32,
-    /// The destination that it serves.
+    /// The destination that the endpoint serves.
     pub destination: DestinationId,
     /// The zone that the endpoint is in.
     pub zone: ZoneId,
-    /// The kind of its destination.
+    /// The kind of the destination.
     pub kind: KindId,
     /// Whether the endpoint accepts messages; false while it drains or once it is removed.
     pub serving: bool,
--- a/crates/core/src/interface/messages.rs
+++ b/crates/core/src/interface/messages.rs
@@ -33,6 +33,6 @@
 pub struct PossibleRun {
     /// When the attempt was sent.
     pub sent_at: Nanos,
-    /// The zone of the endpoint that it was sent to.
+    /// The zone of the endpoint that the attempt was sent to.
     pub zone: ZoneId,
 }
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -5,16 +5,16 @@
 /// Whether a message may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliverySemantics {
-    /// It may be processed any number of times.
+    /// A message may be processed any number of times.
     Idempotent,
-    /// Endpoints recognize its idempotency key and drop duplicates.
+    /// Endpoints recognize the idempotency key of a message and drop duplicates.
     IdempotencyKey {
         /// How long after the first attempt duplicates are dropped.
         window: Nanos,
-        /// Which endpoints drop them.
+        /// The endpoints that drop duplicates of each other's messages.
         scope: DeduplicationScope,
     },
-    /// It must not be processed twice.
+    /// A message must not be processed twice.
     AtMostOnce,
 }
 
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{AttemptNumber, MessageId, Nanos};
 
-/// One attempt to deliver a message.
+/// An attempt to deliver a message.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) sent_at: Nanos,
--- a/crates/core/src/state/messages.rs
+++ b/crates/core/src/state/messages.rs
@@ -19,7 +19,7 @@
 }
 
 impl MessageState {
-    /// Whether no further answer is due.
+    /// Whether the message has ended: no final answer is due any more.
     pub(crate) fn ended(self) -> bool {
         !matches!(self, MessageState::Waiting | MessageState::InFlight)
     }
@@ -29,10 +29,10 @@
 pub(crate) struct Message {
     pub(crate) id: MessageId,
     pub(crate) class: usize,
-    /// Its ordering key, for a message of an ordered class.
+    /// The ordering key of the message, if its class is ordered.
     pub(crate) key: Option<KeyId>,
     pub(crate) destination: DestinationId,
-    /// The end of its lifetime.
+    /// The end of the message's lifetime.
     pub(crate) deadline: Nanos,
     /// The number of attempts made.
     pub(crate) attempts: u32,
--- a/crates/core/src/state/routes.rs
+++ b/crates/core/src/state/routes.rs
@@ -147,7 +147,7 @@
         self.by_destination.get(&destination)
     }
 
-    /// The same, mutably; created if the destination is new.
+    /// Returns the routes of a destination mutably, and creates them if the destination is new.
     pub(crate) fn destination_mut(&mut self, destination: DestinationId) -> &mut DestinationRoutes {
         self.by_destination.entry(destination).or_default()
     }
--- a/crates/daemon/src/admin/commands.rs
+++ b/crates/daemon/src/admin/commands.rs
@@ -74,7 +74,7 @@
     if delivery.runtime.endpoints().find(&name).is_none() {
         return format!("FAILURE unknown endpoint `{}`\n", name.escape_debug());
     }
-    // Keeps the changes that another process sharing the state folder has written meanwhile.
+    // Reads the list again to keep the changes that another process sharing the state directory has written meanwhile.
     refresh_disabled(delivery, disabled_file);
     let mut disabled = delivery.disabled().clone();
     let changed = update(&mut disabled, &name, disable);
@@ -90,7 +90,8 @@
         disabled_file.record_change(name.clone(), disable);
         if let Err(e) = disabled_file.save(delivery.disabled()) {
             log::error!(
-                "{DISABLED_FILE}: cannot write the list of disabled endpoints, will retry: {e}"
+                "{DISABLED_FILE}: cannot write the list of disabled endpoints, the change is in effect and the \
+                 write is retried: {e}"
             );
         }
     }
--- a/crates/daemon/src/admin/disabled.rs
+++ b/crates/daemon/src/admin/disabled.rs
@@ -10,11 +10,11 @@
 
 /// Maximum number of disabled endpoints, so that the file stays small.
 pub const MAX_DISABLED: usize = 1024;
-/// The file in the state folder that lists the disabled endpoints, one id per line.
+/// The file in the state directory that lists the disabled endpoints, one id per line.
 pub(super) const DISABLED_FILE: &str = "held-out";
 
-/// Parses a list of disabled endpoints. Invalid lines, and those beyond [`MAX_DISABLED`], are skipped; the second part of
-/// the result describes them.
+/// Parses a list of disabled endpoints. Invalid lines, and those beyond [`MAX_DISABLED`], are skipped; the second part
+/// of the result describes them.
 pub fn parse_disabled(text: &str) -> (BTreeSet<String>, Vec<String>) {
     let (mut disabled, mut errors) = (BTreeSet::new(), Vec::new());
     for (n, line) in text
@@ -36,10 +36,10 @@
     (disabled, errors)
 }
 
-/// Loads the disabled endpoints from the file in the state folder; a missing file means that there are none. Invalid lines
-/// are logged and skipped.
-pub fn load_disabled(folder: &Path) -> io::Result<BTreeSet<String>> {
-    let path = folder.join(DISABLED_FILE);
+/// Loads the disabled endpoints from the file in the state directory; a missing file means that there are none. Invalid
+/// lines are logged and skipped.
+pub fn load_disabled(directory: &Path) -> io::Result<BTreeSet<String>> {
+    let path = directory.join(DISABLED_FILE);
     let text = match std::fs::read(&path) {
         Ok(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
         Err(e) if e.kind() == io::ErrorKind::NotFound => String::new(),
@@ -60,9 +60,9 @@
     modified: SystemTime,
 }
 
-/// The list of disabled endpoints on disk, shared by all processes that share the state folder.
+/// The list of disabled endpoints on disk, shared by all processes that share the state directory.
 pub(crate) struct DisabledFile {
-    folder: PathBuf,
+    directory: PathBuf,
     /// The version last read or written; `None` if there was no file.
     stamp: Option<FileStamp>,
     /// Changes not written yet: endpoint ids, and whether each endpoint is disabled.
@@ -70,11 +70,11 @@
 }
 
 impl DisabledFile {
-    /// Opens the file in this folder, whose current version the caller has already loaded.
-    pub(crate) fn new(folder: &Path) -> DisabledFile {
+    /// Opens the file in this directory, whose current version the caller has already loaded.
+    pub(crate) fn new(directory: &Path) -> DisabledFile {
         DisabledFile {
-            folder: folder.to_path_buf(),
-            stamp: stamp(folder),
+            directory: directory.to_path_buf(),
+            stamp: stamp(directory),
             unsaved: BTreeMap::new(),
         }
     }
@@ -82,11 +82,11 @@
     /// Returns the disabled endpoints if another process has written the file since this process last read or wrote it.
     /// Changes not written yet are applied to them.
     fn read_changes(&mut self) -> Option<BTreeSet<String>> {
-        let stamp = stamp(&self.folder);
+        let stamp = stamp(&self.directory);
         if stamp == self.stamp {
             return None;
         }
-        match load_disabled(&self.folder) {
+        match load_disabled(&self.directory) {
             Ok(mut disabled) => {
                 self.stamp = stamp;
                 for (name, &is_disabled) in &self.unsaved {
@@ -95,20 +95,23 @@
                 Some(disabled)
             }
             Err(e) => {
-                log::error!("{DISABLED_FILE}: cannot read the list of disabled endpoints: {e}");
+                log::error!(
+                    "{DISABLED_FILE}: cannot read the changed list of disabled endpoints, keeping the current one \
+                     and retrying: {e}"
+                );
                 None
             }
         }
     }
 
     /// Writes the file if a request has changed the list. The change takes effect before the write and independently of
-    /// its success, since the platform expects an endpoint to be disabled one second after the request. A failed write is
-    /// retried by each [`refresh_disabled`].
+    /// its success, since the platform expects an endpoint to be disabled one second after the request. A failed write
+    /// is retried by each [`refresh_disabled`].
     pub(super) fn save(&mut self, disabled: &BTreeSet<String>) -> io::Result<()> {
         if !self.unsaved.is_empty() {
-            write(&self.folder, disabled)?;
+            write(&self.directory, disabled)?;
             self.unsaved.clear();
-            self.stamp = stamp(&self.folder);
+            self.stamp = stamp(&self.directory);
         }
         Ok(())
     }
@@ -119,8 +122,8 @@
     }
 }
 
-/// Applies the changes that another process sharing the state folder has written. During an upgrade the old and the new
-/// process run side by side, and a request that reaches one of them applies to both.
+/// Applies the changes that another process sharing the state directory has written. During an upgrade the old and the
+/// new process run side by side, and a request that reaches one of them applies to both.
 pub(crate) fn refresh_disabled(delivery: &mut Delivery, file: &mut DisabledFile) {
     if let Some(disabled) = file.read_changes() {
         delivery.set_disabled(disabled);
@@ -138,8 +141,8 @@
     }
 }
 
-fn stamp(folder: &Path) -> Option<FileStamp> {
-    let file = std::fs::metadata(folder.join(DISABLED_FILE)).ok()?;
+fn stamp(directory: &Path) -> Option<FileStamp> {
+    let file = std::fs::metadata(directory.join(DISABLED_FILE)).ok()?;
     Some(FileStamp {
         inode: file.ino(),
         modified: file.modified().ok()?,
@@ -147,8 +150,8 @@
 }
 
 /// Replaces the file atomically: a reader finds either the old list or the new one.
-fn write(folder: &Path, disabled: &BTreeSet<String>) -> io::Result<()> {
-    let next = folder.join(format!("{DISABLED_FILE}.{}", std::process::id()));
+fn write(directory: &Path, disabled: &BTreeSet<String>) -> io::Result<()> {
+    let next = directory.join(format!("{DISABLED_FILE}.{}", std::process::id()));
     let text: String = disabled.iter().map(|id| format!("{id}\n")).collect();
-    std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, folder.join(DISABLED_FILE)))
+    std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, directory.join(DISABLED_FILE)))
 }
--- a/crates/daemon/src/admin/request.rs
+++ b/crates/daemon/src/admin/request.rs
@@ -24,7 +24,7 @@
     Resume,
 }
 
-/// Why a line is not a valid request; the text is part of the `FAILURE` line.
+/// The reason that a line is not a valid request; the text is part of the `FAILURE` line.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
     /// The line is too long.
--- a/crates/daemon/src/client/accept.rs
+++ b/crates/daemon/src/client/accept.rs
@@ -46,7 +46,8 @@
             if make_room(runtime).is_err() {
                 if !std::mem::replace(&mut self.at_limit, true) {
                     log::warn!(
-                        "connection limit reached with {} open connections; accepting of clients is paused",
+                        "connection limit reached with {} open connections; new clients wait in the accept \
+                         queue until connections close",
                         runtime.connections.len()
                     );
                 }
@@ -94,18 +95,18 @@
 /// Re-arms the listener in the poller; if that or the last `accept` failed, accepting resumes after [`ACCEPT_BACKOFF`].
 fn arm_listener(runtime: &mut Runtime, accepted: io::Result<()>) {
     if let Err(e) = accepted.and_then(|()| runtime.connections.arm_listener()) {
-        log::warn!("cannot accept a client connection: {e}");
+        log::warn!("cannot accept client connections, will retry: {e}");
         back_off(runtime);
     }
 }
 
-/// Frees a connection for a new client. At the client limit a client is evicted: otherwise hundreds of clients that send
-/// nothing, or that stay connected after one request, would lock out all others. At the limit on all connections an
-/// idle connection to an endpoint is closed.
+/// Frees a connection for a new client. At the client limit a client is evicted: otherwise hundreds of clients that
+/// send nothing, or that stay connected after one request, would lock out all others. At the limit on all connections
+/// an idle connection to an endpoint is closed.
 ///
 /// A client that is evicted just before its next request repeats the request elsewhere, as it does whenever its
-/// connection is closed between requests. A client whose request has already arrived is served instead of evicted, since
-/// its message would be lost.
+/// connection is closed between requests. A client whose request has already arrived is served instead of evicted,
+/// since its message would be lost.
 fn make_room(runtime: &mut Runtime) -> Result<(), AtLimit> {
     while runtime.connections.client_limit_reached() {
         let now = runtime.now;
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -34,7 +34,7 @@
 enum NextCommand {
     /// No command is complete, or none can be executed now.
     Unavailable,
-    /// It was executed, and its reply is queued.
+    /// The command was executed, and its reply is queued.
     Executed,
     /// The reply is sent once the message is accepted or rejected.
     Put(NewMessage),
--- a/crates/daemon/src/client/mod.rs
+++ b/crates/daemon/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: each command is answered, in the order of arrival.
+//! Client connections: each command gets a reply, in the order of arrival.
 
 mod accept;
 mod closing;
--- a/crates/daemon/src/client/resp.rs
+++ b/crates/daemon/src/client/resp.rs
@@ -16,7 +16,7 @@
 /// Number of digits of a key or message id.
 const HEX_DIGITS: usize = 16;
 
-/// Why input is not a valid command; the text is part of the reply.
+/// The reason that input is not a valid command; the text is part of the reply.
 #[derive(Debug, PartialEq)]
 pub struct ProtocolError(pub &'static str);
 
@@ -113,7 +113,7 @@
     pub idempotency_key: String,
 }
 
-/// Why the arguments of `MSG.PUT` are invalid; the text is part of the reply.
+/// The reason that the arguments of `MSG.PUT` are invalid; the text is part of the reply.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PutError {
     /// Too many or too few arguments.
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -79,11 +79,11 @@
 pub enum Translation {
     /// No change: both processes read the same clock.
     Same,
-    /// By the wall clock, the only clock that both processes have in common.
+    /// Times are converted by the wall clock, the only clock that both processes have in common.
     ByWallClock {
         /// A time on the clock of the other process.
         from: Nanos,
-        /// The same moment on the clock of this one.
+        /// The time on the clock of this process at the same moment.
         to: Nanos,
     },
 }
--- a/crates/daemon/src/connection/role.rs
+++ b/crates/daemon/src/connection/role.rs
@@ -13,6 +13,6 @@
     Watch,
     /// The platform, which receives notifications.
     Notifications,
-    /// An operator.
+    /// An operator, who sends admin requests.
     Admin,
 }
--- a/crates/daemon/src/connection/socket.rs
+++ b/crates/daemon/src/connection/socket.rs
@@ -47,7 +47,8 @@
     pub(crate) replied: bool,
     /// Number of error replies to a client, without `-BUSY`.
     pub(crate) error_replies: u32,
-    /// What the connection is armed for in the poller; `None` after an event, since the poller is in one-shot mode.
+    /// The readiness that the poller is armed to report for the connection; `None` after an event, since the poller is
+    /// in one-shot mode.
     pub(super) armed: Option<Interest>,
 }
 
--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -13,13 +13,13 @@
 /// Clients specify lifetimes in whole milliseconds, so rounding may exceed the lifetime of the class by up to 1 ms.
 const LIFETIME_TOLERANCE: Nanos = 1_000_000;
 
-/// The result of accepting a message. The client gets its response before a new message goes to
+/// The result of accepting a message. The client gets its reply before a new message goes to
 /// [`Delivery::dispatch`].
 #[must_use]
 pub(crate) enum Admission {
     /// The message is new and was written to the journal.
     New(JournaledMessage),
-    /// The message is already pending or ended recently. The client gets the same response as for a new message.
+    /// The message is already pending or ended recently. The client gets the same reply as for a new message.
     Duplicate,
 }
 
--- a/crates/daemon/src/delivery/attempts.rs
+++ b/crates/daemon/src/delivery/attempts.rs
@@ -295,7 +295,8 @@
                 if !std::mem::replace(&mut self.invalid_report_logged, true) =>
             {
                 log::warn!(
-                    "a load report has no `{}` between 0 and 1e9; ignoring invalid load reports (logged once)",
+                    "ignored a load report of an endpoint whose `{}` is missing or not between 0 and 1e9; later \
+                     invalid load reports are ignored without a log line",
                     http::LIMIT_FIELD
                 )
             }
--- a/crates/daemon/src/delivery/pending.rs
+++ b/crates/daemon/src/delivery/pending.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records that a message of an earlier process has ended.
-    pub(super) fn note_ended(&mut self, now: Nanos, id: MessageId) {
+    pub(super) fn record_ended(&mut self, now: Nanos, id: MessageId) {
         self.recently_ended.insert(now, id);
     }
 
--- a/crates/daemon/src/delivery/recovery.rs
+++ b/crates/daemon/src/delivery/recovery.rs
@@ -4,7 +4,7 @@
 use super::message::DeliveryState;
 use crate::journal::Recovered;
 
-/// Whether every journal of other processes in the state folder has been adopted.
+/// Whether every journal of other processes in the state directory has been adopted.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdoptionStatus {
@@ -26,7 +26,7 @@
 }
 
 impl Delivery {
-    /// Adopts the journals that other processes left in the state folder.
+    /// Adopts the journals that other processes left in the state directory.
     pub(crate) fn adopt_journals(&mut self) -> AdoptionStatus {
         let adopted = self.runtime.journal.adopt();
         self.recover(adopted.recovered);
@@ -37,12 +37,12 @@
     /// acknowledged.
     pub(crate) fn recover(&mut self, recovered: Recovered) {
         for id in self.runtime.journal.take_resolved() {
-            self.runtime.messages.note_ended(self.runtime.now, id);
+            self.runtime.messages.record_ended(self.runtime.now, id);
         }
         for (id, resolution) in recovered.pending_notifications {
             self.runtime.notifications.enqueue(id, resolution);
         }
-        // The same message can be in two journals.
+        // Two journals can contain the same message.
         let mut messages = recovered.messages;
         messages.retain(|message| self.runtime.messages.slot_of(message.id).is_none());
         for message in &messages {
--- a/crates/daemon/src/delivery/runtime.rs
+++ b/crates/daemon/src/delivery/runtime.rs
@@ -162,7 +162,7 @@
     /// Schedules a retry while the journal has unwritten records; otherwise releases the notifications that waited for
     /// them.
     pub(crate) fn update_journal_retry(&mut self) {
-        if self.journal.has_unwritten() {
+        if self.journal.has_pending_writes() {
             self.timers
                 .set_if_unset(Timer::JournalRetry, self.now + JOURNAL_RETRY_INTERVAL);
         } else {
@@ -176,9 +176,9 @@
         self.journal.write_pending().ok();
     }
 
-    /// Whether the journal has unwritten records.
-    pub(crate) fn has_unwritten_records(&self) -> bool {
-        self.journal.has_unwritten()
+    /// Whether the last write of the journal failed, or records of the journal are queued.
+    pub(crate) fn has_pending_writes(&self) -> bool {
+        self.journal.has_pending_writes()
     }
 
     /// Changes the state of a message. No other function does so, which keeps the journal, the notifications and the
--- a/crates/daemon/src/endpoint/exchange.rs
+++ b/crates/daemon/src/endpoint/exchange.rs
@@ -28,13 +28,13 @@
 pub(crate) enum ConnectionReuse {
     /// The connection is closed.
     Close,
-    /// It can be reused once the rest of the response has arrived.
+    /// The connection can be reused once the rest of the response has arrived.
     AfterResponse,
-    /// It can be reused immediately.
+    /// The connection can be reused immediately.
     Immediate,
 }
 
-/// What a response means for its attempt.
+/// The meaning of a response for its attempt.
 pub(crate) struct Response {
     /// The outcome of the attempt.
     pub(crate) outcome: Outcome,
--- a/crates/daemon/src/endpoint/registry.rs
+++ b/crates/daemon/src/endpoint/registry.rs
@@ -15,7 +15,7 @@
     pub(super) zone: String,
     kind: String,
     pub(super) serving: bool,
-    /// The destination under which it was listed; none once removed.
+    /// The destination under which the endpoint was listed; none once the endpoint is removed.
     pub(super) destination: Option<u64>,
     /// The idle connections, most recently used last.
     pub(super) idle: Vec<ConnectionId>,
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -15,11 +15,11 @@
     pub name: String,
     /// The address of the endpoint; `None` if it is missing or invalid.
     pub addr: Option<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
-    /// The name of its kind.
+    /// The name of the endpoint's kind.
     pub kind: String,
-    /// The destination that it serves.
+    /// The destination that the endpoint serves.
     pub destination: u64,
     /// False if the endpoint is draining or removed.
     pub serving: bool,
--- a/crates/daemon/src/event_loop.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// Handles all other timers before the wakeup of the dispatch core. After the process was suspended, many timers
+    /// Handles all other timers before the wakeup of the decision logic. After the process was suspended, many timers
     /// expire together: a core woken first would count timed-out attempts as in flight, and fail messages that never
     /// ran.
     fn expire_timers(&mut self) {
@@ -216,18 +216,18 @@
     fn admin_ready(&mut self, id: ConnectionId) {
         let read = admin::read(&mut self.delivery.runtime, id);
         loop {
-            let response = match admin::next_request(&mut self.delivery.runtime, id) {
+            let reply = match admin::next_request(&mut self.delivery.runtime, id) {
                 AdminInput::Closed => return,
                 AdminInput::Waiting => break,
                 AdminInput::Line(Ok(request)) => self.execute(request),
                 AdminInput::Line(Err(e)) => format!("FAILURE {e}\n"),
             };
-            admin::queue_reply(&mut self.delivery.runtime, id, &response);
+            admin::queue_reply(&mut self.delivery.runtime, id, &reply);
         }
         admin::flush_or_close(&mut self.delivery.runtime, id, &read);
     }
 
-    /// Executes an admin request and returns the response.
+    /// Executes an admin request and returns the reply.
     fn execute(&mut self, request: admin::Request) -> String {
         let context = AdminContext {
             delivery: &mut self.delivery,
@@ -235,11 +235,11 @@
             scope_file: self.scope_file.as_ref(),
             ready: self.shutdown.is_ready(),
         };
-        let answer = admin::execute(request, context);
-        if let Some(drain) = answer.drain {
+        let reply = admin::execute(request, context);
+        if let Some(drain) = reply.drain {
             let draining = drain == DrainRequest::Drain;
             self.shutdown.set_draining(draining, &mut self.delivery);
         }
-        answer.text
+        reply.text
     }
 }
--- a/crates/daemon/src/installation.rs
+++ b/crates/daemon/src/installation.rs
@@ -26,25 +26,25 @@
     pub control: Vec<SocketAddr>,
     /// The zones of each region, and the buckets that destinations are divided into.
     pub layout: Arc<Layout>,
-    /// The maximum number of destinations outside its own buckets that it caches.
+    /// The maximum number of destinations outside its own buckets that this dispatcher caches.
     pub cache_destinations: usize,
 }
 
 /// An error in an installation file.
 #[derive(Debug, Error)]
 pub enum InstallationError {
-    /// The file could not be read.
+    /// The installation file could not be read.
     #[error("{path}: cannot read the installation file: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the installation file.
         path: PathBuf,
-        /// The I/O error.
+        /// The error of reading the file.
         source: std::io::Error,
     },
-    /// The file is not valid TOML, or a field is missing, unknown or of the wrong type.
+    /// The installation file is not valid TOML, or a field is missing, unknown or of the wrong type.
     #[error("{path}: invalid installation file: {reason}")]
     Malformed {
-        /// The file.
+        /// The path of the installation file.
         path: PathBuf,
         /// The position and cause of the error.
         reason: Box<toml::de::Error>,
@@ -52,7 +52,7 @@
     /// A field has an invalid value.
     #[error("{path}: field `{field}`: expected {expected}")]
     Field {
-        /// The file.
+        /// The path of the installation file.
         path: PathBuf,
         /// The field's name.
         field: &'static str,
@@ -62,7 +62,7 @@
     /// The zones and buckets do not form a valid layout.
     #[error("{path}: fields `zones` and `buckets_per_region`: {reason}")]
     Layout {
-        /// The file.
+        /// The path of the installation file.
         path: PathBuf,
         /// The reason that the layout is invalid.
         reason: LayoutError,
--- a/crates/daemon/src/journal/adopted.rs
+++ b/crates/daemon/src/journal/adopted.rs
@@ -8,7 +8,7 @@
 /// An adopted journal whose file still has to be truncated. The open file keeps its lock until then, so that no other
 /// process adopts it.
 pub(super) struct AdoptedJournal {
-    /// Its index in the folder.
+    /// The journal's index in the state directory.
     pub(super) index: usize,
     pub(super) file: File,
     /// The bytes of the file that were adopted.
--- a/crates/daemon/src/journal/adoption.rs
+++ b/crates/daemon/src/journal/adoption.rs
@@ -1,18 +1,18 @@
-//! Adoption of the other journals of the folder. A process that starts while an older one still runs writes a journal
-//! of its own, and adopts the journal of the older process once that has exited.
+//! Adoption of the other journals of the state directory. A process that starts while an older one still runs writes a
+//! journal of its own, and adopts the journal of the older process once that has exited.
 
 use super::adopted::AdoptedJournal;
 use super::contents::Recovered;
+use super::directory::Lock;
 use super::error::JournalError;
-use super::folder::Lock;
 use super::load::load;
 use super::record::JournalPrefix;
 use super::writer::JournalWriter;
 use bellsill_core::interface::MessageId;
 
-/// The result of adopting the other journals of a folder.
+/// The result of adopting the other journals of the state directory.
 #[derive(Default)]
-pub(super) struct Adoption {
+pub(super) struct AdoptionResult {
     /// The pending messages and notifications of the adopted journals.
     pub(super) recovered: Recovered,
     /// The ids of messages that ended according to the journals that were read.
@@ -23,38 +23,38 @@
 
 /// Adopts all journals that no process holds. A journal is adopted completely or not at all: a partly adopted one would
 /// be read again, and messages that have ended here since would be treated as new.
-pub(super) fn adopt(writer: &mut JournalWriter) -> Adoption {
+pub(super) fn adopt(writer: &mut JournalWriter) -> AdoptionResult {
     writer.retry_removals();
-    let mut adoption = Adoption {
+    let mut result = AdoptionResult {
         is_incomplete: writer.has_removals(),
-        ..Adoption::default()
+        ..AdoptionResult::default()
     };
-    for other in writer.folder().other_journals(writer.index()) {
+    for other in writer.directory().other_journals(writer.index()) {
         if writer.awaits_removal(other) {
             continue;
         }
-        if let Err(e) = adopt_one(writer, other, &mut adoption) {
+        if let Err(e) = adopt_one(writer, other, &mut result) {
             log::error!("message journal: cannot adopt journal {other}, will retry: {e}");
-            adoption.is_incomplete = true;
+            result.is_incomplete = true;
         }
     }
-    adoption
+    result
 }
 
 fn adopt_one(
     writer: &mut JournalWriter,
     other: usize,
-    adoption: &mut Adoption,
+    result: &mut AdoptionResult,
 ) -> Result<(), JournalError> {
-    let Some(mut file) = writer.folder().open_other(other)? else {
+    let Some(mut file) = writer.directory().open_other(other)? else {
         return Ok(());
     };
-    if writer.folder().lock_journal(other, &file) == Lock::HeldElsewhere {
-        adoption.is_incomplete = true;
+    if writer.directory().lock_journal(other, &file) == Lock::HeldElsewhere {
+        result.is_incomplete = true;
         return Ok(());
     }
-    let loaded = load(writer.folder(), other, &mut file)?;
-    adoption.resolved.extend(loaded.replayed.resolved);
+    let loaded = load(writer.directory(), other, &mut file)?;
+    result.resolved.extend(loaded.replayed.resolved);
     // Messages that this journal already has, adopted from another one, are not added again.
     let mut recovered = loaded.replayed.recovered;
     recovered
@@ -67,7 +67,7 @@
     if recovered != Recovered::default() {
         if writer.append_adopted(source, &recovered).is_err() {
             // The writer has logged the error; the other journal is left unchanged.
-            adoption.is_incomplete = true;
+            result.is_incomplete = true;
             return Ok(());
         }
         log::info!(
@@ -81,15 +81,15 @@
         index: other,
         file,
         source,
-        path: writer.folder().journal_path(other),
+        path: writer.directory().journal_path(other),
     };
     writer.remove_adopted(adopted);
-    adoption.is_incomplete |= writer.has_removals();
-    if let Err(e) = writer.folder().remove_replacement(other) {
+    result.is_incomplete |= writer.has_removals();
+    if let Err(e) = writer.directory().remove_replacement(other) {
         log::warn!("message journal: cannot remove the replacement file of journal {other}: {e}");
     }
-    adoption.recovered.messages.extend(recovered.messages);
-    adoption
+    result.recovered.messages.extend(recovered.messages);
+    result
         .recovered
         .pending_notifications
         .extend(recovered.pending_notifications);
--- a/crates/daemon/src/journal/compaction.rs
+++ b/crates/daemon/src/journal/compaction.rs
@@ -1,7 +1,7 @@
 //! Decides when a journal is compacted and how far it may grow. Obsolete records are removed only by writing a new file
 //! next to the old one, and both files count towards the disk quota until the new one replaces the old.
 
-use super::folder::{ONE_BLOCK, OtherUsage, disk_bytes};
+use super::directory::{ONE_BLOCK, OtherUsage, disk_bytes};
 
 /// Files up to this length are not compacted for their ratio of obsolete records.
 const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
@@ -15,9 +15,9 @@
     pub(super) file_bytes: u64,
     /// The length of the live records: those of pending messages and pending notifications.
     pub(super) live_bytes: u64,
-    /// The disk usage of all other files of the folder.
+    /// The disk usage of all other files of the directory.
     pub(super) others: OtherUsage,
-    /// The disk quota, which this journal shares with all other files of the folder.
+    /// The disk quota, which this journal shares with all other files of the directory.
     pub(super) capacity_bytes: u64,
 }
 
--- a/crates/daemon/src/journal/contents.rs
+++ b/crates/daemon/src/journal/contents.rs
@@ -8,17 +8,17 @@
 pub enum Resolution {
     /// The client may send the message again after this delay.
     Rejected {
-        /// In nanoseconds; zero means immediately.
+        /// The delay in nanoseconds; zero means immediately.
         retry_after: Nanos,
     },
-    /// The message must not be sent again.
+    /// The message failed, and the client must not send it again.
     Failed,
 }
 
 /// An attempt whose first byte may have been written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournaledAttempt {
-    /// The time just before its first byte was written, on the dispatcher's clock.
+    /// The time just before the first byte of the request was written, on the dispatcher's clock.
     pub sent_at: Nanos,
     /// The zone of the endpoint.
     pub zone: String,
@@ -31,15 +31,16 @@
 pub struct JournaledMessage {
     /// The message id that the platform uses.
     pub id: MessageId,
-    /// The name of its class: unlike the position in the settings, it stays valid when the classes are reordered.
+    /// The name of the queue class: unlike the position in the settings, a name stays valid when the classes are
+    /// reordered.
     pub class: String,
-    /// The hash of its ordering key.
+    /// The hash of the ordering key.
     pub key: u64,
-    /// The number of its destination.
+    /// The number of the destination.
     pub destination: u64,
     /// The deadline, on the dispatcher's clock.
     pub deadline: Nanos,
-    /// Empty if its class is not deduplicated by a key.
+    /// The idempotency key; empty if the class is not deduplicated by a key.
     pub idempotency_key: String,
     /// The body that the endpoint receives.
     pub body: Vec<u8>,
@@ -59,7 +60,7 @@
 /// The result of adopting the journals of other processes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdoptedJournals {
-    /// Their messages and pending notifications.
+    /// The pending messages and notifications of the adopted journals.
     pub recovered: Recovered,
     /// Another process still holds a journal, or one could not be adopted: adoption has to be retried.
     pub is_incomplete: bool,
--- a/crates/daemon/src/journal/folder.rs
+++ b/crates/daemon/src/journal/directory.rs
@@ -1,4 +1,4 @@
-//! The journals of a state folder: their file names and locks, and the disk usage of all other files.
+//! The journals of a state directory: their file names and locks, and the disk usage of all other files.
 
 use crate::clock;
 use crate::scope::SCOPE_FILE;
@@ -10,11 +10,11 @@
 
 /// The file name of the first journal; the others append a number to it.
 const BASE_NAME: &str = "mails";
-/// The maximum number of journals in a folder.
+/// The maximum number of journals in a state directory.
 const MAX_JOURNALS: usize = 8;
 /// Files occupy whole blocks of the disk.
 const BLOCK_BYTES: u64 = 512;
-/// While no other journal exists, the folder is scanned at most once per this interval, in nanoseconds.
+/// While no other journal exists, the directory is scanned at most once per this interval, in nanoseconds.
 const SCAN_INTERVAL: Nanos = 20_000_000;
 
 /// The disk space of a file of this length, in whole blocks.
@@ -51,14 +51,14 @@
     matches!((at_path, file.metadata()), (Ok(at_path), Ok(file)) if at_path == file.ino())
 }
 
-/// A state folder; its journals are identified by index.
-pub(super) struct JournalFolder {
+/// A state directory; its journals are identified by index.
+pub(super) struct JournalDirectory {
     path: PathBuf,
 }
 
-impl JournalFolder {
-    pub(super) fn new(path: &Path) -> JournalFolder {
-        JournalFolder {
+impl JournalDirectory {
+    pub(super) fn new(path: &Path) -> JournalDirectory {
+        JournalDirectory {
             path: path.to_path_buf(),
         }
     }
@@ -107,7 +107,7 @@
         }
         Err(io::Error::new(
             io::ErrorKind::ResourceBusy,
-            "all journals of the state folder are locked by other processes",
+            "all journals of the state directory are locked by other processes",
         ))
     }
 
@@ -155,16 +155,16 @@
     }
 }
 
-/// The disk usage of all other files of a folder.
+/// The disk usage of all other files of a state directory.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OtherUsage {
-    /// In whole blocks.
+    /// The total size of the files, in whole blocks.
     pub(super) bytes: u64,
-    /// Whether another process's journal, which may grow, is among them.
+    /// Whether another process's journal, which may grow, is among the files.
     pub(super) has_journals: bool,
 }
 
-/// The disk usage of the other files of a folder, cached between scans.
+/// The disk usage of the other files of a state directory, cached between scans.
 #[derive(Default)]
 pub(super) struct OtherFiles {
     usage: OtherUsage,
@@ -173,13 +173,13 @@
 
 impl OtherFiles {
     /// Returns the usage: scanned on every call while another journal exists, otherwise at most [`SCAN_INTERVAL`] old.
-    pub(super) fn usage(&mut self, folder: &JournalFolder, own: usize) -> OtherUsage {
+    pub(super) fn usage(&mut self, directory: &JournalDirectory, own: usize) -> OtherUsage {
         let now = clock::now();
         let is_stale = self
             .scanned_at
             .is_none_or(|time| now >= time + SCAN_INTERVAL);
         if self.usage.has_journals || is_stale {
-            self.usage = folder.scan(own);
+            self.usage = directory.scan(own);
             self.scanned_at = Some(now);
         }
         self.usage
--- a/crates/daemon/src/journal/error.rs
+++ b/crates/daemon/src/journal/error.rs
@@ -3,17 +3,17 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the journal could not be written.
+/// The reason that the journal could not be written.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The write would exceed the disk quota of the state folder.
-    #[error("the files of the state folder would exceed the disk quota")]
+    /// The write would exceed the disk quota of the state directory.
+    #[error("the files of the state directory would exceed the disk quota")]
     DiskQuota,
-    /// An operation on the file failed.
-    #[error("I/O error: {0}")]
+    /// An operation on the journal file failed.
+    #[error("operation on the journal file failed: {0}")]
     Io(#[from] io::Error),
     /// The file ends with an incomplete record, and neither truncating nor replacing the file succeeded.
-    #[error("the incomplete record at the end of the file cannot be removed: {0}")]
+    #[error("the incomplete record at the end of the journal file cannot be removed: {0}")]
     Unrepaired(#[source] Box<JournalError>),
 }
 
--- a/crates/daemon/src/journal/file.rs
+++ b/crates/daemon/src/journal/file.rs
@@ -1,7 +1,7 @@
 //! The file of a journal: appends records, truncates an incomplete one, and replaces the file.
 
+use super::directory::{JournalDirectory, Lock, try_lock};
 use super::error::JournalError;
-use super::folder::{JournalFolder, Lock, try_lock};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The length of its complete records.
+    /// The length of the complete records in the file.
     pub(super) fn complete_bytes(&self) -> u64 {
         self.complete_bytes
     }
@@ -66,11 +66,11 @@
     /// Writes a new file with these records and renames it over journal `index`.
     pub(super) fn replace(
         &mut self,
-        folder: &JournalFolder,
+        directory: &JournalDirectory,
         index: usize,
         records: &[u8],
     ) -> Result<(), JournalError> {
-        let replacement = folder.replacement_path(index);
+        let replacement = directory.replacement_path(index);
         let opened = OpenOptions::new()
             .append(true)
             .create(true)
@@ -83,7 +83,7 @@
                 ));
             }
             file.write_all(records)?;
-            std::fs::rename(&replacement, folder.journal_path(index))?;
+            std::fs::rename(&replacement, directory.journal_path(index))?;
             Ok(file)
         });
         match written {
--- a/crates/daemon/src/journal/load.rs
+++ b/crates/daemon/src/journal/load.rs
@@ -1,7 +1,7 @@
 //! Reads the file of a journal, skipping the records that another journal has adopted.
 
 use super::contents::Recovered;
-use super::folder::JournalFolder;
+use super::directory::JournalDirectory;
 use super::replay::{Replayed, replay};
 use crate::clock::{ClockReading, Translation};
 use std::fs::File;
@@ -9,27 +9,27 @@
 
 /// The contents of a journal's file.
 pub(super) struct LoadedJournal {
-    /// The result of replaying its records, with times converted to this process's clock.
+    /// The result of replaying the journal's records, with times converted to this process's clock.
     pub(super) replayed: Replayed,
     /// All bytes of the file.
     pub(super) bytes: Vec<u8>,
     /// The length of the prefix that another journal has adopted.
     pub(super) adopted_bytes: usize,
-    /// The clock reading to which its times were converted.
+    /// The clock reading to which the times of the journal were converted.
     pub(super) clock: ClockReading,
-    /// The conversion that was applied to its times.
+    /// The conversion that was applied to the times of the journal.
     pub(super) translation: Translation,
 }
 
 /// Reads a journal from its open file.
 pub(super) fn load(
-    folder: &JournalFolder,
+    directory: &JournalDirectory,
     index: usize,
     file: &mut File,
 ) -> io::Result<LoadedJournal> {
     let mut bytes = Vec::new();
     file.read_to_end(&mut bytes)?;
-    let adopted_bytes = bytes_adopted_by_others(folder, index, &bytes)?;
+    let adopted_bytes = bytes_adopted_by_others(directory, index, &bytes)?;
     let mut replayed = replay(&bytes[adopted_bytes..]);
     let clock = ClockReading::read();
     let translation = replayed.translate(&clock);
@@ -46,7 +46,7 @@
 /// The length of the prefix of a journal that another one has adopted, if the adopting process ended before it had
 /// truncated this file. If that prefix were read again, messages that have ended since would be treated as new.
 fn bytes_adopted_by_others(
-    folder: &JournalFolder,
+    directory: &JournalDirectory,
     index: usize,
     bytes: &[u8],
 ) -> io::Result<usize> {
@@ -54,8 +54,8 @@
     if bytes.is_empty() {
         return Ok(adopted_bytes);
     }
-    for other in folder.other_journals(index) {
-        let other = match std::fs::read(folder.journal_path(other)) {
+    for other in directory.other_journals(index) {
+        let other = match std::fs::read(directory.journal_path(other)) {
             Ok(other) => other,
             Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
             Err(e) => return Err(e),
--- a/crates/daemon/src/journal/mod.rs
+++ b/crates/daemon/src/journal/mod.rs
@@ -1,5 +1,5 @@
-//! The message journal: an append-only file in the state folder that records the accepted messages, their attempts and
-//! their ends. A restarted dispatcher recovers its state from it.
+//! The message journal: an append-only file in the state directory that records the accepted messages, their attempts
+//! and their ends. A restarted dispatcher recovers its state from it.
 //!
 //! Incomplete records are ignored. Nothing is appended after bytes that are not known to be complete records: a file
 //! that cannot be truncated to its complete records is replaced by a new one, and until then no new message is accepted
@@ -13,9 +13,9 @@
 mod adoption;
 mod compaction;
 mod contents;
+mod directory;
 mod error;
 mod file;
-mod folder;
 mod live_records;
 mod load;
 mod record;
@@ -26,7 +26,7 @@
 pub use error::JournalError;
 
 use bellsill_core::interface::{MessageId, Nanos};
-use folder::JournalFolder;
+use directory::JournalDirectory;
 use std::io;
 use std::path::Path;
 use writer::JournalWriter;
@@ -40,17 +40,17 @@
 }
 
 impl MessageJournal {
-    /// Opens the first journal of this folder that no other process holds, and returns its live contents.
-    /// `capacity_bytes` is the disk quota, which all files of the folder share. The other journals are adopted by
+    /// Opens the first journal of this directory that no other process holds, and returns its live contents.
+    /// `capacity_bytes` is the disk quota, which all files of the directory share. The other journals are adopted by
     /// [`MessageJournal::adopt`].
-    pub fn open(folder: &Path, capacity_bytes: u64) -> io::Result<(MessageJournal, Recovered)> {
-        std::fs::create_dir_all(folder)?;
-        let folder = JournalFolder::new(folder);
-        let (index, mut file) = folder.open_own()?;
+    pub fn open(directory: &Path, capacity_bytes: u64) -> io::Result<(MessageJournal, Recovered)> {
+        std::fs::create_dir_all(directory)?;
+        let directory = JournalDirectory::new(directory);
+        let (index, mut file) = directory.open_own()?;
         // A replacement file was left by a process killed during compaction; the old file is still the valid one.
-        folder.remove_replacement(index)?;
-        let loaded = load::load(&folder, index, &mut file)?;
-        let writer = JournalWriter::open(folder, index, file, &loaded, capacity_bytes)?;
+        directory.remove_replacement(index)?;
+        let loaded = load::load(&directory, index, &mut file)?;
+        let writer = JournalWriter::open(directory, index, file, &loaded, capacity_bytes)?;
         let journal = MessageJournal {
             writer,
             resolved: loaded.replayed.resolved.into(),
@@ -58,14 +58,14 @@
         Ok((journal, loaded.replayed.recovered))
     }
 
-    /// Adopts the journals of the folder that no process holds any more: their pending messages and notifications are
-    /// written to this journal, and only then are their files removed.
+    /// Adopts the journals of the state directory that no process holds any more: their pending messages and
+    /// notifications are written to this journal, and only then are their files removed.
     pub fn adopt(&mut self) -> AdoptedJournals {
-        let adoption = adoption::adopt(&mut self.writer);
-        self.resolved.extend(adoption.resolved);
+        let result = adoption::adopt(&mut self.writer);
+        self.resolved.extend(result.resolved);
         AdoptedJournals {
-            recovered: adoption.recovered,
-            is_incomplete: adoption.is_incomplete,
+            recovered: result.recovered,
+            is_incomplete: result.is_incomplete,
         }
     }
 
@@ -74,15 +74,15 @@
         std::mem::take(&mut self.resolved)
     }
 
-    /// Appends a new message; called before its client is answered. On an error nothing was written, and the message is
-    /// rejected.
+    /// Appends a new message; called before the reply to its client. On an error nothing was written, and the message
+    /// is rejected.
     pub fn append_accepted(&mut self, message: &JournaledMessage) -> Result<(), JournalError> {
         let record = record::accepted(message);
-        self.writer.begin_message(message.id, record)
+        self.writer.append_message(message.id, record)
     }
 
     /// Appends an attempt; called before its first byte is sent. On an error nothing was written, and the attempt must
-    /// not begin.
+    /// not start.
     pub fn append_attempt(
         &mut self,
         id: MessageId,
@@ -123,8 +123,8 @@
     }
 
     /// Whether the last write failed, or records are queued.
-    pub fn has_unwritten(&self) -> bool {
-        self.writer.has_unwritten()
+    pub fn has_pending_writes(&self) -> bool {
+        self.writer.has_pending_writes()
     }
 
     /// Writes the queued records. If none are queued after a failure, it writes a record without effect to check
--- a/crates/daemon/src/journal/replay.rs
+++ b/crates/daemon/src/journal/replay.rs
@@ -16,11 +16,11 @@
     /// The number of bytes that belong to no record but are followed by complete records. They are damage: a killed
     /// process leaves only a torn tail.
     pub(super) damaged_bytes: usize,
-    /// The clock of its times; `None` in a journal of an older version.
+    /// The clock of the journal's times; `None` in a journal of an older version.
     pub(super) clock: Option<ClockReading>,
     /// The prefixes of other journals that this one has adopted.
     pub(super) adopted: Vec<JournalPrefix>,
-    /// The most recent messages that ended according to its records, oldest first.
+    /// The most recent messages that ended according to the records, oldest first.
     pub(super) resolved: VecDeque<MessageId>,
 }
 
--- a/crates/daemon/src/journal/writer.rs
+++ b/crates/daemon/src/journal/writer.rs
@@ -4,9 +4,9 @@
 use super::adopted::AdoptedJournal;
 use super::compaction::DiskUsage;
 use super::contents::Recovered;
+use super::directory::{JournalDirectory, OtherFiles};
 use super::error::JournalError;
 use super::file::JournalFile;
-use super::folder::{JournalFolder, OtherFiles};
 use super::live_records::LiveRecords;
 use super::load::LoadedJournal;
 use super::record::{self, JournalPrefix};
@@ -21,8 +21,8 @@
 
 /// Writes the journal of this process.
 pub(super) struct JournalWriter {
-    folder: JournalFolder,
-    /// Its index in the folder.
+    directory: JournalDirectory,
+    /// The journal's index in the state directory.
     index: usize,
     file: JournalFile,
     /// The clock of the times in the file.
@@ -46,7 +46,7 @@
     /// Opens the journal `index` for writing: repairs its file so that it has only complete records, with all times on
     /// one clock.
     pub(super) fn open(
-        folder: JournalFolder,
+        directory: JournalDirectory,
         index: usize,
         file: File,
         loaded: &LoadedJournal,
@@ -56,7 +56,7 @@
         let complete_bytes = loaded.adopted_bytes + replayed.complete_bytes;
         let file = JournalFile::new(file, complete_bytes as u64, loaded.bytes.len() as u64);
         let mut writer = JournalWriter {
-            folder,
+            directory,
             index,
             file,
             clock: replayed.clock.as_ref().unwrap_or(&loaded.clock).clone(),
@@ -88,14 +88,16 @@
             return Ok(self.compact()?);
         }
         if self.file.has_torn_tail() {
-            log::warn!("message journal: discarded an incomplete record at the end of the file");
+            log::warn!(
+                "message journal: discarded an incomplete record at the end of the journal file"
+            );
             self.file.truncate()?;
         }
         Ok(())
     }
 
-    pub(super) fn folder(&self) -> &JournalFolder {
-        &self.folder
+    pub(super) fn directory(&self) -> &JournalDirectory {
+        &self.directory
     }
 
     pub(super) fn index(&self) -> usize {
@@ -108,12 +110,12 @@
     }
 
     /// Whether the last write failed, or records are queued.
-    pub(super) fn has_unwritten(&self) -> bool {
+    pub(super) fn has_pending_writes(&self) -> bool {
         self.is_failing || self.file.has_torn_tail() || self.must_compact || !self.queued.is_empty()
     }
 
-    /// Appends the first record of a message if it fits outside the reserve. On an error it is not written.
-    pub(super) fn begin_message(
+    /// Appends the first record of a message if it fits outside the reserve. On an error the record is not written.
+    pub(super) fn append_message(
         &mut self,
         id: MessageId,
         record: Vec<u8>,
@@ -124,7 +126,7 @@
         Ok(())
     }
 
-    /// Appends another record of a message. On an error it is not written.
+    /// Appends another record of a message. On an error the record is not written.
     pub(super) fn extend_message(
         &mut self,
         id: MessageId,
@@ -135,7 +137,7 @@
         Ok(())
     }
 
-    /// Appends another record of a message for an event that has already happened. On an error it is queued.
+    /// Appends another record of a message for an event that has already happened. On an error the record is queued.
     pub(super) fn extend_message_or_queue(
         &mut self,
         id: MessageId,
@@ -145,7 +147,7 @@
         self.append_or_queue(record)
     }
 
-    /// Appends a record that makes all earlier records of its message obsolete. On an error it is queued.
+    /// Appends a record that makes all earlier records of its message obsolete. On an error the record is queued.
     pub(super) fn replace_message_or_queue(
         &mut self,
         id: MessageId,
@@ -155,7 +157,8 @@
         self.append_or_queue(record)
     }
 
-    /// Appends a record that makes all records of its message obsolete, including itself. On an error it is queued.
+    /// Appends a record that makes all records of its message obsolete, including itself. On an error the record is
+    /// queued.
     pub(super) fn end_message_or_queue(
         &mut self,
         id: MessageId,
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Appends a record after all queued ones. On an error it is not written.
+    /// Appends a record after all queued ones. On an error the record is not written.
     fn append(&mut self, record: &[u8]) -> Result<(), JournalError> {
         if self.must_compact || !self.queued.is_empty() {
             self.write_pending()?;
@@ -228,7 +231,7 @@
         self.write(record)
     }
 
-    /// Appends a record for an event that has already happened. On an error it is queued.
+    /// Appends a record for an event that has already happened. On an error the record is queued.
     fn append_or_queue(&mut self, record: Vec<u8>) -> Result<(), JournalError> {
         let appended = self.append(&record);
         if appended.is_err() {
@@ -313,7 +316,7 @@
         if !usage.may_compact(self.file.total_bytes(), records.len() as u64) {
             return Err(JournalError::DiskQuota);
         }
-        self.file.replace(&self.folder, self.index, &records)?;
+        self.file.replace(&self.directory, self.index, &records)?;
         self.must_compact = false;
         self.queued.clear();
         self.report_success();
@@ -324,7 +327,7 @@
         DiskUsage {
             file_bytes: self.file.complete_bytes(),
             live_bytes: self.live.total_bytes(),
-            others: self.other_files.usage(&self.folder, self.index),
+            others: self.other_files.usage(&self.directory, self.index),
             capacity_bytes: self.capacity_bytes,
         }
     }
@@ -341,7 +344,9 @@
     /// Logs that writes succeed again.
     fn report_success(&mut self) {
         if std::mem::replace(&mut self.is_failing, false) {
-            log::warn!("message journal: writes succeed again");
+            log::warn!(
+                "message journal: writes succeed again, new messages are no longer rejected for write errors"
+            );
         }
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The dispatcher daemon: runs the dispatch logic of `bellsill-core` on real sockets. [`start`] reads the configuration
+//! The dispatcher daemon: runs the decision logic of `bellsill-core` on real sockets. [`start`] reads the configuration
 //! and [`event_loop::Daemon`] runs the dispatcher; `docs/daemon.md` describes the architecture.
 //!
 //! The modules form layers; each one uses only those below it:
@@ -8,7 +8,7 @@
 //! | [`event_loop`] | polling, and dispatching poll events and expired timers |
 //! | `startup`, `reload`, `shutdown` | building the components, configuration reload, the phases of a graceful shutdown |
 //! | [`client`], [`admin`] | client and operator sessions |
-//! | `delivery` | the dispatch core, pending messages, attempts in flight, admission, recovery |
+//! | `delivery` | the decision logic, pending messages, attempts in flight, admission, recovery |
 //! | [`endpoint`], `notification`, [`discovery`] | communication with endpoints, with the platform and with discovery |
 //! | [`journal`], [`scope`] | persistent state |
 //! | `connection`, `timer` | sockets, the poller, and scheduled timers |
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -5,9 +5,9 @@
 pub enum MessageResult {
     /// The message was delivered.
     Completed,
-    /// It was rejected, either with the response `-BUSY` or after it had been accepted.
+    /// The message was rejected, either with the reply `-BUSY` or after it had been accepted.
     Rejected,
-    /// It failed permanently.
+    /// The message failed permanently.
     Failed,
 }
 
--- a/crates/daemon/src/recent_ids.rs
+++ b/crates/daemon/src/recent_ids.rs
@@ -1,11 +1,11 @@
-//! The ids of recently ended messages. A client whose connection closed before it received the answer repeats the
+//! The ids of recently ended messages. A client whose connection closed before it received the reply repeats the
 //! request with the same id, and a message that was accepted once must not be accepted again.
 
 use bellsill_core::interface::{MessageId, Nanos};
 use std::collections::{BTreeSet, VecDeque};
 
 /// How long an id is kept after the end of its message, in nanoseconds. A client repeats its request within its
-/// response timeout, or once it reaches a restarted dispatcher.
+/// reply timeout, or once it reaches a restarted dispatcher.
 const RETENTION: Nanos = 10_000_000_000;
 /// The maximum number of ids that are kept; the oldest are removed first.
 pub const MAX_RECENT_IDS: usize = 4096;
--- a/crates/daemon/src/scope.rs
+++ b/crates/daemon/src/scope.rs
@@ -10,8 +10,8 @@
 
 /// The name of the file in the state directory.
 pub const SCOPE_FILE: &str = "scope";
-/// How often a changed list is saved, in nanoseconds. After a restart the configuration may be out of date by this
-/// much.
+/// How often a changed list is saved, in nanoseconds. After a restart the configuration may be out of date by up to
+/// this interval.
 pub const SAVE_INTERVAL: Nanos = 5_000_000_000;
 /// The fraction of the disk quota for the file and its replacement together.
 const DISK_QUOTA_FRACTION: f64 = 0.5;
@@ -44,10 +44,10 @@
 }
 
 impl ScopeFile {
-    /// The scope file of `dispatcher` in the state directory `folder`. The file is not read yet.
-    pub fn new(folder: &Path, dispatcher: &str, disk_bytes: u64) -> ScopeFile {
+    /// The scope file of `dispatcher` in the state directory `directory`. The file is not read yet.
+    pub fn new(directory: &Path, dispatcher: &str, disk_bytes: u64) -> ScopeFile {
         ScopeFile {
-            path: folder.join(SCOPE_FILE),
+            path: directory.join(SCOPE_FILE),
             dispatcher: dispatcher.to_string(),
             max_bytes: (disk_bytes as f64 * DISK_QUOTA_FRACTION / 2.0) as usize,
             saved_revision: None,
@@ -105,7 +105,10 @@
             }
             Err(e) => {
                 self.counters.failed += 1;
-                log::error!("{}: cannot save the scope file: {e}", self.path.display());
+                log::error!(
+                    "{}: cannot save the scope file, its previous version is kept: {e}",
+                    self.path.display()
+                );
             }
         }
     }
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -28,7 +28,7 @@
     ServingClients,
     /// Clients are closed between requests; new attempts are still started.
     ClosingClients,
-    /// The dispatch core is no longer called; attempts in flight may complete. Pending messages are left to the next
+    /// The decision logic is no longer called; attempts in flight may complete. Pending messages are left to the next
     /// process.
     FinishingAttempts,
     /// Shutdown is complete and the process exits.
@@ -135,7 +135,7 @@
             return false;
         }
         let runtime = &delivery.runtime;
-        // A client that is still connected is in the middle of a request, has not read its response, or has not closed
+        // A client that is still connected is in the middle of a request, has not read its reply, or has not closed
         // its side.
         let has_clients = runtime.connections.has_clients();
         match self.phase {
@@ -143,7 +143,7 @@
                 !has_clients
                     && runtime.messages().len() == 0
                     && runtime.pending_notifications() == 0
-                    && !runtime.has_unwritten_records()
+                    && !runtime.has_pending_writes()
             }
             ShutdownPhase::FinishingAttempts => !has_clients && !runtime.messages().any_in_flight(),
             _ => false,
@@ -151,7 +151,7 @@
     }
 
     /// Starts or ends draining. When draining starts, clients between requests are closed at once and the others after
-    /// their response.
+    /// their reply.
     pub(crate) fn set_draining(&mut self, draining: bool, delivery: &mut Delivery) {
         if std::mem::replace(&mut self.draining, draining) == draining {
             return;
@@ -163,7 +163,7 @@
         log::info!("admin request: draining started");
         let policy = self.client_policy();
         for id in delivery.runtime.connections.clients() {
-            // Requests that have already arrived are answered first. A client that has had no response yet keeps its
+            // Requests that have already arrived get their replies first. A client that has had no reply yet keeps its
             // time to send a request.
             client::handle_ready(delivery, id, policy);
             let runtime = &mut delivery.runtime;
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -35,7 +35,7 @@
     pub disk_bytes: u64,
     /// The endpoint list that the platform knew when it started the dispatcher.
     pub known: Value,
-    /// The platform's settings for the dispatch core.
+    /// The platform's settings for the decision logic.
     pub platform: PlatformSettings,
     /// The state directory, which persists across restarts.
     pub state: PathBuf,
@@ -64,18 +64,18 @@
 /// An error in the configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file could not be read.
-    #[error("{path}: {source}")]
+    /// The configuration file could not be read.
+    #[error("{path}: cannot read the configuration file: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the configuration file.
         path: PathBuf,
-        /// The I/O error.
+        /// The error of reading the file.
         source: io::Error,
     },
-    /// The file is not valid JSON.
-    #[error("{path}: invalid JSON: {source}")]
+    /// The configuration file is not valid JSON.
+    #[error("{path}: invalid JSON in the configuration file: {source}")]
     NotJson {
-        /// The file.
+        /// The path of the configuration file.
         path: PathBuf,
         /// The position and cause of the syntax error.
         source: serde_json::Error,
--- a/crates/daemon/src/start_retry.rs
+++ b/crates/daemon/src/start_retry.rs
@@ -31,9 +31,11 @@
     is_system_error && !PERMANENT_ERRORS.contains(&e.kind())
 }
 
-/// Retries `attempt` while it fails with a transient error, until `RETRY_FOR` has passed or shutdown is requested.
+/// Retries `attempt`, which log lines call `operation`, while it fails with a transient error, until `RETRY_FOR` has
+/// passed or shutdown is requested.
 pub fn retry_transient<T>(
     shutdown_requested: &AtomicBool,
+    operation: &str,
     mut attempt: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let deadline = Instant::now() + RETRY_FOR;
@@ -46,7 +48,10 @@
                     && !shutdown_requested.load(Ordering::SeqCst) =>
             {
                 if !std::mem::replace(&mut has_logged, true) {
-                    log::error!("temporary failure during startup, retrying: {e}");
+                    log::error!(
+                        "startup: cannot {operation}, retrying for up to {} s: {e}",
+                        RETRY_FOR.as_secs()
+                    );
                 }
                 sleep(RETRY_INTERVAL);
             }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -163,15 +163,18 @@
     } else {
         config.disk_bytes
     };
-    let add_path =
-        |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", config.state.display()));
-    let (mut journal, mut recovered) = start_retry::retry_transient(flags.shutdown(), || {
-        MessageJournal::open(&config.state, journal_bytes)
-    })
-    .map_err(add_path)?;
+    let state = config.state.display();
+    let open_journal = format!("open the message journal in the state directory {state}");
+    let (mut journal, mut recovered) =
+        start_retry::retry_transient(flags.shutdown(), &open_journal, || {
+            MessageJournal::open(&config.state, journal_bytes)
+        })
+        .map_err(|e| add_operation(&open_journal, &e))?;
     let adopted = journal.adopt();
-    let disabled = start_retry::retry_transient(flags.shutdown(), || load_disabled(&config.state))
-        .map_err(add_path)?;
+    let load = format!("load the list of disabled endpoints in the state directory {state}");
+    let disabled =
+        start_retry::retry_transient(flags.shutdown(), &load, || load_disabled(&config.state))
+            .map_err(|e| add_operation(&load, &e))?;
     recovered.messages.extend(adopted.recovered.messages);
     recovered
         .pending_notifications
@@ -184,15 +187,22 @@
     })
 }
 
+/// Adds the failed operation to the text of an I/O error.
+fn add_operation(operation: &str, error: &io::Error) -> io::Error {
+    io::Error::new(error.kind(), format!("cannot {operation}: {error}"))
+}
+
 /// Opens the client listener.
 fn listen(
     config: &StartConfig,
     flags: &SignalFlags,
     wake: UnixStream,
 ) -> io::Result<ConnectionTable> {
-    let bound = start_retry::retry_transient(flags.shutdown(), || shared_listener(config.listen));
-    let listener =
-        bound.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", config.listen)))?;
+    let operation = format!("listen for clients on {}", config.listen);
+    let listener = start_retry::retry_transient(flags.shutdown(), &operation, || {
+        shared_listener(config.listen)
+    })
+    .map_err(|e| add_operation(&operation, &e))?;
     let client_bytes = config.memory_bytes as usize / 2;
     let limits = ConnectionLimits::new(
         config.sockets,
@@ -220,10 +230,15 @@
 /// Opens the admin listener, and schedules re-reading the disabled endpoints, since an operator can change them through
 /// another process that shares the state directory.
 fn listen_admin(runtime: &mut Runtime, addr: SocketAddr, flags: &SignalFlags) -> io::Result<()> {
-    let bound = start_retry::retry_transient(flags.shutdown(), || TcpListener::bind(addr));
+    let operation = format!("listen for admin requests on {addr}");
+    let bound =
+        start_retry::retry_transient(flags.shutdown(), &operation, || TcpListener::bind(addr));
     bound
         .and_then(|listener| runtime.connections.listen_admin(listener))
-        .map_err(|e| io::Error::new(e.kind(), format!("mgmt: {addr}: {e}")))?;
+        .map_err(|e| {
+            let reason = format!("mgmt: {addr}: cannot listen for admin requests: {e}");
+            io::Error::new(e.kind(), reason)
+        })?;
     log::info!("listening for admin requests on {addr}");
     runtime.timers.set(
         Timer::DisabledEndpoints,
--- a/crates/daemon/src/timer.rs
+++ b/crates/daemon/src/timer.rs
@@ -4,7 +4,7 @@
 use crate::message_slot::MessageSlot;
 use bellsill_core::interface::Nanos;
 
-/// Interval of the checks for files that another process sharing the state folder has left or changed there.
+/// Interval of the checks for files that another process sharing the state directory has left or changed there.
 pub(crate) const SHARED_STATE_CHECK_INTERVAL: Nanos = 100_000_000;
 /// Interval of the status lines in the log.
 pub(crate) const STATUS_INTERVAL: Nanos = 10_000_000_000;
@@ -30,9 +30,10 @@
     ShutdownPhase,
     /// The status line is due.
     StatusLog,
-    /// The state folder is due to be checked for journals left by processes that shared it.
+    /// The state directory is due to be checked for journals left by processes that shared it.
     AdoptJournals,
-    /// The list of disabled endpoints is due to be checked for changes by another process that shares the state folder.
+    /// The list of disabled endpoints is due to be checked for changes by another process that shares the state
+    /// directory.
     DisabledEndpoints,
     /// Journal records whose write failed are due to be written again.
     JournalRetry,
--- a/crates/daemon/tests/admin_and_configuration.rs
+++ b/crates/daemon/tests/admin_and_configuration.rs
@@ -152,7 +152,7 @@
 ];
 
 #[test]
-fn admin_requests_are_answered_beside_stalled_connections_and_metrics_match_the_messages_sent() {
+fn admin_requests_get_replies_beside_stalled_connections_and_metrics_match_the_messages_sent() {
     let (healthy, failing, full) = (
         Endpoint::start(OK),
         Endpoint::start(Behavior::Responds("500 No")),
@@ -225,7 +225,7 @@
     wait_for("the hanging request", || !hung.calls().is_empty());
     let (first, second) = (put(&fresh(), "c=notice,d=8000,k=a,dest=7", "half"), fresh());
     partial.to.write_all(&first[..30]).unwrap();
-    // Sent before the drain and perhaps not read yet when it starts: it must still be answered.
+    // Sent before the drain and perhaps not read yet when it starts: it must still get a reply.
     busy.to
         .write_all(&put(&second, "c=notice,d=8000,k=b,dest=7", "crossing"))
         .unwrap();
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 #[test]
-fn split_and_pipelined_input_is_answered_in_order_and_delivered() {
+fn split_and_pipelined_input_gets_replies_in_order_and_is_delivered() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
@@ -174,8 +174,8 @@
     assert_eq!(e.calls().len(), 3);
 }
 
-/// At the connection limit, eviction closed a client whose request had arrived but was not read yet, and the message was
-/// lost. Found in a run that combined many clients, SIGTERM and reads of the metrics.
+/// At the connection limit, eviction closed a client whose request had arrived but was not read yet, and the message
+/// was lost. Found in a run that combined many clients, SIGTERM and reads of the metrics.
 #[test]
 fn a_client_whose_request_has_arrived_is_not_evicted() {
     let e = Endpoint::start(OK);
@@ -188,8 +188,8 @@
         connected.iter_mut().all(|c| c.send(b"PING\r\n") == "+PONG"),
         "these clients and the silent one are accepted"
     );
-    // While the dispatcher is suspended, many clients connect, then two connected clients send requests. After it resumes,
-    // it sees all of this at once.
+    // While the dispatcher is suspended, many clients connect, then two connected clients send requests. After it
+    // resumes, it sees all of this at once.
     process.signal(Signal::STOP);
     let waiting: Vec<Client> = (0..150).map(|_| process.client()).collect();
     let ids = [fresh(), fresh()];
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_client_with_many_errors_is_closed_and_hundreds_of_commands_are_all_answered() {
+fn a_client_with_many_errors_is_closed_and_hundreds_of_commands_all_get_replies() {
     let mut process = DispatcherProcess::new(program!(), &[]);
     process.start();
     let mut client = process.client();
@@ -250,8 +250,8 @@
     assert_eq!(process.client().send(b"PING\r\n"), "+PONG");
 }
 
-/// In runs with another customer's load, a dispatcher at capacity gave up on up to 860 messages a day that had certainly
-/// not run, most of them right after it had accepted them.
+/// In runs with another customer's load, a dispatcher at capacity gave up on up to 860 messages a day that had
+/// certainly not run, most of them right after it had accepted them.
 #[test]
 fn accepted_messages_stay_queued_and_a_hung_destination_leaves_capacity_for_others() {
     let (hung, healthy) = (Endpoint::start(Behavior::Hangs), Endpoint::start(OK));
--- a/crates/daemon/tests/control_command.rs
+++ b/crates/daemon/tests/control_command.rs
@@ -25,16 +25,16 @@
 
 #[test]
 fn a_control_process_serves_until_sigterm_and_names_an_invalid_field() {
-    let folder =
+    let directory =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("control-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
-    let file = folder.join("control.toml");
+    std::fs::create_dir_all(&directory).unwrap();
+    let file = directory.join("control.toml");
     // A loopback address derived from the process id, so that no other process is given its port.
     let pid = std::process::id();
     let address = format!("127.{}.{}.250:7400", 16 + pid % 200, pid / 200 % 250)
         .parse()
         .unwrap();
-    let state = folder.join("state");
+    let state = directory.join("state");
     let text = format!(
         "name = \"control-1\"\nlisten = \"{address}\"\nstate = \"{}\"\nrole = \"writer\"\n\
          [[zones]]\nname = \"north-1\"\nregion = \"north\"\n",
--- a/crates/daemon/tests/discovery_backoff.rs
+++ b/crates/daemon/tests/discovery_backoff.rs
@@ -40,9 +40,9 @@
 }
 
 /// Regression test for the scenario `herd+vast`: 70 of 100 dispatchers, killed together, sent a request every 250 ms,
-/// and none was answered for 19 s. Discovery answers in order, one request per dispatcher in 8 s, abandoned requests
-/// included. A request that may still be answered is therefore kept open while others are made: with delays of at most
-/// 6 s, no dispatcher would be answered otherwise.
+/// and none got a response for 19 s. Discovery responds in order, one request per dispatcher in 8 s, abandoned requests
+/// included. A request that may still get a response is therefore kept open while others are made: with delays of at
+/// most 6 s, no dispatcher would get a response otherwise.
 #[test]
 fn a_fleet_that_starts_at_once_is_served_without_repeated_polling() {
     for dispatchers in [3, 30, 100, 300, 1000] {
@@ -50,16 +50,16 @@
             .map(|n| Backoff::new(n, dispatchers as u32))
             .collect();
         let mut due: BTreeSet<(Nanos, usize)> = (0..dispatchers).map(|n| (0, n)).collect();
-        // For each dispatcher, when the first of its open requests is answered.
-        let mut answered_at: Vec<Option<Nanos>> = vec![None; dispatchers];
+        // For each dispatcher, when the first of its open requests gets a response.
+        let mut response_at: Vec<Option<Nanos>> = vec![None; dispatchers];
         let (mut free_at, mut calls) = (0, 0);
         while let Some((at, n)) = due.pop_first() {
-            if answered_at[n].is_some_and(|t| t <= at) {
+            if response_at[n].is_some_and(|t| t <= at) {
                 continue;
             }
             (free_at, calls) = (at.max(free_at) + 8 * SECOND / dispatchers as u64, calls + 1);
             if free_at <= at + LATE_CALL_TIMEOUT {
-                answered_at[n] = Some(answered_at[n].map_or(free_at, |t| t.min(free_at)));
+                response_at[n] = Some(response_at[n].map_or(free_at, |t| t.min(free_at)));
             }
             if free_at > at + FIRST_LINE_TIMEOUT {
                 due.insert((
@@ -72,9 +72,9 @@
                 "{dispatchers} dispatchers keep polling"
             );
         }
-        let last = answered_at
+        let last = response_at
             .iter()
-            .map(|t| t.expect("every dispatcher is answered"))
+            .map(|t| t.expect("every dispatcher gets a response"))
             .max()
             .unwrap();
         assert!(
@@ -83,7 +83,7 @@
         );
         assert!(
             last < 9 * SECOND,
-            "{dispatchers} dispatchers: the last one was answered after {} s",
+            "{dispatchers} dispatchers: the last one got a response after {} s",
             last / SECOND
         );
     }
--- a/crates/daemon/tests/discovery_watch.rs
+++ b/crates/daemon/tests/discovery_watch.rs
@@ -205,7 +205,7 @@
     });
 }
 
-/// A discovery listener whose requests the test itself answers, and its address.
+/// A discovery listener whose responses the test itself sends, and its address.
 fn manual_discovery() -> (TcpListener, Value) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
@@ -235,7 +235,7 @@
 /// requested the list up to 1 s after startup, and meanwhile sent messages to endpoints that were draining, as the
 /// platform's agent knew.
 #[test]
-fn the_watch_is_opened_before_the_first_client_is_answered() {
+fn the_watch_is_opened_before_the_first_reply_to_a_client() {
     let (discovery, addr) = manual_discovery();
     let mut process = DispatcherProcess::new(program!(), &[]);
     process.json["discovery"] = addr;
@@ -278,7 +278,7 @@
     sender.join().unwrap();
 }
 
-/// A discovery server with a low request rate answers requests in order, including abandoned ones, so giving up a
+/// A discovery server with a low request rate responds to requests in order, including abandoned ones, so giving up a
 /// queued request would waste its place in the queue.
 #[test]
 fn a_slow_watch_request_stays_open_beside_a_second_one_and_the_first_response_is_used() {
--- a/crates/daemon/tests/failing_folder.rs
+++ b/crates/daemon/tests/failing_state_directory.rs
@@ -1,5 +1,5 @@
-//! Writes to the state folder fail temporarily, completely or after half of the bytes, and the process is killed during
-//! and after the failures.
+//! Writes to the state directory fail temporarily, completely or after half of the bytes, and the process is killed
+//! during and after the failures.
 
 use bellsill_test_support::faults::{EIO, ENOSPC, words};
 use bellsill_test_support::program;
--- a/crates/daemon/tests/graceful_shutdown.rs
+++ b/crates/daemon/tests/graceful_shutdown.rs
@@ -23,19 +23,17 @@
     wait_for("a rejected attempt", || process.never_ran(&pending));
     e.set_behavior(OK);
     process.signal(Signal::TERM);
-    // For a short time new clients are still accepted, and connected ones are served. A request without a response was
+    // For a short time new clients are still accepted, and connected ones are served. A request without a reply was
     // not read.
     let late = fresh();
     let try_late = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect(&process.listen)?;
         stream.write_all(&put(&late, "c=notice,d=20000,k=l,dest=7", "late"))?;
-        let mut answer = String::new();
-        BufReader::new(stream)
-            .read_line(&mut answer)
-            .map(|_| answer)
+        let mut reply = String::new();
+        BufReader::new(stream).read_line(&mut reply).map(|_| reply)
     };
-    let answer = try_late().unwrap_or_default();
-    assert!(answer.is_empty() || answer == "+OK\r\n", "{answer}");
+    let reply = try_late().unwrap_or_default();
+    assert!(reply.is_empty() || reply == "+OK\r\n", "{reply}");
     assert_eq!(client.line(), "", "the connection is closed");
     assert_eq!(
         process.child.take().unwrap().wait().unwrap().code(),
@@ -52,7 +50,7 @@
     wait_for("a later message", || count_calls(&last) == 1);
     wait_for("the pending message", || count_calls(&pending) >= 2);
     wait_for("the late message", || {
-        answer.is_empty() || count_calls(&late) >= 1
+        reply.is_empty() || count_calls(&late) >= 1
     });
 }
 
--- a/crates/daemon/tests/guarantees.rs
+++ b/crates/daemon/tests/guarantees.rs
@@ -76,15 +76,15 @@
         "c=notice,d=8000,k=a,k=b,dest=7",
         "c=notice,d=8000,k=a,dest=7,dest=7",
     ] {
-        let response = client.send(&put(&fresh(), fields, "x"));
-        assert!(response.starts_with("-ERR"), "{fields}: {response}");
+        let reply = client.send(&put(&fresh(), fields, "x"));
+        assert!(reply.starts_with("-ERR"), "{fields}: {reply}");
     }
     client.message("notice", 7, 8_000, "good");
     wait_for("the valid message", || e.calls().len() == 1);
     assert_eq!(e.calls()[0].body, "good");
 }
 
-/// Row L1: every request that is read gets a response. A new connection that times out is closed without reading from
+/// Row L1: every request that is read gets a reply. A new connection that times out is closed without reading from
 /// it any more; one that stops in the middle of a request gets an error before it is closed.
 #[test]
 fn a_new_connection_is_closed_unread_and_a_partial_request_gets_an_error() {
@@ -95,12 +95,12 @@
     let (mut silent, mut partial) = (process.client(), process.client());
     partial.to.write_all(&request[..30]).unwrap();
     let started_at = Instant::now();
-    let mut response = Vec::new();
-    partial.from.read_to_end(&mut response).unwrap();
+    let mut reply = Vec::new();
+    partial.from.read_to_end(&mut reply).unwrap();
     assert!(
-        response.starts_with(b"-ERR"),
+        reply.starts_with(b"-ERR"),
         "{:?}",
-        String::from_utf8_lossy(&response)
+        String::from_utf8_lossy(&reply)
     );
     assert_eq!(silent.line(), "", "the connection is closed");
     assert!(
@@ -119,9 +119,9 @@
     assert!(reset && e.calls().is_empty());
 }
 
-/// Row T6: startup waits while the state folder fails, and accepts no clients until then.
+/// Row T6: startup waits while the state directory fails, and accepts no clients until then.
 #[test]
-fn a_start_waits_for_a_failing_state_folder_and_loses_nothing() {
+fn a_start_waits_for_a_failing_state_directory_and_loses_nothing() {
     let e = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1"));
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     let faults = Faults::new(&process.folder, 1);
@@ -152,7 +152,7 @@
         );
         assert!(
             std::net::TcpStream::connect(&process.listen).is_err(),
-            "clients are accepted while the folder fails"
+            "clients are accepted while the state directory fails"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -206,7 +206,7 @@
     assert_eq!(process.platform.notification(&idempotent), None);
 }
 
-/// Row D3: a disabled endpoint gets no messages from 1 s after the call, even if the state folder fails.
+/// Row D3: a disabled endpoint gets no messages from 1 s after the call, even if the state directory fails.
 #[test]
 fn an_endpoint_is_disabled_though_the_list_cannot_be_written() {
     let (disabled, other) = (Endpoint::start(OK), Endpoint::start(OK));
@@ -226,7 +226,7 @@
             .all(|id| other.calls_of(id) + disabled.calls_of(id) == 1)
     });
     assert!(disabled.calls().is_empty(), "the endpoint is disabled");
-    // Once the folder works again, the list is written and a restart keeps the endpoint disabled.
+    // Once the directory works again, the list is written and a restart keeps the endpoint disabled.
     faults.heal_folder();
     wait_for("the list of disabled endpoints", || {
         std::fs::read_to_string(process.folder.join("state/held-out"))
@@ -298,10 +298,10 @@
     assert_eq!(e.calls_of(&pending), before);
 }
 
-/// Row K1: the state folder, including the list of disabled endpoints, never exceeds its size limit, also while an old
-/// and a new process share it and while a journal is adopted.
+/// Row K1: the state directory, including the list of disabled endpoints, never exceeds its size limit, also while an
+/// old and a new process share it and while a journal is adopted.
 #[test]
-fn two_processes_in_one_state_folder_stay_under_its_limit_together() {
+fn two_processes_in_one_state_directory_stay_under_its_limit_together() {
     const LIMIT: u64 = 400_000;
     // Messages end quickly, so both journals fill up with ended messages.
     let e = Endpoint::start(OK);
@@ -319,9 +319,9 @@
     let accepted = AtomicUsize::new(0);
     let fill = |client: &mut Client| {
         for _ in 0..12 {
-            let response = client.send(&put(&fresh(), "c=payment,d=20000,k=x,dest=7", &body));
+            let reply = client.send(&put(&fresh(), "c=payment,d=20000,k=x,dest=7", &body));
             assert!(used() <= LIMIT, "{} bytes of {LIMIT}", used());
-            accepted.fetch_add(usize::from(response == "+OK"), Ordering::SeqCst);
+            accepted.fetch_add(usize::from(reply == "+OK"), Ordering::SeqCst);
             std::thread::sleep(Duration::from_millis(8));
         }
     };
@@ -381,10 +381,10 @@
     );
 }
 
-/// Row R3: a client whose connection closed before it read the response repeats the request with the same id. A message
+/// Row R3: a client whose connection closed before it read the reply repeats the request with the same id. A message
 /// that was accepted is not accepted again, even if it has ended since, neither by this process nor by the next.
 #[test]
-fn a_repeated_request_is_answered_and_not_accepted_again_after_its_message_has_ended() {
+fn a_repeated_request_gets_a_reply_and_is_not_accepted_again_after_its_message_has_ended() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
@@ -568,7 +568,7 @@
     assert_eq!(order, ids);
 }
 
-/// Row C1: a value of 60 MB gets a response or a closed connection within 6 s, and other clients are served meanwhile.
+/// Row C1: a value of 60 MB gets a reply or a closed connection within 6 s, and other clients are served meanwhile.
 #[test]
 fn a_value_of_sixty_megabytes_is_rejected_in_time() {
     let e = Endpoint::start(OK);
@@ -591,8 +591,8 @@
         .client()
         .message("notice", 7, 8_000, "of another client");
     wait_for("the message of another client", || e.calls_of(&other) == 1);
-    let mut response = Vec::new();
-    huge.from.read_to_end(&mut response).ok();
+    let mut reply = Vec::new();
+    huge.from.read_to_end(&mut reply).ok();
     assert!(
         started_at.elapsed() < Duration::from_secs(6),
         "{:?}",
--- a/crates/daemon/tests/journal.rs
+++ b/crates/daemon/tests/journal.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_second_process_in_a_folder_in_use_starts_and_adopts_its_messages() {
+fn a_second_process_in_a_state_directory_in_use_starts_and_adopts_its_messages() {
     let hanging = Endpoint::start(Behavior::Hangs);
     let mut process = DispatcherProcess::new(program!(), &[(&hanging, 7)]);
     process.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
@@ -122,7 +122,7 @@
         client.message("payment", 7, 19_000, "o"),
     );
     wait_for("both calls", || hanging.calls().len() == 2);
-    // Starts a second process with the same folder and client address while the first one still runs, as an upgrade
+    // Starts a second process with the same directory and client address while the first one still runs, as an upgrade
     // does.
     let mut first_process = process.child.take().unwrap();
     process.start();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn the_disk_quota_is_kept_and_answered_with_busy() {
+fn the_disk_quota_is_kept_and_the_reply_is_busy() {
     let rejecting = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1"));
     let mut process = DispatcherProcess::new(program!(), &[(&rejecting, 7)]);
     process.json["limits"]["disk_mb"] = json!(0.4);
@@ -194,21 +194,21 @@
             .map(|f| f.metadata().map_or(0, |m| m.len().div_ceil(512) * 512))
             .sum::<u64>()
     };
-    let mut answers = Vec::new();
+    let mut replies = Vec::new();
     for _ in 0..40 {
         let id = fresh();
-        answers.push(client.send(&put(&id, "c=payment,d=20000,k=x,dest=7", &body)));
+        replies.push(client.send(&put(&id, "c=payment,d=20000,k=x,dest=7", &body)));
         assert!(disk_usage() <= 400_000);
     }
     assert_eq!(
-        (answers[0].as_str(), answers[39].as_str()),
+        (replies[0].as_str(), replies[39].as_str()),
         ("+OK", "-BUSY")
     );
     // Once messages have ended, the capacity of their records is available again, however much was written before.
     rejecting.set_behavior(OK);
     wait_for("capacity for further messages", || {
-        let answer = client.send(&put(&fresh(), "c=notice,d=20000,k=x,dest=7", &body));
+        let reply = client.send(&put(&fresh(), "c=notice,d=20000,k=x,dest=7", &body));
         assert!(disk_usage() <= 400_000);
-        rejecting.calls().len() > 40 && answer == "+OK"
+        rejecting.calls().len() > 40 && reply == "+OK"
     });
 }
--- a/crates/daemon/tests/journal_file.rs
+++ b/crates/daemon/tests/journal_file.rs
@@ -12,17 +12,17 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-/// A temporary folder that is removed when dropped.
-struct TempFolder(PathBuf);
+/// A temporary directory that is removed when dropped.
+struct TempDirectory(PathBuf);
 
-impl TempFolder {
-    fn new(name: &str) -> TempFolder {
+impl TempDirectory {
+    fn new(name: &str) -> TempDirectory {
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("{name}-{}", std::process::id()));
-        // An earlier run that was killed may have left the folder.
+        // An earlier run that was killed may have left the directory.
         std::fs::remove_dir_all(&path).ok();
         std::fs::create_dir_all(&path).unwrap();
-        TempFolder(path)
+        TempDirectory(path)
     }
 
     /// The disk usage of its files, in whole blocks.
@@ -34,7 +34,7 @@
     }
 }
 
-impl Drop for TempFolder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).ok();
     }
@@ -117,8 +117,8 @@
 fn a_reopened_journal_holds_what_was_written_within_its_quota() {
     fn property(steps: Vec<(u8, u8, u16)>, torn: Vec<u8>) -> bool {
         const QUOTA: u64 = 60_000;
-        let folder = TempFolder::new("journal");
-        let (mut journal, recovered) = MessageJournal::open(&folder.0, QUOTA).unwrap();
+        let directory = TempDirectory::new("journal");
+        let (mut journal, recovered) = MessageJournal::open(&directory.0, QUOTA).unwrap();
         let mut model = recovered;
         // Repeats the steps so that the file is compacted several times.
         for (i, &step) in steps.iter().cycle().take(steps.len() * 10).enumerate() {
@@ -127,20 +127,20 @@
             let rejected = apply_step(&mut journal, &mut model, step).is_err();
             assert!(!rejected || step.0 % 6 < 3, "step {step:?} rejected");
             assert!(
-                folder.disk_bytes() <= QUOTA,
+                directory.disk_bytes() <= QUOTA,
                 "{} bytes of {QUOTA}",
-                folder.disk_bytes()
+                directory.disk_bytes()
             );
             if i % 50 == 49 {
                 drop(journal);
-                let path = folder.0.join("mails");
+                let path = directory.0.join("mails");
                 std::fs::OpenOptions::new()
                     .append(true)
                     .open(path)
                     .unwrap()
                     .write_all(&torn)
                     .unwrap();
-                let (opened, mut recovered) = MessageJournal::open(&folder.0, QUOTA).unwrap();
+                let (opened, mut recovered) = MessageJournal::open(&directory.0, QUOTA).unwrap();
                 recovered
                     .pending_notifications
                     .sort_by_key(|pending| pending.0);
@@ -156,19 +156,19 @@
 
 #[test]
 fn an_interrupted_compaction_leaves_the_old_journal() {
-    let folder = TempFolder::new("compaction");
-    let (mut journal, mut model) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let directory = TempDirectory::new("compaction");
+    let (mut journal, mut model) = MessageJournal::open(&directory.0, 60_000).unwrap();
     apply_step(&mut journal, &mut model, (0, 1, 100)).unwrap();
     drop(journal);
-    std::fs::write(folder.0.join("mails.next"), b"half").unwrap();
-    let (_, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
-    assert!(recovered == model && !folder.0.join("mails.next").exists());
+    std::fs::write(directory.0.join("mails.next"), b"half").unwrap();
+    let (_, recovered) = MessageJournal::open(&directory.0, 60_000).unwrap();
+    assert!(recovered == model && !directory.0.join("mails.next").exists());
 }
 
 #[test]
 fn a_journal_adopts_another_once_its_process_has_ended() {
-    let folder = TempFolder::new("adopt");
-    let (mut old, mut model) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let directory = TempDirectory::new("adopt");
+    let (mut old, mut model) = MessageJournal::open(&directory.0, 60_000).unwrap();
     for step in [
         (0, 1, 100),
         (0, 2, 50),
@@ -179,17 +179,17 @@
     ] {
         apply_step(&mut old, &mut model, step).unwrap();
     }
-    let (mut new, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let (mut new, recovered) = MessageJournal::open(&directory.0, 60_000).unwrap();
     assert_eq!(recovered, Recovered::default());
     // While a process holds the old journal, nothing is adopted from it.
     let (adopted, is_incomplete) = adopt(&mut new);
     assert!(is_incomplete && adopted == Recovered::default());
     drop(old);
     let (adopted, is_incomplete) = adopt(&mut new);
-    assert!(!is_incomplete && adopted == model && !folder.0.join("mails").exists());
+    assert!(!is_incomplete && adopted == model && !directory.0.join("mails").exists());
     // The adopted records now belong to the new journal: opened again, they are there exactly once.
     drop(new);
-    let (mut again, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let (mut again, recovered) = MessageJournal::open(&directory.0, 60_000).unwrap();
     let (adopted, is_incomplete) = adopt(&mut again);
     assert!(!is_incomplete && recovered == Recovered::default() && adopted == model);
 }
@@ -198,12 +198,12 @@
 /// new.
 #[test]
 fn a_journal_without_capacity_adopts_another_completely_later() {
-    let folder = TempFolder::new("adopt-later");
-    let (mut old, mut model) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let directory = TempDirectory::new("adopt-later");
+    let (mut old, mut model) = MessageJournal::open(&directory.0, 60_000).unwrap();
     for n in 0..5 {
         apply_step(&mut old, &mut model, (0, n, 4_000)).unwrap();
     }
-    let (mut new, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let (mut new, _) = MessageJournal::open(&directory.0, 60_000).unwrap();
     let mut own = Recovered::default();
     for n in 8..13 {
         apply_step(&mut new, &mut own, (0, n, 4_000)).unwrap();
@@ -250,10 +250,10 @@
 /// Guards against a change of the file format: other versions of the program write and read these bytes.
 #[test]
 fn each_kind_of_record_has_its_recorded_format() {
-    let folder = TempFolder::new("format");
-    let (mut other, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let directory = TempDirectory::new("format");
+    let (mut other, _) = MessageJournal::open(&directory.0, 60_000).unwrap();
     other.append_accepted(&message(8)).unwrap();
-    let (mut journal, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let (mut journal, _) = MessageJournal::open(&directory.0, 60_000).unwrap();
     let accepted = message(9);
     journal.append_accepted(&accepted).unwrap();
     journal.append_attempt(MessageId(9), 5, "north").unwrap();
@@ -264,7 +264,7 @@
     }
     journal.append_notified(MessageId(9)).unwrap();
     drop(other);
-    let source = std::fs::read(folder.0.join("mails")).unwrap();
+    let source = std::fs::read(directory.0.join("mails")).unwrap();
     assert_eq!(adopt(&mut journal).0.messages.len(), 1);
 
     let accepted_record = |message: &JournaledMessage| {
@@ -277,7 +277,7 @@
         .concat();
         frame(&[b"M", &head[..], &rest[..]].concat())
     };
-    let bytes = std::fs::read(folder.0.join("mails.1")).unwrap();
+    let bytes = std::fs::read(directory.0.join("mails.1")).unwrap();
     let clock_length = u32::from_le_bytes(bytes[..4].try_into().unwrap()) as usize;
     let (clock, records) = bytes.split_at(8 + clock_length);
     assert_eq!(clock[8..17], *b"S\0\0\0\0\0\0\0\0");
@@ -313,9 +313,9 @@
 /// repaired.
 #[test]
 fn records_after_damaged_bytes_are_read() {
-    let folder = TempFolder::new("damage");
-    let path = folder.0.join("mails");
-    let (mut journal, _) = MessageJournal::open(&folder.0, 60_000).unwrap();
+    let directory = TempDirectory::new("damage");
+    let path = directory.0.join("mails");
+    let (mut journal, _) = MessageJournal::open(&directory.0, 60_000).unwrap();
     (1..=3).for_each(|id| journal.append_accepted(&message(id)).unwrap());
     drop(journal);
     let mut bytes = std::fs::read(&path).unwrap();
@@ -324,7 +324,7 @@
     bytes[second..second + 20].fill(0xee);
     std::fs::write(&path, &bytes).unwrap();
     for _ in 0..2 {
-        let (_, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
+        let (_, recovered) = MessageJournal::open(&directory.0, 60_000).unwrap();
         let ids: Vec<u64> = recovered
             .messages
             .iter()
@@ -337,7 +337,7 @@
 /// Earlier versions of the program wrote times on the wall clock, and no clock record.
 #[test]
 fn times_of_an_older_journal_are_converted_to_the_dispatcher_clock() {
-    let folder = TempFolder::new("older");
+    let directory = TempDirectory::new("older");
     let deadline = clock::wall_now() + 60_000_000_000;
     let fields = [
         vec![b'M'],
@@ -347,9 +347,9 @@
         encode_bytes(b"body"),
     ]
     .concat();
-    std::fs::write(folder.0.join("mails"), frame(&fields)).unwrap();
+    std::fs::write(directory.0.join("mails"), frame(&fields)).unwrap();
     for _ in 0..2 {
-        let (_, recovered) = MessageJournal::open(&folder.0, 60_000).unwrap();
+        let (_, recovered) = MessageJournal::open(&directory.0, 60_000).unwrap();
         let remaining = recovered.messages[0].deadline.saturating_sub(clock::now());
         assert!(
             (50_000_000_000..=60_000_000_000).contains(&remaining),
@@ -364,15 +364,15 @@
 
 #[test]
 fn a_message_beyond_the_quota_fails_with_disk_quota() {
-    let folder = TempFolder::new("quota");
-    let (mut journal, _) = MessageJournal::open(&folder.0, 4_000).unwrap();
+    let directory = TempDirectory::new("quota");
+    let (mut journal, _) = MessageJournal::open(&directory.0, 4_000).unwrap();
     let appended: Vec<_> = (0..10)
         .map(|id| journal.append_accepted(&message(id)))
         .collect();
     assert!(appended[0].is_ok());
     assert!(matches!(appended[9], Err(JournalError::DiskQuota)));
     assert!(
-        !journal.has_unwritten(),
+        !journal.has_pending_writes(),
         "reaching the quota is no write failure"
     );
 }
--- a/crates/daemon/tests/preload/lib.rs
+++ b/crates/daemon/tests/preload/lib.rs
@@ -92,7 +92,7 @@
 }
 
 /// Whether a descriptor refers to a regular file other than the standard streams. The dispatcher writes such files only
-/// in its state folder.
+/// in its state directory.
 fn is_regular_file(fd: c_int) -> bool {
     if fd <= 2 {
         return false;
@@ -104,15 +104,15 @@
     }
 }
 
-/// Whether a path is in the folder that `BELLSILL_FAULT_FOLDER` names.
-fn is_in_folder(path: *const c_char) -> bool {
+/// Whether a path is in the directory that `BELLSILL_FAULT_FOLDER` names.
+fn is_in_fault_directory(path: *const c_char) -> bool {
     // SAFETY: callers pass strings that end in a null byte; the value of the variable is only read.
     unsafe {
-        let folder = libc::getenv(c"BELLSILL_FAULT_FOLDER".as_ptr());
-        !folder.is_null()
+        let directory = libc::getenv(c"BELLSILL_FAULT_FOLDER".as_ptr());
+        !directory.is_null()
             && CStr::from_ptr(path)
                 .to_bytes()
-                .starts_with(CStr::from_ptr(folder).to_bytes())
+                .starts_with(CStr::from_ptr(directory).to_bytes())
     }
 }
 
@@ -222,7 +222,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int {
     let errno = load_word(OPEN_ERRNO);
-    if errno != 0 && is_in_folder(path) {
+    if errno != 0 && is_in_fault_directory(path) {
         increment(FILE_CALL_FAULTS);
         return fail(errno);
     }
@@ -236,7 +236,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
     let errno = load_word(UNLINK_ERRNO);
-    if errno != 0 && is_in_folder(path) {
+    if errno != 0 && is_in_fault_directory(path) {
         increment(FILE_CALL_FAULTS);
         return fail(errno);
     }
@@ -250,7 +250,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     let errno = load_word(RENAME_ERRNO);
-    if errno != 0 && is_in_folder(to) {
+    if errno != 0 && is_in_fault_directory(to) {
         increment(FILE_CALL_FAULTS);
         return fail(errno);
     }
--- a/crates/daemon/tests/preload/words.rs
+++ b/crates/daemon/tests/preload/words.rs
@@ -12,11 +12,11 @@
 pub const WRITE_HALF: usize = 3;
 /// The error number with which truncating a file fails; zero for none.
 pub const TRUNCATE_ERRNO: usize = 4;
-/// The error number with which opening a file of the state folder fails; zero for none.
+/// The error number with which opening a file of the state directory fails; zero for none.
 pub const OPEN_ERRNO: usize = 5;
-/// The error number with which removing a file of the state folder fails; zero for none.
+/// The error number with which removing a file of the state directory fails; zero for none.
 pub const UNLINK_ERRNO: usize = 6;
-/// The error number with which renaming a file into the state folder fails; zero for none.
+/// The error number with which renaming a file into the state directory fails; zero for none.
 pub const RENAME_ERRNO: usize = 7;
 /// At the n-th write to a file from now, half of the bytes are written and the process is killed; zero for never.
 pub const KILL_AT_WRITE: usize = 8;
@@ -28,7 +28,7 @@
 pub const RANDOM_STATE: usize = 11;
 /// Set by the library after it has written half of a write, until the caller's next write has failed.
 pub const HALF_WRITTEN: usize = 12;
-/// The error number with which reading a file of the state folder fails; zero for none.
+/// The error number with which reading a file of the state directory fails; zero for none.
 pub const READ_ERRNO: usize = 13;
 /// The error number that every `connect` returns although the connection attempt continues, as after a signal; zero for
 /// none.
--- a/crates/daemon/tests/scoped_configuration.rs
+++ b/crates/daemon/tests/scoped_configuration.rs
@@ -196,8 +196,8 @@
         dispatcher.process.platform.notification(&id).is_some()
     });
     assert!(!control.lookup_queries().is_empty());
-    let answer = client.send(&put(&fresh(), "c=payment,d=1000,k=,dest=47", "x"));
-    assert_eq!(answer, "-ERR dest: unknown destination");
+    let reply = client.send(&put(&fresh(), "c=payment,d=1000,k=,dest=47", "x"));
+    assert_eq!(reply, "-ERR dest: unknown destination");
     // A destination that is created later is served.
     let endpoint = Endpoint::start(OK);
     control.write("e0", &endpoint.addr, "south", 47, true);
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -16,19 +16,19 @@
         .join(name)
 }
 
-/// A temporary copy of a fixture folder: opening a journal may compact its file.
+/// A temporary copy of a fixture directory: opening a journal may compact its file.
 struct FixtureCopy(PathBuf);
 
 impl FixtureCopy {
     fn of(name: &str) -> FixtureCopy {
-        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("stored-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
+        std::fs::create_dir_all(&directory).unwrap();
         for file in std::fs::read_dir(fixture(name)).unwrap() {
             let file = file.unwrap();
-            std::fs::copy(file.path(), folder.join(file.file_name())).unwrap();
+            std::fs::copy(file.path(), directory.join(file.file_name())).unwrap();
         }
-        FixtureCopy(folder)
+        FixtureCopy(directory)
     }
 }
 
@@ -97,8 +97,8 @@
 
 #[test]
 fn a_journal_with_every_kind_of_record_is_read() {
-    let folder = FixtureCopy::of("journal");
-    let (mut journal, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    let directory = FixtureCopy::of("journal");
+    let (mut journal, recovered) = MessageJournal::open(&directory.0, DISK_BYTES).unwrap();
     assert_eq!(
         recovered.messages.len(),
         4,
@@ -132,8 +132,8 @@
 
 #[test]
 fn a_journal_with_a_torn_tail_is_read_up_to_it() {
-    let folder = FixtureCopy::of("journal-torn");
-    let (_, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    let directory = FixtureCopy::of("journal-torn");
+    let (_, recovered) = MessageJournal::open(&directory.0, DISK_BYTES).unwrap();
     assert_pending(&recovered.messages, 0x11);
     let pending = [
         (MessageId(0x14), Resolution::Failed),
@@ -151,8 +151,8 @@
 
 #[test]
 fn the_journal_of_another_process_is_adopted() {
-    let folder = FixtureCopy::of("journal-to-adopt");
-    let (mut journal, recovered) = MessageJournal::open(&folder.0, DISK_BYTES).unwrap();
+    let directory = FixtureCopy::of("journal-to-adopt");
+    let (mut journal, recovered) = MessageJournal::open(&directory.0, DISK_BYTES).unwrap();
     assert_pending(&recovered.messages, 0x11);
     let (adopted, is_incomplete) = adopt(&mut journal);
     assert!(!is_incomplete);
@@ -172,9 +172,9 @@
     let all = [ids(0x13..0x17), ids(0x23..0x27)].concat();
     assert_eq!(journal.take_resolved(), all);
     // Opens a copy: a process that another test is just starting may have inherited the file, and with it the lock.
-    let copy = folder.0.join("again");
+    let copy = directory.0.join("again");
     std::fs::create_dir(&copy).unwrap();
-    std::fs::copy(folder.0.join("mails"), copy.join("mails")).unwrap();
+    std::fs::copy(directory.0.join("mails"), copy.join("mails")).unwrap();
     let (_, again) = MessageJournal::open(&copy, DISK_BYTES).unwrap();
     assert_eq!(
         (again.messages.len(), again.pending_notifications.len()),
--- a/crates/discovery-client/src/bucket_set.rs
+++ b/crates/discovery-client/src/bucket_set.rs
@@ -7,16 +7,16 @@
 /// Whether the entries of a held bucket are complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BucketState {
-    /// Its entries are being received.
+    /// The entries of the bucket are being received.
     Filling,
-    /// Every entry is known.
+    /// All entries of the bucket are known.
     Complete,
 }
 
 #[derive(Default)]
 pub(crate) struct BucketSet {
     states: BTreeMap<BucketId, BucketState>,
-    /// Buckets that were filling when the last connection was lost, and that the current one has not named so far.
+    /// Buckets that were filling when the last connection was lost, and that the current connection has not named yet.
     unconfirmed: BTreeSet<BucketId>,
 }
 
@@ -50,12 +50,12 @@
             .map(|(bucket, _)| *bucket)
     }
 
-    pub(crate) fn gain(&mut self, bucket: BucketId) {
+    pub(crate) fn add(&mut self, bucket: BucketId) {
         self.states.insert(bucket, BucketState::Filling);
     }
 
     /// Returns whether the bucket was held.
-    pub(crate) fn lose(&mut self, bucket: BucketId) -> bool {
+    pub(crate) fn remove(&mut self, bucket: BucketId) -> bool {
         self.states.remove(&bucket).is_some()
     }
 
--- a/crates/discovery-client/src/counters.rs
+++ b/crates/discovery-client/src/counters.rs
@@ -11,7 +11,7 @@
     pub failed: u64,
     /// Calls that failed by a timeout; also counted in `broken` or `failed`.
     pub timed_out: u64,
-    /// Calls that were answered with a status other than 200.
+    /// Calls whose response had a status other than 200.
     pub rejected: u64,
     /// Calls that failed because a line exceeded [`MAX_SCOPED_LINE_BYTES`](crate::watch::MAX_SCOPED_LINE_BYTES).
     pub overlong_lines: u64,
--- a/crates/discovery-client/src/lookup.rs
+++ b/crates/discovery-client/src/lookup.rs
@@ -155,7 +155,7 @@
     }
 
     /// Registers a lookup as in flight. The caller connects and sends its request.
-    pub(crate) fn begin(&mut self, lookup: Lookup) {
+    pub(crate) fn start(&mut self, lookup: Lookup) {
         self.made += 1;
         self.state = LookupState::InFlight(lookup);
     }
--- a/crates/discovery-client/src/scope.rs
+++ b/crates/discovery-client/src/scope.rs
@@ -79,7 +79,7 @@
         self.revision
     }
 
-    /// Notes a change of the saved state that the other methods do not count.
+    /// Records a change of the saved state that the other methods do not count.
     pub(crate) fn mark_changed(&mut self) {
         self.revision += 1;
     }
@@ -87,7 +87,7 @@
     /// Starts a new log. Entries in held buckets stay until the buckets are resent. Entries of cached destinations are
     /// resent at once, so the old ones are dropped here; an entry that the new log does not have would otherwise never
     /// be removed.
-    pub(crate) fn begin_log(&mut self, applied: &mut Applied) {
+    pub(crate) fn start_log(&mut self, applied: &mut Applied) {
         self.revision += 1;
         self.tombstones.clear();
         self.buckets.refill();
@@ -103,9 +103,9 @@
         self.buckets.take_unconfirmed(line)
     }
 
-    pub(crate) fn gain_bucket(&mut self, bucket: BucketId) {
+    pub(crate) fn add_bucket(&mut self, bucket: BucketId) {
         self.revision += 1;
-        self.buckets.gain(bucket);
+        self.buckets.add(bucket);
         for name in self.endpoints.names_in(bucket) {
             if let Some(cached) = self.endpoints.get_mut(&name) {
                 cached.confirmed = false;
@@ -113,8 +113,8 @@
         }
     }
 
-    pub(crate) fn lose_bucket(&mut self, bucket: BucketId, applied: &mut Applied) {
-        if !self.buckets.lose(bucket) {
+    pub(crate) fn remove_bucket(&mut self, bucket: BucketId, applied: &mut Applied) {
+        if !self.buckets.remove(bucket) {
             return;
         }
         self.revision += 1;
--- a/crates/discovery-client/src/scoped_list.rs
+++ b/crates/discovery-client/src/scoped_list.rs
@@ -27,7 +27,7 @@
     Held,
     /// Cached, with all of its endpoints known.
     Cached,
-    /// Its lookup is not complete.
+    /// The lookup of the destination is not complete.
     Pending,
     /// Neither cached nor with known endpoints; it must be looked up.
     Unknown,
@@ -190,20 +190,20 @@
         self.scope.counters_mut().lines += 1;
         let mut applied = Applied::default();
         if other_log {
-            self.begin_log(&line.log, &mut applied);
+            self.start_log(&line.log, &mut applied);
         }
         for bucket in self.scope.take_unconfirmed(&line) {
-            self.scope.lose_bucket(bucket, &mut applied);
+            self.scope.remove_bucket(bucket, &mut applied);
         }
         if line.epoch.is_some() && line.epoch != self.epoch {
             self.epoch = line.epoch;
             self.scope.mark_changed();
         }
         for bucket in &line.lost {
-            self.scope.lose_bucket(*bucket, &mut applied);
+            self.scope.remove_bucket(*bucket, &mut applied);
         }
         for bucket in &line.gained {
-            self.scope.gain_bucket(*bucket);
+            self.scope.add_bucket(*bucket);
         }
         for entry in line.servers {
             self.scope.apply_entry(entry, line.version, &mut applied);
@@ -220,17 +220,17 @@
     }
 
     /// Starts a new log, whose versions are not comparable with those of the old one.
-    fn begin_log(&mut self, log: &str, applied: &mut Applied) {
+    fn start_log(&mut self, log: &str, applied: &mut Applied) {
         if !self.log.is_empty() {
             self.scope.counters_mut().log_changes += 1;
             log::warn!(
-                "configuration: the log has changed from {} to {log}",
+                "configuration: the log has changed from {} to {log}; all entries are received again",
                 self.log
             );
         }
         self.log = log.to_string();
         self.version = Version(0);
-        self.scope.begin_log(applied);
+        self.scope.start_log(applied);
     }
 
     fn check_line(&self, line: &ScopedLine, other_log: bool) -> Result<(), ScopedLineError> {
--- a/crates/discovery-client/src/scoped_source.rs
+++ b/crates/discovery-client/src/scoped_source.rs
@@ -110,10 +110,12 @@
         let (server, dispatcher) = (self.servers.current(), &self.dispatcher);
         match status {
             404 => log::warn!(
-                "configuration: {server} does not know dispatcher `{dispatcher}`; declare it at the control process"
+                "configuration: {server} does not know dispatcher `{dispatcher}`; declare it there; trying the \
+                 next control process"
             ),
             _ => log::warn!(
-                "configuration: {server} rejected the watch request with status {status}"
+                "configuration: {server} rejected the watch request with status {status}; trying the next \
+                 control process"
             ),
         }
     }
@@ -135,7 +137,7 @@
         let evicted = self.list.evicted();
         let target = ScopedList::lookup_target(&self.dispatcher, &destinations, &evicted);
         let call = ids.assign();
-        self.lookups.begin(Lookup::new(call, destinations, evicted));
+        self.lookups.start(Lookup::new(call, destinations, evicted));
         vec![
             Command::Connect {
                 call,
@@ -166,7 +168,7 @@
             Ok(Some(line)) => line,
             Ok(None) => return Received::default(),
             Err(error) => {
-                log::debug!("configuration: lookup failed: {error:?}");
+                log::debug!("configuration: lookup failed, will retry: {error:?}");
                 return self.lookup_failed(now);
             }
         };
@@ -176,7 +178,7 @@
                 finished_lookup(self.lookups.finish(), looked_up)
             }
             Err(error) => {
-                log::warn!("configuration: rejected the response to a lookup: {error}");
+                log::warn!("configuration: rejected the response to a lookup, will retry: {error}");
                 self.lookup_failed(now)
             }
         }
--- a/crates/discovery-client/tests/discovery/lookups.rs
+++ b/crates/discovery-client/tests/discovery/lookups.rs
@@ -62,15 +62,15 @@
 
 #[test]
 fn a_failed_lookup_is_retried_after_a_delay() {
-    let answers = [
+    let responses = [
         "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n{",
     ];
-    for answer in answers {
+    for response in responses {
         let (mut watch, ..) = serving_watch();
         let requested = watch.request_lookup(SECOND, 47, &nothing_in_use).unwrap();
         let (lookup, ..) = find_connect(&requested.commands).unwrap();
-        let received = receive(&mut watch, SECOND, lookup, answer);
+        let received = receive(&mut watch, SECOND, lookup, response);
         assert!(received.commands.contains(&Command::Close(lookup)));
         let retry_at = find_timer(&received.commands, Timer::LookupRetry).unwrap();
         assert!(
--- a/crates/discovery-client/tests/discovery/scoped_watch.rs
+++ b/crates/discovery-client/tests/discovery/scoped_watch.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 #[test]
-fn an_answer_other_than_200_fails_the_call() {
+fn a_response_other_than_200_fails_the_call() {
     let mut watch = scoped_watch(1);
     let (call, ..) = start(&mut watch);
     let received = receive(
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -25,7 +25,7 @@
 /// The decoding state of a response body: which part comes next.
 #[derive(Debug, PartialEq)]
 pub enum Body {
-    /// This many bytes of a body with a Content-Length.
+    /// The number of remaining bytes of a body with a Content-Length.
     Sized(u64),
     /// The remaining bytes of a chunk, or the size line of the next chunk where none remain.
     Chunked(u64),
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,4 +1,4 @@
-//! The platform's names for the core's numeric ids, and the interpretation of endpoint weights.
+//! The platform's names for the numeric ids of the decision logic, and the interpretation of endpoint weights.
 
 use crate::bounds::MAX_VALUE;
 use crate::reader::{FieldReader, InvalidField};
@@ -18,7 +18,8 @@
 
 impl Error for InvalidWeight {}
 
-/// The platform's names, indexed by the core's numeric ids, and the interpretation of the weights in endpoint lists.
+/// The platform's names, indexed by the numeric ids of the decision logic, and the interpretation of the weights in
+/// endpoint lists.
 pub struct PlatformNames {
     /// Message classes.
     pub classes: Vec<String>,
--- a/crates/settings/src/platform_settings.rs
+++ b/crates/settings/src/platform_settings.rs
@@ -14,9 +14,9 @@
 
 /// The parsed settings of the platform.
 pub struct PlatformSettings {
-    /// The settings of the core.
+    /// The settings of the decision logic.
     pub settings: Settings,
-    /// The platform's names for the core's numeric ids.
+    /// The platform's names for the numeric ids of the decision logic.
     pub names: PlatformNames,
     /// How long an idle connection to an endpoint stays usable.
     pub keep_alive: Nanos,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -9,7 +9,7 @@
 pub struct InvalidField {
     /// The path from the root of the settings, such as `limits.max-open`.
     pub field: String,
-    /// What the field has to hold, as a noun phrase.
+    /// A noun phrase for the values that the field accepts.
     pub expected: String,
 }
 
