--- a/crates/core/src/control/pacing.rs
+++ b/crates/core/src/control/pacing.rs
@@ -17,7 +17,7 @@
 /// The fraction by which a delivery shortens the pacing interval.
 const PACING_DECREASE: f64 = 0.15;
 /// The maximum pacing interval for a limiter with a known rate, as a multiple of the fair interval.
-/// The initial one is one fair interval.
+/// The initial pacing interval of such a limiter is one fair interval.
 const MAX_FAIR_INTERVALS: f64 = 4.0;
 /// The maximum spacing, over all dispatchers together, between sends to a warming route that had
 /// little traffic.
--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -5,9 +5,9 @@
 /// The contents of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only the entries that changed.
+    /// The update contains only the entries that changed.
     Delta,
-    /// All entries; endpoints that are missing have been removed.
+    /// The update contains all entries; endpoints that are missing have been removed.
     Snapshot,
 }
 
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -18,12 +18,12 @@
     AtMostOnce,
 }
 
-/// Which endpoints of a destination share their record of idempotency keys.
+/// The endpoints of a destination that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints.
+    /// All endpoints of the destination.
     Destination,
-    /// The endpoints of one zone.
+    /// The endpoints of the destination in one zone.
     Zone,
 }
 
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -20,7 +20,7 @@
 const MIN_REPLY_CAPACITY: usize = MAX_COMMAND_BYTES / 2;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// The connection must be closed.
+/// The session with a client has ended, and the connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SessionEnded;
 
--- a/crates/daemon/src/command_line.rs
+++ b/crates/daemon/src/command_line.rs
@@ -190,9 +190,14 @@
     let file = arguments
         .config
         .ok_or_else(|| CommandError::usage_error("no configuration file: set --config"))?;
-    let config = control_plane::Config::read(&file)
-        .map_err(|e| CommandError::usage_error(format!("configuration: {e}")))?;
-    let signals = Signals::install().map_err(CommandError::failure)?;
+    let config = control_plane::Config::read(&file).map_err(|e| {
+        CommandError::usage_error(format!(
+            "cannot load the configuration of the control process from {}: {e}",
+            file.display()
+        ))
+    })?;
+    let signals = Signals::install()
+        .map_err(|e| CommandError::failure(format!("cannot install the signal handlers: {e}")))?;
     let stop = control_plane::Stop {
         wake: signals.wake,
         requested: signals.shutdown,
--- a/crates/daemon/src/connection/table.rs
+++ b/crates/daemon/src/connection/table.rs
@@ -195,12 +195,12 @@
         }
     }
 
-    /// A connection, if it is open.
+    /// Returns a connection, if it is open.
     pub(crate) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(id)
     }
 
-    /// A connection, if it is open.
+    /// Returns a connection mutably, if it is open.
     pub(crate) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(id)
     }
--- a/crates/daemon/src/delivery/admission.rs
+++ b/crates/daemon/src/delivery/admission.rs
@@ -34,7 +34,7 @@
     MissingIdempotencyKey,
     /// The queue lifetime is longer than the class allows.
     LifetimeTooLong,
-    /// There is no capacity at present; the client may retry.
+    /// The dispatcher has no capacity at present; the client may retry.
     NoCapacity,
 }
 
--- a/crates/daemon/src/endpoint/exchange.rs
+++ b/crates/daemon/src/endpoint/exchange.rs
@@ -26,7 +26,7 @@
 /// Whether and when a connection can be reused after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionReuse {
-    /// The connection is closed.
+    /// The connection cannot be reused and is closed.
     Close,
     /// The connection can be reused once the rest of the response has arrived.
     AfterResponse,
--- a/crates/daemon/src/endpoint/pool.rs
+++ b/crates/daemon/src/endpoint/pool.rs
@@ -14,7 +14,7 @@
 /// The state of a connection whose attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnassignedState {
-    /// Nothing more is expected on it.
+    /// No more data is expected on the connection.
     Idle,
     /// The rest of the response has not arrived.
     ResponseIncomplete,
--- a/crates/daemon/src/journal/directory.rs
+++ b/crates/daemon/src/journal/directory.rs
@@ -22,7 +22,7 @@
     length.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
-/// One block: an allowance for rounding up to whole blocks.
+/// The size of one block, the allowance for rounding up to whole blocks.
 pub(super) const ONE_BLOCK: u64 = disk_bytes(1);
 
 /// The result of locking a journal's file.
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -87,7 +87,7 @@
         );
     }
 
-    /// The present phase is over.
+    /// Handles the end of the current phase.
     pub(crate) fn advance(&mut self, delivery: &mut Delivery, clients: &mut Clients) {
         let (next, until) = match self.phase {
             ShutdownPhase::AcceptingClients => (ShutdownPhase::ServingClients, SERVE_CLIENTS_UNTIL),
--- a/crates/discovery-client/src/destination_cache.rs
+++ b/crates/discovery-client/src/destination_cache.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The maximum number of destinations outside of its buckets for which a control process sends entries to a dispatcher.
-/// The cache never exceeds it.
+/// The cache never holds more destinations.
 pub const MAX_CACHED_DESTINATIONS: usize = 4_096;
 
 /// Orders the uses of cached destinations.
--- a/crates/discovery-client/src/scoped_list.rs
+++ b/crates/discovery-client/src/scoped_list.rs
@@ -45,7 +45,7 @@
     pub(crate) entries: Vec<EndpointEntry>,
 }
 
-/// One dispatcher's part of the configuration.
+/// The part of the scoped configuration that a dispatcher holds.
 pub struct ScopedList {
     /// The log id; empty before the first line of a control process.
     log: String,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Parses the settings that an instance receives at startup, JSON with the platform's field names, into the core's
-//! [`Settings`](bellsill_core::interface::Settings).
+//! Parses the settings that an instance receives at startup, JSON with the platform's field names, into the
+//! [`Settings`](bellsill_core::interface::Settings) of the decision logic.
 
 mod bounds;
 mod class_settings;
