--- a/crates/core/src/interface/endpoints.rs
+++ b/crates/core/src/interface/endpoints.rs
@@ -5,9 +5,9 @@
 /// The contents of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only the entries that changed.
+    /// The update contains only the entries that changed.
     Delta,
-    /// All entries; endpoints that are missing have been removed.
+    /// The update contains all entries; endpoints that are missing have been removed.
     Snapshot,
 }
 
@@ -18,11 +18,11 @@
     pub endpoint: EndpointId,
     /// A hash of the endpoint's name, identical on every dispatcher.
     pub name_hash: u32,
-    /// The destination that it serves.
+    /// The destination that the endpoint serves.
     pub destination: DestinationId,
     /// The zone that the endpoint is in.
     pub zone: ZoneId,
-    /// The kind of its destination.
+    /// The kind of the destination.
     pub kind: KindId,
     /// Whether the endpoint accepts messages; false while it drains or once it is removed.
     pub serving: bool,
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -5,25 +5,25 @@
 /// Whether a message may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliverySemantics {
-    /// It may be processed any number of times.
+    /// A message may be processed any number of times.
     Idempotent,
-    /// Endpoints recognize its idempotency key and drop duplicates.
+    /// Endpoints recognize the idempotency key of a message and drop duplicates.
     IdempotencyKey {
         /// How long after the first attempt duplicates are dropped.
         window: Nanos,
-        /// Which endpoints drop them.
+        /// The endpoints that drop duplicates of each other's messages.
         scope: DeduplicationScope,
     },
-    /// It must not be processed twice.
+    /// A message must not be processed twice.
     AtMostOnce,
 }
 
-/// Which endpoints of a destination share their record of idempotency keys.
+/// The endpoints of a destination that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints.
+    /// All endpoints of the destination.
     Destination,
-    /// The endpoints of one zone.
+    /// The endpoints of the destination in one zone.
     Zone,
 }
 
--- a/crates/daemon/src/client/commands.rs
+++ b/crates/daemon/src/client/commands.rs
@@ -20,7 +20,7 @@
 const MIN_REPLY_CAPACITY: usize = MAX_COMMAND_BYTES / 2;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// The connection must be closed.
+/// The session with a client has ended, and the connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SessionEnded;
 
@@ -34,7 +34,7 @@
 enum NextCommand {
     /// No command is complete, or none can be executed now.
     Unavailable,
-    /// It was executed, and its reply is queued.
+    /// The command was executed, and its reply is queued.
     Executed,
     /// The reply is sent once the message is accepted or rejected.
     Put(NewMessage),
--- a/crates/daemon/src/endpoint/exchange.rs
+++ b/crates/daemon/src/endpoint/exchange.rs
@@ -26,15 +26,15 @@
 /// Whether and when a connection can be reused after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionReuse {
-    /// The connection is closed.
+    /// The connection cannot be reused and is closed.
     Close,
-    /// It can be reused once the rest of the response has arrived.
+    /// The connection can be reused once the rest of the response has arrived.
     AfterResponse,
-    /// It can be reused immediately.
+    /// The connection can be reused immediately.
     Immediate,
 }
 
-/// What a response means for its attempt.
+/// The meaning of a response for its attempt.
 pub(crate) struct Response {
     /// The outcome of the attempt.
     pub(crate) outcome: Outcome,
