--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -134,7 +134,7 @@
             let layout = config.layout.clone();
             replica.replace(Directory::new(layout, new_log_id()?, Retention::default()))?;
         }
-        replica.shorten_log_at_start()?;
+        replica.compact_log_at_start()?;
         let role = match config.role {
             Role::Leader => RoleState::Leader(Leader::new(0, config.restart_grace)),
             Role::Follower { leader } => {
--- a/crates/control-plane/src/replica.rs
+++ b/crates/control-plane/src/replica.rs
@@ -109,7 +109,7 @@
     }
 
     /// Writes a snapshot if reading the log at the next start would take long.
-    pub(crate) fn shorten_log_at_start(&mut self) -> Result<(), StorageError> {
+    pub(crate) fn compact_log_at_start(&mut self) -> Result<(), StorageError> {
         match &self.directory {
             Some(directory) if self.storage.needs_snapshot_at_start() => {
                 self.storage.write_snapshot(directory)
