--- a/crates/control-plane/src/config.rs
+++ b/crates/control-plane/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a control process: reading and validation.
+//! Reads and validates the configuration file of a control process.
 
 use bellsill_directory::entry::is_member_name;
 use bellsill_directory::feed::FILL_RATE;
@@ -10,21 +10,22 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a dispatcher may be absent before its buckets move, by default.
+/// The default time that a dispatcher may be absent before its buckets are reassigned.
 const DEFAULT_RESTART_GRACE_SECONDS: u64 = 30;
-/// The longest restart grace that is accepted.
+/// The upper limit of `restart_grace_seconds`.
 const MAX_RESTART_GRACE_SECONDS: u64 = 24 * 3600;
-/// The most buckets of all regions together: a reassignment of them all fits on one line between control processes.
+/// The maximum number of buckets in all regions together, so that a reassignment of all of them fits on one line of the
+/// replication protocol.
 const MAX_BUCKETS: u32 = 24_000;
-/// How many seconds' worth of fill bytes may be sent in one burst.
-const BURST_SECONDS: u64 = 2;
+/// The burst size of the fill rate limit, as seconds at the configured rate.
+const FILL_BURST_SECONDS: u64 = 2;
 
 /// How a control process handles writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Accepts them. One process of an installation has this role, `writer` in the file.
+    /// Accepts writes. Exactly one process of an installation has this role, named `writer` in the file.
     Leader,
-    /// Replicates another process and accepts no writes.
+    /// Replicates the leader and rejects writes.
     Follower {
         /// The address of the leader.
         leader: SocketAddr,
@@ -36,57 +37,57 @@
 pub struct Config {
     /// The process's name in log lines.
     pub name: String,
-    /// The address for clients and other control processes.
+    /// The address on which clients and other control processes connect.
     pub listen: SocketAddr,
-    /// The directory for the log and snapshots. One process at a time uses it.
-    pub state: PathBuf,
+    /// The state directory, which contains the log and the snapshots. Only one process at a time can use it.
+    pub state_directory: PathBuf,
     /// Whether the process is the leader or a follower.
     pub role: Role,
-    /// The zones, regions and buckets.
+    /// The zones, their regions and the number of buckets.
     pub layout: Layout,
-    /// How long a dispatcher may be absent before its buckets move.
+    /// How long a dispatcher may be absent before its buckets are reassigned.
     pub restart_grace: Duration,
-    /// The rate limit for sending a watcher the content of its buckets.
-    pub fill_pace: RateLimit,
+    /// The rate limit for sending the content of its buckets to a watcher.
+    pub fill_rate_limit: RateLimit,
 }
 
 /// Why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be read.
-    #[error("{path}: cannot be read: {source}")]
+    /// The file cannot be read.
+    #[error("cannot read {path}: {source}")]
     Unreadable {
         /// The file.
         path: PathBuf,
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file is not TOML, or has unknown, missing or mistyped fields.
-    #[error("not as a configuration has to be: {0}")]
+    /// The file is not valid TOML, or it has unknown fields, missing fields or fields of a wrong type.
+    #[error("invalid configuration file: {0}")]
     Malformed(String),
     /// The value of a field is invalid.
     #[error("field {field}: expected {expected}")]
     Field {
         /// The name of the field.
         field: &'static str,
-        /// What it has to be.
+        /// What the field accepts.
         expected: String,
     },
-    /// The zones and buckets are inconsistent.
+    /// The zones and the number of buckets do not form a valid layout.
     #[error("field zones or buckets_per_region: {0}")]
     Layout(#[from] LayoutError),
 }
 
-/// The file as it is written.
+/// The fields of the TOML file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     state: PathBuf,
-    role: RoleName,
+    role: RoleField,
     writer: Option<SocketAddr>,
-    zones: Vec<Zone>,
+    zones: Vec<ZoneEntry>,
     #[serde(default = "default_buckets_per_region")]
     buckets_per_region: u32,
     #[serde(default = "default_restart_grace_seconds")]
@@ -97,7 +98,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum RoleName {
+enum RoleField {
     #[serde(rename = "writer")]
     Leader,
     Follower,
@@ -105,7 +106,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Zone {
+struct ZoneEntry {
     name: String,
     region: String,
 }
@@ -123,7 +124,7 @@
 }
 
 impl Config {
-    /// Reads a file.
+    /// Reads and validates a configuration file.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path);
         let text = text.map_err(|source| ConfigError::Unreadable {
@@ -133,60 +134,62 @@
         Config::parse(&text)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a configuration file.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
-        let file: File =
+        let file: ConfigFile =
             toml::from_str(text).map_err(|error| ConfigError::Malformed(error.to_string()))?;
         let role = file.role()?;
         let layout = file.layout()?;
-        check(
+        require(
             is_member_name(&file.name),
             "name",
-            "letters, digits and - _ . : alone",
+            "only letters, digits and the characters - _ . :",
         )?;
-        check(
+        require(
             !file.state.as_os_str().is_empty(),
             "state",
-            "a directory that lasts",
+            "the path of a persistent directory",
         )?;
-        check(
+        require(
             (1..=MAX_RESTART_GRACE_SECONDS).contains(&file.restart_grace_seconds),
             "restart_grace_seconds",
-            &format!("a whole number from 1 to {MAX_RESTART_GRACE_SECONDS}"),
+            &format!("an integer from 1 to {MAX_RESTART_GRACE_SECONDS}"),
         )?;
-        check(
+        require(
             file.fill_bytes_per_second > 0,
             "fill_bytes_per_second",
-            "a whole number from 1",
+            "an integer of at least 1",
         )?;
-        let fill_pace = RateLimit {
+        let fill_rate_limit = RateLimit {
             bytes_per_second: file.fill_bytes_per_second,
-            burst_bytes: file.fill_bytes_per_second.saturating_mul(BURST_SECONDS),
+            burst_bytes: file
+                .fill_bytes_per_second
+                .saturating_mul(FILL_BURST_SECONDS),
         };
         Ok(Config {
             name: file.name,
             listen: file.listen,
-            state: file.state,
+            state_directory: file.state,
             role,
             layout,
             restart_grace: Duration::from_secs(file.restart_grace_seconds),
-            fill_pace,
+            fill_rate_limit,
         })
     }
 }
 
-impl File {
+impl ConfigFile {
     fn role(&self) -> Result<Role, ConfigError> {
         match (&self.role, self.writer) {
-            (RoleName::Leader, None) => Ok(Role::Leader),
-            (RoleName::Follower, Some(leader)) => Ok(Role::Follower { leader }),
-            (RoleName::Leader, Some(_)) => Err(field(
+            (RoleField::Leader, None) => Ok(Role::Leader),
+            (RoleField::Follower, Some(leader)) => Ok(Role::Follower { leader }),
+            (RoleField::Leader, Some(_)) => Err(invalid_field(
                 "writer",
-                "no such field where the role is writer; remove it, or set role to follower",
+                "no value if the role is writer; remove the field, or set role to follower",
             )),
-            (RoleName::Follower, None) => Err(field(
+            (RoleField::Follower, None) => Err(invalid_field(
                 "writer",
-                "the address of the writer, such as 10.0.0.1:7400, as the role is follower",
+                "the address of the writer, such as 10.0.0.1:7400, because the role is follower",
             )),
         }
     }
@@ -197,10 +200,10 @@
             .iter()
             .flat_map(|zone| [&zone.name, &zone.region]);
         for name in names {
-            check(
+            require(
                 is_member_name(name),
                 "zones",
-                "names of letters, digits and - _ . : alone",
+                "names with only letters, digits and the characters - _ . :",
             )?;
         }
         let zones = self
@@ -208,24 +211,24 @@
             .iter()
             .map(|zone| (ZoneName(zone.name.clone()), RegionName(zone.region.clone())));
         let layout = Layout::new(zones, self.buckets_per_region)?;
-        check(
+        require(
             layout.buckets() <= MAX_BUCKETS,
             "buckets_per_region",
-            &format!("so many that all regions together have no more than {MAX_BUCKETS}"),
+            &format!("a number with at most {MAX_BUCKETS} buckets in all regions together"),
         )?;
         Ok(layout)
     }
 }
 
-fn check(holds: bool, name: &'static str, expected: &str) -> Result<(), ConfigError> {
-    if holds {
+fn require(valid: bool, name: &'static str, expected: &str) -> Result<(), ConfigError> {
+    if valid {
         Ok(())
     } else {
-        Err(field(name, expected))
+        Err(invalid_field(name, expected))
     }
 }
 
-fn field(field: &'static str, expected: &str) -> ConfigError {
+fn invalid_field(field: &'static str, expected: &str) -> ConfigError {
     ConfigError::Field {
         field,
         expected: expected.to_string(),
--- a/crates/control-plane/src/follower.rs
+++ b/crates/control-plane/src/follower.rs
@@ -1,5 +1,5 @@
-//! A follower: watches the complete configuration of the leader, and sends it heartbeats of the dispatchers that have a
-//! watch here.
+//! A follower: replicates the complete configuration through a watch on the leader, and sends the leader heartbeats of
+//! the dispatchers that have a watch at this process.
 
 use crate::connections::{BufferBounds, ConnectionId, Connections, Purpose};
 use crate::context::Context;
@@ -16,23 +16,23 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A watch on the leader has failed if no complete line has arrived for this long, the time to connect included.
+/// The watch on the leader is closed if no complete line arrives for this long, including the time to connect.
 const SILENCE_TIMEOUT: Nanos = 3 * SECOND / 2;
-/// The pause before the leader is asked again.
-const RETRY_PAUSE: Nanos = SECOND / 2;
-/// The pause after a line of the leader was rejected: it is likely to be the same again.
-const RETRY_PAUSE_AFTER_REJECTION: Nanos = 5 * SECOND;
-/// What is buffered of a connection to the leader, in bytes.
-const BOUNDS: BufferBounds = BufferBounds {
+/// The delay before the watch is reopened.
+const RETRY_DELAY: Nanos = SECOND / 2;
+/// The delay after a response was rejected. It is longer because the leader is likely to send the same again.
+const RETRY_DELAY_AFTER_REJECTION: Nanos = 5 * SECOND;
+/// The buffer sizes of a connection to the leader, in bytes.
+const BUFFER_BOUNDS: BufferBounds = BufferBounds {
     input: 256 * 1024,
     output: 1024 * 1024,
 };
 
-/// The state of a follower beside the replicated one.
+/// The state that only a follower has, in addition to the replicated state.
 pub(crate) struct Follower {
     leader: SocketAddr,
     watch: Option<LeaderWatch>,
-    /// When a watch may be opened again.
+    /// The earliest time at which a watch may be opened.
     retry_at: Nanos,
     replication: Replication,
     heartbeat_call: Option<ConnectionId>,
@@ -40,11 +40,11 @@
 
 struct LeaderWatch {
     id: ConnectionId,
-    /// None until the head of the answer has arrived.
+    /// None until the head of the response has arrived.
     body: Option<Body>,
-    /// The start of a line whose end has not arrived.
+    /// The received bytes of an incomplete line.
     partial_line: Vec<u8>,
-    /// When the last complete line arrived, or the watch was opened.
+    /// When the last complete line arrived, or when the watch was opened if none has.
     last_line_at: Nanos,
 }
 
@@ -53,24 +53,24 @@
 enum WatchFailure {
     #[error("{0}")]
     Connection(#[from] io::Error),
-    #[error("it is silent")]
-    Silent,
-    #[error("it was closed by the leader")]
+    #[error("no complete line arrived in time")]
+    TimedOut,
+    #[error("closed by the leader")]
     Closed,
     #[error("{0}")]
     Malformed(#[from] MalformedResponse),
-    #[error("the leader answers with status {0}")]
+    #[error("the leader responded with status {0}")]
     Status(u16),
-    #[error("a line has more than {MAX_COMPLETE_LINE_BYTES} bytes")]
+    #[error("a line exceeds {MAX_COMPLETE_LINE_BYTES} bytes")]
     LineTooLong,
     #[error("{0}")]
     Line(#[from] LineError),
 }
 
-/// Why an event of the watch can't be handled.
+/// Why an event on the watch cannot be handled.
 #[derive(Debug, Error)]
 enum WatchError {
-    /// The watch ends; another one is opened later.
+    /// The watch is closed and reopened later.
     #[error(transparent)]
     Failed(#[from] WatchFailure),
     /// The process cannot continue.
@@ -88,11 +88,11 @@
 }
 
 impl WatchFailure {
-    /// Whether the leader sent something that is rejected, rather than nothing.
+    /// Whether the leader sent an invalid response, as opposed to none.
     fn is_rejection(&self) -> bool {
         !matches!(
             self,
-            WatchFailure::Connection(_) | WatchFailure::Silent | WatchFailure::Closed
+            WatchFailure::Connection(_) | WatchFailure::TimedOut | WatchFailure::Closed
         )
     }
 }
@@ -112,19 +112,19 @@
         self.leader
     }
 
-    /// Opens the watch on the leader when it is due, and ends one that is silent.
+    /// Opens the watch on the leader when it is due, and closes one that has timed out.
     pub(crate) fn tick(&mut self, context: &mut Context) {
         let now = context.now;
         match &self.watch {
             Some(watch) if now.saturating_sub(watch.last_line_at) > SILENCE_TIMEOUT => {
-                self.end_watch(context, &WatchFailure::Silent);
+                self.end_watch(context, &WatchFailure::TimedOut);
             }
             None if now >= self.retry_at => self.open_watch(context),
             _ => {}
         }
     }
 
-    /// To be called each second: sends heartbeats of the dispatchers that have a watch here.
+    /// Sends heartbeats of the dispatchers that have a watch at this process. Must be called once a second.
     pub(crate) fn every_second(&mut self, context: &mut Context) {
         if let Some(overdue) = self.heartbeat_call.take() {
             context.connections.close(overdue);
@@ -138,9 +138,9 @@
             self.leader,
             lines.len()
         );
-        // If the call fails, the next one in a second sends the same.
+        // No retry: if the request fails, the next one, a second later, has the same content.
         self.heartbeat_call = self
-            .call(
+            .open_request(
                 &mut context.connections,
                 Purpose::HeartbeatCall,
                 &request,
@@ -149,7 +149,7 @@
             .ok();
     }
 
-    /// Handles an event of a heartbeat call. The content of the answer does not matter.
+    /// Handles an event on the connection of a heartbeat request. The response is discarded.
     pub(crate) fn heartbeat_call_ready(&mut self, context: &mut Context, id: ConnectionId) {
         let read = context.connections.read(id);
         let Some(connection) = context.connections.get_mut(id) else {
@@ -164,7 +164,7 @@
         self.heartbeat_call = None;
     }
 
-    /// Handles an event of the watch on the leader. An error means that the process cannot continue.
+    /// Handles an event on the watch on the leader. An error means that the process cannot continue.
     pub(crate) fn watch_ready(
         &mut self,
         context: &mut Context,
@@ -190,7 +190,7 @@
         Ok(effect)
     }
 
-    /// Applies the lines that have arrived. The effect also counts if a later line is rejected.
+    /// Applies the lines that have arrived. `effect` is set even if a later line is rejected.
     fn read_and_apply(
         &mut self,
         context: &mut Context,
@@ -209,7 +209,7 @@
         Ok(())
     }
 
-    /// Reads what has arrived of the watch, as complete lines.
+    /// Reads from the watch and returns the complete lines.
     fn read_lines(
         &mut self,
         connections: &mut Connections,
@@ -250,21 +250,21 @@
     }
 
     fn open_watch(&mut self, context: &mut Context) {
-        let known = match context.replica.directory() {
+        let position = match context.replica.directory() {
             Some(directory) => format!("since={}&log={}", directory.version().0, directory.log().0),
             None => "since=0".to_string(),
         };
         let request = format!(
-            "GET /api/targets?follow=1&{known}&scope=all HTTP/1.1\r\nHost: {}\r\n\r\n",
+            "GET /api/targets?follow=1&{position}&scope=all HTTP/1.1\r\nHost: {}\r\n\r\n",
             self.leader
         );
-        let call = self.call(
+        let opened = self.open_request(
             &mut context.connections,
             Purpose::LeaderWatch,
             &request,
             context.now,
         );
-        match call {
+        match opened {
             Ok(id) => {
                 self.watch = Some(LeaderWatch {
                     id,
@@ -277,28 +277,28 @@
         }
     }
 
-    fn call(
+    fn open_request(
         &self,
         connections: &mut Connections,
         purpose: Purpose,
         request: &str,
         now: Nanos,
     ) -> io::Result<ConnectionId> {
-        let id = connections.open(self.leader, purpose, BOUNDS, now)?;
+        let id = connections.open(self.leader, purpose, BUFFER_BOUNDS, now)?;
         if let Some(connection) = connections.get_mut(id) {
-            // A request that exceeds the output is not sent: the call then ends by its timeout.
+            // A request that exceeds the output buffer is not sent; its connection is then closed by the timeout.
             connection.send(request.as_bytes()).ok();
         }
         Ok(id)
     }
 
     fn end_watch(&mut self, context: &mut Context, failure: &WatchFailure) {
-        let pause = if failure.is_rejection() {
-            RETRY_PAUSE_AFTER_REJECTION
+        let delay = if failure.is_rejection() {
+            RETRY_DELAY_AFTER_REJECTION
         } else {
-            RETRY_PAUSE
+            RETRY_DELAY
         };
-        self.retry_at = context.now + pause;
+        self.retry_at = context.now + delay;
         self.replication.abort_transfer();
         let watch = self.watch.take();
         if let Some(watch) = &watch {
@@ -309,14 +309,14 @@
         if failure.is_rejection() {
             context.metrics.leader_lines_rejected += 1;
             log::error!(
-                "rejected the answer of the leader at {leader}, the configuration is kept: {failure}"
+                "rejected the response of the leader at {leader}; keeping the current configuration: {failure}"
             );
         } else if was_answered {
             context.metrics.leader_watches_broken += 1;
             log::warn!("the watch on the leader at {leader} failed: {failure}");
         } else {
-            // Not a warning, so that there is one for each failure rather than for each attempt while the leader is down.
-            log::debug!("the leader at {leader} cannot be watched: {failure}");
+            // Logged at debug level: one warning for each lost watch, not for each retry while the leader is down.
+            log::debug!("cannot open a watch on the leader at {leader}: {failure}");
         }
     }
 }
@@ -331,7 +331,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Adds bytes to a partial line, and moves complete lines out of it.
+/// Appends bytes to a partial line, and moves the lines that this completes to `lines`.
 fn split_lines(mut bytes: &[u8], partial: &mut Vec<u8>, lines: &mut Vec<Vec<u8>>) {
     while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
         partial.extend(&bytes[..end]);
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -1,4 +1,5 @@
-//! The leader: accepts writes, and updates members and their assignment when the presence of dispatchers changes.
+//! The leader: accepts writes, and updates the members and the assignment of buckets when the presence of dispatchers
+//! changes.
 
 use crate::metrics::Metrics;
 use crate::presence::Presence;
@@ -11,24 +12,25 @@
 use bellsill_placement::{AssignmentChange, Member};
 use std::time::{Duration, Instant};
 
-/// The most members in one record.
+/// The maximum number of members in one record.
 const MAX_MEMBERS_IN_RECORD: usize = 100;
 
-/// The state of a leader beside the replicated one.
+/// The state that only a leader has, in addition to the replicated state.
 pub(crate) struct Leader {
     presence: Presence,
-    /// Whether the members may call for another assignment.
+    /// Whether the assignment has to be planned again because members may have changed.
     plan_due: bool,
-    followers: Followers,
+    followers: FollowerStatus,
 }
 
-/// Whether other control processes follow the leader.
+/// Whether followers have a watch on the leader.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Followers {
-    /// None has since the start.
+enum FollowerStatus {
+    /// None has had one since the process started.
     NeverSeen,
-    Present,
-    /// All have disconnected: the leader is more likely to be partitioned than all followers to have failed.
+    /// At least one does.
+    Connected,
+    /// All have disconnected. A network partition of the leader is more likely than a failure of all followers.
     Lost,
 }
 
@@ -37,16 +39,16 @@
         Leader {
             presence: Presence::new(now, restart_grace.as_nanos() as Nanos),
             plan_due: true,
-            followers: Followers::NeverSeen,
+            followers: FollowerStatus::NeverSeen,
         }
     }
 
-    /// A control process has opened a watch; it counts even if the watch ends before the next check.
+    /// Records that a follower has opened a watch, which counts even if the watch ends before the next check.
     pub(crate) fn follower_connected(&mut self) {
-        self.followers = Followers::Present;
+        self.followers = FollowerStatus::Connected;
     }
 
-    /// Writes the endpoints of `POST /api/targets`.
+    /// Handles the body of `POST /api/targets`: writes the endpoints.
     pub(crate) fn write_endpoints(
         &mut self,
         replica: &mut Replica,
@@ -59,7 +61,7 @@
         Ok(replica.version())
     }
 
-    /// Writes the members of `POST /v2/members`.
+    /// Handles the body of `POST /v2/members`: writes the members.
     pub(crate) fn write_members(
         &mut self,
         replica: &mut Replica,
@@ -74,7 +76,7 @@
         Ok(replica.version())
     }
 
-    /// Records the heartbeats of `POST /v2/presence`.
+    /// Handles the body of `POST /v2/presence`: records the heartbeats.
     pub(crate) fn record_heartbeats(
         &mut self,
         replica: &Replica,
@@ -91,7 +93,7 @@
         Ok(directory.version())
     }
 
-    /// To be called each second: writes members whose presence has changed, and the assignment that they call for.
+    /// Writes the members whose presence has changed and the resulting assignment. Must be called once a second.
     pub(crate) fn every_second(
         &mut self,
         replica: &mut Replica,
@@ -105,18 +107,19 @@
         watchers
             .members()
             .for_each(|member| self.presence.record_seen(member, now));
-        self.count_followers(watchers.followers());
-        // A partitioned leader would move nearly every bucket. Members seen meanwhile become present once it is not.
+        self.update_follower_status(watchers.followers());
+        // A partitioned leader would reassign nearly every bucket. Members that are seen during the partition become
+        // present when it ends.
         let changed = match self.followers {
-            Followers::Lost => Vec::new(),
-            Followers::NeverSeen | Followers::Present => {
-                self.presence.changed(directory.members(), now)
+            FollowerStatus::Lost => Vec::new(),
+            FollowerStatus::NeverSeen | FollowerStatus::Connected => {
+                self.presence.changed_members(directory.members(), now)
             }
         };
-        metrics.seconds_without_followers += u64::from(self.followers == Followers::Lost);
+        metrics.seconds_without_followers += u64::from(self.followers == FollowerStatus::Lost);
         let plan_due = std::mem::replace(&mut self.plan_due, false) || !changed.is_empty();
         for members in changed.chunks(MAX_MEMBERS_IN_RECORD) {
-            log::info!("presence of members changed: {}", describe(members));
+            log::info!("presence of members changed: {}", format_presence(members));
             replica.append(Record::MembersChanged(members.to_vec()))?;
         }
         if plan_due {
@@ -125,19 +128,21 @@
         Ok(())
     }
 
-    fn count_followers(&mut self, count: usize) {
-        let followers = match (count, self.followers) {
-            (0, Followers::NeverSeen) => Followers::NeverSeen,
-            (0, _) => Followers::Lost,
-            _ => Followers::Present,
+    fn update_follower_status(&mut self, count: usize) {
+        let status = match (count, self.followers) {
+            (0, FollowerStatus::NeverSeen) => FollowerStatus::NeverSeen,
+            (0, _) => FollowerStatus::Lost,
+            _ => FollowerStatus::Connected,
         };
-        if followers != self.followers && followers == Followers::Lost {
-            log::warn!("all followers are lost: no member is declared absent until one returns");
+        if status != self.followers && status == FollowerStatus::Lost {
+            log::warn!(
+                "all followers have disconnected: no member is declared absent until one reconnects"
+            );
         }
-        self.followers = followers;
+        self.followers = status;
     }
 
-    /// New members have the restart grace from now on to open their watch.
+    /// Counts new members as seen now, so that they have the restart grace to open their watch.
     fn grant_restart_grace(&mut self, replica: &Replica, members: &[Member], now: Nanos) {
         let Some(directory) = replica.directory() else {
             return;
@@ -152,7 +157,7 @@
     }
 }
 
-/// Plans the assignment that the present members call for, and writes it if it differs.
+/// Plans the assignment for the present members, and writes it if it differs from the current one.
 fn reassign(replica: &mut Replica) -> Result<(), ApplyError> {
     let Some(directory) = replica.directory() else {
         return Ok(());
@@ -165,33 +170,33 @@
         }
         Ok(None) => Ok(()),
         Err(error) => {
-            log::error!("no assignment can be planned, the current one is kept: {error}");
+            log::error!("cannot plan an assignment; keeping the current one: {error}");
             Ok(())
         }
     }
 }
 
-fn log_assignment(change: &AssignmentChange, took: Duration) {
+fn log_assignment(change: &AssignmentChange, planning_time: Duration) {
     for warning in &change.warnings {
         log::warn!("assignment: {warning}");
     }
     log::info!(
-        "assignment {}: {} replicas move, at least {} have to, planned in {} ms",
+        "assignment of epoch {}: moves {} replicas (minimum {}), planned in {} ms",
         change.epoch.0,
         change.moved_replicas,
         change.least_possible,
-        took.as_millis()
+        planning_time.as_millis()
     );
 }
 
-fn describe(members: &[Member]) -> String {
-    let describe_one = |member: &Member| {
+fn format_presence(members: &[Member]) -> String {
+    let format_member = |member: &Member| {
         let presence = if member.present { "present" } else { "absent" };
         format!("{} is {presence}", member.name)
     };
     members
         .iter()
-        .map(describe_one)
+        .map(format_member)
         .collect::<Vec<_>>()
         .join(", ")
 }
--- a/crates/control-plane/src/replica.rs
+++ b/crates/control-plane/src/replica.rs
@@ -1,5 +1,5 @@
-//! The replicated state that a leader and a follower share: the configuration, its log on disk, and what watchers have
-//! been sent of it.
+//! The replicated state that leaders and followers have in common: the configuration, its log on disk, and the progress
+//! of the watchers.
 
 use crate::config::Config;
 use crate::storage::{OpenedStorage, Storage, StorageError};
@@ -13,16 +13,16 @@
 
 /// The replicated state of one control process.
 pub(crate) struct Replica {
-    /// None in a follower that has not received the configuration yet.
+    /// The configuration. None in a follower that has not received it yet.
     directory: Option<Directory>,
     watchers: Watchers,
     storage: Storage,
-    /// Records that are applied, but not yet on disk. Nothing is sent to a connection before they are.
+    /// Records that are applied but not yet durable. Nothing is sent on a connection until they are.
     unsynced: Vec<LoggedRecord>,
     synced: SyncCounts,
 }
 
-/// What has been made durable since the start.
+/// What has been made durable since the process started.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SyncCounts {
     pub(crate) records: u64,
@@ -30,17 +30,17 @@
 }
 
 impl Replica {
-    /// Reads the state directory of a process.
+    /// Opens the state directory and recovers the configuration from it.
     pub(crate) fn open(config: &Config) -> Result<Replica, StorageError> {
         let OpenedStorage { storage, directory } = Storage::open(
-            &config.state,
+            &config.state_directory,
             &config.name,
             config.layout.clone(),
             Retention::default(),
         )?;
         Ok(Replica {
             directory,
-            watchers: Watchers::new(config.fill_pace),
+            watchers: Watchers::new(config.fill_rate_limit),
             storage,
             unsynced: Vec::new(),
             synced: SyncCounts::default(),
@@ -67,20 +67,20 @@
         self.synced
     }
 
-    /// The version of the last record that is applied; version 0 comes before the first record.
+    /// The version of the last applied record, or 0 before the first one.
     pub(crate) fn version(&self) -> Version {
         self.directory
             .as_ref()
             .map_or(Version(0), |directory| directory.version())
     }
 
-    /// Applies a record with the next version.
+    /// Applies a record as the next version.
     pub(crate) fn append(&mut self, record: Record) -> Result<(), ApplyError> {
         let version = Version(self.version().0 + 1);
         self.apply(LoggedRecord { version, record })
     }
 
-    /// Applies a record. Watchers are sent it once it is on disk.
+    /// Applies a record. It is sent to watchers once it is durable.
     pub(crate) fn apply(&mut self, logged: LoggedRecord) -> Result<(), ApplyError> {
         let Some(directory) = &mut self.directory else {
             return Ok(());
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Writes a snapshot if reading the log at the next start would take long.
+    /// Replaces the log with a snapshot if it is so long that the next start would be slow.
     pub(crate) fn compact_log_at_start(&mut self) -> Result<(), StorageError> {
         match &self.directory {
             Some(directory) if self.storage.needs_snapshot_at_start() => {
@@ -118,17 +118,18 @@
         }
     }
 
-    /// Replaces the whole configuration, on disk too. All watches end, since their cursors refer to the old one.
+    /// Replaces the complete configuration in memory and on disk. All watches are closed, because their cursors refer
+    /// to the previous configuration.
     pub(crate) fn replace(&mut self, directory: Directory) -> Result<(), StorageError> {
         self.sync()?;
         self.storage.replace_state(&directory)?;
-        let open: Vec<WatcherId> = self.watchers.ids().collect();
-        open.into_iter().for_each(|id| self.watchers.close(id));
+        let watchers: Vec<WatcherId> = self.watchers.ids().collect();
+        watchers.into_iter().for_each(|id| self.watchers.close(id));
         self.directory = Some(directory);
         Ok(())
     }
 
-    /// Opens a watch; none is opened as long as there is no configuration.
+    /// Opens a watch. Returns None if there is no configuration yet.
     pub(crate) fn open_watch(
         &mut self,
         request: WatchRequest,
@@ -138,7 +139,7 @@
         Some(self.watchers.open(request, directory, now))
     }
 
-    /// The next line to send to a watcher, if there is one now.
+    /// The next line to send to a watcher, if one is due.
     pub(crate) fn next_line(&mut self, watcher: WatcherId, now: Nanos) -> Option<FeedLine> {
         let directory = self.directory.as_ref()?;
         self.watchers.next_line(watcher, directory, now)
--- a/crates/control-plane/src/replication.rs
+++ b/crates/control-plane/src/replication.rs
@@ -1,4 +1,5 @@
-//! Applying the lines of the leader's watch to a follower's replica: changes, and transfers of the complete configuration.
+//! Applies the lines of the watch on the leader to a follower's replica: changes, and transfers of the complete
+//! configuration.
 
 use crate::replica::Replica;
 use crate::storage::StorageError;
@@ -7,31 +8,31 @@
 use bellsill_placement::Layout;
 use thiserror::Error;
 
-/// Why a line is rejected. The configuration is not changed by it, apart from records that it had before the fault.
+/// Why a line is rejected. Records that precede the invalid part of the line stay applied; the rest changes nothing.
 #[derive(Debug, Error)]
 pub(crate) enum LineError {
-    #[error("a line cannot be decoded: {0}")]
+    #[error("cannot decode a line: {0}")]
     Decode(#[from] serde_json::Error),
     #[error("{0}")]
     Apply(#[from] ApplyError),
     #[error("{0}")]
     Changes(#[from] InvalidChanges),
-    #[error("a transfer starts without an assignment")]
+    #[error("a transfer starts without a bucket assignment")]
     NoAssignment,
-    #[error("part of a transfer that was not started")]
+    #[error("a line belongs to a transfer that was not started")]
     NoTransfer,
-    #[error("changes before any transfer")]
+    #[error("received changes before the first transfer")]
     NoConfiguration,
-    #[error("changes of history {found}, this process has {expected}")]
-    OtherHistory { expected: String, found: String },
-    #[error("version {version} without its changes")]
+    #[error("received changes of history {found}, but this process has history {expected}")]
+    HistoryMismatch { expected: String, found: String },
+    #[error("version {version} was announced without its changes")]
     MissingChanges { version: u64 },
 }
 
 /// Why a line is not applied.
 #[derive(Debug, Error)]
 pub(crate) enum ReplicationError {
-    /// The line makes no sense; the follower can ask the leader again.
+    /// The line is invalid. The follower can open another watch.
     #[error("{0}")]
     Rejected(#[from] LineError),
     /// The process cannot continue.
@@ -39,19 +40,19 @@
     Storage(#[from] StorageError),
 }
 
-/// What a line did to the replica.
+/// The effect of a line on the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LineEffect {
-    /// It was empty, had changes, or was part of a transfer.
+    /// The line was a heartbeat, had changes, or was part of a transfer.
     Applied,
-    /// It completed a transfer: the configuration is another one, and all watches have ended.
+    /// The line completed a transfer, which replaced the configuration and closed all watches.
     ConfigurationReplaced,
 }
 
 /// The receiving side of replication.
 pub(crate) struct Replication {
     layout: Layout,
-    /// A transfer that is in progress.
+    /// The transfer in progress.
     transfer: Option<Box<Restore>>,
 }
 
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Drops an incomplete transfer; the next watch starts another one.
+    /// Discards an incomplete transfer. The next watch starts a new one.
     pub(crate) fn abort_transfer(&mut self) {
         self.transfer = None;
     }
@@ -91,16 +92,16 @@
     }
 
     fn start_transfer(&mut self, line: CompleteLine) -> Result<(), LineError> {
-        let point = RestorePoint {
+        let restore_point = RestorePoint {
             log: LogId(line.log),
             version: line.version,
             forgotten: line.forgotten.unwrap_or(line.version),
         };
         log::info!(
-            "transfer of the complete configuration from the leader started, at version {}",
-            point.version.0
+            "started a transfer of the complete configuration from the leader at version {}",
+            restore_point.version.0
         );
-        let mut restore = Restore::begin(self.layout.clone(), point, Retention::default());
+        let mut restore = Restore::begin(self.layout.clone(), restore_point, Retention::default());
         restore.add_members(line.members.into_iter().map(|line| line.member).collect())?;
         restore.set_assignment(&line.table.ok_or(LineError::NoAssignment)?)?;
         self.transfer = Some(Box::new(restore));
@@ -121,7 +122,7 @@
         let (version, entries) = (directory.version(), directory.entries().len());
         replica.replace(directory)?;
         log::info!(
-            "transfer complete: the configuration is at version {} with {entries} endpoints",
+            "transfer completed: the configuration is at version {} and has {entries} endpoints",
             version.0
         );
         Ok(())
@@ -143,7 +144,7 @@
         }
         let directory = replica.directory().ok_or(LineError::NoConfiguration)?;
         if !log.is_empty() && log != directory.log().0 {
-            return Err(LineError::OtherHistory {
+            return Err(LineError::HistoryMismatch {
                 expected: directory.log().0.clone(),
                 found: log,
             });
--- a/crates/control-plane/src/storage.rs
+++ b/crates/control-plane/src/storage.rs
@@ -1,4 +1,4 @@
-//! The state directory: the log of the configuration's records with snapshots.
+//! The state directory: the log of the configuration's records and its snapshots.
 
 use bellsill_config_log::{
     ConfigLog, LogError, NewRecord, OpenedLog, RecoveryReport, RejectReason, RejectedSnapshot,
@@ -12,74 +12,75 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A longer log, in bytes, is replaced by a snapshot when the process starts, so that the next start is short.
+/// The log size in bytes above which a starting process replaces the log with a snapshot, so that the next start is
+/// fast.
 const MAX_LOG_BYTES_AT_START: u64 = 16 * 1024 * 1024;
-/// A longer log, in bytes, is replaced by a snapshot while the process runs. The actual limit is up to twice as high,
-/// depending on the process's name: all processes have the same records, and would otherwise pause for a snapshot at the
-/// same moment.
+/// The lower bound of the log size above which a running process replaces the log with a snapshot. The actual limit
+/// depends on the name of the process and is up to twice as high: all processes have the same records, and with equal
+/// limits they would all pause for a snapshot at the same time.
 const MIN_LOG_LIMIT_BYTES: u64 = 64 * 1024 * 1024;
 
 /// Why the state directory cannot be used.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// The log can't be read or written.
+    /// The log cannot be read or written.
     #[error("{0}")]
     Log(#[from] LogError),
-    /// All snapshots are damaged.
+    /// Every snapshot is damaged.
     #[error(
-        "{}: {}, and there is no other snapshot; copy the directory of another control process over this one, \
-         or begin with an empty one", rejected.file.display(), rejected.reason
+        "{}: {}, and there is no other snapshot; replace this directory with a copy of another control process's state \
+         directory, or start with an empty one", rejected.file.display(), rejected.reason
     )]
-    NoSnapshot {
+    NoUsableSnapshot {
         /// The damaged snapshot.
         rejected: RejectedSnapshot,
     },
-    /// A record can't be decoded.
-    #[error("{}: record {index} is refused: {error}", directory.display())]
+    /// A record cannot be decoded.
+    #[error("{}: record {index} is invalid: {error}", directory.display())]
     Record {
         /// The state directory.
         directory: PathBuf,
-        /// The index in the log.
+        /// The index of the record in the log.
         index: u64,
-        /// What is wrong with it.
+        /// Why it is rejected.
         error: InvalidRecord,
     },
-    /// A record can't be applied to the configuration before it.
-    #[error("{}: record {index} does not follow: {error}", directory.display())]
+    /// A record cannot be applied to the configuration that precedes it.
+    #[error("{}: record {index} cannot be applied to the preceding configuration: {error}", directory.display())]
     Apply {
         /// The state directory.
         directory: PathBuf,
-        /// The index in the log.
+        /// The index of the record in the log.
         index: u64,
-        /// What is wrong with it.
+        /// Why it is rejected.
         error: ApplyError,
     },
-    /// There are records, but no snapshot that they follow.
-    #[error("{}: record {index} is before any snapshot", directory.display())]
-    NothingBefore {
+    /// There are records, but no snapshot that precedes them.
+    #[error("{}: record {index} has no snapshot before it", directory.display())]
+    MissingSnapshot {
         /// The state directory.
         directory: PathBuf,
-        /// The index in the log.
+        /// The index of the record in the log.
         index: u64,
     },
-    /// A snapshot can't be decoded.
-    #[error("{}: snapshot {index} is refused: {error}", directory.display())]
+    /// A snapshot cannot be decoded.
+    #[error("{}: snapshot {index} is invalid: {error}", directory.display())]
     Snapshot {
         /// The state directory.
         directory: PathBuf,
-        /// The index in the log.
+        /// The index of the record in the log.
         index: u64,
-        /// What is wrong with it.
+        /// Why it is rejected.
         error: SnapshotError,
     },
 }
 
-/// The log of one control process. Its indices rise by one for each record, over all histories of the configuration,
-/// whereas versions start again with each history.
+/// The log of one control process. Its index increases by one with each record, across all histories of the
+/// configuration, whereas versions start again with each history.
 pub(crate) struct Storage {
     log: ConfigLog,
-    /// What was left out when the log was opened.
-    report: RecoveryReport,
+    /// What was discarded when the log was opened.
+    recovery_report: RecoveryReport,
     max_log_bytes: u64,
 }
 
@@ -91,25 +92,25 @@
 }
 
 impl Storage {
-    /// Opens a state directory and reads it. An incomplete record at the end of the log was never sent to anyone, and is
-    /// dropped.
+    /// Opens a state directory and recovers the configuration from it. An incomplete record at the end of the log is
+    /// dropped; it was never sent to a client or a follower.
     pub(crate) fn open(
         path: &Path,
         process_name: &str,
         layout: Layout,
-        keeping: Retention,
+        retention: Retention,
     ) -> Result<OpenedStorage, StorageError> {
         let OpenedLog { log, recovered } = ConfigLog::open(path)?;
-        log_report(path, &recovered.report);
+        log_recovery_report(path, &recovered.report);
         let mut directory = match recovered.snapshot {
-            Some(snapshot) => Some(read_snapshot(path, snapshot, layout, keeping)?),
-            None => check_empty(&recovered.report)?,
+            Some(snapshot) => Some(read_snapshot(path, snapshot, layout, retention)?),
+            None => require_no_damaged_snapshot(&recovered.report)?,
         };
         for logged in recovered.records {
             let index = logged.index;
             let directory = directory
                 .as_mut()
-                .ok_or_else(|| StorageError::NothingBefore {
+                .ok_or_else(|| StorageError::MissingSnapshot {
                     directory: path.to_path_buf(),
                     index,
                 })?;
@@ -131,24 +132,24 @@
         Ok(OpenedStorage {
             storage: Storage {
                 log,
-                report: recovered.report,
+                recovery_report: recovered.report,
                 max_log_bytes,
             },
             directory,
         })
     }
 
-    /// Bytes at the end of the log that were dropped when it was opened.
+    /// The number of bytes of incomplete records that were dropped when the log was opened.
     pub(crate) fn torn_bytes(&self) -> u64 {
-        self.report.torn_bytes
+        self.recovery_report.torn_bytes
     }
 
-    /// Snapshots that were not used when the log was opened.
+    /// The number of snapshots that were rejected when the log was opened.
     pub(crate) fn rejected_snapshots(&self) -> usize {
-        self.report.rejected.len()
+        self.recovery_report.rejected.len()
     }
 
-    /// Appends records, and returns once they are on disk.
+    /// Appends records, and returns once they are durable.
     pub(crate) fn append(&mut self, records: &[LoggedRecord]) -> Result<(), StorageError> {
         let payloads: Vec<Vec<u8>> = records.iter().map(record::encode).collect();
         let indices = self.log.last_index() + 1..;
@@ -160,7 +161,7 @@
         Ok(self.log.sync()?)
     }
 
-    /// Whether a process that starts should write a snapshot.
+    /// Whether a starting process should write a snapshot.
     pub(crate) fn needs_snapshot_at_start(&self) -> bool {
         self.log.bytes() > MAX_LOG_BYTES_AT_START
     }
@@ -170,14 +171,14 @@
         self.log.bytes() > self.max_log_bytes
     }
 
-    /// Writes a snapshot of the configuration that the records have led to.
+    /// Writes a snapshot of the configuration as of the last record.
     pub(crate) fn write_snapshot(&mut self, directory: &Directory) -> Result<(), StorageError> {
         Ok(self
             .log
             .write_snapshot(self.log.last_index(), encoded_parts(directory))?)
     }
 
-    /// Replaces the state by a configuration that does not follow from the records.
+    /// Replaces the stored state with a configuration that does not result from the records, such as a transferred one.
     pub(crate) fn replace_state(&mut self, directory: &Directory) -> Result<(), StorageError> {
         Ok(self
             .log
@@ -191,7 +192,7 @@
     hasher.finish()
 }
 
-fn log_report(path: &Path, report: &RecoveryReport) {
+fn log_recovery_report(path: &Path, report: &RecoveryReport) {
     if report.torn_bytes > 0 {
         log::warn!(
             "{}: dropped {} bytes of incomplete records at the end of the log",
@@ -201,21 +202,22 @@
     }
     for rejected in &report.rejected {
         log::warn!(
-            "{}: snapshot not used: {}",
+            "{}: rejected snapshot: {}",
             rejected.file.display(),
             rejected.reason
         );
     }
 }
 
-/// A directory whose only snapshot is damaged must not be taken for an empty one.
-fn check_empty(report: &RecoveryReport) -> Result<Option<Directory>, StorageError> {
+/// Returns no configuration if the state directory has no complete snapshot. A damaged snapshot is an error: the
+/// directory must not be treated as empty.
+fn require_no_damaged_snapshot(report: &RecoveryReport) -> Result<Option<Directory>, StorageError> {
     let damaged = report
         .rejected
         .iter()
         .find(|rejected| rejected.reason != RejectReason::Unfinished);
     damaged.map_or(Ok(None), |rejected| {
-        Err(StorageError::NoSnapshot {
+        Err(StorageError::NoUsableSnapshot {
             rejected: rejected.clone(),
         })
     })
@@ -225,7 +227,7 @@
     path: &Path,
     snapshot: Snapshot,
     layout: Layout,
-    keeping: Retention,
+    retention: Retention,
 ) -> Result<Directory, StorageError> {
     let index = snapshot.index;
     let rejected = |error| StorageError::Snapshot {
@@ -233,7 +235,7 @@
         index,
         error,
     };
-    let mut reader = SnapshotReader::new(layout, keeping);
+    let mut reader = SnapshotReader::new(layout, retention);
     for part in snapshot.records {
         reader.read_part(&part).map_err(rejected)?;
     }
--- a/crates/control-plane/tests/config.rs
+++ b/crates/control-plane/tests/config.rs
@@ -1,8 +1,8 @@
-//! The configuration file: defaults, and the errors that operators see.
+//! Defaults of the configuration file, and the errors that operators see.
 
 use bellsill_control_plane::config::{Config, Role};
 
-const GOOD: &str = "\
+const VALID: &str = "\
 name = \"control-1\"
 listen = \"127.0.0.1:7400\"
 state = \"state\"
@@ -14,10 +14,10 @@
 
 #[test]
 fn omitted_fields_have_their_defaults() {
-    let config = Config::parse(GOOD).expect("a configuration");
+    let config = Config::parse(VALID).expect("a configuration");
     assert_eq!(config.role, Role::Leader);
     assert_eq!(config.restart_grace.as_secs(), 30);
-    assert_eq!(config.fill_pace.bytes_per_second, 8192);
+    assert_eq!(config.fill_rate_limit.bytes_per_second, 8192);
     assert_eq!(
         config.layout.buckets_per_region(),
         bellsill_placement::DEFAULT_BUCKETS_PER_REGION
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_follower_states_the_address_of_its_leader() {
-    let text = GOOD.replace(
+fn a_follower_is_configured_with_the_address_of_its_leader() {
+    let text = VALID.replace(
         "role = \"writer\"",
         "role = \"follower\"\nwriter = \"10.0.0.1:7400\"",
     );
@@ -39,10 +39,10 @@
 
 #[test]
 fn errors_name_the_invalid_field() {
-    let with = |line: &str| GOOD.replace("[[zones]]", &format!("{line}\n[[zones]]"));
-    for (text, named) in [
-        (GOOD.replace("\"writer\"", "\"follower\""), "field writer"),
-        (GOOD.replace("\"writer\"", "\"reader\""), "reader"),
+    let with = |line: &str| VALID.replace("[[zones]]", &format!("{line}\n[[zones]]"));
+    for (text, expected) in [
+        (VALID.replace("\"writer\"", "\"follower\""), "field writer"),
+        (VALID.replace("\"writer\"", "\"reader\""), "reader"),
         (with("writer = \"10.0.0.1:7400\""), "field writer"),
         (
             with("restart_grace_seconds = 0"),
@@ -58,15 +58,15 @@
             "field buckets_per_region",
         ),
         (with("colour = \"blue\""), "colour"),
-        (GOOD.replace("control-1", "two words"), "field name"),
-        (GOOD.replace("\"north-1\"", "\"\""), "field zones"),
-        (GOOD.replace("127.0.0.1:7400", "here"), "listen"),
+        (VALID.replace("control-1", "two words"), "field name"),
+        (VALID.replace("\"north-1\"", "\"\""), "field zones"),
+        (VALID.replace("127.0.0.1:7400", "here"), "listen"),
         (
-            format!("{GOOD}[[zones]]\nname = \"north-1\"\nregion = \"south\"\n"),
+            format!("{VALID}[[zones]]\nname = \"north-1\"\nregion = \"south\"\n"),
             "north-1",
         ),
     ] {
-        let error = Config::parse(&text).expect_err(named).to_string();
-        assert!(error.contains(named), "{named}: {error}");
+        let error = Config::parse(&text).expect_err(expected).to_string();
+        assert!(error.contains(expected), "{expected}: {error}");
     }
 }
--- a/crates/control-plane/tests/state_directory.rs
+++ b/crates/control-plane/tests/state_directory.rs
@@ -1,4 +1,5 @@
-//! The state directory: what is recovered, and what is rejected. Every kind of damage is in the tests of bellsill-config-log.
+//! What a process recovers from its state directory and what it rejects. The tests of bellsill-config-log cover every
+//! kind of damage.
 
 use bellsill_config_log::ConfigLog;
 use bellsill_directory::entry::Endpoint;
@@ -11,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// A leader's state directory with a snapshot and a log after it, and the version that it is at.
+/// A leader's state directory with a snapshot and a log after it, and its version.
 fn state_with_log(place: &Place) -> (TempDir, u64) {
     let state = tempfile::tempdir().expect("a directory");
     let leader = place.start_leader(state.path());
@@ -22,31 +23,31 @@
     (state, version)
 }
 
-/// The files of this kind, in the order of their names.
-fn files(state: &Path, kind: &str) -> Vec<PathBuf> {
+/// The files whose names start with this prefix, sorted by name.
+fn files(state: &Path, prefix: &str) -> Vec<PathBuf> {
     let files = fs::read_dir(state)
         .expect("a directory")
         .map(|file| file.expect("a file").path());
-    let is_kind = |path: &PathBuf| {
+    let has_prefix = |path: &PathBuf| {
         path.file_name()
-            .is_some_and(|name| name.to_string_lossy().starts_with(kind))
+            .is_some_and(|name| name.to_string_lossy().starts_with(prefix))
     };
-    let mut of_kind: Vec<PathBuf> = files.filter(is_kind).collect();
-    of_kind.sort();
-    of_kind
+    let mut matching: Vec<PathBuf> = files.filter(has_prefix).collect();
+    matching.sort();
+    matching
 }
 
-fn file(state: &Path, kind: &str) -> PathBuf {
-    files(state, kind).pop().expect("a file")
+fn last_file(state: &Path, prefix: &str) -> PathBuf {
+    files(state, prefix).pop().expect("a file")
 }
 
 fn log_file(state: &Path) -> PathBuf {
-    file(state, "log.")
+    last_file(state, "log.")
 }
 
-fn change(path: &Path, change: impl Fn(&mut Vec<u8>)) {
+fn modify_file(path: &Path, modify: impl Fn(&mut Vec<u8>)) {
     let mut bytes = fs::read(path).expect("a file");
-    change(&mut bytes);
+    modify(&mut bytes);
     fs::write(path, bytes).expect("a written file");
 }
 
@@ -59,7 +60,7 @@
     let place = Place::reserve();
     for cut in [1, 13, 100] {
         let (state, version) = state_with_log(&place);
-        change(&log_file(state.path()), |bytes| {
+        modify_file(&log_file(state.path()), |bytes| {
             bytes.truncate(bytes.len() - cut)
         });
         let leader = place.start_leader(state.path());
@@ -77,7 +78,7 @@
 fn zero_bytes_after_the_log_are_dropped() {
     let place = Place::reserve();
     let (state, version) = state_with_log(&place);
-    change(&log_file(state.path()), |bytes| bytes.extend([0; 4096]));
+    modify_file(&log_file(state.path()), |bytes| bytes.extend([0; 4096]));
     let leader = place.start_leader(state.path());
     assert_eq!(leader.metrics()["version"], version);
 }
@@ -86,19 +87,19 @@
 fn a_damaged_log_is_rejected_and_left_unchanged() {
     let place = Place::reserve();
     let (state, _) = state_with_log(&place);
-    let good = fs::read(log_file(state.path())).expect("a log");
-    for offset in [0, 5, 40, good.len() / 2] {
-        let mut bad = good.clone();
-        bad[offset] ^= 0x10;
-        fs::write(log_file(state.path()), &bad).expect("a written file");
+    let intact = fs::read(log_file(state.path())).expect("a log");
+    for offset in [0, 5, 40, intact.len() / 2] {
+        let mut damaged = intact.clone();
+        damaged[offset] ^= 0x10;
+        fs::write(log_file(state.path()), &damaged).expect("a written file");
         let error = start_error(&place, state.path());
         assert!(error.contains("damaged at byte"), "{offset}: {error}");
-        assert_eq!(fs::read(log_file(state.path())).expect("a log"), bad);
+        assert_eq!(fs::read(log_file(state.path())).expect("a log"), damaged);
     }
 }
 
-/// Adds a record to a log, as a faulty process would.
-fn add_record(state: &Path, payload: &[u8]) {
+/// Appends a record to the log without validating it.
+fn append_record(state: &Path, payload: &[u8]) {
     let mut log = ConfigLog::open(state).expect("a log").log;
     log.append(log.last_index() + 1, payload)
         .expect("an appended record");
@@ -106,48 +107,51 @@
 }
 
 #[test]
-fn records_that_cannot_be_decoded_or_do_not_follow_are_rejected() {
+fn records_that_cannot_be_decoded_or_applied_are_rejected() {
     let place = Place::reserve();
     let (state, version) = state_with_log(&place);
-    for skipped in [0, 2] {
+    for version_offset in [0, 2] {
         let (state, version) = state_with_log(&place);
         let endpoint: EndpointEntry = serde_json::from_str(&entry(8, Draining)).expect("an entry");
         let endpoint = Endpoint::try_from(endpoint).expect("an endpoint");
         let record = Record::EndpointsChanged(vec![endpoint]);
         let logged = LoggedRecord {
-            version: Version(version + skipped),
+            version: Version(version + version_offset),
             record,
         };
-        add_record(state.path(), &record::encode(&logged));
+        append_record(state.path(), &record::encode(&logged));
         let error = start_error(&place, state.path());
-        assert!(error.contains("does not follow"), "{error}");
+        assert!(
+            error.contains("cannot be applied to the preceding configuration"),
+            "{error}"
+        );
     }
-    add_record(state.path(), b"{\"version\":1}");
+    append_record(state.path(), b"{\"version\":1}");
     let error = start_error(&place, state.path());
     assert!(
-        error.contains("is refused: a record that cannot be decoded"),
+        error.contains("is invalid: a record that cannot be decoded"),
         "version {version}: {error}"
     );
 }
 
 #[test]
-fn a_truncated_only_snapshot_is_rejected() {
+fn a_truncated_snapshot_without_another_is_rejected() {
     let place = Place::reserve();
     let (state, _) = state_with_log(&place);
-    let snapshot = file(state.path(), "snapshot.");
-    let good = fs::read(&snapshot).expect("a snapshot");
-    for length in [good.len() / 2, good.len() - 1, 5, 0] {
-        fs::write(&snapshot, &good[..length]).expect("a written file");
+    let snapshot = last_file(state.path(), "snapshot.");
+    let intact = fs::read(&snapshot).expect("a snapshot");
+    for length in [intact.len() / 2, intact.len() - 1, 5, 0] {
+        fs::write(&snapshot, &intact[..length]).expect("a written file");
         let log = fs::read(log_file(state.path())).expect("a log");
         let error = start_error(&place, state.path());
         assert!(error.contains("snapshot"), "{length}: {error}");
         assert_eq!(
             fs::read(log_file(state.path())).expect("a log"),
             log,
-            "nothing is changed"
+            "the log was changed"
         );
     }
-    // Without any log it must not be taken for an empty directory.
+    // Without a log, the directory must not be treated as empty.
     for log in files(state.path(), "log.") {
         fs::remove_file(log).expect("a log");
     }
@@ -172,11 +176,11 @@
 }
 
 #[test]
-fn another_layout_and_a_second_process_are_rejected() {
+fn a_different_layout_and_a_second_process_are_rejected() {
     let place = Place::reserve();
     let (state, _) = state_with_log(&place);
-    let other = place.start(state.path(), "role = \"writer\"", "").stop();
-    other.expect("the same layout");
+    let restarted = place.start(state.path(), "role = \"writer\"", "").stop();
+    restarted.expect("the same layout");
     let text = config_text(place.address, state.path(), "role = \"writer\"", "");
     let text = text.replace("buckets_per_region = 8", "buckets_per_region = 16");
     let config = bellsill_control_plane::Config::parse(&text).expect("a configuration");
