--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -1,4 +1,4 @@
-//! A dispatcher's list when the control processes that it watches fail.
+//! A dispatcher's list across failures of the control processes that it watches.
 
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_discovery_client::ScopedList;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The list of `north-a`, in the layout of the control processes of these tests.
+/// An empty list for `north-a`, with the layout of the control processes in these tests.
 fn new_list() -> ScopedList {
     let zones = [
         ("north-1", "north"),
@@ -21,7 +21,8 @@
     ScopedList::new(Arc::new(Layout::new(zones, 8).expect("a layout")), 16)
 }
 
-/// Watches with what the list knows until it is at this version with all buckets; the number of buckets that were gained on the way.
+/// Opens a watch with the list's current state and applies lines until the list has this version and all buckets.
+/// Returns the number of buckets that were gained.
 fn watch_until(list: &mut ScopedList, address: SocketAddr, version: u64) -> usize {
     let mut watch = Watch::open(address, &list.watch_query("north-a"));
     let mut gained = 0;
@@ -63,17 +64,18 @@
     );
     assert_eq!(second.metrics()["watches_told_anew"], 0);
 
-    // All stop; one is started again alone, with what it had on disk.
+    // All processes stop. The follower that was stopped first restarts alone with an older state on disk: it must not
+    // send the list anything older than the list has.
     leader.stop().expect("an end");
     second.stop().expect("an end");
     let first = places[1].start_follower(states[1].path(), places[0].address);
-    let mut behind = Watch::open(places[1].address, &list.watch_query("north-a"));
+    let mut stale_watch = Watch::open(places[1].address, &list.watch_query("north-a"));
     let leader = places[0].start_leader(states[0].path());
     first.wait_for_version(version);
-    let line = behind.next_line().expect("a line");
+    let line = stale_watch.next_line().expect("a line");
     assert!(
         line.gained.is_empty() && line.version.0 == version,
-        "nothing older is told: {line:?}"
+        "older changes were sent: {line:?}"
     );
     let version = leader.write(&entry(50, Draining));
     assert_eq!(watch_until(&mut list, places[1].address, version), 0);
--- a/crates/control-plane/tests/replication.rs
+++ b/crates/control-plane/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Restarts, followers, presence of members, and a leader that sends invalid lines.
+//! Restarts of leaders and followers, presence of members, and a leader that sends invalid lines.
 
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_test_support::control_client::{Watch, ids, request};
@@ -45,14 +45,14 @@
         ids(&watch.until(|line| !line.servers.is_empty())),
         ["endpoint-7"]
     );
-    let (status, answer) = request(
+    let (status, response) = request(
         follower_place.address,
         "POST",
         "/api/targets",
         &entry(8, Draining),
     );
     assert_eq!(
-        (status, answer["writer"].as_str()),
+        (status, response["writer"].as_str()),
         (421, Some(place.address.to_string().as_str()))
     );
 }
@@ -91,7 +91,7 @@
         "/api/targets?follow=1&dispatcher=north-a",
         "",
     );
-    assert_eq!(status, 503, "it has no configuration yet");
+    assert_eq!(status, 503, "the follower has no configuration yet");
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
@@ -145,7 +145,7 @@
     follower.wait_for("a configuration", |metrics| metrics["transfers_taken"] == 1);
     let mut at_leader = Watch::open(place.address, "since=0&dispatcher=north-a");
     let mut at_follower = Watch::open(follower_place.address, "since=0&dispatcher=north-b");
-    let metrics = leader.wait_for("two to be absent", |metrics| {
+    let metrics = leader.wait_for("two absent members", |metrics| {
         metrics["members_present"] == 2
     });
     assert_eq!(metrics["members"], 4);
@@ -158,10 +158,10 @@
         lines
             .last()
             .and_then(|line| line.epoch)
-            .is_some_and(|told| told.0 > epoch)
+            .is_some_and(|received| received.0 > epoch)
     );
     returned.until_filled(8);
-    leader.wait_for("three to be present", |metrics| {
+    leader.wait_for("three present members", |metrics| {
         metrics["members_present"] == 3
     });
 }
@@ -184,20 +184,21 @@
             .as_u64()
             .expect("a count")
     };
-    leader.wait_for("the loss", |metrics| seconds(metrics) > 0);
+    leader.wait_for("the loss of all followers", |metrics| seconds(metrics) > 0);
     leader.declare();
     let declared = seconds(&leader.metrics());
-    leader.wait_for("more than the grace", |metrics| {
+    leader.wait_for("more than the restart grace", |metrics| {
         seconds(metrics) > declared + 4
     });
     assert_eq!(leader.metrics()["members_present"], 4);
     let _follower = follower_place.start_follower(follower_state.path(), place.address);
-    leader.wait_for("all to be absent", |metrics| {
+    leader.wait_for("all members absent", |metrics| {
         metrics["members_present"] == 0
     });
 }
 
-/// Sends lines as a leader to a follower that has a configuration; its metrics once it has rejected them.
+/// Acts as the leader of a follower that has a configuration and sends it these lines. Returns the metrics of the
+/// follower once it has rejected one.
 fn metrics_after_rejection(lines: &[Vec<u8>]) -> serde_json::Value {
     let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
     let follower_state = tempfile::tempdir().expect("a directory");
@@ -208,13 +209,13 @@
     let follower = follower_place.start_follower(follower_state.path(), place.address);
     follower.wait_for_version(version);
     follower.stop().expect("an end");
-    let impostor = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let address = impostor.local_addr().expect("an address");
+    let fake_leader = TcpListener::bind("127.0.0.1:0").expect("a listener");
+    let address = fake_leader.local_addr().expect("an address");
     let follower = follower_place.start_follower(follower_state.path(), address);
-    let (mut stream, _) = impostor.accept().expect("a follower");
+    let (mut stream, _) = fake_leader.accept().expect("a follower");
     let mut head = [0; 64];
     stream.read_exact(&mut head).expect("a request");
-    // The follower may close the connection at the first line that it rejects.
+    // Writes may fail: the follower may close the connection as soon as it rejects a line.
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .ok();
@@ -237,12 +238,12 @@
 #[test]
 fn invalid_lines_of_a_leader_are_rejected_and_change_nothing() {
     let line = |text: &str| format!("{text}\n").into_bytes();
-    let gap = entry(7, Draining)
+    let entry_after_gap = entry(7, Draining)
         .trim_end()
         .replace("\"state\"", "\"v\":99,\"state\"");
     metrics_after_rejection(&[line("{\"version\":")]);
     metrics_after_rejection(&[line(&format!(
-        "{{\"version\":99,\"full\":false,\"servers\":[{gap}]}}"
+        "{{\"version\":99,\"full\":false,\"servers\":[{entry_after_gap}]}}"
     ))]);
     metrics_after_rejection(&[line("{\"version\":99,\"full\":false,\"servers\":[]}")]);
     metrics_after_rejection(&[line(
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,4 +1,4 @@
-//! The log and the snapshot that an earlier version (c1890ee) has written are readable.
+//! The log and the snapshot that an earlier version (commit c1890ee) wrote can be read.
 
 use bellsill_directory::line::EndpointState;
 use bellsill_test_support::control_client::Watch;
@@ -6,8 +6,8 @@
 use bellsill_test_support::endpoint_lines::entry;
 use std::path::Path;
 
-/// A state directory with the files of that version: a snapshot, and a log of five records after it.
-fn state_directory() -> tempfile::TempDir {
+/// A state directory with the files of that version: a snapshot and a log with five records after it.
+fn copy_fixture() -> tempfile::TempDir {
     let state = tempfile::tempdir().expect("a directory");
     let fixture = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/control-state");
     for file in std::fs::read_dir(fixture).expect("the fixture") {
@@ -20,7 +20,7 @@
 #[test]
 fn a_snapshot_and_the_log_after_it_are_read() {
     let place = Place::reserve();
-    let state = state_directory();
+    let state = copy_fixture();
     let leader = place.start_leader(state.path());
     let metrics = leader.metrics();
     for (name, value) in [("version", 5), ("entries", 6), ("epoch", 1), ("members", 4)] {
