--- a/crates/control-plane/src/clients.rs
+++ b/crates/control-plane/src/clients.rs
@@ -97,7 +97,7 @@
     /// Ends the reading of a client's requests: after its last one the connection is closed.
     pub(crate) fn finish_requests(&self, context: &mut Context, id: ConnectionId) {
         if let Some(connection) = context.connections.get_mut(id)
-            && connection.ended
+            && connection.end_of_stream
             && connection.purpose == Purpose::Client
         {
             connection.close_when_written = true;
@@ -146,7 +146,7 @@
         };
         // A watcher has nothing more to request.
         connection.discard_input();
-        if read.is_err() || connection.ended {
+        if read.is_err() || connection.end_of_stream {
             return self.close(context, id);
         }
         context.replica.watchers_mut().mark_ready(watcher);
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -52,7 +52,7 @@
     /// This process's watch on the leader.
     LeaderWatch,
     /// A call that sends the leader heartbeats of the dispatchers that have a watch here.
-    HeartbeatCall,
+    HeartbeatRequest,
 }
 
 /// One connection.
@@ -64,7 +64,7 @@
     /// Whether its connect is still in progress.
     connecting: bool,
     /// The peer sends nothing more.
-    pub(crate) ended: bool,
+    pub(crate) end_of_stream: bool,
     /// Whether it is closed once its output is written.
     pub(crate) close_when_written: bool,
     /// When it was accepted, a request was answered, or output was written, whichever was last.
@@ -246,7 +246,7 @@
     }
 
     /// Starts a connection to another control process.
-    pub(crate) fn open(
+    pub(crate) fn connect(
         &mut self,
         to: SocketAddr,
         purpose: Purpose,
@@ -289,7 +289,7 @@
             connection.stream.peer_addr()?;
             connection.connecting = false;
         }
-        connection.ended |= connection.input.read_from(&mut connection.stream)?;
+        connection.end_of_stream |= connection.input.read_from(&mut connection.stream)?;
         Ok(())
     }
 
@@ -320,7 +320,7 @@
         };
         let interest = Interest {
             readable: !connection.connecting
-                && !connection.ended
+                && !connection.end_of_stream
                 && connection.input.remaining_capacity() > 0,
             writable: connection.connecting || !connection.output.is_empty(),
         };
@@ -353,7 +353,7 @@
             input: RingBuffer::new(bounds.input),
             output: RingBuffer::new(bounds.output),
             connecting,
-            ended: false,
+            end_of_stream: false,
             close_when_written: false,
             last_progress: now,
             armed: Some(interest),
--- a/crates/control-plane/src/follower.rs
+++ b/crates/control-plane/src/follower.rs
@@ -142,7 +142,7 @@
         self.heartbeat_call = self
             .call(
                 &mut context.connections,
-                Purpose::HeartbeatCall,
+                Purpose::HeartbeatRequest,
                 &request,
                 context.now,
             )
@@ -156,7 +156,7 @@
             return;
         };
         connection.discard_input();
-        if read.is_ok() && !connection.ended {
+        if read.is_ok() && !connection.end_of_stream {
             context.connections.mark_unflushed(id);
             return;
         }
@@ -183,7 +183,7 @@
         if context
             .connections
             .get_mut(id)
-            .is_none_or(|connection| connection.ended)
+            .is_none_or(|connection| connection.end_of_stream)
         {
             self.end_watch(context, &WatchFailure::Closed);
         }
@@ -284,7 +284,7 @@
         request: &str,
         now: Nanos,
     ) -> io::Result<ConnectionId> {
-        let id = connections.open(self.leader, purpose, BOUNDS, now)?;
+        let id = connections.connect(self.leader, purpose, BOUNDS, now)?;
         if let Some(connection) = connections.get_mut(id) {
             // A request that exceeds the output is not sent: the call then ends by its timeout.
             connection.send(request.as_bytes()).ok();
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -266,11 +266,11 @@
                     self.clients.close_watches(context);
                 }
             }
-            (Purpose::HeartbeatCall, RoleState::Follower(follower)) => {
+            (Purpose::HeartbeatRequest, RoleState::Follower(follower)) => {
                 follower.heartbeat_call_ready(context, id);
             }
             // A leader opens no connections to another process.
-            (Purpose::LeaderWatch | Purpose::HeartbeatCall, RoleState::Leader(_)) => {}
+            (Purpose::LeaderWatch | Purpose::HeartbeatRequest, RoleState::Leader(_)) => {}
         }
         Ok(())
     }
