--- a/crates/control-plane/src/clients.rs
+++ b/crates/control-plane/src/clients.rs
@@ -1,4 +1,4 @@
-//! The connections of clients: reading requests, writing responses, and sending watchers their lines.
+//! Client connections: reads requests, writes responses and streams lines to watchers.
 
 use crate::connections::{BufferBounds, ConnectionId, Purpose, WriteOutcome};
 use crate::context::Context;
@@ -9,40 +9,41 @@
 use bellsill_net::Nanos;
 use std::collections::HashMap;
 
-/// The bounds of a client's input, unless it sends a longer body, and of its output.
+/// The initial buffer bounds of a client connection. The input bound is raised for a body that does not fit.
 pub(crate) const CLIENT_BOUNDS: BufferBounds = BufferBounds {
     input: MAX_HEAD_BYTES,
     output: 2 * MAX_COMPLETE_LINE_BYTES,
 };
-/// A watcher is sent nothing more as long as this many bytes wait in its output.
-const MAX_UNREAD_BYTES: usize = 64 * 1024;
-/// The most bodies longer than a head that may be arriving at a time.
+/// No more lines are queued for a watcher while its output holds at least this many unsent bytes.
+const MAX_UNSENT_BYTES: usize = 64 * 1024;
+/// The maximum number of connections whose input has been grown beyond [`MAX_HEAD_BYTES`] for a long body.
 const MAX_LONG_BODIES: usize = 16;
-/// A watch is closed if the watcher reads nothing of its output for this long.
+/// A watch with unsent output is closed if none of it can be written for this long.
 const WATCHER_READ_TIMEOUT: Nanos = 3 * SECOND;
-/// The longest time for a request to arrive, and for its response to be read.
+/// A connection with an incomplete request or unsent output is closed if no response was queued and no output was written
+/// for this long. Received bytes do not extend the time.
 const REQUEST_TIMEOUT: Nanos = 30 * SECOND;
-/// A connection without a request is closed after this time.
+/// A connection without a request in progress is closed after this time.
 const IDLE_TIMEOUT: Nanos = 120 * SECOND;
 
-/// The clients of a process.
+/// The client connections of a process.
 #[derive(Default)]
 pub(crate) struct Clients {
     /// The connection of each watcher.
     watch_connections: HashMap<WatcherId, ConnectionId>,
 }
 
-/// Whether a long body may arrive.
+/// Whether reading of a long body continues now.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BodyAdmission {
-    /// The input has grown, and more of the body has been read.
-    MoreRead,
-    /// Nothing more can be read now.
-    Wait,
+    /// The input buffer was grown and a read was done, so the request can be parsed again.
+    Continue,
+    /// Nothing more can be done until the next event of the connection.
+    Stop,
 }
 
 impl Clients {
-    /// Accepts the connections that wait.
+    /// Accepts all pending connections.
     pub(crate) fn accept(&self, context: &mut Context) {
         loop {
             match context.connections.accept(CLIENT_BOUNDS, context.now) {
@@ -55,11 +56,11 @@
             }
         }
         if let Err(error) = context.connections.arm_listener() {
-            log::error!("cannot wait for connections: {error}");
+            log::error!("cannot rearm the listener in the poller: {error}");
         }
     }
 
-    /// Reads what a client has sent, or closes the connection if it has failed.
+    /// Reads available input from a client; closes the connection on an error.
     pub(crate) fn receive(&mut self, context: &mut Context, id: ConnectionId) {
         match context.connections.read(id) {
             Ok(()) => context.connections.mark_unflushed(id),
@@ -67,7 +68,8 @@
         }
     }
 
-    /// The next complete request of a client. A malformed one is answered here.
+    /// Returns the next complete request of a client. A malformed request is answered with an error, and its connection
+    /// is closed after the response.
     pub(crate) fn next_request(
         &mut self,
         context: &mut Context,
@@ -82,7 +84,7 @@
                 Received::Complete(request) => return Some(request),
                 Received::Incomplete => return None,
                 Received::NeedsCapacity(length) => {
-                    if self.admit_long_body(context, id, length) == BodyAdmission::Wait {
+                    if self.admit_long_body(context, id, length) == BodyAdmission::Stop {
                         return None;
                     }
                 }
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Ends the reading of a client's requests: after its last one the connection is closed.
+    /// Marks a client connection to be closed after its output is written, if the peer has closed its sending side.
     pub(crate) fn finish_requests(&self, context: &mut Context, id: ConnectionId) {
         if let Some(connection) = context.connections.get_mut(id)
             && connection.end_of_stream
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Queues the response to a request.
+    /// Queues a response; closes the connection if its output has no capacity for it.
     pub(crate) fn respond(&mut self, context: &mut Context, id: ConnectionId, response: Response) {
         context.metrics.rejected.count(response.status);
         let Some(connection) = context.connections.get_mut(id) else {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Turns a client's connection into a watch.
+    /// Converts a client connection into a watch.
     pub(crate) fn start_watch(
         &mut self,
         context: &mut Context,
@@ -128,12 +130,12 @@
             return context.replica.watchers_mut().close(watcher);
         };
         connection.purpose = Purpose::Watch(watcher);
-        // If responses that wait to be read leave no capacity for the head, the watcher reads no valid answer.
+        // If earlier responses leave no capacity for the head, the client receives lines without a valid response head.
         connection.send(WATCH_HEAD).ok();
         self.watch_connections.insert(watcher, id);
     }
 
-    /// Handles an event of a watch: the watcher has closed it, or can be sent more.
+    /// Handles a poller event of a watch: the peer has closed it, or more can be written to it.
     pub(crate) fn watch_ready(
         &mut self,
         context: &mut Context,
@@ -144,7 +146,7 @@
         let Some(connection) = context.connections.get_mut(id) else {
             return;
         };
-        // A watcher has nothing more to request.
+        // Requests after the start of a watch are ignored.
         connection.discard_input();
         if read.is_err() || connection.end_of_stream {
             return self.close(context, id);
@@ -153,10 +155,10 @@
         context.connections.mark_unflushed(id);
     }
 
-    /// Sends watchers their new lines, and writes the output of all connections.
+    /// Sends new lines to watchers, and writes the output of all unflushed connections.
     pub(crate) fn flush(&mut self, context: &mut Context) {
         for watcher in context.replica.watchers_mut().take_ready() {
-            self.notify(context, watcher);
+            self.send_lines(context, watcher);
         }
         for id in context.connections.take_unflushed() {
             match context.connections.write(id, context.now) {
@@ -167,10 +169,10 @@
     }
 
     /// Closes connections that have exceeded their timeout.
-    pub(crate) fn close_overdue(&mut self, context: &mut Context) {
-        let mut overdue = Vec::new();
+    pub(crate) fn close_timed_out(&mut self, context: &mut Context) {
+        let mut timed_out = Vec::new();
         for (id, connection) in context.connections.iter() {
-            let since = context.now.saturating_sub(connection.last_progress);
+            let elapsed = context.now.saturating_sub(connection.last_progress);
             let busy = !connection.input.is_empty() || !connection.output.is_empty();
             let timeout = match connection.purpose {
                 Purpose::Watch(_) if busy => WATCHER_READ_TIMEOUT,
@@ -178,11 +180,11 @@
                 Purpose::Client => IDLE_TIMEOUT,
                 _ => continue,
             };
-            if since > timeout {
-                overdue.push((id, connection.purpose));
+            if elapsed > timeout {
+                timed_out.push((id, connection.purpose));
             }
         }
-        for (id, purpose) in overdue {
+        for (id, purpose) in timed_out {
             match purpose {
                 Purpose::Watch(_) => context.metrics.closed_slow += 1,
                 _ => context.metrics.closed_idle += 1,
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Closes a connection, and ends its watch.
+    /// Closes a connection and ends its watch, if it has one.
     pub(crate) fn close(&mut self, context: &mut Context, id: ConnectionId) {
         if let Some(Purpose::Watch(watcher)) = context.connections.close(id) {
             context.replica.watchers_mut().close(watcher);
@@ -199,31 +201,31 @@
         }
     }
 
-    /// Closes the connection of a watch that another one has replaced.
+    /// Closes the connection of a watch that a newer watch of the same dispatcher has replaced.
     pub(crate) fn close_replaced(&mut self, context: &mut Context, replaced: WatcherId) {
         if let Some(id) = self.watch_connections.remove(&replaced) {
             self.close(context, id);
         }
     }
 
-    /// Closes all watches: the watchers ask another process, or this one again.
+    /// Closes all watches. The watchers reconnect to another process or to this one.
     pub(crate) fn close_watches(&mut self, context: &mut Context) {
-        let open: Vec<ConnectionId> = self.watch_connections.values().copied().collect();
-        open.into_iter().for_each(|id| self.close(context, id));
+        let ids: Vec<ConnectionId> = self.watch_connections.values().copied().collect();
+        ids.into_iter().for_each(|id| self.close(context, id));
     }
 
-    /// Sends a watcher lines until there are none, or it does not keep up.
-    fn notify(&mut self, context: &mut Context, watcher: WatcherId) {
+    /// Sends lines to a watcher until none are left or its socket accepts no more.
+    fn send_lines(&mut self, context: &mut Context, watcher: WatcherId) {
         let Some(id) = self.watch_connections.get(&watcher).copied() else {
             return;
         };
         while let Some(connection) = context.connections.get_mut(id) {
-            while connection.output.len() < MAX_UNREAD_BYTES {
+            while connection.output.len() < MAX_UNSENT_BYTES {
                 let Some(line) = context.replica.next_line(watcher, context.now) else {
                     break;
                 };
                 context.metrics.count_line(line.kind, line.bytes.len());
-                // The output's bound exceeds the unread bytes and the longest line together.
+                // Cannot fail: the output bound exceeds MAX_UNSENT_BYTES plus the longest line.
                 connection.send(&http_server::chunk(&line.bytes)).ok();
             }
             if connection.output.is_empty() {
@@ -242,6 +244,7 @@
         }
     }
 
+    /// Grows the input for a body that does not fit, or rejects the request if too many connections have a grown input.
     fn admit_long_body(
         &mut self,
         context: &mut Context,
@@ -254,22 +257,22 @@
             .filter(|(_, connection)| connection.input_bound() > MAX_HEAD_BYTES)
             .count();
         let Some(connection) = context.connections.get_mut(id) else {
-            return BodyAdmission::Wait;
+            return BodyAdmission::Stop;
         };
         if connection.input_bound() >= length {
-            return BodyAdmission::Wait;
+            return BodyAdmission::Stop;
         }
         if long_bodies >= MAX_LONG_BODIES {
             let response = Response::error(503, "too many long requests at once: send it again");
             self.respond_and_close(context, id, response);
-            return BodyAdmission::Wait;
+            return BodyAdmission::Stop;
         }
         connection.grow_input(length);
         match context.connections.read(id) {
-            Ok(()) => BodyAdmission::MoreRead,
+            Ok(()) => BodyAdmission::Continue,
             Err(_) => {
                 self.close(context, id);
-                BodyAdmission::Wait
+                BodyAdmission::Stop
             }
         }
     }
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -1,4 +1,4 @@
-//! The sockets and the poller of a process. Every socket is owned here.
+//! The sockets and the poller of a process. [`Connections`] owns every socket.
 
 use bellsill_directory::watchers::WatcherId;
 use bellsill_net::Nanos;
@@ -13,23 +13,23 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// The most connections at a time; one more is closed as soon as it is accepted.
+/// The maximum number of open connections; further ones are closed immediately after they are accepted.
 const MAX_CONNECTIONS: usize = 8192;
-/// A connection fails if written bytes are not acknowledged for this long. Something is written to a watch twice a second,
-/// so the failure of its machine is noticed.
-const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection fails if written bytes are not acknowledged for this long. Watches are written to twice a second, so
+/// the failure of a watcher's machine is detected.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The length of the listener's accept queue.
-const BACKLOG: i32 = 1024;
-/// The error of a non-blocking connect that is in progress.
+const LISTEN_BACKLOG: i32 = 1024;
+/// The `errno` of a non-blocking connect in progress (Linux).
 const EINPROGRESS: i32 = 115;
 
-/// The poller keys of the listener and the stop socket; connection ids stay far below.
+/// The poller keys of the listener and the stop socket. Connection ids never reach these values.
 const LISTENER_KEY: usize = usize::MAX - 1;
 const STOP_KEY: usize = usize::MAX - 2;
-/// A connection id is used as a poller key.
+// Connection ids are 64 bits and are used as poller keys, which are `usize`.
 const _: () = assert!(usize::BITS == 64);
 
-/// Identifies a connection; never reused.
+/// Identifies a connection. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionId(u64);
 
@@ -42,45 +42,45 @@
     }
 }
 
-/// What a connection is used for.
+/// The use of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// Requests of a client.
+    /// Receives requests from a client.
     Client,
-    /// The watch of a client.
+    /// Streams lines to a watcher.
     Watch(WatcherId),
-    /// This process's watch on the leader.
+    /// The watch of this follower on the leader.
     LeaderWatch,
-    /// A call that sends the leader heartbeats of the dispatchers that have a watch here.
+    /// A request that sends the leader heartbeats of the dispatchers that have a watch at this follower.
     HeartbeatRequest,
 }
 
-/// One connection.
+/// An open connection with its buffers.
 pub(crate) struct Connection {
     stream: TcpStream,
     pub(crate) purpose: Purpose,
     pub(crate) input: RingBuffer,
     pub(crate) output: RingBuffer,
-    /// Whether its connect is still in progress.
+    /// Whether the non-blocking connect is still in progress.
     connecting: bool,
-    /// The peer sends nothing more.
+    /// Whether the peer has closed its sending side.
     pub(crate) end_of_stream: bool,
-    /// Whether it is closed once its output is written.
+    /// Whether to close the connection once all output is written.
     pub(crate) close_when_written: bool,
-    /// When it was accepted, a request was answered, or output was written, whichever was last.
+    /// The last time the connection was opened, a response was queued or output was written.
     pub(crate) last_progress: Nanos,
-    /// What the poller watches for; none after it has reported an event.
+    /// The interest registered with the poller; `None` after it has reported an event, because events are one-shot.
     armed: Option<Interest>,
 }
 
-/// A socket that is ready.
+/// A readiness event.
 pub(crate) enum PollEvent {
     Listener,
     Stop,
     Connection(ConnectionId),
 }
 
-/// What the poller watches a connection for.
+/// The readiness events to wait for on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Interest {
     readable: bool,
@@ -93,61 +93,61 @@
     }
 }
 
-/// How many bytes the buffers of a connection may hold.
+/// The capacities of the buffers of a connection, in bytes.
 #[derive(Clone, Copy)]
 pub(crate) struct BufferBounds {
     pub(crate) input: usize,
     pub(crate) output: usize,
 }
 
-/// What a write leaves to do with a connection.
+/// The result of writing the output of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
     /// The connection stays open.
     Open,
-    /// All output is written, and the connection was to be closed then.
+    /// All output is written and `close_when_written` is set: the caller closes the connection.
     Complete,
 }
 
-/// The output of a connection has no capacity for more bytes.
+/// The output buffer has no capacity for the bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OutputFull;
 
-/// All connections.
+/// The poller with the sockets registered in it.
 pub(crate) struct Connections {
     poller: Poller,
     events: Events,
     slots: SlotTable<ConnectionId, Connection>,
     listener: TcpListener,
     stop: UnixStream,
-    /// Connections whose output is written, and whose interest is renewed, at the end of the iteration.
+    /// Connections to write and rearm at the end of the iteration.
     unflushed: BTreeSet<ConnectionId>,
 }
 
-/// The only place where a source is added to the poller.
+/// Registers a source with the poller. No other function does.
 #[allow(unsafe_code)]
-fn add(poller: &Poller, source: &impl AsRawFd, event: Event) -> io::Result<()> {
-    // SAFETY: every added source is owned by `Connections`, which deletes it from the poller before it is closed.
+fn register(poller: &Poller, source: &impl AsRawFd, event: Event) -> io::Result<()> {
+    // SAFETY: every registered source is owned by `Connections`, which deletes it from the poller before it is closed.
     unsafe { poller.add(source, event) }
 }
 
-/// Opens a listener whose address can be reused as soon as the process has ended.
+/// Opens a listener with `SO_REUSEADDR`, so that a restarted process can bind the address immediately.
 pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
 impl Connections {
-    /// Takes over a listener; a byte on `stop` wakes the poller.
+    /// Registers the listener and the stop socket. A byte received on `stop` wakes the poller.
     pub(crate) fn new(listener: TcpListener, stop: UnixStream) -> io::Result<Connections> {
         let poller = Poller::new()?;
         listener.set_nonblocking(true)?;
         stop.set_nonblocking(true)?;
-        add(&poller, &listener, Event::readable(LISTENER_KEY))?;
-        add(&poller, &stop, Event::readable(STOP_KEY))?;
+        register(&poller, &listener, Event::readable(LISTENER_KEY))?;
+        register(&poller, &stop, Event::readable(STOP_KEY))?;
         Ok(Connections {
             poller,
             events: Events::new(),
@@ -158,7 +158,7 @@
         })
     }
 
-    /// Waits until a socket is ready, for at most the timeout.
+    /// Waits for readiness events, for at most the timeout.
     pub(crate) fn wait(&mut self, timeout: Duration) -> io::Result<Vec<PollEvent>> {
         self.events.clear();
         match self.poller.wait(&mut self.events, Some(timeout)) {
@@ -173,7 +173,7 @@
                 key => {
                     let id = ConnectionId(key as u64);
                     if let Some(connection) = self.slots.get_mut(id) {
-                        // The poller reports an event once, and then has to be armed again.
+                        // Events are one-shot: the source has to be rearmed.
                         connection.armed = None;
                         events.push(PollEvent::Connection(id));
                     }
@@ -187,12 +187,12 @@
         self.slots.len()
     }
 
-    /// Has the output of a connection written at the end of the iteration.
+    /// Schedules a connection to be written and rearmed at the end of the iteration.
     pub(crate) fn mark_unflushed(&mut self, id: ConnectionId) {
         self.unflushed.insert(id);
     }
 
-    /// The connections to be flushed, each once.
+    /// Removes and returns the connections to write.
     pub(crate) fn take_unflushed(&mut self) -> BTreeSet<ConnectionId> {
         std::mem::take(&mut self.unflushed)
     }
@@ -205,14 +205,14 @@
         self.slots.iter()
     }
 
-    /// Reads the bytes that woke the poller, and arms it for the next ones.
-    pub(crate) fn drain_stop(&mut self) -> io::Result<()> {
+    /// Discards the bytes that woke the poller, and rearms the stop socket.
+    pub(crate) fn drain_stop_socket(&mut self) -> io::Result<()> {
         let mut bytes = RingBuffer::new(64);
         bytes.read_from(&mut self.stop)?;
         self.poller.modify(&self.stop, Event::readable(STOP_KEY))
     }
 
-    /// Accepts the next waiting connection, if there is one.
+    /// Accepts the next pending connection, if there is one.
     pub(crate) fn accept(
         &mut self,
         bounds: BufferBounds,
@@ -231,7 +231,7 @@
                         .map(Some);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-                // The client has given up before it was accepted.
+                // The client closed the connection before it was accepted.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
@@ -239,13 +239,13 @@
         }
     }
 
-    /// Arms the poller for the next connection to accept.
+    /// Rearms the listener in the poller.
     pub(crate) fn arm_listener(&mut self) -> io::Result<()> {
         self.poller
             .modify(&self.listener, Event::readable(LISTENER_KEY))
     }
 
-    /// Starts a connection to another control process.
+    /// Starts a non-blocking connect to another control process.
     pub(crate) fn connect(
         &mut self,
         to: SocketAddr,
@@ -267,16 +267,16 @@
         self.admit(socket.into(), purpose, bounds, true, now)
     }
 
-    /// Closes a connection; its purpose, if it was open. The only place where that happens.
+    /// Closes a connection and returns its purpose, if it was open. No other function closes one.
     pub(crate) fn close(&mut self, id: ConnectionId) -> Option<Purpose> {
         let connection = self.slots.remove(id)?;
         self.unflushed.remove(&id);
-        // Dropping the socket ends its registration in any case.
+        // An error is harmless: closing the socket also removes it from the poller.
         self.poller.delete(&connection.stream).ok();
         Some(connection.purpose)
     }
 
-    /// Reads what has arrived; an error if the connection has failed.
+    /// Reads available input. Returns an error if the connection has failed.
     pub(crate) fn read(&mut self, id: ConnectionId) -> io::Result<()> {
         let Some(connection) = self.slots.get_mut(id) else {
             return Ok(());
@@ -285,7 +285,7 @@
             if let Some(error) = connection.stream.take_error()? {
                 return Err(error);
             }
-            // The event means that the handshake is over: without a peer address it has failed.
+            // The event means that the connect has finished. Without a peer address it has failed.
             connection.stream.peer_addr()?;
             connection.connecting = false;
         }
@@ -293,7 +293,7 @@
         Ok(())
     }
 
-    /// Writes as much output as possible, and arms the poller for what the connection waits for.
+    /// Writes as much output as the socket accepts, and rearms the connection in the poller.
     pub(crate) fn write(&mut self, id: ConnectionId, now: Nanos) -> io::Result<WriteOutcome> {
         let Some(connection) = self.slots.get_mut(id) else {
             return Ok(WriteOutcome::Open);
@@ -339,10 +339,10 @@
         connecting: bool,
         now: Nanos,
     ) -> io::Result<ConnectionId> {
-        // Without these options the connection still works: short lines are delayed, and a failed machine is noticed later.
+        // Errors are ignored: without these options, short lines are delayed and a failed machine is detected later.
         let socket = socket2::SockRef::from(&stream);
         socket.set_tcp_nodelay(true).ok();
-        socket.set_tcp_user_timeout(Some(ACKNOWLEDGE_TIMEOUT)).ok();
+        socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)).ok();
         let interest = Interest {
             readable: !connecting,
             writable: connecting,
@@ -358,8 +358,8 @@
             last_progress: now,
             armed: Some(interest),
         });
-        let connection = self.slots.get(id).expect("it was just added");
-        if let Err(error) = add(&self.poller, &connection.stream, interest.event(id)) {
+        let connection = self.slots.get(id).expect("inserted above");
+        if let Err(error) = register(&self.poller, &connection.stream, interest.event(id)) {
             self.close(id);
             return Err(error);
         }
@@ -369,18 +369,18 @@
 
 impl Drop for Connections {
     fn drop(&mut self) {
-        let open: Vec<ConnectionId> = self.iter().map(|(id, _)| id).collect();
-        for id in open {
+        let ids: Vec<ConnectionId> = self.iter().map(|(id, _)| id).collect();
+        for id in ids {
             self.close(id);
         }
-        // The poller itself is dropped next.
+        // Errors are ignored because the poller is dropped next.
         self.poller.delete(&self.listener).ok();
         self.poller.delete(&self.stop).ok();
     }
 }
 
 impl Connection {
-    /// Queues all of the bytes to be written, or none of them.
+    /// Queues all of the bytes for writing, or none if they do not fit.
     pub(crate) fn send(&mut self, bytes: &[u8]) -> Result<(), OutputFull> {
         if self.output.push(bytes) {
             Ok(())
@@ -389,18 +389,18 @@
         }
     }
 
-    /// Drops everything that has arrived.
+    /// Discards all buffered input.
     pub(crate) fn discard_input(&mut self) {
         let length = self.input.len();
         self.input.consume(length);
     }
 
-    /// How many bytes the input may hold.
+    /// Returns the capacity of the input buffer, in bytes.
     pub(crate) fn input_bound(&self) -> usize {
         self.input.len() + self.input.remaining_capacity()
     }
 
-    /// Raises the bound of the input.
+    /// Raises the capacity of the input buffer, keeping its content.
     pub(crate) fn grow_input(&mut self, bound: usize) {
         let mut larger = RingBuffer::new(bound);
         larger.push(self.input.make_contiguous());
--- a/crates/control-plane/src/http_server.rs
+++ b/crates/control-plane/src/http_server.rs
@@ -1,16 +1,16 @@
-//! The server side of HTTP/1.1: parsing requests and encoding responses.
+//! The server side of HTTP/1.1: parses requests and encodes responses.
 
 use bellsill_net::ring_buffer::RingBuffer;
 use serde::Serialize;
 
-/// The longest head of a request, in bytes: a dispatcher names its buckets and destinations there.
+/// The maximum length of a request head, in bytes. It is large because a dispatcher lists its buckets and destinations
+/// in the query string.
 pub(crate) const MAX_HEAD_BYTES: usize = 160 * 1024;
-/// The longest body of a request, in bytes.
+/// The maximum length of a request body, in bytes.
 pub(crate) const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// The most header fields of a request.
+/// The maximum number of header fields in a request.
 const MAX_HEADERS: usize = 64;
 
-/// The method of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Method {
     Get,
@@ -23,26 +23,26 @@
 pub(crate) struct Request {
     pub(crate) method: Method,
     pub(crate) path: String,
-    /// What follows the question mark.
+    /// The part of the request target after the question mark.
     pub(crate) query: String,
     pub(crate) body: Vec<u8>,
-    /// Whether the client wants to send another request on the connection.
+    /// Whether the connection stays open for another request.
     pub(crate) keep_alive: bool,
 }
 
-/// What the input contains of the next request.
+/// The result of parsing the next request from the input.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Received {
-    /// More bytes have to arrive.
+    /// The request is incomplete.
     Incomplete,
-    /// More bytes have to arrive, and the input needs a capacity of this many.
+    /// The request is incomplete and needs an input capacity of this many bytes.
     NeedsCapacity(usize),
     Complete(Request),
-    /// It cannot be served, and where the next one would start is unknown.
+    /// The request cannot be parsed, so the start of the next one is unknown. The response states the reason.
     Malformed(Response),
 }
 
-/// Removes the next request from the input, once all of it has arrived.
+/// Parses the next request, and removes it from the input if it is complete.
 pub(crate) fn receive(input: &mut RingBuffer) -> Received {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -95,7 +95,7 @@
 }
 
 fn body_length(headers: &[httparse::Header]) -> Result<usize, Response> {
-    let mut stated = None;
+    let mut declared = None;
     for header in headers {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(Response::error(411, "a body needs its Content-Length"));
@@ -106,7 +106,10 @@
                 .and_then(|text| text.trim().parse::<usize>().ok());
             let length = length
                 .ok_or_else(|| Response::error(400, "Content-Length: expected a whole number"))?;
-            if stated.replace(length).is_some_and(|other| other != length) {
+            if declared
+                .replace(length)
+                .is_some_and(|other| other != length)
+            {
                 return Err(Response::error(
                     400,
                     "Content-Length: told twice, differently",
@@ -114,11 +117,11 @@
             }
         }
     }
-    let length = stated.unwrap_or(0);
+    let length = declared.unwrap_or(0);
     if length > MAX_BODY_BYTES {
-        let why =
+        let reason =
             format!("the body has more than {MAX_BODY_BYTES} bytes: send it in several requests");
-        return Err(Response::error(413, &why));
+        return Err(Response::error(413, &reason));
     }
     Ok(length)
 }
@@ -139,9 +142,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Response {
     pub(crate) status: u16,
-    /// JSON.
+    /// The encoded JSON.
     pub(crate) body: Vec<u8>,
-    /// Whether the connection is closed after it.
+    /// Whether the connection is closed after the response.
     pub(crate) close: bool,
 }
 
@@ -151,7 +154,7 @@
 }
 
 impl Response {
-    /// A response with status 200.
+    /// Creates a response with status 200.
     pub(crate) fn json(body: &impl Serialize) -> Response {
         Response {
             status: 200,
@@ -160,15 +163,15 @@
         }
     }
 
-    /// An error response that states the reason.
-    pub(crate) fn error(status: u16, why: &str) -> Response {
+    /// Creates an error response that states the reason.
+    pub(crate) fn error(status: u16, reason: &str) -> Response {
         Response {
             status,
-            ..Response::json(&ErrorBody { error: why })
+            ..Response::json(&ErrorBody { error: reason })
         }
     }
 
-    /// Encodes the response.
+    /// Encodes the head and the body, followed by a newline.
     pub(crate) fn into_bytes(self) -> Vec<u8> {
         let retry = if matches!(self.status, 429 | 503) {
             "Retry-After: 1\r\n"
@@ -183,24 +186,24 @@
         let head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{retry}{close}\r\n",
             self.status,
-            reason(self.status),
+            reason_phrase(self.status),
             self.body.len() + 1,
         );
         [head.into_bytes(), self.body, b"\n".to_vec()].concat()
     }
 }
 
-/// The head of a response whose body is a stream of lines.
+/// The response head of a watch, whose body is a chunked stream of JSON lines.
 pub(crate) const WATCH_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/x-ndjson\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Encodes a line as one chunk of a streamed body.
+/// Encodes a line as one chunk of a chunked body.
 pub(crate) fn chunk(line: &[u8]) -> Vec<u8> {
     let size = format!("{:x}\r\n", line.len());
     [size.as_bytes(), line, b"\r\n"].concat()
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,6 +1,6 @@
-//! A control process: one thread that keeps the configuration as a versioned log on disk, and sends its changes to
-//! dispatchers and other control processes. `docs/configuration.md` is the protocol; [`config`] reads the settings of a
-//! process, [`run`] runs it.
+//! The control process: a single thread that stores the configuration as a versioned log on disk and streams changes to
+//! dispatchers and other control processes. `docs/configuration.md` specifies the protocol. [`config`] reads the
+//! settings of a process; [`run`] runs it.
 #![deny(unsafe_code)]
 
 pub mod config;
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -1,10 +1,10 @@
-//! The metrics of a control process, served at `GET /v2/figures` as one JSON object. The names in the JSON are part of the
-//! protocol and differ from those of the fields where the protocol is older.
+//! The metrics of a control process, served at `GET /v2/figures` as one JSON object. The names in the JSON are part of
+//! the protocol; a field with a different name here has a `serde` attribute with the protocol's name.
 
 use bellsill_directory::feed::LineKind;
 use serde::Serialize;
 
-/// Counts since the process started, and current values.
+/// Counters since the process started, and gauges.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct Metrics {
     pub(crate) version: u64,
@@ -14,58 +14,58 @@
     pub(crate) members_present: usize,
     pub(crate) watchers: usize,
     pub(crate) connections: usize,
-    /// Lines sent to watchers, by what they are for, and their bytes.
+    /// Lines sent to watchers, by kind, and their bytes.
     pub(crate) change_lines: u64,
     #[serde(rename = "filling_lines")]
     pub(crate) fill_lines: u64,
     #[serde(rename = "empty_lines")]
-    pub(crate) keepalive_lines: u64,
+    pub(crate) heartbeat_lines: u64,
     pub(crate) change_bytes: u64,
     #[serde(rename = "filling_bytes")]
     pub(crate) fill_bytes: u64,
     #[serde(rename = "watches_begun")]
     pub(crate) watches_opened: u64,
-    /// Dispatchers' watches that knew a version but were sent everything again.
+    /// Watches of dispatchers that had a version but had to be sent their whole scope again.
     #[serde(rename = "watches_told_anew")]
     pub(crate) watches_restarted: u64,
     /// Transfers of the complete configuration to followers.
     #[serde(rename = "transfers_begun")]
     pub(crate) transfers_started: u64,
-    /// Destinations looked up.
+    /// Destinations that dispatchers looked up.
     pub(crate) lookups: u64,
     /// Write requests that were accepted.
     pub(crate) writes: u64,
     /// Records appended to the log, and the syncs that made them durable.
     pub(crate) records: u64,
     pub(crate) syncs: u64,
-    /// Bytes of incomplete records that were dropped at the start.
+    /// Bytes of incomplete records at the end of the log that were dropped at startup.
     pub(crate) torn_bytes: u64,
-    /// Snapshots that were not used at the start.
+    /// Invalid snapshots that were skipped at startup.
     pub(crate) rejected_snapshots: usize,
-    /// As a leader: seconds in which it had lost all followers, so that no member was declared absent.
+    /// On the leader: seconds after it had lost all its followers, during which no member was declared absent.
     pub(crate) seconds_without_followers: u64,
     #[serde(rename = "refused")]
     pub(crate) rejected: RejectedRequests,
     /// Watches closed because the watcher read too slowly.
     pub(crate) closed_slow: u64,
-    /// Client connections closed because a request or the reading of its answer took too long, or none came.
+    /// Client connections closed because a request or the writing of its response timed out, or because they were idle.
     #[serde(rename = "closed_silent")]
     pub(crate) closed_idle: u64,
-    /// As a follower: watches on the leader that broke, transfers completed, and lines of the leader that were rejected.
+    /// On a follower: failed watches on the leader, completed transfers, and rejected lines from the leader.
     #[serde(rename = "writer_watches_broken")]
     pub(crate) leader_watches_broken: u64,
     #[serde(rename = "transfers_taken")]
     pub(crate) transfers_completed: u64,
     #[serde(rename = "writer_lines_refused")]
     pub(crate) leader_lines_rejected: u64,
-    /// Iterations of the loop that took long, and the longest one.
+    /// Event loop iterations over the logging threshold, and the duration of the longest iteration.
     #[serde(rename = "slow_turns")]
     pub(crate) slow_iterations: u64,
     #[serde(rename = "longest_turn_ms")]
     pub(crate) longest_iteration_ms: u64,
 }
 
-/// Requests that were answered with an error, by status.
+/// Requests answered with an error, by status.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub(crate) struct RejectedRequests {
     malformed: u64,
@@ -79,7 +79,7 @@
 }
 
 impl RejectedRequests {
-    /// Counts an answer by its status; a success is not counted.
+    /// Counts a response by its status. Successful responses are not counted.
     pub(crate) fn count(&mut self, status: u16) {
         let counter = match status {
             404 | 405 => &mut self.not_found,
@@ -107,7 +107,7 @@
                 self.fill_lines += 1;
                 self.fill_bytes += bytes as u64;
             }
-            LineKind::Heartbeat => self.keepalive_lines += 1,
+            LineKind::Heartbeat => self.heartbeat_lines += 1,
         }
     }
 }
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -1,5 +1,6 @@
-//! The process: one thread, one loop that reads requests, writes records to disk, and only then sends responses and lines.
-//! It alone knows all roles, and carries out the effects that the request server returns.
+//! The event loop of a control process. Each iteration handles events, syncs the new records to disk, and only then
+//! writes responses and lines. This module passes events to the leader or follower role and executes the effects that
+//! the request routing in `server` returns.
 
 use crate::clients::Clients;
 use crate::config::{Config, Role};
@@ -26,23 +27,23 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// The interval of what depends on time: keep-alive lines, filling of buckets, silence of the leader.
+/// The interval of periodic work: heartbeats, bucket fills within their rate limit, and the timeout of a silent leader.
 const TICK: Nanos = 100 * MILLISECOND;
-/// A longer iteration of the loop is logged.
+/// Iterations of the event loop that take longer are logged.
 const SLOW_ITERATION: Duration = Duration::from_millis(100);
 
-/// Requests a control process to stop.
+/// The receiving side of a stop request.
 pub struct Stop {
-    /// A byte on it makes the process check `requested`.
+    /// A byte received on it makes the process check `requested`.
     pub wake: UnixStream,
-    /// Whether the process is to stop.
+    /// Whether the process should stop.
     pub requested: Arc<AtomicBool>,
 }
 
-/// Why a control process cannot start or continue.
+/// An error that prevents a control process from starting or continuing.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The listener can't be opened.
+    /// The listener cannot be opened.
     #[error("field listen: {address}: {source}")]
     Listen {
         /// The configured address.
@@ -50,18 +51,19 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// The state directory can't be read or written.
+    /// The state directory cannot be read or written.
     #[error("field state: {0}")]
     Storage(#[from] StorageError),
-    /// A record of this process does not follow from its own configuration.
-    #[error("a record that was taken cannot be applied: {0}")]
+    /// A record created by this process cannot be applied to its own configuration.
+    #[error("a record created by this process cannot be applied: {0}")]
     Apply(#[from] ApplyError),
     /// The operating system reported an error.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// Runs a control process until it is requested to stop. Everything that it has answered is on disk.
+/// Runs a control process until a stop is requested. Records are on disk before any response or line that reflects them
+/// is sent.
 pub fn run(config: Config, stop: Stop) -> Result<(), RunError> {
     let listener = connections::listen(config.listen);
     let listener = listener.map_err(|source| RunError::Listen {
@@ -103,13 +105,13 @@
     stopped: bool,
 }
 
-/// What came of a request.
-enum Outcome {
+/// The result of serving a request.
+enum Served {
     Respond(Response),
     WatchOpened(WatcherId),
 }
 
-/// How long the parts of an iteration took.
+/// The durations of the phases of an iteration.
 struct IterationTimes {
     events: Duration,
     storage: Duration,
@@ -188,7 +190,7 @@
         self.context.replica.sync()?;
         let synced = Instant::now();
         self.clients.flush(&mut self.context);
-        self.count_iteration(&IterationTimes {
+        self.record_iteration(&IterationTimes {
             events: handled - started,
             storage: synced - handled,
             sending: synced.elapsed(),
@@ -201,14 +203,14 @@
         self.context.now = self.clock.elapsed().as_nanos() as Nanos;
     }
 
-    fn count_iteration(&mut self, times: &IterationTimes) {
+    fn record_iteration(&mut self, times: &IterationTimes) {
         let total = times.total();
         let metrics = &mut self.context.metrics;
         metrics.longest_iteration_ms = metrics.longest_iteration_ms.max(total.as_millis() as u64);
         if total > SLOW_ITERATION {
             metrics.slow_iterations += 1;
             log::warn!(
-                "slow iteration: {} ms, of which {} handling events, {} on disk, {} sending to {} watchers",
+                "slow iteration: {} ms (events {} ms, disk sync {} ms, sending {} ms, {} watchers)",
                 total.as_millis(),
                 times.events.as_millis(),
                 times.storage.as_millis(),
@@ -236,7 +238,7 @@
                 }
                 RoleState::Follower(follower) => follower.every_second(&mut self.context),
             }
-            self.clients.close_overdue(&mut self.context);
+            self.clients.close_timed_out(&mut self.context);
         }
         Ok(())
     }
@@ -245,7 +247,7 @@
         match event {
             PollEvent::Listener => self.clients.accept(&mut self.context),
             PollEvent::Stop => {
-                self.context.connections.drain_stop()?;
+                self.context.connections.drain_stop_socket()?;
                 self.stopped = self.stop_requested.load(Ordering::SeqCst);
             }
             PollEvent::Connection(id) => self.connection_ready(id)?,
@@ -269,7 +271,7 @@
             (Purpose::HeartbeatRequest, RoleState::Follower(follower)) => {
                 follower.heartbeat_call_ready(context, id);
             }
-            // A leader opens no connections to another process.
+            // A leader does not connect to other processes.
             (Purpose::LeaderWatch | Purpose::HeartbeatRequest, RoleState::Leader(_)) => {}
         }
         Ok(())
@@ -279,14 +281,14 @@
         self.clients.receive(&mut self.context, id);
         while let Some(request) = self.clients.next_request(&mut self.context, id) {
             match self.serve(&request) {
-                Outcome::Respond(response) => {
+                Served::Respond(response) => {
                     let response = Response {
                         close: !request.keep_alive,
                         ..response
                     };
                     self.clients.respond(&mut self.context, id, response);
                 }
-                Outcome::WatchOpened(watcher) => {
+                Served::WatchOpened(watcher) => {
                     self.clients.start_watch(&mut self.context, id, watcher);
                     break;
                 }
@@ -295,8 +297,8 @@
         self.clients.finish_requests(&mut self.context, id);
     }
 
-    /// Serves a request, and carries out its effect.
-    fn serve(&mut self, request: &Request) -> Outcome {
+    /// Serves a request and executes its effect.
+    fn serve(&mut self, request: &Request) -> Served {
         let view = ReadView {
             replica: &self.context.replica,
             metrics: &self.context.metrics,
@@ -307,18 +309,18 @@
             },
         };
         match server::serve(request, &view) {
-            Effect::Respond(response) => Outcome::Respond(response),
+            Effect::Respond(response) => Served::Respond(response),
             Effect::OpenWatch(watch, start) => self.open_watch(watch, start),
-            Effect::LookUp(look_up) => Outcome::Respond(self.look_up(&look_up)),
-            Effect::Write(write) => Outcome::Respond(self.write(write, &request.body)),
+            Effect::LookUp(look_up) => Served::Respond(self.look_up(&look_up)),
+            Effect::Write(write) => Served::Respond(self.write(write, &request.body)),
         }
     }
 
-    fn open_watch(&mut self, request: WatchRequest, start: WatchStart) -> Outcome {
+    fn open_watch(&mut self, request: WatchRequest, start: WatchStart) -> Served {
         let opened = match self.context.replica.open_watch(request, self.context.now) {
             Some(Ok(opened)) => opened,
-            Some(Err(reason)) => return Outcome::Respond(server::watch_rejection(reason)),
-            None => return Outcome::Respond(server::no_configuration()),
+            Some(Err(reason)) => return Served::Respond(server::watch_rejection(reason)),
+            None => return Served::Respond(server::no_configuration()),
         };
         let metrics = &mut self.context.metrics;
         metrics.watches_opened += 1;
@@ -335,7 +337,7 @@
         if let Some(replaced) = opened.replaced {
             self.clients.close_replaced(&mut self.context, replaced);
         }
-        Outcome::WatchOpened(opened.id)
+        Served::WatchOpened(opened.id)
     }
 
     fn look_up(&mut self, request: &LookUpRequest) -> Response {
@@ -375,7 +377,7 @@
     }
 }
 
-/// An id for a history that no other one has.
+/// Generates a random id for a new log.
 fn new_log_id() -> io::Result<LogId> {
     let number = getrandom::u64().map_err(|error| io::Error::other(error.to_string()))?;
     Ok(LogId(format!("{number:016x}")))
--- a/crates/control-plane/src/server.rs
+++ b/crates/control-plane/src/server.rs
@@ -1,5 +1,5 @@
-//! The request server: turns a request and a read view of the process into the effect that the loop has to carry out. It
-//! changes nothing itself.
+//! Request routing: maps a request and a read-only view of the process to the effect that the event loop executes.
+//! Nothing is modified here.
 
 use crate::http_server::{Method, Request, Response};
 use crate::metrics::Metrics;
@@ -12,31 +12,31 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// What the server reads of a process.
+/// A read-only view of the process.
 pub(crate) struct ReadView<'a> {
     pub(crate) replica: &'a Replica,
     pub(crate) metrics: &'a Metrics,
     pub(crate) connections: usize,
-    /// The address of the leader; none if this process is the leader.
+    /// The address of the leader; `None` if this process is the leader.
     pub(crate) leader: Option<SocketAddr>,
 }
 
-/// What a request calls for.
+/// The effect of a request, executed by the event loop.
 pub(crate) enum Effect {
     Respond(Response),
     OpenWatch(WatchRequest, WatchStart),
-    /// Adding destinations to a dispatcher's watch, and answering with [`look_up_response`].
+    /// Adds destinations to a dispatcher's watch; answered with [`look_up_response`].
     LookUp(LookUpRequest),
-    /// A write for the leader, answered with [`write_response`].
+    /// A write that the leader applies; answered with [`write_response`].
     Write(WriteKind),
 }
 
-/// How a watch starts, for the metrics.
+/// How a watch starts; used for the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WatchStart {
-    /// A dispatcher that is sent what it is missing, or everything if it knows nothing yet.
+    /// A dispatcher that is sent the changes it is missing, or its whole scope if it has no version yet.
     Dispatcher,
-    /// A dispatcher that knows a version, but has to be sent everything again.
+    /// A dispatcher that has a version but has to be sent its whole scope again.
     RestartedDispatcher,
     /// A follower that is sent the changes it is missing.
     Follower,
@@ -44,7 +44,7 @@
     FollowerTransfer,
 }
 
-/// What a write request writes.
+/// The subject of a write request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteKind {
     Endpoints,
@@ -54,7 +54,7 @@
 }
 
 impl ReadView<'_> {
-    /// The counters, completed by the current values.
+    /// Returns the counters with the gauges filled in.
     fn current_metrics(&self) -> Metrics {
         let directory = self.replica.directory();
         let members = directory.map_or(&[][..], |directory| directory.members());
@@ -76,7 +76,7 @@
     }
 }
 
-/// Decides what a request calls for.
+/// Returns the effect of a request.
 pub(crate) fn serve(request: &Request, view: &ReadView) -> Effect {
     match (request.method, request.path.as_str()) {
         (Method::Get, "/api/targets") => serve_targets(&request.query, view),
@@ -116,7 +116,7 @@
     let same_history = request.log.as_ref() == Some(directory.log());
     if view.leader.is_none() && same_history && request.since > directory.version() {
         log::warn!(
-            "a watcher knows version {}, the leader has {}: its state directory is out of date",
+            "a watcher has version {}, the leader only {}: the state directory of the leader is out of date",
             request.since.0,
             directory.version().0
         );
@@ -147,7 +147,7 @@
     Effect::LookUp(request)
 }
 
-/// The destinations that a dispatcher has looked up.
+/// Creates the response to a lookup: the endpoints of the requested destinations.
 pub(crate) fn look_up_response(directory: &Directory, request: &LookUpRequest) -> Response {
     let destinations: Vec<u64> = request.destinations.iter().copied().collect();
     Response::json(&ScopedLine {
@@ -158,13 +158,13 @@
     })
 }
 
-/// The answer to an accepted write.
+/// The body of the response to an accepted write.
 #[derive(Serialize)]
 struct WriteAccepted {
     version: Version,
 }
 
-/// The answer to a write: the version that includes it, or why it is rejected.
+/// Creates the response to a write: the version that includes it, or the reason for its rejection.
 pub(crate) fn write_response(result: Result<Version, WriteError>) -> Response {
     match result {
         Ok(version) => Response::json(&WriteAccepted { version }),
@@ -175,14 +175,14 @@
     }
 }
 
-/// Names the leader to the sender of a write.
+/// The body of the response to a write that reached a follower.
 #[derive(Serialize)]
 struct NotLeader {
     error: &'static str,
     writer: SocketAddr,
 }
 
-/// The answer to a write that reached a follower.
+/// Creates the response to a write that reached a follower; it names the address of the leader.
 pub(crate) fn not_leader(leader: SocketAddr) -> Response {
     let body = NotLeader {
         error: "this control process follows another; send writes to the writer",
@@ -194,12 +194,12 @@
     }
 }
 
-/// The answer as long as a follower has not received the configuration.
+/// Creates the response of a follower that has not received the configuration yet.
 pub(crate) fn no_configuration() -> Response {
     Response::error(503, &WriteError::NoConfiguration.to_string())
 }
 
-/// The answer to a watch or look-up that is rejected.
+/// Creates the response to a rejected watch or lookup.
 pub(crate) fn watch_rejection(reason: WatchRejected) -> Response {
     match reason {
         WatchRejected::NotMember => Response::error(
--- a/crates/control-plane/src/time.rs
+++ b/crates/control-plane/src/time.rs
@@ -1,4 +1,4 @@
-//! Units of the process's clock, which counts nanoseconds from its start.
+//! Units of the process's monotonic clock, which counts nanoseconds since the process started.
 
 use bellsill_net::Nanos;
 
--- a/crates/control-plane/src/write_request.rs
+++ b/crates/control-plane/src/write_request.rs
@@ -1,4 +1,4 @@
-//! The bodies of write requests: JSON lines, decoded and checked against the configuration.
+//! Decodes the bodies of write requests, which are JSON lines, and validates them against the configuration.
 
 use crate::presence::Heartbeat;
 use bellsill_directory::entry::Endpoint;
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Why a write is rejected.
+/// The reason for rejecting a write.
 #[derive(Debug, Error)]
 pub(crate) enum WriteError {
     #[error("{0}; nothing of the request is taken")]
@@ -20,15 +20,15 @@
     NoConfiguration,
 }
 
-/// A line of a body that can't be decoded, or that the configuration rules out.
+/// A line that cannot be decoded or is invalid for the current configuration.
 #[derive(Debug, Error)]
-#[error("line {number}: {expected}")]
+#[error("line {number}: {reason}")]
 pub(crate) struct InvalidLine {
     number: usize,
-    expected: String,
+    reason: String,
 }
 
-/// A member as it is declared.
+/// A line of `POST /v2/members`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MemberDeclaration {
@@ -42,10 +42,10 @@
     1.0
 }
 
-/// The values of a body's lines.
+/// The decoded lines of a body. Empty lines are skipped.
 struct Lines<T> {
     values: Vec<T>,
-    /// The line number of each value.
+    /// The line number of each value, starting at 1.
     numbers: Vec<usize>,
 }
 
@@ -61,7 +61,7 @@
             }
             let value = serde_json::from_slice(line).map_err(|error| InvalidLine {
                 number,
-                expected: error.to_string(),
+                reason: error.to_string(),
             })?;
             lines.values.push(value);
             lines.numbers.push(number);
@@ -70,7 +70,7 @@
     }
 }
 
-/// Decodes and checks the endpoints of `POST /api/targets`.
+/// Decodes and validates the endpoints of `POST /api/targets`.
 pub(crate) fn decode_endpoints(
     body: &[u8],
     directory: Option<&Directory>,
@@ -80,21 +80,21 @@
     for (entry, number) in values.into_iter().zip(numbers.iter().copied()) {
         endpoints.push(Endpoint::try_from(entry).map_err(|error| InvalidLine {
             number,
-            expected: error.to_string(),
+            reason: error.to_string(),
         })?);
     }
     if let Some(directory) = directory {
         directory
             .check_endpoints(&endpoints)
-            .map_err(|(place, reason)| InvalidLine {
-                number: numbers[place],
-                expected: reason.to_string(),
+            .map_err(|(index, reason)| InvalidLine {
+                number: numbers[index],
+                reason: reason.to_string(),
             })?;
     }
     Ok(endpoints)
 }
 
-/// Decodes and checks the members of `POST /v2/members`.
+/// Decodes and validates the members of `POST /v2/members`.
 pub(crate) fn decode_members(
     body: &[u8],
     directory: Option<&Directory>,
@@ -107,9 +107,9 @@
     if let Some(directory) = directory {
         directory
             .check_members(&members)
-            .map_err(|(place, reason)| InvalidLine {
-                number: numbers[place],
-                expected: reason.to_string(),
+            .map_err(|(index, reason)| InvalidLine {
+                number: numbers[index],
+                reason: reason.to_string(),
             })?;
     }
     Ok(members)
@@ -120,7 +120,7 @@
     Ok(Lines::decode(body)?.values)
 }
 
-/// A member as declared; a known one keeps its presence, a new one counts as present.
+/// Converts a declaration to a member. A known member keeps its presence; a new one is present.
 fn declared_member(declared: MemberDeclaration, directory: Option<&Directory>) -> Member {
     let known = directory.and_then(|directory| directory.member(&declared.name));
     Member {
