--- a/crates/control-plane/tests/list_convergence.rs
+++ b/crates/control-plane/tests/list_convergence.rs
@@ -1,5 +1,6 @@
-//! A dispatcher's list and the directories of two control processes, without sockets: the list converges to the directory
-//! after any sequence of writes, reassignments, broken watches and look-ups. The cases are the same in each run.
+//! Randomized test of a dispatcher's list against the directories of a leader and a follower, without sockets: after
+//! any sequence of writes, reassignments, broken watches and lookups, the list converges to the leader's directory. The
+//! seeds are fixed, so every run executes the same cases.
 
 use bellsill_directory::entry::Endpoint;
 use bellsill_directory::feed::{FILL_RATE, LineKind};
@@ -16,9 +17,9 @@
 use std::sync::Arc;
 
 const CASES: u64 = 400;
-const STEPS: usize = 80;
+const STEPS_PER_CASE: usize = 80;
 const ENDPOINTS: u64 = 60;
-const TICK: u64 = 100_000_000;
+const TICK_NS: u64 = 100_000_000;
 const DISPATCHER: &str = "north-a";
 
 fn layout() -> Layout {
@@ -32,10 +33,10 @@
         zones.map(|(zone, region)| (ZoneName::from(zone), RegionName::from(region))),
         8,
     )
-    .expect("a layout")
+    .expect("the layout is valid")
 }
 
-/// Every third destination has endpoints in both regions, the others in one.
+/// Every third destination has endpoints in both regions; the others have endpoints in one region.
 fn zone_of(number: u64) -> &'static str {
     let destination = number / 4;
     let north = match destination % 3 {
@@ -57,45 +58,46 @@
     }
 }
 
-/// A control process that may be behind the other one.
-struct Server {
+/// The directory and the watchers of a control process.
+struct ControlProcess {
     directory: Directory,
     watchers: Watchers,
 }
 
-impl Server {
-    fn new(keeping: Retention) -> Server {
-        let directory = Directory::new(layout(), LogId("random".into()), keeping);
-        Server {
+impl ControlProcess {
+    fn new(retention: Retention) -> ControlProcess {
+        let directory = Directory::new(layout(), LogId("random".into()), retention);
+        ControlProcess {
             directory,
             watchers: Watchers::new(FILL_RATE),
         }
     }
 
     fn apply(&mut self, logged: &LoggedRecord) {
-        let applied = self.directory.apply(logged).expect("a good record");
+        let applied = self.directory.apply(logged).expect("the record is valid");
         self.watchers.record_applied(&applied, &self.directory);
     }
 }
 
 struct Case {
     random: Pcg64Mcg,
-    leader: Server,
-    follower: Server,
-    /// What the follower is behind.
-    behind: Vec<LoggedRecord>,
+    leader: ControlProcess,
+    follower: ControlProcess,
+    /// Records that the follower has not applied yet.
+    unreplicated: Vec<LoggedRecord>,
     list: ScopedList,
+    /// The open watch, and whether it is at the leader.
     watch: Option<(bool, WatcherId)>,
     now: u64,
 }
 
 impl Case {
-    fn new(seed: u64, keeping: Retention) -> Case {
+    fn new(seed: u64, retention: Retention) -> Case {
         let mut case = Case {
             random: Pcg64Mcg::seed_from_u64(seed),
-            leader: Server::new(keeping),
-            follower: Server::new(keeping),
-            behind: Vec::new(),
+            leader: ControlProcess::new(retention),
+            follower: ControlProcess::new(retention),
+            unreplicated: Vec::new(),
             list: ScopedList::new(Arc::new(layout()), 4),
             watch: None,
             now: 0,
@@ -106,7 +108,7 @@
             member("south-a", "south-1", true),
         ]));
         case.assign();
-        case.follow(usize::MAX);
+        case.replicate(usize::MAX);
         case
     }
 
@@ -114,24 +116,29 @@
         let version = Version(self.leader.directory.version().0 + 1);
         let logged = LoggedRecord { version, record };
         self.leader.apply(&logged);
-        self.behind.push(logged);
+        self.unreplicated.push(logged);
     }
 
     fn assign(&mut self) {
-        if let Some(change) = self.leader.directory.plan().expect("a plan") {
+        if let Some(change) = self
+            .leader
+            .directory
+            .plan()
+            .expect("the assignment can be planned")
+        {
             self.write(Record::AssignmentChanged(change));
         }
     }
 
-    fn follow(&mut self, most: usize) {
-        let count = most.min(self.behind.len());
-        for logged in self.behind.drain(..count) {
+    fn replicate(&mut self, limit: usize) {
+        let count = limit.min(self.unreplicated.len());
+        for logged in self.unreplicated.drain(..count) {
             self.follower.apply(&logged);
         }
     }
 
-    fn server(&mut self, is_leader: bool) -> &mut Server {
-        if is_leader {
+    fn process(&mut self, at_leader: bool) -> &mut ControlProcess {
+        if at_leader {
             &mut self.leader
         } else {
             &mut self.follower
@@ -139,43 +146,43 @@
     }
 
     fn break_watch(&mut self) {
-        if let Some((is_leader, id)) = self.watch.take() {
-            self.server(is_leader).watchers.close(id);
+        if let Some((at_leader, id)) = self.watch.take() {
+            self.process(at_leader).watchers.close(id);
         }
     }
 
-    fn ask(&mut self, is_leader: bool) {
+    fn open_watch(&mut self, at_leader: bool) {
         self.break_watch();
         let query = format!("follow=1&{}", self.list.watch_query(DISPATCHER));
         self.list.watch_requested();
         let Ok(TargetsRequest::Watch(request)) = TargetsRequest::parse(&query) else {
-            panic!("{query}")
+            panic!("query was not parsed as expected: {query}")
         };
         let now = self.now;
-        let server = self.server(is_leader);
-        let opened = server
+        let process = self.process(at_leader);
+        let opened = process
             .watchers
-            .open(request, &server.directory, now)
-            .expect("a watch");
-        self.watch = Some((is_leader, opened.id));
+            .open(request, &process.directory, now)
+            .expect("the watch is accepted");
+        self.watch = Some((at_leader, opened.id));
     }
 
-    /// Reads some lines; false once there is nothing but an empty one.
-    fn read(&mut self, most: usize) -> bool {
-        let Some((is_leader, id)) = self.watch else {
+    /// Reads up to `limit` lines. Returns false if there is no watch or a heartbeat shows that no lines are pending.
+    fn read_lines(&mut self, limit: usize) -> bool {
+        let Some((at_leader, id)) = self.watch else {
             return false;
         };
-        for _ in 0..most {
+        for _ in 0..limit {
             let now = self.now;
-            let server = self.server(is_leader);
-            match server.watchers.next_line(id, &server.directory, now) {
+            let process = self.process(at_leader);
+            match process.watchers.next_line(id, &process.directory, now) {
                 Some(line) if line.kind == LineKind::Heartbeat => return false,
                 Some(line) => drop(
                     self.list
                         .apply_document(&line.bytes)
-                        .expect("a line that can be applied"),
+                        .expect("the line can be applied"),
                 ),
-                None => self.now += TICK,
+                None => self.now += TICK_NS,
             }
         }
         true
@@ -183,7 +190,7 @@
 
     fn look_up(&mut self) {
         let destination = self.random.random_range(0..ENDPOINTS / 4);
-        let Some((is_leader, _)) = self.watch else {
+        let Some((at_leader, _)) = self.watch else {
             return;
         };
         if self.list.status(destination) != DestinationStatus::Unknown || self.list.log().is_empty()
@@ -192,7 +199,7 @@
         }
         self.list
             .request_lookup(destination, &|_| false)
-            .expect("room in the cache");
+            .expect("the cache accepts the lookup");
         let forget = self.list.evicted();
         let target = ScopedList::lookup_target(DISPATCHER, &[destination], &forget);
         let query = target
@@ -200,10 +207,10 @@
             .map_or("", |(_, query)| query)
             .to_string();
         let Ok(TargetsRequest::LookUp(request)) = TargetsRequest::parse(&query) else {
-            panic!("{query}")
+            panic!("query was not parsed as expected: {query}")
         };
-        let server = self.server(is_leader);
-        if server
+        let process = self.process(at_leader);
+        if process
             .watchers
             .change_cached_destinations(&request)
             .is_err()
@@ -212,18 +219,18 @@
             return;
         }
         let line = ScopedLine {
-            version: server.directory.version(),
-            log: server.directory.log().0.clone(),
-            servers: server.directory.look_up(&[destination]),
+            version: process.directory.version(),
+            log: process.directory.log().0.clone(),
+            servers: process.directory.look_up(&[destination]),
             ..ScopedLine::default()
         };
         self.list.mark_released(&forget);
         self.list
             .apply_lookup(&[destination], line)
-            .expect("an answer that can be applied");
+            .expect("the lookup response can be applied");
     }
 
-    fn step(&mut self, look_up: bool) {
+    fn step(&mut self, with_lookups: bool) {
         match self.random.random_range(0..14) {
             0..=5 => {
                 let number = self.random.random_range(0..ENDPOINTS);
@@ -247,50 +254,50 @@
                 self.assign();
             }
             7 => {
-                let is_leader = self.random.random_range(0..2) == 0;
-                self.ask(is_leader);
+                let at_leader = self.random.random_range(0..2) == 0;
+                self.open_watch(at_leader);
             }
             8 => {
-                let most = self.random.random_range(0..5);
-                self.follow(most);
+                let limit = self.random.random_range(0..5);
+                self.replicate(limit);
             }
-            9 if look_up => self.look_up(),
+            9 if with_lookups => self.look_up(),
             _ => {
-                let most = self.random.random_range(0..4);
-                self.read(most);
+                let limit = self.random.random_range(0..4);
+                self.read_lines(limit);
             }
         }
     }
 
     fn finish(&mut self) {
-        self.follow(usize::MAX);
+        self.replicate(usize::MAX);
         if self.watch.is_none() {
-            self.ask(true);
+            self.open_watch(true);
         }
-        while self.read(100) {}
+        while self.read_lines(100) {}
     }
 
-    /// What the list has to be, and what it is.
-    fn both(&self) -> (BTreeMap<String, Version>, BTreeMap<String, Version>) {
+    /// Returns the expected and the actual versions of the endpoints in the list, by id.
+    fn expected_and_actual(&self) -> (BTreeMap<String, Version>, BTreeMap<String, Version>) {
         let directory = &self.leader.directory;
         let held = directory.held_by(&DISPATCHER.into());
         let entries = directory.entries();
-        let wanted = entries.after(None).filter(|index| {
-            let destination = entries.destination(*index).expect("an endpoint");
-            let kept = entries
+        let expected = entries.after(None).filter(|index| {
+            let destination = entries.destination(*index).expect("the index is valid");
+            let in_scope = entries
                 .bucket(*index)
                 .is_some_and(|bucket| held.contains(&bucket))
                 || self.list.status(destination) == DestinationStatus::Cached;
-            kept && entries.state(*index) != Some(EndpointState::Removed)
+            in_scope && entries.state(*index) != Some(EndpointState::Removed)
         });
-        let wanted = wanted
+        let expected = expected
             .filter_map(|index| entries.entry(index))
             .map(|entry| (entry.id, entry.version));
-        let known = self
+        let actual = self
             .list
             .entries()
             .map(|entry| (entry.id.clone(), entry.version));
-        (wanted.collect(), known.collect())
+        (expected.collect(), actual.collect())
     }
 }
 
@@ -303,31 +310,31 @@
     }
 }
 
-fn run(seed: u64, keeping: Retention, look_up: bool) {
-    let mut case = Case::new(seed, keeping);
-    for _ in 0..STEPS {
-        case.step(look_up);
+fn run_case(seed: u64, retention: Retention, with_lookups: bool) {
+    let mut case = Case::new(seed, retention);
+    for _ in 0..STEPS_PER_CASE {
+        case.step(with_lookups);
     }
     case.finish();
     let held = case.leader.directory.held_by(&DISPATCHER.into());
     assert_eq!(
         case.list.complete_buckets().collect::<Vec<_>>(),
         held.into_iter().collect::<Vec<_>>(),
-        "case {seed}"
+        "seed {seed}"
     );
-    let (wanted, known) = case.both();
-    assert_eq!(known, wanted, "case {seed}");
+    let (expected, actual) = case.expected_and_actual();
+    assert_eq!(actual, expected, "seed {seed}");
 }
 
 #[test]
 fn a_list_converges_to_the_directory() {
-    (0..CASES).for_each(|seed| run(seed, Retention::default(), true));
+    (0..CASES).for_each(|seed| run_case(seed, Retention::default(), true));
 }
 
 #[test]
-fn a_list_converges_to_the_directory_when_removals_are_forgotten() {
+fn a_list_converges_to_the_directory_when_removals_are_not_retained() {
     (0..CASES).for_each(|seed| {
-        run(
+        run_case(
             seed,
             Retention {
                 changes: 10,
--- a/crates/control-plane/tests/serving.rs
+++ b/crates/control-plane/tests/serving.rs
@@ -1,4 +1,4 @@
-//! What a control process answers to dispatchers and operators.
+//! The HTTP interface of a control process: watches, lookups, writes and metrics.
 
 use bellsill_directory::line::EndpointState::{Draining, Removed, Up};
 use bellsill_test_support::control_client::{Watch, connect, ids, read_answer, request};
@@ -10,7 +10,10 @@
 
 #[test]
 fn a_dispatcher_is_sent_its_buckets_and_then_changes() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     leader.write(&entries(0..40, Up));
@@ -20,19 +23,22 @@
     assert_eq!(lines[0].gained.len(), 8);
     assert_eq!(ids(&lines).len(), 40);
     let version = leader.write(&entry(7, Draining));
-    let line = watch.next_line().expect("a line");
+    let line = watch.next_line().expect("a watch line");
     assert_eq!(
         (line.version.0, ids(&[line])),
         (version, vec!["endpoint-7".to_string()])
     );
     let version = leader.write(&entry(7, Removed));
-    let line = watch.next_line().expect("a line");
+    let line = watch.next_line().expect("a watch line");
     assert_eq!((line.version.0, line.servers[0].state), (version, Removed));
 }
 
 #[test]
 fn changes_of_a_looked_up_destination_are_sent_until_it_is_forgotten() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     leader.write(&entries(0..40, Up));
@@ -41,31 +47,39 @@
     assert_eq!(look_up("dispatcher=south-a&cells=17").0, 409);
     let mut watch = Watch::open(place.address, "since=0&dispatcher=south-a");
     watch.until_filled(8);
-    let (status, answer) = look_up("dispatcher=south-a&cells=17");
+    let (status, response) = look_up("dispatcher=south-a&cells=17");
     assert_eq!(
-        (status, answer["servers"][0]["id"].as_str()),
+        (status, response["servers"][0]["id"].as_str()),
         (200, Some("endpoint-17"))
     );
-    let (status, answer) = look_up("dispatcher=south-a&cells=4711");
+    let (status, response) = look_up("dispatcher=south-a&cells=4711");
     assert_eq!(
-        (status, answer["servers"].as_array().map(Vec::len)),
+        (status, response["servers"].as_array().map(Vec::len)),
         (200, Some(0))
     );
     leader.write(&entry(17, Draining));
-    assert_eq!(ids(&[watch.next_line().expect("a line")]), ["endpoint-17"]);
+    assert_eq!(
+        ids(&[watch.next_line().expect("a watch line")]),
+        ["endpoint-17"]
+    );
     assert_eq!(look_up("dispatcher=south-a&forget=17").0, 200);
     leader.write(&entry(17, Up));
     look_up("dispatcher=south-a&cells=18");
     leader.write(&entry(18, Draining));
-    assert_eq!(ids(&[watch.next_line().expect("a line")]), ["endpoint-18"]);
-    let many: Vec<String> = (0..5000).map(|cell: u32| cell.to_string()).collect();
     assert_eq!(
-        look_up(&format!("dispatcher=south-a&cells={}", many.join(","))).0,
+        ids(&[watch.next_line().expect("a watch line")]),
+        ["endpoint-18"]
+    );
+    let too_many: Vec<String> = (0..5000)
+        .map(|destination: u32| destination.to_string())
+        .collect();
+    assert_eq!(
+        look_up(&format!("dispatcher=south-a&cells={}", too_many.join(","))).0,
         429
     );
 }
 
-/// The names of the metrics as operators know them (c1890ee).
+/// The names of the metrics at `GET /v2/figures`. They are part of the protocol.
 const METRIC_NAMES: [&str; 30] = [
     "version",
     "epoch",
@@ -110,12 +124,15 @@
 ];
 
 #[test]
-fn the_names_of_the_metrics_are_those_of_the_protocol() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+fn metric_names_match_the_protocol() {
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
     let leader = place.start_leader(state.path());
     let metrics = leader.metrics();
     let names = |value: &serde_json::Value| -> BTreeSet<String> {
-        let object = value.as_object().expect("an object");
+        let object = value.as_object().expect("metrics are a JSON object");
         object.keys().cloned().collect()
     };
     assert_eq!(names(&metrics), METRIC_NAMES.map(String::from).into());
@@ -125,8 +142,8 @@
     );
 }
 
-/// Requests for paths, methods and queries that there are not.
-fn assert_unknown_targets_are_rejected(address: SocketAddr) {
+/// Sends requests with unknown dispatchers, unknown paths, unsupported methods and invalid queries.
+fn assert_invalid_targets_are_rejected(address: SocketAddr) {
     for (expected, method, target) in [
         (404, "GET", "/api/targets?follow=1&dispatcher=nobody"),
         (404, "GET", "/api/targets?dispatcher=nobody&cells=1"),
@@ -138,12 +155,12 @@
             "/api/targets?follow=1&since=x&dispatcher=north-a",
         ),
     ] {
-        let (status, answer) = request(address, method, target, "");
-        assert_eq!(status, expected, "{method} {target}: {answer}");
+        let (status, response) = request(address, method, target, "");
+        assert_eq!(status, expected, "{method} {target}: {response}");
     }
 }
 
-/// Bodies of endpoints with a fault, each answered with what is wrong; how many there are.
+/// Posts invalid endpoint bodies, and checks that each error names the fault. Returns the number of bodies.
 fn assert_invalid_endpoints_are_rejected(address: SocketAddr) -> usize {
     let invalid = [
         (format!("{}no JSON\n", entry(1, Up)), "line 2"),
@@ -159,15 +176,18 @@
         ),
         (entry(1, Up).replace("\"up\"", "\"away\""), "away"),
     ];
-    for (body, named) in &invalid {
-        let (status, answer) = request(address, "POST", "/api/targets", body);
-        let error = answer["error"].as_str().unwrap_or_default();
-        assert!(status == 400 && error.contains(named), "{status} {answer}");
+    for (body, expected) in &invalid {
+        let (status, response) = request(address, "POST", "/api/targets", body);
+        let error = response["error"].as_str().unwrap_or_default();
+        assert!(
+            status == 400 && error.contains(expected),
+            "{status} {response}"
+        );
     }
     invalid.len()
 }
 
-/// Bodies of members with a fault; how many there are.
+/// Posts invalid member bodies. Returns the number of bodies.
 fn assert_invalid_members_are_rejected(address: SocketAddr) -> usize {
     let invalid = [
         "{\"name\":\"a b\",\"zone\":\"north-1\"}",
@@ -175,25 +195,28 @@
         "{\"name\":\"a\",\"zone\":\"north-1\",\"extra\":1}",
     ];
     for body in invalid {
-        let (status, answer) = request(address, "POST", "/v2/members", body);
-        assert_eq!(status, 400, "{body}: {answer}");
+        let (status, response) = request(address, "POST", "/v2/members", body);
+        assert_eq!(status, 400, "{body}: {response}");
     }
     invalid.len()
 }
 
 #[test]
 fn invalid_requests_are_rejected_and_counted_and_change_nothing() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     let before = leader.metrics();
-    assert_unknown_targets_are_rejected(place.address);
+    assert_invalid_targets_are_rejected(place.address);
     let invalid_endpoints = assert_invalid_endpoints_are_rejected(place.address);
     let invalid_members = assert_invalid_members_are_rejected(place.address);
     let after = leader.metrics();
     assert_eq!(
         after["version"], before["version"],
-        "nothing of an invalid request is applied"
+        "an invalid request must not be applied in part"
     );
     let invalid_queries = 1;
     assert_eq!(invalid_members, 3);
@@ -205,12 +228,15 @@
 }
 
 #[test]
-fn heads_and_bodies_that_are_too_long_are_rejected() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let _writer = place.start_leader(state.path());
+fn malformed_and_oversized_requests_are_rejected() {
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
+    let _leader = place.start_leader(state.path());
     let raw = |bytes: &[u8]| {
         let mut stream = connect(place.address);
-        stream.write_all(bytes).expect("a request");
+        stream.write_all(bytes).expect("send a request");
         read_answer(&mut stream).0
     };
     assert_eq!(
@@ -229,27 +255,33 @@
     let long = vec![b'a'; 160 * 1024 - 5];
     assert_eq!(raw(&[b"GET /", &long[..]].concat()), 431);
     let body = entries(0..20_000, Up);
-    let (status, answer) = request(place.address, "POST", "/api/targets", &body);
-    assert_eq!(status, 200, "{answer}");
+    let (status, response) = request(place.address, "POST", "/api/targets", &body);
+    assert_eq!(status, 200, "{response}");
 }
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let _writer = place.start_leader(state.path());
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
+    let _leader = place.start_leader(state.path());
     let mut stream = connect(place.address);
-    let both =
+    let requests =
         b"GET /nowhere HTTP/1.1\r\n\r\nGET /v2/figures HTTP/1.1\r\nConnection: close\r\n\r\n";
-    stream.write_all(both).expect("requests");
-    let mut answers = String::new();
-    stream.read_to_string(&mut answers).expect("answers");
-    let (first, second) = (answers.find("404 Not Found"), answers.find("200 OK"));
-    assert!(first.is_some() && first < second, "{answers}");
+    stream.write_all(requests).expect("send requests");
+    let mut responses = String::new();
+    stream.read_to_string(&mut responses).expect("responses");
+    let (first, second) = (responses.find("404 Not Found"), responses.find("200 OK"));
+    assert!(first.is_some() && first < second, "{responses}");
 }
 
 #[test]
-fn a_watcher_that_reads_nothing_is_closed() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+fn a_watch_whose_client_reads_nothing_is_closed() {
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
     let leader = place.start(
         state.path(),
         "role = \"writer\"",
@@ -260,7 +292,7 @@
         leader.write(&entries(start..start + 20_000, Up));
     }
     let watch = Watch::open(place.address, "since=0&dispatcher=north-a");
-    leader.wait_for("the end of the watch", |metrics| {
+    leader.wait_for("the closing of the watch", |metrics| {
         metrics["closed_slow"] == 1 && metrics["watchers"] == 0
     });
     drop(watch);
@@ -268,7 +300,10 @@
 
 #[test]
 fn a_second_watch_of_a_dispatcher_closes_the_first() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        Place::reserve(),
+        tempfile::tempdir().expect("temp directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     let mut first = Watch::open(place.address, "since=0&dispatcher=north-a");
