--- a/crates/daemon/tests/guarantees.rs
+++ b/crates/daemon/tests/guarantees.rs
@@ -135,7 +135,7 @@
         (words::UNLINK_ERRNO, EIO),
         (words::READ_ERRNO, EIO),
     ] {
-        faults.ask(word, errno);
+        faults.set(word, errno);
     }
     process.spawn_with(&faults);
     let started_at = Instant::now();
@@ -156,8 +156,8 @@
         );
         std::thread::sleep(Duration::from_millis(20));
     }
-    faults.heal_folder();
-    faults.ask(words::READ_ERRNO, 0);
+    faults.restore_state_directory();
+    faults.set(words::READ_ERRNO, 0);
     wait_for("the pending message", || e.calls_of(&pending) == 2);
     assert_eq!(process.platform.notification(&pending), None);
 }
@@ -179,7 +179,7 @@
     wait_for("the journal of the new process", || {
         state.join("mails.1").exists()
     });
-    faults.ask(words::TRUNCATE_ERRNO, EIO);
+    faults.set(words::TRUNCATE_ERRNO, EIO);
     hung.set_behavior(OK);
     old.kill();
     wait_for("the retry of the message", || {
@@ -193,7 +193,7 @@
         "the adopted journal was removed"
     );
     process.kill();
-    faults.heal_folder();
+    faults.restore_state_directory();
     process.start_with(&faults);
     let last = process.client().message("payment", 7, 20_000, "last");
     wait_for("a later message", || hung.calls_of(&last) == 1);
@@ -214,7 +214,7 @@
     process.json["mgmt"] = process.mgmt_at(0).into();
     let faults = Faults::new(&process.folder, 1);
     process.start_with(&faults);
-    faults.ask(words::OPEN_ERRNO, ENOSPC);
+    faults.set(words::OPEN_ERRNO, ENOSPC);
     process.call("disable-server e0");
     std::thread::sleep(Duration::from_secs(1));
     let mut client = process.client();
@@ -227,7 +227,7 @@
     });
     assert!(disabled.calls().is_empty(), "the endpoint is disabled");
     // Once the directory works again, the list is written and a restart keeps the endpoint disabled.
-    faults.heal_folder();
+    faults.restore_state_directory();
     wait_for("the list of disabled endpoints", || {
         std::fs::read_to_string(process.folder.join("state/held-out"))
             .is_ok_and(|text| text.contains("e0"))
@@ -366,7 +366,7 @@
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     let faults = Faults::new(&process.folder, 1);
     process.start_with(&faults);
-    faults.ask(words::CONNECT_ERRNO, EINTR);
+    faults.set(words::CONNECT_ERRNO, EINTR);
     let id = process.client().message("payment", 7, 3_000, "x");
     wait_for("the end of the message", || {
         e.calls_of(&id) > 0 || process.platform.notification(&id).is_some()
@@ -376,7 +376,7 @@
         (1, None)
     );
     assert!(
-        faults.count(words::SOCKET_FAULTS) > 0,
+        faults.get(words::SOCKET_FAULTS) > 0,
         "the fault was not injected"
     );
 }
@@ -435,10 +435,10 @@
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.json["mgmt"] = process.mgmt_at(0).into();
     let faults = Faults::new(&process.folder, 1);
-    faults.ask(words::SOCKET_PERMILLE, 1_000);
+    faults.set(words::SOCKET_PERMILLE, 1_000);
     process.spawn_with(&faults);
     wait_for("failures to create sockets", || {
-        faults.count(words::SOCKET_FAULTS) > 3
+        faults.get(words::SOCKET_FAULTS) > 3
     });
     assert!(
         process
@@ -450,7 +450,7 @@
             .is_none(),
         "the process has exited"
     );
-    faults.ask(words::SOCKET_PERMILLE, 0);
+    faults.set(words::SOCKET_PERMILLE, 0);
     wait_for("the listener", || connect(&process.listen).is_ok());
     let id = process.client().message("payment", 7, 8_000, "x");
     wait_for("the message", || e.calls_of(&id) == 1);
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -6,7 +6,7 @@
 //! and sockets, so a run is not fully reproducible.
 
 use bellsill_test_support::program;
-use bellsill_test_support::soak::{Fault, Scenario, World};
+use bellsill_test_support::soak::{Fault, Scenario, SoakRun};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rustix::process::Signal;
@@ -41,19 +41,19 @@
 fn run_seed(seed: u64) -> Vec<String> {
     let mut random = Pcg64::seed_from_u64(seed);
     let faults = draw_faults(&mut random);
-    let mut world = World::start(program!(), Scenario::with_faults(seed, &faults));
-    world.disturb_by(&faults);
-    world.disturb_for(Duration::from_millis(random.random_range(800..2_000)));
-    world.kill_while_disturbed();
-    world.disturb_for(Duration::from_millis(random.random_range(500..1_500)));
-    world.end_and_restart(&draw_signals(&mut random));
-    world.disturb_for(Duration::from_millis(random.random_range(300..1_000)));
-    world.kill_while_disturbed();
-    world.disturb_for(Duration::from_millis(random.random_range(300..1_000)));
-    let verdict = world.finish();
+    let mut run = SoakRun::start(program!(), Scenario::with_faults(seed, &faults));
+    run.enable_faults(&faults);
+    run.run_under_faults(Duration::from_millis(random.random_range(800..2_000)));
+    run.kill_and_restart_under_faults();
+    run.run_under_faults(Duration::from_millis(random.random_range(500..1_500)));
+    run.stop_and_restart(&draw_signals(&mut random));
+    run.run_under_faults(Duration::from_millis(random.random_range(300..1_000)));
+    run.kill_and_restart_under_faults();
+    run.run_under_faults(Duration::from_millis(random.random_range(300..1_000)));
+    let verdict = run.finish();
     println!("seed {seed} {faults:?}: {verdict}");
     let violations: Vec<String> = verdict
-        .broken
+        .violations
         .iter()
         .map(|violation| format!("seed {seed} {faults:?}: {violation}"))
         .collect();
--- a/crates/daemon/tests/stepped_clock.rs
+++ b/crates/daemon/tests/stepped_clock.rs
@@ -125,14 +125,14 @@
     let mut process = DispatcherProcess::new(program!(), &[(&recovering, 7), (&rejecting, 8)]);
     let faults = Faults::new(&process.folder, 1);
     // The monotonic clock of the first process is ahead of that of the second, as before a reboot of the machine.
-    faults.ask(words::MONOTONIC_SHIFT_SECONDS, 100_000);
+    faults.set(words::MONOTONIC_SHIFT_SECONDS, 100_000);
     process.start_with(&faults);
     let mut client = process.client();
     let long_lived = client.message("payment", 7, 20_000, "long-lived");
     let short_lived = client.message("notice", 8, 2_000, "short-lived");
     wait_for("a rejection", || process.never_ran(&long_lived));
     process.kill();
-    faults.ask(words::MONOTONIC_SHIFT_SECONDS, 0);
+    faults.set(words::MONOTONIC_SHIFT_SECONDS, 0);
     recovering.set_behavior(OK);
     process.start_with(&faults);
     let restarted_at = Instant::now();
--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -50,19 +50,19 @@
             .unwrap();
         page.set_len(words::PAGE_BYTES as u64).unwrap();
         let faults = Faults { path, page };
-        faults.ask(words::RANDOM_STATE, seed);
+        faults.set(words::RANDOM_STATE, seed);
         faults
     }
 
     /// Sets a word of the page, one of [`words`].
-    pub fn ask(&self, word: usize, value: u64) {
+    pub fn set(&self, word: usize, value: u64) {
         self.page
             .write_all_at(&value.to_ne_bytes(), word as u64 * 8)
             .unwrap();
     }
 
     /// Reads a word of the page, such as the number of calls that failed.
-    pub fn count(&self, word: usize) -> u64 {
+    pub fn get(&self, word: usize) -> u64 {
         let mut bytes = [0; 8];
         self.page
             .read_exact_at(&mut bytes, word as u64 * 8)
@@ -72,30 +72,30 @@
 
     /// From now on the wall clock is this far from the machine's.
     pub fn step_wall_clock(&self, seconds: i64) {
-        self.ask(words::WALL_STEP_SECONDS, seconds as u64);
+        self.set(words::WALL_STEP_SECONDS, seconds as u64);
     }
 
     /// Writes to the folder that lasts fail with this error, after half of the bytes or before any; truncating fails too
     /// where half is written.
     pub fn fail_writes(&self, errno: u64, half: bool) {
-        self.ask(words::WRITE_HALF, u64::from(half));
-        self.ask(words::TRUNCATE_ERRNO, if half { errno } else { 0 });
-        self.ask(words::WRITE_ERRNO, errno);
+        self.set(words::WRITE_HALF, u64::from(half));
+        self.set(words::TRUNCATE_ERRNO, if half { errno } else { 0 });
+        self.set(words::WRITE_ERRNO, errno);
     }
 
     /// Everything that changes files in the folder that lasts fails, opening them too.
-    pub fn fail_folder(&self, errno: u64) {
+    pub fn fail_state_directory(&self, errno: u64) {
         for word in [words::WRITE_ERRNO, words::TRUNCATE_ERRNO, words::OPEN_ERRNO] {
-            self.ask(word, errno);
+            self.set(word, errno);
         }
-        self.ask(words::UNLINK_ERRNO, errno);
-        self.ask(words::RENAME_ERRNO, errno);
+        self.set(words::UNLINK_ERRNO, errno);
+        self.set(words::RENAME_ERRNO, errno);
     }
 
     /// The folder is good again.
-    pub fn heal_folder(&self) {
-        self.fail_folder(0);
-        self.ask(words::WRITE_HALF, 0);
+    pub fn restore_state_directory(&self) {
+        self.fail_state_directory(0);
+        self.set(words::WRITE_HALF, 0);
     }
 
     /// Has a command's process preload the library, with faults in that folder.
--- a/crates/test-support/src/ledger.rs
+++ b/crates/test-support/src/ledger.rs
@@ -82,11 +82,11 @@
     /// Messages that an endpoint accepted.
     pub delivered: usize,
     /// Messages with a notification.
-    pub noticed: usize,
+    pub notified: usize,
     /// For how long the machine stood still at the most.
-    pub stalled: Duration,
+    pub longest_stall: Duration,
     /// Each broken rule, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl std::fmt::Display for Verdict {
@@ -95,19 +95,19 @@
             accepted,
             refused,
             delivered,
-            noticed,
-            stalled,
-            broken,
+            notified,
+            longest_stall,
+            violations,
         } = self;
         write!(
             f,
-            "accepted {accepted}, refused {refused}, delivered {delivered}, noticed {noticed}, "
+            "accepted {accepted}, refused {refused}, delivered {delivered}, notified {notified}, "
         )?;
         write!(
             f,
-            "machine stalled {} ms, broken {}",
-            stalled.as_millis(),
-            broken.len()
+            "machine stalled {} ms, violations {}",
+            longest_stall.as_millis(),
+            violations.len()
         )
     }
 }
@@ -263,24 +263,24 @@
     /// The verdict at this moment; what is still in time is not yet judged as lost.
     pub(crate) fn verdict(&self) -> Verdict {
         let mut verdict = Verdict {
-            broken: self.wrong.clone(),
-            stalled: self.stalled,
+            violations: self.wrong.clone(),
+            longest_stall: self.stalled,
             ..Verdict::default()
         };
         for (id, message) in &self.messages {
             let breaks = message.breaks(self.stalled, |due| self.overdue_at(due));
             verdict
-                .broken
+                .violations
                 .extend(breaks.into_iter().map(|what| format!("{id}: {what}")));
             verdict.accepted += usize::from(message.heard == Heard::Accepted);
             verdict.refused += usize::from(message.heard == Heard::Refused);
             verdict.delivered += usize::from(message.delivered().is_some());
-            verdict.noticed += usize::from(!message.notices.is_empty());
+            verdict.notified += usize::from(!message.notices.is_empty());
             if let Some(at) = message.closed_at
                 && !self.is_restarting(at)
             {
                 verdict
-                    .broken
+                    .violations
                     .push(format!("{id}: read, and closed with no answer"));
             }
         }
--- a/crates/test-support/src/soak/mod.rs
+++ b/crates/test-support/src/soak/mod.rs
@@ -31,10 +31,10 @@
 /// The log is shown of this many messages whose rules were broken.
 const TRACED_MOST: usize = 20;
 /// How long a dispatcher may be delayed.
-const STANDSTILL: Duration = Duration::from_millis(150);
+const PAUSE_TIME: Duration = Duration::from_millis(150);
 
 /// A dispatcher with all that it is played against.
-pub struct World {
+pub struct SoakRun {
     /// The dispatcher.
     pub process: DispatcherProcess,
     /// What its system calls do.
@@ -50,9 +50,9 @@
 
 static WORLDS: AtomicU64 = AtomicU64::new(0);
 
-impl World {
+impl SoakRun {
     /// Starts a dispatcher and its world, and has clients begin.
-    pub fn start(program: Program, scenario: Scenario) -> World {
+    pub fn start(program: Program, scenario: Scenario) -> SoakRun {
         let shared = Arc::new(Shared {
             ledger: Mutex::default(),
             faults: FaultSwitches::default(),
@@ -85,7 +85,7 @@
         let faults = Faults::new(&process.folder, scenario.seed);
         let n = WORLDS.fetch_add(1, Ordering::SeqCst);
         let random = Pcg64::seed_from_u64(scenario.seed.wrapping_add(n << 32));
-        let mut world = World {
+        let mut run = SoakRun {
             process,
             faults,
             scenario,
@@ -95,9 +95,9 @@
             disturbances: vec![],
             random,
         };
-        world.start_process();
-        world.start_clients();
-        world
+        run.start_process();
+        run.start_clients();
+        run
     }
 
     fn start_clients(&mut self) {
@@ -151,12 +151,12 @@
     }
 
     /// The switches of what endpoints, platform and clients do.
-    pub fn faults(&self) -> &FaultSwitches {
+    pub fn switches(&self) -> &FaultSwitches {
         &self.shared.faults
     }
 
     /// Plays on for a while. The dispatcher may not end by itself.
-    pub fn play(&mut self, time: Duration) {
+    pub fn run_for(&mut self, time: Duration) {
         std::thread::sleep(time);
         if let Some(child) = &mut self.process.child {
             assert_eq!(
@@ -168,19 +168,19 @@
     }
 
     /// A time between these, by the scenario's seed.
-    pub fn draw_ms(&mut self, range: std::ops::Range<u64>) -> Duration {
+    pub fn random_duration_ms(&mut self, range: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.random.random_range(range))
     }
 
     /// A restart by SIGKILL alone; what happens while the process is down comes between.
-    pub fn kill_and_restart(&mut self, between: impl FnOnce(&World)) {
+    pub fn kill_and_restart(&mut self, between: impl FnOnce(&SoakRun)) {
         self.shared.ledger().restart_began();
         self.process.kill();
-        self.come_back(between);
+        self.restart_after_exit(between);
     }
 
     /// The process has ended, by whatever; the next one is started.
-    pub fn come_back(&mut self, between: impl FnOnce(&World)) {
+    pub fn restart_after_exit(&mut self, between: impl FnOnce(&SoakRun)) {
         std::thread::sleep(DOWN_FOR);
         between(self);
         self.shared.ledger().started_again();
@@ -189,14 +189,14 @@
     }
 
     /// Holds the process up.
-    pub fn stand_still(&self, time: Duration) {
+    pub fn pause_process(&self, time: Duration) {
         self.process.signal(Signal::STOP);
         std::thread::sleep(time);
         self.process.signal(Signal::CONT);
     }
 
     /// A planned restart: signals in series, and the kill at the earliest moment.
-    pub fn end_and_restart(&mut self, signals: &[(Signal, Duration)]) {
+    pub fn stop_and_restart(&mut self, signals: &[(Signal, Duration)]) {
         self.shared.ledger().restart_began();
         self.process.signal(Signal::TERM);
         let began = Instant::now();
@@ -214,9 +214,9 @@
                 self.process.signal(*signal);
             }
         }
-        self.disturb_for(KILL_AFTER_TERM.saturating_sub(began.elapsed()));
+        self.run_under_faults(KILL_AFTER_TERM.saturating_sub(began.elapsed()));
         self.process.kill();
-        self.come_back(|_| {});
+        self.restart_after_exit(|_| {});
     }
 
     fn is_disturbed_by(&self, fault: Fault) -> bool {
@@ -224,11 +224,11 @@
     }
 
     /// Plays on for a while, with the disturbances that come and go.
-    pub fn disturb_for(&mut self, time: Duration) {
+    pub fn run_under_faults(&mut self, time: Duration) {
         let until = Instant::now() + time;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let pause = self.draw_ms(60..400).min(left);
+            let pause = self.random_duration_ms(60..400).min(left);
             std::thread::sleep(pause);
             if left.is_zero() {
                 return;
@@ -246,21 +246,21 @@
         for fault in self.disturbances.clone() {
             let drawn: u64 = self.random.random_range(0..6);
             match fault {
-                Fault::WallSteps => {
+                Fault::WallClockSteps => {
                     let steps = [3_600, -3_600, 5, -5, 0, 0];
                     self.faults.step_wall_clock(steps[drawn as usize]);
                 }
                 Fault::FailingWrites if drawn < 2 => {
                     self.faults
                         .fail_writes(if drawn == 0 { ENOSPC } else { EIO }, drawn == 1);
-                    let failing = self.draw_ms(50..500);
+                    let failing = self.random_duration_ms(50..500);
                     std::thread::sleep(failing);
-                    self.faults.heal_folder();
+                    self.faults.restore_state_directory();
                 }
-                Fault::Standstill if drawn == 0 && runs => self.stand_still(STANDSTILL),
-                Fault::Hang => self.faults().hang.store(drawn < 2, Ordering::SeqCst),
+                Fault::ProcessPause if drawn == 0 && runs => self.pause_process(PAUSE_TIME),
+                Fault::Hang => self.switches().hang.store(drawn < 2, Ordering::SeqCst),
                 Fault::DiscoverySilent => {
-                    self.faults()
+                    self.switches()
                         .discovery_silent
                         .store(drawn < 3, Ordering::SeqCst);
                 }
@@ -270,17 +270,23 @@
     }
 
     /// From now on, or as set up already, these faults are there.
-    pub fn disturb_by(&mut self, faults: &[Fault]) {
+    pub fn enable_faults(&mut self, faults: &[Fault]) {
         self.disturbances = faults.to_vec();
         for fault in faults {
             match fault {
                 Fault::SocketErrors => {
-                    self.faults.ask(words::SOCKET_PERMILLE, 50);
-                    self.faults.ask(words::SHORT_PERMILLE, 50);
+                    self.faults.set(words::SOCKET_PERMILLE, 50);
+                    self.faults.set(words::SHORT_PERMILLE, 50);
                 }
-                Fault::CutAnswers => self.faults().cut_answers.store(true, Ordering::SeqCst),
-                Fault::CloseIdle => self.faults().close_idle.store(true, Ordering::SeqCst),
-                Fault::StopHalfWay => self.faults().stop_half_way.store(true, Ordering::SeqCst),
+                Fault::TruncatedResponses => self
+                    .switches()
+                    .truncate_responses
+                    .store(true, Ordering::SeqCst),
+                Fault::CloseIdle => self.switches().close_idle.store(true, Ordering::SeqCst),
+                Fault::PartialRequests => self
+                    .switches()
+                    .send_partial_requests
+                    .store(true, Ordering::SeqCst),
                 _ => {}
             }
         }
@@ -289,27 +295,27 @@
     /// All faults end, so that pending notifications can be sent.
     fn calm(&mut self) {
         self.disturbances.clear();
-        let faults = self.faults();
+        let faults = self.switches();
         for flag in [
             &faults.hang,
             &faults.close_idle,
-            &faults.cut_answers,
+            &faults.truncate_responses,
             &faults.discovery_silent,
-            &faults.stop_half_way,
+            &faults.send_partial_requests,
         ] {
             flag.store(false, Ordering::SeqCst);
         }
-        self.faults.heal_folder();
-        self.faults.ask(words::SOCKET_PERMILLE, 0);
-        self.faults.ask(words::SHORT_PERMILLE, 0);
+        self.faults.restore_state_directory();
+        self.faults.set(words::SOCKET_PERMILLE, 0);
+        self.faults.set(words::SHORT_PERMILLE, 0);
     }
 
     /// A restart by SIGKILL, in the middle of a write where that is one of the faults.
-    pub fn kill_while_disturbed(&mut self) {
-        if self.is_disturbed_by(Fault::HalfWriteAtKill) {
+    pub fn kill_and_restart_under_faults(&mut self) {
+        if self.is_disturbed_by(Fault::KillDuringWrite) {
             let nth = self.random.random_range(1..40);
             self.shared.ledger().restart_began();
-            self.faults.ask(words::KILL_AT_WRITE, nth);
+            self.faults.set(words::KILL_AT_WRITE, nth);
             return self.await_kill_and_restart();
         }
         self.kill_and_restart(|_| {});
@@ -323,7 +329,7 @@
             assert!(Instant::now() < until, "nothing was written");
             std::thread::sleep(Duration::from_millis(1));
         }
-        self.come_back(|_| {});
+        self.restart_after_exit(|_| {});
     }
 
     /// Clients stop; everything accepted is given the time to end; the verdict.
@@ -340,11 +346,11 @@
             std::thread::sleep(Duration::from_millis(20));
         }
         // Calls after the end would come now.
-        self.play(Duration::from_millis(700));
+        self.run_for(Duration::from_millis(700));
         self.process.kill();
         std::thread::sleep(Duration::from_millis(100));
         let verdict = self.shared.ledger().verdict();
-        self.trace(&verdict.broken)
+        self.trace(&verdict.violations)
             .iter()
             .for_each(|line| println!("{line}"));
         verdict
@@ -352,12 +358,12 @@
 }
 
 /// Fails with what was broken.
-pub fn assert_kept(verdict: &Verdict) {
+pub fn assert_no_violations(verdict: &Verdict) {
     println!("{verdict}");
-    let first: Vec<_> = verdict.broken.iter().take(12).collect();
+    let first: Vec<_> = verdict.violations.iter().take(12).collect();
     assert!(
-        verdict.broken.is_empty(),
+        verdict.violations.is_empty(),
         "{} broken, the first: {first:#?}",
-        verdict.broken.len()
+        verdict.violations.len()
     );
 }
--- a/crates/test-support/src/soak/scenario.rs
+++ b/crates/test-support/src/soak/scenario.rs
@@ -28,9 +28,9 @@
         let mut scenario = Scenario::new(seed);
         for fault in faults {
             match fault {
-                Fault::ShortTimes => scenario.lifetimes_ms = 5..400,
+                Fault::ShortLifetimes => scenario.lifetimes_ms = 5..400,
                 Fault::ShortWindow => scenario.window = Duration::from_secs(1),
-                Fault::Crowd => scenario.idle_clients = 400,
+                Fault::ConnectionLimit => scenario.idle_clients = 400,
                 _ => {}
             }
         }
@@ -54,11 +54,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The wall clock is stepped back and forth.
-    WallSteps,
+    WallClockSteps,
     /// Writes to the state folder fail for short times.
     FailingWrites,
     /// Kills come in the middle of a write.
-    HalfWriteAtKill,
+    KillDuringWrite,
     /// Calls on sockets fail, or are interrupted or short.
     SocketErrors,
     /// Discovery answers nothing for a while.
@@ -66,37 +66,37 @@
     /// Endpoints take calls and never answer, for a while.
     Hang,
     /// Endpoints answer half and close.
-    CutAnswers,
+    TruncatedResponses,
     /// Endpoints close connections between calls.
     CloseIdle,
     /// The process is suspended for short times.
-    Standstill,
+    ProcessPause,
     /// Clients stop in the middle of a request and stay.
-    StopHalfWay,
+    PartialRequests,
     /// Messages have lifetimes of a few milliseconds up.
-    ShortTimes,
+    ShortLifetimes,
     /// The idempotency window is shorter than most lifetimes.
     ShortWindow,
     /// More connections are open than the dispatcher admits.
-    Crowd,
+    ConnectionLimit,
 }
 
 impl Fault {
     /// Every fault, for runs that draw theirs.
     pub const ALL: [Fault; 13] = [
-        Fault::WallSteps,
+        Fault::WallClockSteps,
         Fault::FailingWrites,
-        Fault::HalfWriteAtKill,
+        Fault::KillDuringWrite,
         Fault::SocketErrors,
         Fault::DiscoverySilent,
         Fault::Hang,
-        Fault::CutAnswers,
+        Fault::TruncatedResponses,
         Fault::CloseIdle,
-        Fault::Standstill,
-        Fault::StopHalfWay,
-        Fault::ShortTimes,
+        Fault::ProcessPause,
+        Fault::PartialRequests,
+        Fault::ShortLifetimes,
         Fault::ShortWindow,
-        Fault::Crowd,
+        Fault::ConnectionLimit,
     ];
 }
 
@@ -108,9 +108,9 @@
     /// Endpoints end connections that no call is on.
     pub close_idle: AtomicBool,
     /// Endpoints answer half and close.
-    pub cut_answers: AtomicBool,
+    pub truncate_responses: AtomicBool,
     /// Discovery answers nothing; notices are answered all the same.
     pub discovery_silent: AtomicBool,
     /// Clients stop in the middle of a request and stay.
-    pub stop_half_way: AtomicBool,
+    pub send_partial_requests: AtomicBool,
 }
--- a/crates/test-support/src/soak/sender.rs
+++ b/crates/test-support/src/soak/sender.rs
@@ -57,10 +57,14 @@
 impl Sender {
     pub(super) fn run(mut self) {
         while !self.shared.stop.load(Ordering::SeqCst) {
-            if self.shared.faults.stop_half_way.load(Ordering::SeqCst)
+            if self
+                .shared
+                .faults
+                .send_partial_requests
+                .load(Ordering::SeqCst)
                 && self.random.random_range(0..20) == 0
             {
-                self.stop_half_way();
+                self.send_partial_requests();
             }
             self.hand_in();
             let pause = self.scenario.pause.as_millis() as u64;
@@ -71,7 +75,7 @@
     }
 
     /// A connection of its own on which half a request is sent, and which stays open until it gets an error or is closed.
-    fn stop_half_way(&self) {
+    fn send_partial_requests(&self) {
         let Ok(mut client) = connect(&self.listen) else {
             return;
         };
--- a/crates/test-support/src/soak/servers.rs
+++ b/crates/test-support/src/soak/servers.rs
@@ -104,8 +104,8 @@
         let [delivered, full, error, _closed] = shared.answers;
         let written = match shared.draw(0..100) as u32 {
             n if n < delivered => {
-                let cut =
-                    shared.faults.cut_answers.load(Ordering::SeqCst) && shared.draw(0..4) == 0;
+                let cut = shared.faults.truncate_responses.load(Ordering::SeqCst)
+                    && shared.draw(0..4) == 0;
                 if cut {
                     // Not the complete status line: whether it was delivered cannot be known.
                     to.write_all(b"HTTP/1.1 20").ok();
