--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -68,10 +68,12 @@
     let range = std::env::var("BELLSILL_SOAK_SEEDS").ok();
     let (first, last) = match &range {
         Some(range) => {
-            let (first, last) = range.split_once('-').expect("FIRST-LAST");
+            let (first, last) = range
+                .split_once('-')
+                .expect("BELLSILL_SOAK_SEEDS must be FIRST-LAST");
             (
-                first.parse().expect("a seed"),
-                last.parse().expect("a seed"),
+                first.parse().expect("a seed must be a number"),
+                last.parse().expect("a seed must be a number"),
             )
         }
         None => CI_SEEDS,
--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -1,4 +1,5 @@
-//! What a test asks of the system calls of its dispatcher, by the page that it shares with the preloaded library.
+//! Fault injection into the system calls of a dispatcher process. The test controls a preloaded library through a page
+//! of memory that both share through a file.
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -8,37 +9,38 @@
 #[path = "../../daemon/tests/preload/words.rs"]
 pub mod words;
 
-/// The disk is full.
+/// The error number of a full disk.
 pub const ENOSPC: u64 = 28;
-/// The device has failed.
+/// The error number of a failed device.
 pub const EIO: u64 = 5;
-/// A signal came in between.
+/// The error number of a call interrupted by a signal.
 pub const EINTR: u64 = 4;
 
-/// The page of one dispatcher, which outlasts its restarts.
+/// The shared page of one dispatcher. It is kept across restarts of the process.
 pub struct Faults {
     path: PathBuf,
     page: File,
 }
 
-/// The preloaded library: an example of the package whose test runs, built with its tests.
-fn library() -> PathBuf {
-    let test = std::env::current_exe().unwrap();
-    let built = test
+/// Returns the path of the preloaded library, which is an example target of the package under test and built with its
+/// tests.
+fn library_path() -> PathBuf {
+    let test_binary = std::env::current_exe().unwrap();
+    let library = test_binary
         .parent()
         .unwrap()
         .with_file_name("examples")
         .join("libbellsill_faults.so");
     assert!(
-        built.exists(),
-        "{}: built by `cargo build --examples`",
-        built.display()
+        library.exists(),
+        "{} does not exist; build it with `cargo build --examples`",
+        library.display()
     );
-    built
+    library
 }
 
 impl Faults {
-    /// A page in this folder that asks for nothing.
+    /// Creates a page in `folder` that injects no faults. `seed` selects the socket calls that fail later.
     pub fn new(folder: &Path, seed: u64) -> Faults {
         let path = folder.join("faults");
         let page = OpenOptions::new()
@@ -54,14 +56,14 @@
         faults
     }
 
-    /// Sets a word of the page, one of [`words`].
+    /// Sets the word of the page at this index, one of [`words`].
     pub fn set(&self, word: usize, value: u64) {
         self.page
             .write_all_at(&value.to_ne_bytes(), word as u64 * 8)
             .unwrap();
     }
 
-    /// Reads a word of the page, such as the number of calls that failed.
+    /// Reads a word of the page, such as the number of failed calls.
     pub fn get(&self, word: usize) -> u64 {
         let mut bytes = [0; 8];
         self.page
@@ -70,20 +72,20 @@
         u64::from_ne_bytes(bytes)
     }
 
-    /// From now on the wall clock is this far from the machine's.
+    /// Offsets the wall clock of the process from the machine's.
     pub fn step_wall_clock(&self, seconds: i64) {
         self.set(words::WALL_STEP_SECONDS, seconds as u64);
     }
 
-    /// Writes to the folder that lasts fail with this error, after half of the bytes or before any; truncating fails too
-    /// where half is written.
+    /// Makes writes to the state directory fail with this error. If `half` is set, half of the bytes are written first,
+    /// and truncation fails as well.
     pub fn fail_writes(&self, errno: u64, half: bool) {
         self.set(words::WRITE_HALF, u64::from(half));
         self.set(words::TRUNCATE_ERRNO, if half { errno } else { 0 });
         self.set(words::WRITE_ERRNO, errno);
     }
 
-    /// Everything that changes files in the folder that lasts fails, opening them too.
+    /// Makes every call fail that opens or changes a file of the state directory; zero for none.
     pub fn fail_state_directory(&self, errno: u64) {
         for word in [words::WRITE_ERRNO, words::TRUNCATE_ERRNO, words::OPEN_ERRNO] {
             self.set(word, errno);
@@ -92,17 +94,17 @@
         self.set(words::RENAME_ERRNO, errno);
     }
 
-    /// The folder is good again.
+    /// Ends the faults that [`Faults::fail_writes`] and [`Faults::fail_state_directory`] inject.
     pub fn restore_state_directory(&self) {
         self.fail_state_directory(0);
         self.set(words::WRITE_HALF, 0);
     }
 
-    /// Has a command's process preload the library, with faults in that folder.
-    pub fn preload(&self, command: &mut Command, folder: &Path) {
-        command.env("LD_PRELOAD", library());
+    /// Makes the process of `command` preload the library, which injects file faults in `state_directory`.
+    pub fn preload(&self, command: &mut Command, state_directory: &Path) {
+        command.env("LD_PRELOAD", library_path());
         command
             .env("BELLSILL_FAULTS", &self.path)
-            .env("BELLSILL_FAULT_FOLDER", folder);
+            .env("BELLSILL_FAULT_FOLDER", state_directory);
     }
 }
--- a/crates/test-support/src/ledger.rs
+++ b/crates/test-support/src/ledger.rs
@@ -1,27 +1,29 @@
-//! An account of what clients, endpoints and the platform saw, kept outside the dispatcher, and the verdict on it.
+//! Records what clients, endpoints and the platform observe, independently of the dispatcher, and checks the
+//! guarantees.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What counts as in time beyond a message's own time, and beyond every other limit.
+/// The tolerance for the end of a message after its lifetime.
 const END_SLACK: Duration = Duration::from_millis(300);
+/// The tolerance for every other limit.
 const LIMIT_SLACK: Duration = Duration::from_millis(150);
-/// Until this long after a restarted dispatcher is ready no notification is overdue.
+/// The time after a restarted dispatcher becomes ready during which no notification is overdue.
 const READY_SLACK: Duration = Duration::from_millis(1_500);
-/// A restarted dispatcher is ready within this time.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Requests this soon after a Retry-After are not counted against it.
-const WAIT_SLACK: Duration = Duration::from_millis(250);
-/// What the account itself may lag behind what it records: its threads share the machine with everything else.
+/// The maximum time from the start of a new process until it is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The time after a Retry-After response during which requests do not yet violate it.
+const RETRY_AFTER_SLACK: Duration = Duration::from_millis(250);
+/// The tolerance for events that are recorded late, because the recording threads share the machine with all others.
 const RECORDING_SLACK: Duration = Duration::from_millis(250);
 
-/// What a client heard of a message.
+/// The reply that a client received for a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Heard {
+pub(crate) enum Reply {
     Accepted,
     Refused,
-    /// No answer, or no connection: the client handed it in elsewhere, and it counts no more.
-    Nothing,
+    /// No reply or no connection. The client would submit the message to another dispatcher, so it is not checked.
+    None,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,59 +35,61 @@
 
 #[derive(Clone, Debug)]
 struct Call {
-    began: Instant,
-    ended: Option<Instant>,
+    started_at: Instant,
+    ended_at: Option<Instant>,
     effect: Effect,
 }
 
 #[derive(Clone, Debug)]
 struct Message {
     window: Option<Duration>,
-    due: Instant,
-    heard: Heard,
+    /// The end of the message's lifetime.
+    deadline: Instant,
+    reply: Reply,
     calls: Vec<Call>,
-    notices: Vec<Instant>,
-    /// When its connection was closed unanswered though the complete request had been sent to a live dispatcher.
+    notified_at: Vec<Instant>,
+    /// When the connection was closed without a reply although the complete request had been sent to a running
+    /// dispatcher.
     closed_at: Option<Instant>,
 }
 
-/// How often a message of a class may take effect.
+/// A queue class, with how often its messages may take effect.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Class {
     pub(crate) name: &'static str,
-    /// Repeats are dropped within this span; none: it may take effect once.
+    /// The time within which endpoints drop duplicates. Without it, a message may take effect at most once.
     pub(crate) window: Option<Duration>,
 }
 
 #[derive(Default)]
 pub(crate) struct Ledger {
     messages: BTreeMap<String, Message>,
-    /// From the signal of a restart until the next process was ready; none while it is not.
+    /// For each restart, when the first signal was sent and when the next process became ready; `None` until then.
     restarts: Vec<(Instant, Option<Instant>)>,
-    /// The Retry-After periods of each limiter: from the response to their end.
-    waits: BTreeMap<usize, Vec<(Instant, Instant)>>,
-    /// The longest time for which the machine held up a thread that only sleeps: the account and the dispatcher were held up
-    /// as well, beyond what the pages name.
-    stalled: Duration,
-    /// When the process that is to be ready was started.
-    down_since: Option<Instant>,
-    wrong: Vec<String>,
+    /// The Retry-After periods of each limiter: when the response was sent and when the period ends.
+    retry_after_periods: BTreeMap<usize, Vec<(Instant, Instant)>>,
+    /// The longest delay of a thread that only sleeps, added to the tolerances: the same stall of the machine delays
+    /// the ledger and the dispatcher, which the documented limits do not include.
+    longest_stall: Duration,
+    /// When the process that is not ready yet was started.
+    started_at: Option<Instant>,
+    violations: Vec<String>,
 }
 
-/// What the account came to.
+/// The counts and violations of a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Messages whose clients got an `OK`.
+    /// The number of messages with the reply `OK`.
     pub accepted: usize,
-    /// Messages whose clients got a `BUSY`.
+    /// The number of messages with the reply `BUSY`.
     pub refused: usize,
-    /// Messages that an endpoint accepted.
+    /// The number of messages that an endpoint accepted.
     pub delivered: usize,
-    /// Messages with a notification.
+    /// The number of messages with a notification.
     pub notified: usize,
-    /// For how long the machine stood still at the most.
+    /// The longest stall of the machine.
     pub longest_stall: Duration,
-    /// Each broken rule, in words.
+    /// A description of each violated guarantee.
     pub violations: Vec<String>,
 }
 
@@ -113,136 +117,141 @@
 }
 
 impl Ledger {
-    /// A thread that only sleeps was delayed by this much.
-    pub(crate) fn stalled(&mut self, time: Duration) {
-        self.stalled = self.stalled.max(time);
+    /// Records a stall of the machine, measured as the delay of a thread.
+    pub(crate) fn machine_stalled(&mut self, time: Duration) {
+        self.longest_stall = self.longest_stall.max(time);
     }
 
-    /// A client is about to hand in a message.
-    pub(crate) fn handed_in(&mut self, id: &str, class: Class, lifetime: Duration) {
+    /// Records that a client is about to submit a message.
+    pub(crate) fn submitted(&mut self, id: &str, class: Class, lifetime: Duration) {
         let message = Message {
             window: class.window,
-            due: Instant::now() + lifetime,
-            heard: Heard::Nothing,
+            deadline: Instant::now() + lifetime,
+            reply: Reply::None,
             calls: vec![],
-            notices: vec![],
+            notified_at: vec![],
             closed_at: None,
         };
         self.messages.insert(id.to_string(), message);
     }
 
-    pub(crate) fn heard(&mut self, id: &str, heard: Heard) {
-        self.messages.get_mut(id).unwrap().heard = heard;
+    pub(crate) fn replied(&mut self, id: &str, reply: Reply) {
+        self.messages.get_mut(id).unwrap().reply = reply;
     }
 
-    /// A client's new connection was closed with no answer once its request was written.
-    pub(crate) fn closed_unanswered(&mut self, id: &str) {
+    /// Records that a client's new connection was closed without a reply after the request was written.
+    pub(crate) fn closed_without_reply(&mut self, id: &str) {
         self.messages.get_mut(id).unwrap().closed_at = Some(Instant::now());
     }
 
-    /// A call came whole so long ago; its number among those of the message. That it was not read before is the machine's
-    /// doing.
-    pub(crate) fn call_began(&mut self, id: &str, limiter: usize, ago: Duration) -> usize {
+    /// Records a call whose request arrived completely this long ago, and returns the call's index among those of the
+    /// message. The delay until it was read counts as a stall of the machine.
+    pub(crate) fn call_started(&mut self, id: &str, limiter: usize, ago: Duration) -> usize {
         let now = Instant::now() - ago;
-        self.stalled(ago);
+        self.machine_stalled(ago);
         let last_restart = self.restarts.last().map(|restart| restart.0);
-        let bound = |&&(told, until): &&(Instant, Instant)| {
-            last_restart.is_none_or(|at| told > at)
-                && told + WAIT_SLACK < now
+        let is_in_force = |&&(received, until): &&(Instant, Instant)| {
+            last_restart.is_none_or(|at| received > at)
+                && received + RETRY_AFTER_SLACK < now
                 && now + LIMIT_SLACK < until
         };
         if self
-            .waits
+            .retry_after_periods
             .get(&limiter)
-            .is_some_and(|waits| waits.iter().any(|wait| bound(&wait)))
+            .is_some_and(|periods| periods.iter().any(|period| is_in_force(&period)))
         {
-            self.wrong.push(format!(
-                "{id}: called while limiter {limiter} had told to wait"
+            self.violations.push(format!(
+                "{id}: called during a Retry-After period of limiter {limiter}"
             ));
         }
         let Some(message) = self.messages.get_mut(id) else {
-            self.wrong
-                .push(format!("{id}: called, and nobody handed it in"));
+            self.violations
+                .push(format!("{id}: called, but never submitted"));
             return 0;
         };
         message.calls.push(Call {
-            began: now,
-            ended: None,
+            started_at: now,
+            ended_at: None,
             effect: Effect::MayHaveRun,
         });
         message.calls.len() - 1
     }
 
-    /// A call is over: answered, or its connection has ended.
-    pub(crate) fn call_ended(&mut self, id: &str, number: usize, effect: Effect) {
+    /// Records the end of a call, by a response or the end of its connection.
+    pub(crate) fn call_ended(&mut self, id: &str, index: usize, effect: Effect) {
         if let Some(call) = self
             .messages
             .get_mut(id)
-            .and_then(|message| message.calls.get_mut(number))
+            .and_then(|message| message.calls.get_mut(index))
         {
-            call.ended = Some(Instant::now());
+            call.ended_at = Some(Instant::now());
             call.effect = effect;
         }
     }
 
-    pub(crate) fn told_to_wait(&mut self, limiter: usize, wait: Duration) {
+    /// Records that a Retry-After response is sent.
+    pub(crate) fn retry_after_sent(&mut self, limiter: usize, period: Duration) {
         let now = Instant::now();
-        self.waits
+        self.retry_after_periods
             .entry(limiter)
             .or_default()
-            .push((now, now + wait));
+            .push((now, now + period));
     }
 
-    pub(crate) fn noticed(&mut self, id: &str) {
+    pub(crate) fn notified(&mut self, id: &str) {
         match self.messages.get_mut(id) {
-            Some(message) => message.notices.push(Instant::now()),
-            None => self
-                .wrong
-                .push(format!("{id}: a notice, and nobody handed it in")),
+            Some(message) => message.notified_at.push(Instant::now()),
+            None => self.violations.push(format!(
+                "{id}: notification for a message that was never submitted"
+            )),
         }
     }
 
-    /// A client that stopped in the middle of a request got an error or was closed, or waits no longer for that.
-    pub(crate) fn bad_client_ended(&mut self, began: Instant, owed: Duration) {
-        let took = began.elapsed();
-        if took > owed + LIMIT_SLACK
+    /// Records that a client with a partial request received an error or the end of its connection, or timed out
+    /// waiting for either.
+    pub(crate) fn partial_request_ended(&mut self, started_at: Instant, limit: Duration) {
+        let took = started_at.elapsed();
+        if took > limit + LIMIT_SLACK
             && !self
                 .restarts
                 .iter()
-                .any(|(_, ready)| ready.is_none_or(|r| r >= began))
+                .any(|(_, ready)| ready.is_none_or(|r| r >= started_at))
         {
-            self.wrong.push(format!(
-                "a client that stopped half way was owed an end for {} ms",
+            self.violations.push(format!(
+                "a connection with a partial request stayed open for {} ms",
                 took.as_millis()
             ));
         }
     }
 
-    /// A signal that ends the process, or the first of several.
-    pub(crate) fn restart_began(&mut self) {
+    /// Records the first signal that ends the process.
+    pub(crate) fn restart_started(&mut self) {
         self.restarts.push((Instant::now(), None));
     }
 
-    /// The next process is started.
-    pub(crate) fn started_again(&mut self) {
-        self.down_since = Some(Instant::now());
+    /// Records the start of the next process.
+    pub(crate) fn process_started(&mut self) {
+        self.started_at = Some(Instant::now());
     }
 
+    /// Records that the next process is ready.
     pub(crate) fn restart_ended(&mut self) {
         let took = self
-            .down_since
+            .started_at
             .take()
             .map_or(Duration::ZERO, |since| since.elapsed());
-        if took > READY_WITHIN {
-            self.wrong
-                .push(format!("ready after {} ms", took.as_millis()));
+        if took > READY_TIMEOUT {
+            self.violations.push(format!(
+                "the restarted process was ready only after {} ms",
+                took.as_millis()
+            ));
         }
         self.restarts.last_mut().unwrap().1 = Some(Instant::now());
     }
 
-    /// When a message that falls due then is overdue: no notice is while a dispatcher restarts.
-    fn overdue_at(&self, due: Instant) -> Instant {
-        let mut at = due + END_SLACK + self.stalled;
+    /// Returns when a message with this deadline is overdue. No notification is overdue during a restart.
+    fn overdue_at(&self, deadline: Instant) -> Instant {
+        let mut at = deadline + END_SLACK + self.longest_stall;
         for (from, ready) in &self.restarts {
             let until = ready.map(|ready| ready + READY_SLACK);
             if *from <= at && until.is_none_or(|until| at <= until) {
@@ -252,36 +261,39 @@
         at
     }
 
-    /// Whether all that was accepted has its end.
+    /// Whether every accepted message was delivered or has a notification.
     pub(crate) fn all_ended(&self) -> bool {
-        let ended = |m: &Message| !m.notices.is_empty() || m.delivered().is_some();
+        let ended = |m: &Message| !m.notified_at.is_empty() || m.delivered_at().is_some();
         self.messages
             .values()
-            .all(|m| m.heard != Heard::Accepted || ended(m))
+            .all(|m| m.reply != Reply::Accepted || ended(m))
     }
 
-    /// The verdict at this moment; what is still in time is not yet judged as lost.
+    /// Checks what was recorded until now. Messages that are not overdue yet do not count as lost.
     pub(crate) fn verdict(&self) -> Verdict {
         let mut verdict = Verdict {
-            violations: self.wrong.clone(),
-            longest_stall: self.stalled,
+            violations: self.violations.clone(),
+            longest_stall: self.longest_stall,
             ..Verdict::default()
         };
         for (id, message) in &self.messages {
-            let breaks = message.breaks(self.stalled, |due| self.overdue_at(due));
-            verdict
-                .violations
-                .extend(breaks.into_iter().map(|what| format!("{id}: {what}")));
-            verdict.accepted += usize::from(message.heard == Heard::Accepted);
-            verdict.refused += usize::from(message.heard == Heard::Refused);
-            verdict.delivered += usize::from(message.delivered().is_some());
-            verdict.notified += usize::from(!message.notices.is_empty());
+            let violations =
+                message.violations(self.longest_stall, |deadline| self.overdue_at(deadline));
+            verdict.violations.extend(
+                violations
+                    .into_iter()
+                    .map(|violation| format!("{id}: {violation}")),
+            );
+            verdict.accepted += usize::from(message.reply == Reply::Accepted);
+            verdict.refused += usize::from(message.reply == Reply::Refused);
+            verdict.delivered += usize::from(message.delivered_at().is_some());
+            verdict.notified += usize::from(!message.notified_at.is_empty());
             if let Some(at) = message.closed_at
                 && !self.is_restarting(at)
             {
-                verdict
-                    .violations
-                    .push(format!("{id}: read, and closed with no answer"));
+                verdict.violations.push(format!(
+                    "{id}: request read, but the connection was closed without a reply"
+                ));
             }
         }
         verdict
@@ -294,7 +306,7 @@
     }
 }
 
-/// A moment in Unix time, as the dispatcher's log writes it.
+/// Converts to seconds of Unix time, as in the dispatcher's log.
 fn wall_time(at: Instant) -> f64 {
     let ago = at.elapsed();
     (SystemTime::now() - ago)
@@ -304,83 +316,94 @@
 }
 
 impl Message {
-    fn delivered(&self) -> Option<Instant> {
+    fn delivered_at(&self) -> Option<Instant> {
         self.calls
             .iter()
             .find(|call| call.effect == Effect::Delivered)
-            .and_then(|call| call.ended)
+            .and_then(|call| call.ended_at)
     }
 
-    /// The rules that the dispatcher broke with this message.
-    fn breaks(&self, stalled: Duration, overdue_at: impl Fn(Instant) -> Instant) -> Vec<String> {
-        let mut broken = Vec::new();
-        if self.heard == Heard::Refused && !self.calls.is_empty() {
-            broken.push("refused, and called all the same".to_string());
+    /// Describes the guarantees that the dispatcher violated for this message.
+    fn violations(
+        &self,
+        longest_stall: Duration,
+        overdue_at: impl Fn(Instant) -> Instant,
+    ) -> Vec<String> {
+        let mut violations = Vec::new();
+        if self.reply == Reply::Refused && !self.calls.is_empty() {
+            violations.push("called although the reply was BUSY".to_string());
         }
-        // What its client gave up and handed in elsewhere counts for nothing.
-        if self.heard != Heard::Accepted {
-            return broken;
+        // Without a reply the client submits the message elsewhere, so nothing else is guaranteed.
+        if self.reply != Reply::Accepted {
+            return violations;
         }
-        let overdue = overdue_at(self.due);
+        let overdue = overdue_at(self.deadline);
         let end = self
-            .delivered()
+            .delivered_at()
             .into_iter()
-            .chain(self.notices.first().copied())
+            .chain(self.notified_at.first().copied())
             .min();
         match end {
             None if Instant::now() > overdue => {
-                broken.push("lost: neither delivered nor noticed".into())
+                violations.push("lost: neither delivered nor notified".into())
             }
-            Some(end) if end > overdue => broken.push(format!(
-                "lost: its end came {} ms too late",
+            Some(end) if end > overdue => violations.push(format!(
+                "lost: delivered or notified {} ms too late",
                 (end - overdue).as_millis()
             )),
             _ => {}
         }
-        self.check_effects(&mut broken);
-        if let Some(notice) = self.notices.first() {
-            let slack = RECORDING_SLACK + stalled;
+        self.check_effects(&mut violations);
+        if let Some(notified_at) = self.notified_at.first() {
+            let slack = RECORDING_SLACK + longest_stall;
             for call in self
                 .calls
                 .iter()
-                .filter(|call| call.began > *notice + slack)
+                .filter(|call| call.started_at > *notified_at + slack)
             {
-                let after = (call.began - *notice).as_millis();
-                broken.push(format!(
-                    "called {after} ms after its notice, which came at {:.3}",
-                    wall_time(*notice)
+                let after = (call.started_at - *notified_at).as_millis();
+                violations.push(format!(
+                    "called {after} ms after its notification at {:.3}",
+                    wall_time(*notified_at)
                 ));
             }
         }
         for pair in self.calls.windows(2) {
             if pair[0]
-                .ended
-                .is_none_or(|ended| ended > pair[1].began + RECORDING_SLACK + stalled)
+                .ended_at
+                .is_none_or(|ended| ended > pair[1].started_at + RECORDING_SLACK + longest_stall)
             {
-                broken.push("two calls at once".into());
+                violations.push("two calls at the same time".into());
             }
         }
-        broken
+        violations
     }
 
-    fn check_effects(&self, broken: &mut Vec<String>) {
-        let ran: Vec<&Call> = self
+    fn check_effects(&self, violations: &mut Vec<String>) {
+        let effective: Vec<&Call> = self
             .calls
             .iter()
             .filter(|call| call.effect != Effect::NeverRan)
             .collect();
-        let Some(first) = ran.first() else { return };
+        let Some(first) = effective.first() else {
+            return;
+        };
         match self.window {
-            None if ran.len() > 1 => broken.push(format!("ran {} times", ran.len())),
+            None if effective.len() > 1 => {
+                violations.push(format!("may have taken effect {} times", effective.len()))
+            }
             Some(window) => {
-                // Counted from the first that may have run; a later call that never ran did no harm, but was a breach.
+                // The window starts with the first call that may have run. A later call is a violation even if it had
+                // no effect.
                 let late = self
                     .calls
                     .iter()
-                    .filter(|call| call.began > first.began + window + LIMIT_SLACK);
+                    .filter(|call| call.started_at > first.started_at + window + LIMIT_SLACK);
                 let late = late.count();
                 if late > 0 {
-                    broken.push(format!("called {late} times after its window"));
+                    violations.push(format!(
+                        "called {late} times after the end of its idempotency window"
+                    ));
                 }
             }
             None => {}
--- a/crates/test-support/src/soak/mod.rs
+++ b/crates/test-support/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A world that a dispatcher is played against for some seconds: clients that keep their connections, endpoints that
-//! answer by chance, the platform, and faults. A [`Ledger`](crate::ledger) judges what came of it.
+//! A soak run of a dispatcher process with clients, endpoints that respond at random, the platform, and injected
+//! faults. A [`Ledger`](crate::ledger) checks the guarantees.
 
 mod scenario;
 mod sender;
@@ -16,7 +16,7 @@
 use rustix::process::Signal;
 use sender::Sender;
 use serde_json::json;
-use servers::{Shared, serve_calls, serve_platform, watch_machine};
+use servers::{Shared, measure_machine_stalls, serve_calls, serve_platform};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -24,54 +24,55 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 16;
-/// From the kill to the next start.
-const DOWN_FOR: Duration = Duration::from_millis(600);
-/// The earliest kill after SIGTERM.
+/// The time between the exit of a process and the next start.
+const DOWNTIME: Duration = Duration::from_millis(600);
+/// The shortest time from SIGTERM to SIGKILL in a planned restart.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(3_700);
-/// The log is shown of this many messages whose rules were broken.
-const TRACED_MOST: usize = 20;
-/// How long a dispatcher may be delayed.
+/// The maximum number of violations whose log lines are printed.
+const MAX_TRACED_VIOLATIONS: usize = 20;
+/// How long the dispatcher is suspended at a time: the delay of the process that the guarantees allow for.
 const PAUSE_TIME: Duration = Duration::from_millis(150);
 
-/// A dispatcher with all that it is played against.
+/// A dispatcher process with its clients, endpoints, platform and faults.
 pub struct SoakRun {
-    /// The dispatcher.
+    /// The dispatcher process.
     pub process: DispatcherProcess,
-    /// What its system calls do.
+    /// The faults of the dispatcher's system calls.
     pub faults: Faults,
     scenario: Scenario,
     shared: Arc<Shared>,
     clients: Vec<JoinHandle<()>>,
-    idle: Vec<TcpStream>,
-    disturbances: Vec<Fault>,
-    /// Draws of the test itself, by the scenario's seed.
+    idle_connections: Vec<TcpStream>,
+    enabled_faults: Vec<Fault>,
+    /// The random choices of the test itself, seeded by the scenario.
     pub random: Pcg64,
 }
 
-static WORLDS: AtomicU64 = AtomicU64::new(0);
+/// The number of runs started in this process, so that runs with the same seed make different choices.
+static RUNS: AtomicU64 = AtomicU64::new(0);
 
 impl SoakRun {
-    /// Starts a dispatcher and its world, and has clients begin.
+    /// Starts the dispatcher, the endpoints, the platform and the clients.
     pub fn start(program: Program, scenario: Scenario) -> SoakRun {
         let shared = Arc::new(Shared {
             ledger: Mutex::default(),
             faults: FaultSwitches::default(),
-            answers: scenario.answers,
+            response_shares: scenario.response_shares,
             stop: AtomicBool::new(false),
             random: Mutex::new(Pcg64::seed_from_u64(scenario.seed ^ 1)),
         });
         let mut process = DispatcherProcess::new(program, &[]);
-        let endpoint = |limiter: usize| {
+        let start_endpoint = |limiter: usize| {
             let shared = Arc::clone(&shared);
             stand_in(move |stream| serve_calls(stream, limiter, &shared))
         };
-        let list = [
+        let endpoints = [
             ("e0", 7, 0, "shops"),
             ("e1", 7, 0, "shops"),
             ("e2", 8, 1, "banks"),
         ];
-        let servers = list.map(|(id, cell, limiter, kind)| {
-            json!({"id": id, "addr": endpoint(limiter), "zone": "north", "kind": kind, "cell": cell,
+        let servers = endpoints.map(|(id, cell, limiter, kind)| {
+            json!({"id": id, "addr": start_endpoint(limiter), "zone": "north", "kind": kind, "cell": cell,
                 "state": "up"})
         });
         process.json["known"]["servers"] = json!(servers);
@@ -83,7 +84,7 @@
         process.json["settings"]["services"][0]["window-ns"] =
             json!(scenario.window.as_nanos() as u64);
         let faults = Faults::new(&process.folder, scenario.seed);
-        let n = WORLDS.fetch_add(1, Ordering::SeqCst);
+        let n = RUNS.fetch_add(1, Ordering::SeqCst);
         let random = Pcg64::seed_from_u64(scenario.seed.wrapping_add(n << 32));
         let mut run = SoakRun {
             process,
@@ -91,8 +92,8 @@
             scenario,
             shared,
             clients: vec![],
-            idle: vec![],
-            disturbances: vec![],
+            idle_connections: vec![],
+            enabled_faults: vec![],
             random,
         };
         run.start_process();
@@ -103,19 +104,19 @@
     fn start_clients(&mut self) {
         let shared = Arc::clone(&self.shared);
         self.clients
-            .push(std::thread::spawn(move || watch_machine(&shared)));
+            .push(std::thread::spawn(move || measure_machine_stalls(&shared)));
         for n in 0..CLIENTS {
             let sender = Sender {
                 listen: self.process.listen.clone(),
                 scenario: self.scenario.clone(),
                 shared: Arc::clone(&self.shared),
                 random: Pcg64::seed_from_u64(self.scenario.seed * 1_000 + n),
-                kept: None,
+                connection: None,
             };
             self.clients.push(std::thread::spawn(move || sender.run()));
         }
         for _ in 0..self.scenario.idle_clients {
-            self.idle
+            self.idle_connections
                 .extend(TcpStream::connect(&self.process.listen).ok());
         }
     }
@@ -135,73 +136,75 @@
         self.process.folder.join("log")
     }
 
-    /// What the dispatcher logged of the messages that a breach names, so that each breach comes with its trace.
-    fn trace(&self, broken: &[String]) -> Vec<String> {
+    /// Returns the dispatcher's log lines for the messages with violations, so that each violation is printed with its
+    /// trace.
+    fn trace(&self, violations: &[String]) -> Vec<String> {
         let log = std::fs::read(self.log_path()).unwrap_or_default();
         let log = String::from_utf8_lossy(&log);
-        let ids: Vec<&str> = broken
+        let ids: Vec<&str> = violations
             .iter()
-            .filter_map(|what| what.split(':').next())
-            .take(TRACED_MOST)
+            .filter_map(|violation| violation.split(':').next())
+            .take(MAX_TRACED_VIOLATIONS)
             .collect();
-        let of_ids = log
+        let matching = log
             .lines()
             .filter(|line| ids.iter().any(|id| line.contains(id)));
-        of_ids.map(|line| format!("  log: {line}")).collect()
+        matching.map(|line| format!("  log: {line}")).collect()
     }
 
-    /// The switches of what endpoints, platform and clients do.
+    /// The switches for faults of the endpoints, the platform and the clients.
     pub fn switches(&self) -> &FaultSwitches {
         &self.shared.faults
     }
 
-    /// Plays on for a while. The dispatcher may not end by itself.
+    /// Continues for this time, then fails if the dispatcher has exited by itself.
     pub fn run_for(&mut self, time: Duration) {
         std::thread::sleep(time);
         if let Some(child) = &mut self.process.child {
             assert_eq!(
                 child.try_wait().unwrap(),
                 None,
-                "the dispatcher ended by itself"
+                "the dispatcher exited by itself"
             );
         }
     }
 
-    /// A time between these, by the scenario's seed.
+    /// Draws a duration from a range of milliseconds.
     pub fn random_duration_ms(&mut self, range: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.random.random_range(range))
     }
 
-    /// A restart by SIGKILL alone; what happens while the process is down comes between.
+    /// Restarts the process by SIGKILL, and calls `between` while it is down.
     pub fn kill_and_restart(&mut self, between: impl FnOnce(&SoakRun)) {
-        self.shared.ledger().restart_began();
+        self.shared.ledger().restart_started();
         self.process.kill();
         self.restart_after_exit(between);
     }
 
-    /// The process has ended, by whatever; the next one is started.
+    /// Starts the next process after the previous one has exited, and calls `between` first.
     pub fn restart_after_exit(&mut self, between: impl FnOnce(&SoakRun)) {
-        std::thread::sleep(DOWN_FOR);
+        std::thread::sleep(DOWNTIME);
         between(self);
-        self.shared.ledger().started_again();
+        self.shared.ledger().process_started();
         self.start_process();
         self.shared.ledger().restart_ended();
     }
 
-    /// Holds the process up.
+    /// Suspends the process for this time by SIGSTOP.
     pub fn pause_process(&self, time: Duration) {
         self.process.signal(Signal::STOP);
         std::thread::sleep(time);
         self.process.signal(Signal::CONT);
     }
 
-    /// A planned restart: signals in series, and the kill at the earliest moment.
+    /// Performs a planned restart: SIGTERM, the given signals with their delays, and SIGKILL at the earliest time
+    /// allowed.
     pub fn stop_and_restart(&mut self, signals: &[(Signal, Duration)]) {
-        self.shared.ledger().restart_began();
+        self.shared.ledger().restart_started();
         self.process.signal(Signal::TERM);
-        let began = Instant::now();
-        for (signal, after) in signals {
-            std::thread::sleep(*after);
+        let started_at = Instant::now();
+        for (signal, delay) in signals {
+            std::thread::sleep(*delay);
             if self
                 .process
                 .child
@@ -214,64 +217,64 @@
                 self.process.signal(*signal);
             }
         }
-        self.run_under_faults(KILL_AFTER_TERM.saturating_sub(began.elapsed()));
+        self.run_under_faults(KILL_AFTER_TERM.saturating_sub(started_at.elapsed()));
         self.process.kill();
         self.restart_after_exit(|_| {});
     }
 
-    fn is_disturbed_by(&self, fault: Fault) -> bool {
-        self.disturbances.contains(&fault)
+    fn is_enabled(&self, fault: Fault) -> bool {
+        self.enabled_faults.contains(&fault)
     }
 
-    /// Plays on for a while, with the disturbances that come and go.
+    /// Continues for this time, and switches the enabled intermittent faults on and off at random.
     pub fn run_under_faults(&mut self, time: Duration) {
         let until = Instant::now() + time;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let pause = self.random_duration_ms(60..400).min(left);
+            let remaining = until.saturating_duration_since(Instant::now());
+            let pause = self.random_duration_ms(60..400).min(remaining);
             std::thread::sleep(pause);
-            if left.is_zero() {
+            if remaining.is_zero() {
                 return;
             }
-            self.disturb_once();
+            self.switch_intermittent_faults();
         }
     }
 
-    fn disturb_once(&mut self) {
-        let runs = self
+    fn switch_intermittent_faults(&mut self) {
+        let is_running = self
             .process
             .child
             .as_mut()
             .is_some_and(|child| child.try_wait().unwrap().is_none());
-        for fault in self.disturbances.clone() {
-            let drawn: u64 = self.random.random_range(0..6);
+        for fault in self.enabled_faults.clone() {
+            let draw: u64 = self.random.random_range(0..6);
             match fault {
                 Fault::WallClockSteps => {
                     let steps = [3_600, -3_600, 5, -5, 0, 0];
-                    self.faults.step_wall_clock(steps[drawn as usize]);
+                    self.faults.step_wall_clock(steps[draw as usize]);
                 }
-                Fault::FailingWrites if drawn < 2 => {
+                Fault::FailingWrites if draw < 2 => {
                     self.faults
-                        .fail_writes(if drawn == 0 { ENOSPC } else { EIO }, drawn == 1);
-                    let failing = self.random_duration_ms(50..500);
-                    std::thread::sleep(failing);
+                        .fail_writes(if draw == 0 { ENOSPC } else { EIO }, draw == 1);
+                    let failing_time = self.random_duration_ms(50..500);
+                    std::thread::sleep(failing_time);
                     self.faults.restore_state_directory();
                 }
-                Fault::ProcessPause if drawn == 0 && runs => self.pause_process(PAUSE_TIME),
-                Fault::Hang => self.switches().hang.store(drawn < 2, Ordering::SeqCst),
+                Fault::ProcessPause if draw == 0 && is_running => self.pause_process(PAUSE_TIME),
+                Fault::Hang => self.switches().hang.store(draw < 2, Ordering::SeqCst),
                 Fault::DiscoverySilent => {
                     self.switches()
                         .discovery_silent
-                        .store(drawn < 3, Ordering::SeqCst);
+                        .store(draw < 3, Ordering::SeqCst);
                 }
                 _ => {}
             }
         }
     }
 
-    /// From now on, or as set up already, these faults are there.
+    /// Enables these faults. Those that are part of the scenario are in effect from the start.
     pub fn enable_faults(&mut self, faults: &[Fault]) {
-        self.disturbances = faults.to_vec();
+        self.enabled_faults = faults.to_vec();
         for fault in faults {
             match fault {
                 Fault::SocketErrors => {
@@ -292,9 +295,9 @@
         }
     }
 
-    /// All faults end, so that pending notifications can be sent.
-    fn calm(&mut self) {
-        self.disturbances.clear();
+    /// Ends all faults, so that pending notifications can be sent.
+    fn end_faults(&mut self) {
+        self.enabled_faults.clear();
         let faults = self.switches();
         for flag in [
             &faults.hang,
@@ -310,42 +313,45 @@
         self.faults.set(words::SHORT_PERMILLE, 0);
     }
 
-    /// A restart by SIGKILL, in the middle of a write where that is one of the faults.
+    /// Restarts the process by SIGKILL, in the middle of a write if that fault is enabled.
     pub fn kill_and_restart_under_faults(&mut self) {
-        if self.is_disturbed_by(Fault::KillDuringWrite) {
+        if self.is_enabled(Fault::KillDuringWrite) {
             let nth = self.random.random_range(1..40);
-            self.shared.ledger().restart_began();
+            self.shared.ledger().restart_started();
             self.faults.set(words::KILL_AT_WRITE, nth);
             return self.await_kill_and_restart();
         }
         self.kill_and_restart(|_| {});
     }
 
-    /// Waits for a process that is killed in the middle of a write.
+    /// Waits until the process is killed in the middle of a write, then starts the next one.
     fn await_kill_and_restart(&mut self) {
         let mut child = self.process.child.take().unwrap();
         let until = Instant::now() + Duration::from_secs(20);
         while child.try_wait().unwrap().is_none() {
-            assert!(Instant::now() < until, "nothing was written");
+            assert!(
+                Instant::now() < until,
+                "the process was not killed during a write within 20 s"
+            );
             std::thread::sleep(Duration::from_millis(1));
         }
         self.restart_after_exit(|_| {});
     }
 
-    /// Clients stop; everything accepted is given the time to end; the verdict.
+    /// Stops the clients, waits until every accepted message has ended or is overdue, and checks the guarantees.
     pub fn finish(mut self) -> Verdict {
-        self.calm();
+        self.end_faults();
         self.shared.stop.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
             client.join().unwrap();
         }
-        let longest =
+        let longest_wait =
             Duration::from_millis(self.scenario.lifetimes_ms.end) + Duration::from_secs(3);
-        let until = Instant::now() + longest;
+        let until = Instant::now() + longest_wait;
         while Instant::now() < until && !self.shared.ledger().all_ended() {
             std::thread::sleep(Duration::from_millis(20));
         }
-        // Calls after the end would come now.
+        // Leaves time for wrong calls after the end of a message to be recorded.
         self.run_for(Duration::from_millis(700));
         self.process.kill();
         std::thread::sleep(Duration::from_millis(100));
@@ -357,13 +363,13 @@
     }
 }
 
-/// Fails with what was broken.
+/// Fails with the first violations, if there are any.
 pub fn assert_no_violations(verdict: &Verdict) {
     println!("{verdict}");
     let first: Vec<_> = verdict.violations.iter().take(12).collect();
     assert!(
         verdict.violations.is_empty(),
-        "{} broken, the first: {first:#?}",
+        "{} violations, the first: {first:#?}",
         verdict.violations.len()
     );
 }
--- a/crates/test-support/src/soak/scenario.rs
+++ b/crates/test-support/src/soak/scenario.rs
@@ -1,29 +1,29 @@
-//! How a run is set up, and the faults that it is played under.
+//! The parameters of a soak run, and the faults that it can inject.
 
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-const NOTICE_WINDOW: Duration = Duration::from_secs(8);
+const IDEMPOTENCY_WINDOW: Duration = Duration::from_secs(8);
 
-/// How a world is set up.
+/// The parameters of a soak run.
 #[derive(Clone)]
 pub struct Scenario {
-    /// Decides every draw, of faults and of answers.
+    /// The seed of all random choices, both of faults and of responses.
     pub seed: u64,
-    /// The lifetimes that clients ask for, in milliseconds.
+    /// The range of message lifetimes, in milliseconds.
     pub lifetimes_ms: std::ops::Range<u64>,
-    /// The window of the class whose repeats are dropped.
+    /// The idempotency window of the class whose endpoints drop duplicates.
     pub window: Duration,
-    /// Of a hundred requests, how many are delivered, answered with a Retry-After, answered with an error, and closed.
-    pub answers: [u32; 4],
-    /// Between two messages of a client.
+    /// The percentages of calls that are accepted, get a Retry-After, get an error, and are closed without a response.
+    pub response_shares: [u32; 4],
+    /// The mean time between two messages of a client.
     pub pause: Duration,
-    /// Connections that are opened and never used.
+    /// The number of connections that are opened and never used.
     pub idle_clients: usize,
 }
 
 impl Scenario {
-    /// A scenario under these faults, as far as they are part of its setting.
+    /// Creates a scenario with those of the faults that are part of the parameters.
     pub fn with_faults(seed: u64, faults: &[Fault]) -> Scenario {
         let mut scenario = Scenario::new(seed);
         for fault in faults {
@@ -37,43 +37,43 @@
         scenario
     }
 
-    /// A scenario whose times leave room for several attempts.
+    /// Creates a scenario whose lifetimes leave time for several attempts.
     pub fn new(seed: u64) -> Scenario {
         Scenario {
             seed,
             lifetimes_ms: 1_500..4_000,
-            window: NOTICE_WINDOW,
-            answers: [72, 8, 8, 12],
+            window: IDEMPOTENCY_WINDOW,
+            response_shares: [72, 8, 8, 12],
             pause: Duration::from_millis(100),
             idle_clients: 0,
         }
     }
 }
 
-/// The faults that a run is played under.
+/// A kind of fault that a soak run injects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The wall clock is stepped back and forth.
+    /// The wall clock is stepped forwards and backwards.
     WallClockSteps,
-    /// Writes to the state folder fail for short times.
+    /// Writes to the state directory fail for short periods.
     FailingWrites,
-    /// Kills come in the middle of a write.
+    /// The process is killed in the middle of a write.
     KillDuringWrite,
-    /// Calls on sockets fail, or are interrupted or short.
+    /// System calls on sockets fail, are interrupted, or transfer only part of the data.
     SocketErrors,
-    /// Discovery answers nothing for a while.
+    /// Discovery does not respond for some time.
     DiscoverySilent,
-    /// Endpoints take calls and never answer, for a while.
+    /// For some time, endpoints read calls but do not respond.
     Hang,
-    /// Endpoints answer half and close.
+    /// Endpoints close connections in the middle of a response.
     TruncatedResponses,
     /// Endpoints close connections between calls.
     CloseIdle,
-    /// The process is suspended for short times.
+    /// The process is suspended for short periods.
     ProcessPause,
-    /// Clients stop in the middle of a request and stay.
+    /// Clients send part of a request and keep the connection open.
     PartialRequests,
-    /// Messages have lifetimes of a few milliseconds up.
+    /// Message lifetimes start at a few milliseconds.
     ShortLifetimes,
     /// The idempotency window is shorter than most lifetimes.
     ShortWindow,
@@ -82,7 +82,7 @@
 }
 
 impl Fault {
-    /// Every fault, for runs that draw theirs.
+    /// All faults, for runs that draw theirs at random.
     pub const ALL: [Fault; 13] = [
         Fault::WallClockSteps,
         Fault::FailingWrites,
@@ -100,17 +100,17 @@
     ];
 }
 
-/// What the endpoints and the platform do beside answering.
+/// Switches for the faults of endpoints, platform and clients.
 #[derive(Default)]
 pub struct FaultSwitches {
-    /// Endpoints take calls and never answer.
+    /// Endpoints read calls but do not respond.
     pub hang: AtomicBool,
-    /// Endpoints end connections that no call is on.
+    /// Endpoints close connections between calls.
     pub close_idle: AtomicBool,
-    /// Endpoints answer half and close.
+    /// Endpoints close connections in the middle of a response.
     pub truncate_responses: AtomicBool,
-    /// Discovery answers nothing; notices are answered all the same.
+    /// Discovery does not respond. Notifications still get responses.
     pub discovery_silent: AtomicBool,
-    /// Clients stop in the middle of a request and stay.
+    /// Clients send part of a request and keep the connection open.
     pub send_partial_requests: AtomicBool,
 }
--- a/crates/test-support/src/soak/sender.rs
+++ b/crates/test-support/src/soak/sender.rs
@@ -1,9 +1,9 @@
-//! Clients that hand in messages until they are stopped.
+//! Clients that submit messages until they are stopped.
 
 use super::scenario::Scenario;
 use super::servers::Shared;
 use crate::client::{Client, connect, fresh, put};
-use crate::ledger::{Class, Heard};
+use crate::ledger::{Class, Reply};
 use rand::RngExt;
 use rand_pcg::Pcg64;
 use std::io::{BufRead, Read, Write};
@@ -11,47 +11,48 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// How long a client waits for an answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(400);
-/// Within this time a client that stops in the middle of a request gets an error or is closed.
-const BAD_CLIENT_OWED: Duration = Duration::from_secs(3);
+/// How long a client waits for a reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
+/// The maximum time until a connection with a partial request gets an error or is closed.
+const PARTIAL_REQUEST_LIMIT: Duration = Duration::from_secs(3);
 
-/// What became of one request on one connection.
-enum Asked {
-    Answered(String),
+/// The result of one request on one connection.
+enum RequestResult {
+    Replied(String),
     Closed,
-    Silent,
+    /// No connection, or no reply in time.
+    NoReply,
 }
 
-fn ask(client: &mut Client, bytes: &[u8]) -> Asked {
-    client.to.set_read_timeout(Some(ANSWER_WITHIN)).ok();
+fn send_request(client: &mut Client, bytes: &[u8]) -> RequestResult {
+    client.to.set_read_timeout(Some(REPLY_TIMEOUT)).ok();
     if client.to.write_all(bytes).is_err() {
-        return Asked::Closed;
+        return RequestResult::Closed;
     }
     let mut line = String::new();
     match client.from.read_line(&mut line) {
-        Ok(0) => Asked::Closed,
-        Ok(_) if line.ends_with('\n') => Asked::Answered(line.trim_end().to_string()),
-        Ok(_) => Asked::Closed,
+        Ok(0) => RequestResult::Closed,
+        Ok(_) if line.ends_with('\n') => RequestResult::Replied(line.trim_end().to_string()),
+        Ok(_) => RequestResult::Closed,
         Err(e)
             if matches!(
                 e.kind(),
                 std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
             ) =>
         {
-            Asked::Silent
+            RequestResult::NoReply
         }
-        Err(_) => Asked::Closed,
+        Err(_) => RequestResult::Closed,
     }
 }
 
-/// A client that hands in message after message on a connection that it keeps.
+/// A client that submits one message after another on a persistent connection.
 pub(super) struct Sender {
     pub(super) listen: String,
     pub(super) scenario: Scenario,
     pub(super) shared: Arc<Shared>,
     pub(super) random: Pcg64,
-    pub(super) kept: Option<Client>,
+    pub(super) connection: Option<Client>,
 }
 
 impl Sender {
@@ -64,9 +65,9 @@
                 .load(Ordering::SeqCst)
                 && self.random.random_range(0..20) == 0
             {
-                self.send_partial_requests();
+                self.send_partial_request();
             }
-            self.hand_in();
+            self.submit();
             let pause = self.scenario.pause.as_millis() as u64;
             std::thread::sleep(Duration::from_millis(
                 self.random.random_range(pause / 2..pause * 3 / 2 + 1),
@@ -74,8 +75,8 @@
         }
     }
 
-    /// A connection of its own on which half a request is sent, and which stays open until it gets an error or is closed.
-    fn send_partial_requests(&self) {
+    /// Sends part of a request on a separate connection, which stays open until it gets an error or is closed.
+    fn send_partial_request(&self) {
         let Ok(mut client) = connect(&self.listen) else {
             return;
         };
@@ -85,18 +86,23 @@
             .ok();
         let shared = Arc::clone(&self.shared);
         std::thread::spawn(move || {
-            let began = Instant::now();
-            client.to.set_read_timeout(Some(2 * BAD_CLIENT_OWED)).ok();
+            let started_at = Instant::now();
+            client
+                .to
+                .set_read_timeout(Some(2 * PARTIAL_REQUEST_LIMIT))
+                .ok();
             let _read = client.from.read(&mut [0; 64]);
-            shared.ledger().bad_client_ended(began, BAD_CLIENT_OWED);
+            shared
+                .ledger()
+                .partial_request_ended(started_at, PARTIAL_REQUEST_LIMIT);
         });
     }
 
-    fn hand_in(&mut self) {
+    fn submit(&mut self) {
         let id = fresh();
-        let tagged = self.random.random_range(0..2) == 0;
+        let is_idempotent = self.random.random_range(0..2) == 0;
         let lifetime = self.random.random_range(self.scenario.lifetimes_ms.clone());
-        let class = match tagged {
+        let class = match is_idempotent {
             true => Class {
                 name: "notice",
                 window: Some(self.scenario.window),
@@ -111,37 +117,41 @@
         let bytes = put(&id, &fields, "a message");
         self.shared
             .ledger()
-            .handed_in(&id, class, Duration::from_millis(lifetime));
-        let resting = self.kept.is_some();
-        let mut asked = self.ask(&bytes);
-        if resting && matches!(asked, Asked::Closed) {
-            // Its end crossed the request: once more on a new connection.
-            asked = self.ask(&bytes);
+            .submitted(&id, class, Duration::from_millis(lifetime));
+        let reused = self.connection.is_some();
+        let mut result = self.send_request(&bytes);
+        if reused && matches!(result, RequestResult::Closed) {
+            // The dispatcher may have closed the idle connection before it read the request: tries a new connection.
+            result = self.send_request(&bytes);
         }
-        // In a crowd new connections may be shut unread.
-        if matches!(asked, Asked::Closed) && self.scenario.idle_clients == 0 {
-            self.shared.ledger().closed_unanswered(&id);
+        // Above the connection limit, new connections may be closed before the request is read.
+        if matches!(result, RequestResult::Closed) && self.scenario.idle_clients == 0 {
+            self.shared.ledger().closed_without_reply(&id);
         }
-        match asked {
-            Asked::Answered(answer) if answer == "+OK" => {
-                self.shared.ledger().heard(&id, Heard::Accepted)
+        match result {
+            RequestResult::Replied(reply) if reply == "+OK" => {
+                self.shared.ledger().replied(&id, Reply::Accepted)
             }
-            Asked::Answered(answer) if answer.starts_with("-BUSY") => {
-                self.shared.ledger().heard(&id, Heard::Refused);
+            RequestResult::Replied(reply) if reply.starts_with("-BUSY") => {
+                self.shared.ledger().replied(&id, Reply::Refused);
             }
-            Asked::Answered(answer) => panic!("{id}: {answer}"),
-            Asked::Closed | Asked::Silent => {}
+            RequestResult::Replied(reply) => panic!("{id}: unexpected reply {reply}"),
+            RequestResult::Closed | RequestResult::NoReply => {}
         }
     }
 
-    fn ask(&mut self, bytes: &[u8]) -> Asked {
-        let Ok(mut client) = self.kept.take().map_or_else(|| connect(&self.listen), Ok) else {
-            return Asked::Silent;
+    fn send_request(&mut self, bytes: &[u8]) -> RequestResult {
+        let Ok(mut client) = self
+            .connection
+            .take()
+            .map_or_else(|| connect(&self.listen), Ok)
+        else {
+            return RequestResult::NoReply;
         };
-        let asked = ask(&mut client, bytes);
-        if matches!(asked, Asked::Answered(_)) {
-            self.kept = Some(client);
+        let result = send_request(&mut client, bytes);
+        if matches!(result, RequestResult::Replied(_)) {
+            self.connection = Some(client);
         }
-        asked
+        result
     }
 }
--- a/crates/test-support/src/soak/servers.rs
+++ b/crates/test-support/src/soak/servers.rs
@@ -1,4 +1,4 @@
-//! The endpoints, which answer by chance, and the platform; each records in the ledger what it saw.
+//! The endpoints, which respond at random, and the platform. Both record in the ledger what they receive.
 
 use super::scenario::FaultSwitches;
 use crate::ledger::{Effect, Ledger};
@@ -13,17 +13,18 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How often the machine is looked at, and what of a sleep's lateness is none of its stalls.
-const BEAT: Duration = Duration::from_millis(5);
-const NO_STALL: Duration = Duration::from_millis(50);
-/// What a hanging endpoint holds a call for at most.
-const HANG_FOR: Duration = Duration::from_secs(30);
+/// The sleep by which stalls of the machine are measured.
+const STALL_PROBE: Duration = Duration::from_millis(5);
+/// The delay of that sleep up to which it does not count as a stall.
+const STALL_THRESHOLD: Duration = Duration::from_millis(50);
+/// The maximum time for which an endpoint holds a call without a response.
+const MAX_HANG: Duration = Duration::from_secs(30);
 
-/// What the threads of a world share.
+/// The state that the threads of a soak run share.
 pub(super) struct Shared {
     pub(super) ledger: Mutex<Ledger>,
     pub(super) faults: FaultSwitches,
-    pub(super) answers: [u32; 4],
+    pub(super) response_shares: [u32; 4],
     pub(super) stop: AtomicBool,
     pub(super) random: Mutex<Pcg64>,
 }
@@ -38,45 +39,45 @@
     }
 }
 
-/// Reads the id out of a call's head.
-fn id_of(head: &[String]) -> String {
+/// Returns the message id from the header of a call.
+fn message_id(head: &[String]) -> String {
     head.iter()
         .find_map(|line| line.strip_prefix("X-Trace-Id: "))
         .unwrap_or("none")
         .to_string()
 }
 
-/// Waits until the other side has closed, or for as long as an endpoint hangs.
-fn wait_for_end(from: &mut BufReader<TcpStream>) {
-    from.get_ref().set_read_timeout(Some(HANG_FOR)).ok();
+/// Waits until the peer closes the connection, up to [`MAX_HANG`].
+fn wait_for_close(from: &mut BufReader<TcpStream>) {
+    from.get_ref().set_read_timeout(Some(MAX_HANG)).ok();
     let _read = from.read(&mut [0; 64]);
 }
 
-/// How long ago the last bytes of a connection came, as the kernel saw it: a thread that reads them late may have been
-/// held up.
-fn last_came(stream: &TcpStream) -> Duration {
-    // SAFETY: the structure is plain numbers, and the kernel writes no more of it than its length says.
-    let came_ms = unsafe {
+/// Returns how long ago the kernel received the last bytes of a connection. The thread that reads them may have been
+/// delayed since.
+fn time_since_last_receive(stream: &TcpStream) -> Duration {
+    // SAFETY: `tcp_info` consists of integers only, so zeroes are valid, and the kernel writes at most `length` bytes.
+    let elapsed_ms = unsafe {
         let mut info: libc::tcp_info = std::mem::zeroed();
         let mut length = std::mem::size_of::<libc::tcp_info>() as libc::socklen_t;
-        let at = std::ptr::from_mut(&mut info).cast();
-        let done = libc::getsockopt(
+        let info_pointer = std::ptr::from_mut(&mut info).cast();
+        let result = libc::getsockopt(
             stream.as_raw_fd(),
             libc::IPPROTO_TCP,
             libc::TCP_INFO,
-            at,
+            info_pointer,
             &mut length,
         );
-        if done == 0 {
+        if result == 0 {
             info.tcpi_last_data_recv
         } else {
             0
         }
     };
-    Duration::from_millis(came_ms.into())
+    Duration::from_millis(elapsed_ms.into())
 }
 
-/// One connection to an endpoint; a limiter is what its waits bind.
+/// Serves one connection to an endpoint. Endpoints with the same `limiter` share their Retry-After periods.
 pub(super) fn serve_calls(stream: TcpStream, limiter: usize, shared: &Shared) {
     let Ok(mut to) = stream.try_clone() else {
         return;
@@ -91,46 +92,47 @@
             return;
         };
         served += 1;
-        let id = id_of(&head);
-        let call = shared
-            .ledger()
-            .call_began(&id, limiter, last_came(from.get_ref()));
+        let id = message_id(&head);
+        let call =
+            shared
+                .ledger()
+                .call_started(&id, limiter, time_since_last_receive(from.get_ref()));
         std::thread::sleep(Duration::from_millis(shared.draw(1..12)));
-        let end = |effect| shared.ledger().call_ended(&id, call, effect);
+        let end_call = |effect| shared.ledger().call_ended(&id, call, effect);
         if shared.faults.hang.load(Ordering::SeqCst) {
-            wait_for_end(&mut from);
-            return end(Effect::MayHaveRun);
+            wait_for_close(&mut from);
+            return end_call(Effect::MayHaveRun);
         }
-        let [delivered, full, error, _closed] = shared.answers;
+        let [delivered, retry_after, error, _closed] = shared.response_shares;
         let written = match shared.draw(0..100) as u32 {
             n if n < delivered => {
-                let cut = shared.faults.truncate_responses.load(Ordering::SeqCst)
+                let truncate = shared.faults.truncate_responses.load(Ordering::SeqCst)
                     && shared.draw(0..4) == 0;
-                if cut {
-                    // Not the complete status line: whether it was delivered cannot be known.
+                if truncate {
+                    // The status line is incomplete, so the dispatcher cannot tell whether the message was delivered.
                     to.write_all(b"HTTP/1.1 20").ok();
-                    return end(Effect::MayHaveRun);
+                    return end_call(Effect::MayHaveRun);
                 }
-                end(Effect::Delivered);
+                end_call(Effect::Delivered);
                 to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             }
-            n if n < delivered + full => {
-                let wait_ms = shared.draw(50..400);
+            n if n < delivered + retry_after => {
+                let retry_after_ms = shared.draw(50..400);
                 shared
                     .ledger()
-                    .told_to_wait(limiter, Duration::from_millis(wait_ms));
-                end(Effect::NeverRan);
-                let seconds = wait_ms as f64 / 1000.0;
+                    .retry_after_sent(limiter, Duration::from_millis(retry_after_ms));
+                end_call(Effect::NeverRan);
+                let seconds = retry_after_ms as f64 / 1000.0;
                 write!(
                     to,
                     "HTTP/1.1 429 Full\r\nRetry-After: {seconds:.3}\r\nContent-Length: 0\r\n\r\n"
                 )
             }
-            n if n < delivered + full + error => {
-                end(Effect::MayHaveRun);
+            n if n < delivered + retry_after + error => {
+                end_call(Effect::MayHaveRun);
                 to.write_all(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
             }
-            _ => return end(Effect::MayHaveRun),
+            _ => return end_call(Effect::MayHaveRun),
         };
         if written.is_err() {
             return;
@@ -138,7 +140,7 @@
     }
 }
 
-/// One connection to the platform: discovery's watch, or notices.
+/// Serves one connection to the platform: a watch of discovery, or notifications.
 pub(super) fn serve_platform(stream: TcpStream, shared: &Shared) {
     let Ok(mut to) = stream.try_clone() else {
         return;
@@ -147,7 +149,7 @@
     while let Some((head, body)) = request(&mut from) {
         if head[0].starts_with("GET ") {
             if shared.faults.discovery_silent.load(Ordering::SeqCst) {
-                return wait_for_end(&mut from);
+                return wait_for_close(&mut from);
             }
             to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .ok();
@@ -157,12 +159,14 @@
             {
                 std::thread::sleep(Duration::from_millis(500));
             }
-            return wait_for_end(&mut from);
+            return wait_for_close(&mut from);
         }
         let lines = String::from_utf8(body).unwrap();
         for line in lines.lines() {
-            let notice: Value = serde_json::from_str(line).unwrap();
-            shared.ledger().noticed(notice["ref"].as_str().unwrap());
+            let notification: Value = serde_json::from_str(line).unwrap();
+            shared
+                .ledger()
+                .notified(notification["ref"].as_str().unwrap());
         }
         if to.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").is_err() {
             return;
@@ -170,14 +174,14 @@
     }
 }
 
-/// Sleeps again and again, and notes for how long the machine held it up.
-pub(super) fn watch_machine(shared: &Shared) {
+/// Sleeps repeatedly, and records how late each sleep ends as a stall of the machine.
+pub(super) fn measure_machine_stalls(shared: &Shared) {
     while !shared.stop.load(Ordering::SeqCst) {
-        let began = Instant::now();
-        std::thread::sleep(BEAT);
-        let late = began.elapsed().saturating_sub(BEAT);
-        if late > NO_STALL {
-            shared.ledger().stalled(late);
+        let started_at = Instant::now();
+        std::thread::sleep(STALL_PROBE);
+        let delay = started_at.elapsed().saturating_sub(STALL_PROBE);
+        if delay > STALL_THRESHOLD {
+            shared.ledger().machine_stalled(delay);
         }
     }
 }
