--- a/crates/control-plane/tests/failover.rs
+++ b/crates/control-plane/tests/failover.rs
@@ -4,7 +4,7 @@
 use bellsill_discovery_client::ScopedList;
 use bellsill_placement::{Layout, RegionName, ZoneName};
 use bellsill_test_support::control_client::Watch;
-use bellsill_test_support::control_process::Place;
+use bellsill_test_support::control_process::ReservedAddress;
 use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,7 +39,11 @@
 
 #[test]
 fn a_dispatcher_continues_at_another_control_process_without_a_complete_transfer() {
-    let places = [Place::reserve(), Place::reserve(), Place::reserve()];
+    let places = [
+        ReservedAddress::reserve(),
+        ReservedAddress::reserve(),
+        ReservedAddress::reserve(),
+    ];
     let states = [(); 3].map(|()| tempfile::tempdir().expect("a directory"));
     let leader = places[0].start_leader(states[0].path());
     leader.declare();
--- a/crates/control-plane/tests/replication.rs
+++ b/crates/control-plane/tests/replication.rs
@@ -1,15 +1,18 @@
 //! Restarts of leaders and followers, presence of members, and a leader that sends invalid lines.
 
 use bellsill_directory::line::EndpointState::{Draining, Up};
-use bellsill_test_support::control_client::{Watch, ids, request};
-use bellsill_test_support::control_process::Place;
+use bellsill_test_support::control_client::{Watch, endpoint_ids, request};
+use bellsill_test_support::control_process::ReservedAddress;
 use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
 #[test]
 fn a_restarted_leader_continues_its_versions() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..250, Up));
@@ -24,25 +27,30 @@
     let mut watch = Watch::open(place.address, &query);
     let first = watch.next_line().expect("a line");
     assert!(first.gained.is_empty() && first.log == log);
-    assert_eq!(ids(&[first]), ["endpoint-7"]);
+    assert_eq!(endpoint_ids(&[first]), ["endpoint-7"]);
     assert_eq!(leader.metrics()["watches_told_anew"], 0);
 }
 
 #[test]
 fn a_follower_serves_watches_like_the_leader_and_rejects_writes() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let (follower_place, follower_state) =
-        (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
+    let (follower_place, follower_state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
     let follower = follower_place.start_follower(follower_state.path(), place.address);
     follower.wait_for_version(version);
     let mut watch = Watch::open(follower_place.address, "since=0&dispatcher=north-a");
-    assert_eq!(ids(&watch.until_filled(8)).len(), 40);
+    assert_eq!(endpoint_ids(&watch.until_filled(8)).len(), 40);
     leader.write(&entry(7, Draining));
     assert_eq!(
-        ids(&watch.until(|line| !line.servers.is_empty())),
+        endpoint_ids(&watch.until(|line| !line.servers.is_empty())),
         ["endpoint-7"]
     );
     let (status, response) = request(
@@ -59,9 +67,14 @@
 
 #[test]
 fn a_disconnected_follower_catches_up_without_a_transfer() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let (follower_place, follower_state) =
-        (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
+    let (follower_place, follower_state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
@@ -81,9 +94,14 @@
 
 #[test]
 fn a_restarted_follower_serves_watches_without_the_leader() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let (follower_place, follower_state) =
-        (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
+    let (follower_place, follower_state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let follower = follower_place.start_follower(follower_state.path(), place.address);
     let (status, _) = request(
         follower_place.address,
@@ -100,14 +118,19 @@
     follower.stop().expect("an end");
     let _follower = follower_place.start_follower(follower_state.path(), place.address);
     let mut watch = Watch::open(follower_place.address, "since=0&dispatcher=north-a");
-    assert_eq!(ids(&watch.until_filled(8)).len(), 40);
+    assert_eq!(endpoint_ids(&watch.until_filled(8)).len(), 40);
 }
 
 #[test]
 fn a_follower_replaces_another_history_and_restarts_its_watches() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let (follower_place, follower_state) =
-        (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
+    let (follower_place, follower_state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
@@ -127,14 +150,19 @@
     let lines = watch.until_filled(8);
     assert_eq!(lines[0].gained.len(), 8);
     assert_ne!(lines[0].log, log);
-    assert_eq!(ids(&lines).len(), 10);
+    assert_eq!(endpoint_ids(&lines).len(), 10);
 }
 
 #[test]
 fn a_member_without_a_watch_is_absent_until_it_returns() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let (follower_place, follower_state) =
-        (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
+    let (follower_place, follower_state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let leader = place.start(
         state.path(),
         "role = \"writer\"",
@@ -168,9 +196,14 @@
 
 #[test]
 fn a_leader_without_followers_declares_no_member_absent_until_one_returns() {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
-    let (follower_place, follower_state) =
-        (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
+    let (follower_place, follower_state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let leader = place.start(
         state.path(),
         "role = \"writer\"",
@@ -200,12 +233,15 @@
 /// Acts as the leader of a follower that has a configuration and sends it these lines. Returns the metrics of the
 /// follower once it has rejected one.
 fn metrics_after_rejection(lines: &[Vec<u8>]) -> serde_json::Value {
-    let (place, state) = (Place::reserve(), tempfile::tempdir().expect("a directory"));
+    let (place, state) = (
+        ReservedAddress::reserve(),
+        tempfile::tempdir().expect("a directory"),
+    );
     let follower_state = tempfile::tempdir().expect("a directory");
     let leader = place.start_leader(state.path());
     leader.declare();
     let version = leader.write(&entries(0..40, Up));
-    let follower_place = Place::reserve();
+    let follower_place = ReservedAddress::reserve();
     let follower = follower_place.start_follower(follower_state.path(), place.address);
     follower.wait_for_version(version);
     follower.stop().expect("an end");
--- a/crates/control-plane/tests/serving.rs
+++ b/crates/control-plane/tests/serving.rs
@@ -1,8 +1,8 @@
 //! The HTTP interface of a control process: watches, lookups, writes and metrics.
 
 use bellsill_directory::line::EndpointState::{Draining, Removed, Up};
-use bellsill_test_support::control_client::{Watch, connect, ids, read_answer, request};
-use bellsill_test_support::control_process::Place;
+use bellsill_test_support::control_client::{Watch, connect, endpoint_ids, read_response, request};
+use bellsill_test_support::control_process::ReservedAddress;
 use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -11,7 +11,7 @@
 #[test]
 fn a_dispatcher_is_sent_its_buckets_and_then_changes() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let leader = place.start_leader(state.path());
@@ -21,11 +21,11 @@
     let lines = watch.until_filled(8);
     assert!(!lines[0].log.is_empty());
     assert_eq!(lines[0].gained.len(), 8);
-    assert_eq!(ids(&lines).len(), 40);
+    assert_eq!(endpoint_ids(&lines).len(), 40);
     let version = leader.write(&entry(7, Draining));
     let line = watch.next_line().expect("a watch line");
     assert_eq!(
-        (line.version.0, ids(&[line])),
+        (line.version.0, endpoint_ids(&[line])),
         (version, vec!["endpoint-7".to_string()])
     );
     let version = leader.write(&entry(7, Removed));
@@ -36,7 +36,7 @@
 #[test]
 fn changes_of_a_looked_up_destination_are_sent_until_it_is_forgotten() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let leader = place.start_leader(state.path());
@@ -59,7 +59,7 @@
     );
     leader.write(&entry(17, Draining));
     assert_eq!(
-        ids(&[watch.next_line().expect("a watch line")]),
+        endpoint_ids(&[watch.next_line().expect("a watch line")]),
         ["endpoint-17"]
     );
     assert_eq!(look_up("dispatcher=south-a&forget=17").0, 200);
@@ -67,7 +67,7 @@
     look_up("dispatcher=south-a&cells=18");
     leader.write(&entry(18, Draining));
     assert_eq!(
-        ids(&[watch.next_line().expect("a watch line")]),
+        endpoint_ids(&[watch.next_line().expect("a watch line")]),
         ["endpoint-18"]
     );
     let too_many: Vec<String> = (0..5000)
@@ -126,7 +126,7 @@
 #[test]
 fn metric_names_match_the_protocol() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let leader = place.start_leader(state.path());
@@ -204,7 +204,7 @@
 #[test]
 fn invalid_requests_are_rejected_and_counted_and_change_nothing() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let leader = place.start_leader(state.path());
@@ -230,14 +230,14 @@
 #[test]
 fn malformed_and_oversized_requests_are_rejected() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let _leader = place.start_leader(state.path());
     let raw = |bytes: &[u8]| {
         let mut stream = connect(place.address);
         stream.write_all(bytes).expect("send a request");
-        read_answer(&mut stream).0
+        read_response(&mut stream).0
     };
     assert_eq!(
         raw(b"POST /api/targets HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"),
@@ -262,7 +262,7 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let _leader = place.start_leader(state.path());
@@ -279,7 +279,7 @@
 #[test]
 fn a_watch_whose_client_reads_nothing_is_closed() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let leader = place.start(
@@ -301,7 +301,7 @@
 #[test]
 fn a_second_watch_of_a_dispatcher_closes_the_first() {
     let (place, state) = (
-        Place::reserve(),
+        ReservedAddress::reserve(),
         tempfile::tempdir().expect("temp directory"),
     );
     let leader = place.start_leader(state.path());
--- a/crates/control-plane/tests/state_directory.rs
+++ b/crates/control-plane/tests/state_directory.rs
@@ -6,14 +6,14 @@
 use bellsill_directory::line::EndpointState::{Draining, Up};
 use bellsill_directory::line::{EndpointEntry, Version};
 use bellsill_directory::record::{self, LoggedRecord, Record};
-use bellsill_test_support::control_process::{Place, config_text};
+use bellsill_test_support::control_process::{ReservedAddress, config_text};
 use bellsill_test_support::endpoint_lines::{entries, entry};
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
 /// A leader's state directory with a snapshot and a log after it, and its version.
-fn state_with_log(place: &Place) -> (TempDir, u64) {
+fn state_with_log(place: &ReservedAddress) -> (TempDir, u64) {
     let state = tempfile::tempdir().expect("a directory");
     let leader = place.start_leader(state.path());
     leader.declare();
@@ -51,13 +51,16 @@
     fs::write(path, bytes).expect("a written file");
 }
 
-fn start_error(place: &Place, state: &Path) -> String {
-    place.start_leader(state).ended().expect_err("an error")
+fn start_error(place: &ReservedAddress, state: &Path) -> String {
+    place
+        .start_leader(state)
+        .wait_for_exit()
+        .expect_err("an error")
 }
 
 #[test]
 fn an_incomplete_last_record_is_dropped_and_its_version_is_used_again() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     for cut in [1, 13, 100] {
         let (state, version) = state_with_log(&place);
         modify_file(&log_file(state.path()), |bytes| {
@@ -76,7 +79,7 @@
 
 #[test]
 fn zero_bytes_after_the_log_are_dropped() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     let (state, version) = state_with_log(&place);
     modify_file(&log_file(state.path()), |bytes| bytes.extend([0; 4096]));
     let leader = place.start_leader(state.path());
@@ -85,7 +88,7 @@
 
 #[test]
 fn a_damaged_log_is_rejected_and_left_unchanged() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     let (state, _) = state_with_log(&place);
     let intact = fs::read(log_file(state.path())).expect("a log");
     for offset in [0, 5, 40, intact.len() / 2] {
@@ -108,7 +111,7 @@
 
 #[test]
 fn records_that_cannot_be_decoded_or_applied_are_rejected() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     let (state, version) = state_with_log(&place);
     for version_offset in [0, 2] {
         let (state, version) = state_with_log(&place);
@@ -136,7 +139,7 @@
 
 #[test]
 fn a_truncated_snapshot_without_another_is_rejected() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     let (state, _) = state_with_log(&place);
     let snapshot = last_file(state.path(), "snapshot.");
     let intact = fs::read(&snapshot).expect("a snapshot");
@@ -161,7 +164,7 @@
 
 #[test]
 fn an_unfinished_snapshot_is_ignored_and_counted() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     let (state, version) = state_with_log(&place);
     fs::write(state.path().join("snapshot.99.tmp"), b"half").expect("a written file");
     let leader = place.start_leader(state.path());
@@ -177,7 +180,7 @@
 
 #[test]
 fn a_different_layout_and_a_second_process_are_rejected() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     let (state, _) = state_with_log(&place);
     let restarted = place.start(state.path(), "role = \"writer\"", "").stop();
     restarted.expect("the same layout");
@@ -195,6 +198,6 @@
     assert!(error.to_string().contains("buckets_per_region"), "{error}");
     let first = place.start_leader(state.path());
     first.wait_for_version(1);
-    let error = start_error(&Place::reserve(), state.path());
+    let error = start_error(&ReservedAddress::reserve(), state.path());
     assert!(error.contains("in use by another process"), "{error}");
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -2,7 +2,7 @@
 
 use bellsill_directory::line::EndpointState;
 use bellsill_test_support::control_client::Watch;
-use bellsill_test_support::control_process::Place;
+use bellsill_test_support::control_process::ReservedAddress;
 use bellsill_test_support::endpoint_lines::entry;
 use std::path::Path;
 
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_snapshot_and_the_log_after_it_are_read() {
-    let place = Place::reserve();
+    let place = ReservedAddress::reserve();
     let state = copy_fixture();
     let leader = place.start_leader(state.path());
     let metrics = leader.metrics();
--- a/crates/daemon/tests/admin_and_configuration.rs
+++ b/crates/daemon/tests/admin_and_configuration.rs
@@ -1,7 +1,7 @@
 //! Operation of a dispatcher: configuration errors, logging and admin requests.
 
-use bellsill_test_support::admin::call_at;
-use bellsill_test_support::client::{Client, fresh, put};
+use bellsill_test_support::admin::admin_request;
+use bellsill_test_support::client::{Client, new_id, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::program;
@@ -78,11 +78,11 @@
 fn an_invalid_configuration_exits_with_status_2_and_names_the_field() {
     for (pointer, value, field) in INVALID_FIELDS {
         let mut process = DispatcherProcess::new(program!(), &[]);
-        process.json["settings"]["penalties"] = json!({"probe": 0.01});
-        process.json["settings"]["discovery"] = json!("pushed");
-        process.json["settings"]["family-info"]["per-call"] = json!([1]);
+        process.config["settings"]["penalties"] = json!({"probe": 0.01});
+        process.config["settings"]["discovery"] = json!("pushed");
+        process.config["settings"]["family-info"]["per-call"] = json!([1]);
         assert!(process.command("check").output().unwrap().status.success());
-        *process.json.pointer_mut(pointer).unwrap() = serde_json::from_str(value).unwrap();
+        *process.config.pointer_mut(pointer).unwrap() = serde_json::from_str(value).unwrap();
         for command in ["serve", "check"] {
             let output = process
                 .command(command)
@@ -119,7 +119,7 @@
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     let mut command = process.command("serve");
     command.stderr(Stdio::piped());
-    process.start_by(command);
+    process.start_command(command);
     // Each invalid line is logged; together they exceed the capacity of the pipe by far.
     let invalid = "{\"not\": json\n".repeat(5000);
     wait_for("a watch", || {
@@ -136,7 +136,7 @@
     process
         .client()
         .message("notice", 9, 19_000, "after the invalid lines");
-    wait_for("the message", || e.calls().len() == 1);
+    wait_for("the message", || e.requests().len() == 1);
 }
 
 /// The metrics expected at the end of the test below.
@@ -160,10 +160,10 @@
     );
     let mut process =
         DispatcherProcess::new(program!(), &[(&healthy, 7), (&failing, 8), (&full, 9)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.config["mgmt"] = process.admin_addr(0).into();
     process.start();
     // Admin connections that send nothing or an incomplete line must not delay others.
-    let addr = process.mgmt_at(0);
+    let addr = process.admin_addr(0);
     let mut idle: Vec<TcpStream> = (0..30)
         .map(|_| TcpStream::connect(&addr).unwrap())
         .collect();
@@ -181,7 +181,7 @@
         ("enable-server e0", "SUCCESS"),
         (&"x".repeat(600), "FAILURE a call is 512 bytes at most"),
     ] {
-        let reply = process.call(line);
+        let reply = process.admin(line);
         assert!(reply[0].starts_with(expected), "{line}: {reply:?}");
     }
     let mut client = process.client();
@@ -192,7 +192,7 @@
     let rejected = client.message("notice", 9, 700, "rejected");
     client.message("notice", 9, 19_000, "pending");
     wait_for("the deliveries and notifications", || {
-        healthy.calls().len() == 5
+        healthy.requests().len() == 5
             && [&failed, &rejected]
                 .iter()
                 .all(|id| process.platform.notification(id).is_some())
@@ -200,9 +200,9 @@
     for (name, value) in EXPECTED_METRICS {
         wait_for(name, || process.metric(name) == value);
     }
-    let calls = healthy.calls().len() + failing.calls().len() + full.calls().len();
+    let calls = healthy.requests().len() + failing.requests().len() + full.requests().len();
     assert_eq!(process.metric("upstream_requests"), calls as u64);
-    assert!(process.call("disable-server e0")[0].starts_with("SUCCESS"));
+    assert!(process.admin("disable-server e0")[0].starts_with("SUCCESS"));
     assert_eq!(
         (
             process.metric("members"),
@@ -217,21 +217,22 @@
 fn a_drained_dispatcher_is_not_ready_keeps_pending_messages_and_accepts_clients_again() {
     let (healthy, hung) = (Endpoint::start(OK), Endpoint::start(Behavior::Hangs));
     let mut process = DispatcherProcess::new(program!(), &[(&healthy, 7), (&hung, 8)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.config["mgmt"] = process.admin_addr(0).into();
     process.start();
     let (mut idle, mut partial, mut busy) = (process.client(), process.client(), process.client());
     idle.message("notice", 7, 8000, "before");
     let pending = busy.message("notice", 8, 19_000, "pending");
-    wait_for("the hanging request", || !hung.calls().is_empty());
-    let (first, second) = (put(&fresh(), "c=notice,d=8000,k=a,dest=7", "half"), fresh());
-    partial.to.write_all(&first[..30]).unwrap();
+    wait_for("the hanging request", || !hung.requests().is_empty());
+    let first = put(&new_id(), "c=notice,d=8000,k=a,dest=7", "half");
+    let second = new_id();
+    partial.writer.write_all(&first[..30]).unwrap();
     // Sent before the drain and perhaps not read yet when it starts: it must still get a reply.
-    busy.to
+    busy.writer
         .write_all(&put(&second, "c=notice,d=8000,k=b,dest=7", "crossing"))
         .unwrap();
-    assert!(process.call("drain")[0].starts_with("SUCCESS"));
+    assert!(process.admin("drain")[0].starts_with("SUCCESS"));
     assert!(
-        process.call("drain")[0].starts_with("SUCCESS"),
+        process.admin("drain")[0].starts_with("SUCCESS"),
         "drain is idempotent"
     );
     assert_eq!((busy.line().as_str(), busy.line().as_str()), ("+OK", ""));
@@ -244,14 +245,14 @@
             .send(b"PING\r\n")
             .starts_with("-ERR draining")
     );
-    assert!(process.call("ready")[0].starts_with("FAILURE"));
+    assert!(process.admin("ready")[0].starts_with("FAILURE"));
     // A client that connects during the drain is still served, and pending messages are delivered.
     let mut late = process.client();
     late.message("notice", 7, 8000, "late");
     assert_eq!(late.line(), "");
     hung.set_behavior(OK);
     wait_for("the pending message", || {
-        hung.calls()
+        hung.requests()
             .iter()
             .filter(|c| c.header("X-Trace-Id") == pending)
             .count()
@@ -270,7 +271,7 @@
             .is_none(),
         "the process keeps running"
     );
-    assert!(process.call("resume")[0].starts_with("SUCCESS"));
+    assert!(process.admin("resume")[0].starts_with("SUCCESS"));
     let mut after = process.client();
     assert_eq!(after.send(b"PING\r\n"), "+PONG");
     after.message("notice", 7, 8000, "after");
@@ -280,7 +281,7 @@
 
 /// Sends this many messages and waits until the two endpoints have received them.
 fn send_messages(client: &mut Client, endpoints: [&Endpoint; 2], count: usize) {
-    let calls = || endpoints.iter().map(|e| e.calls().len()).sum::<usize>();
+    let calls = || endpoints.iter().map(|e| e.requests().len()).sum::<usize>();
     let before = calls();
     (0..count).for_each(|_| drop(client.message("notice", 7, 20_000, "x")));
     wait_for("the messages", || calls() == before + count);
@@ -290,18 +291,18 @@
 fn a_disabled_endpoint_stays_disabled_across_list_updates_restarts_and_upgrades() {
     let (a, b) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut process = DispatcherProcess::new(program!(), &[(&a, 7), (&b, 7)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.config["mgmt"] = process.admin_addr(0).into();
     // The list left by a process that was stopped while it wrote; the invalid line is skipped.
-    std::fs::write(process.folder.join("state/held-out"), "two words\ne0\n\n").unwrap();
+    std::fs::write(process.dir.join("state/held-out"), "two words\ne0\n\n").unwrap();
     process.start();
     let mut client = process.client();
-    let calls = || (a.calls().len(), b.calls().len());
+    let calls = || (a.requests().len(), b.requests().len());
     let messages = |client: &mut Client, count| send_messages(client, [&a, &b], count);
     messages(&mut client, 10);
     assert_eq!(calls(), (0, 10), "disabled by the existing file");
-    assert!(process.call("enable-server e0")[0].starts_with("SUCCESS"));
+    assert!(process.admin("enable-server e0")[0].starts_with("SUCCESS"));
     for _ in 0..2 {
-        assert!(process.call("disable-server e1")[0].starts_with("SUCCESS"));
+        assert!(process.admin("disable-server e1")[0].starts_with("SUCCESS"));
     }
     // A new endpoint list from discovery does not enable the endpoint again.
     let up = [
@@ -325,14 +326,14 @@
     assert_eq!(calls(), (20, 10), "after a restart");
     // During an upgrade a new process runs beside the old one; a request to the old one applies to both.
     let mut old = process.child.take().unwrap();
-    process.json["mgmt"] = process.mgmt_at(1).into();
-    process.start_beside();
-    assert!(call_at(&process.mgmt_at(0), "enable-server e1")[0].starts_with("SUCCESS"));
+    process.config["mgmt"] = process.admin_addr(1).into();
+    process.start_second_process();
+    assert!(admin_request(&process.admin_addr(0), "enable-server e1")[0].starts_with("SUCCESS"));
     wait_for("the endpoint enabled in the new process", || {
         process.metric("members_unavailable") == 0
     });
-    assert!(call_at(&process.mgmt_at(0), "disable-server e0")[0].starts_with("SUCCESS"));
-    let disabled = || std::fs::read_to_string(process.folder.join("state/held-out")).unwrap();
+    assert!(admin_request(&process.admin_addr(0), "disable-server e0")[0].starts_with("SUCCESS"));
+    let disabled = || std::fs::read_to_string(process.dir.join("state/held-out")).unwrap();
     assert_eq!(disabled(), "e0\n");
     wait_for("the endpoint disabled in the new process", || {
         process.metric("members_unavailable") == 1
@@ -343,7 +344,7 @@
     messages(&mut client, 10);
     assert_eq!(calls(), (20, 20), "after an upgrade");
     assert!(
-        process.call("enable-server e0")[0].starts_with("SUCCESS"),
+        process.admin("enable-server e0")[0].starts_with("SUCCESS"),
         "one enable request undoes two disable requests"
     );
     assert_eq!(process.metric("members_unavailable"), 0);
@@ -353,7 +354,7 @@
 fn an_admin_address_that_cannot_be_bound_is_reported() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["mgmt"] = taken.local_addr().unwrap().to_string().into();
+    process.config["mgmt"] = taken.local_addr().unwrap().to_string().into();
     let output = process.command("serve").output().unwrap();
     let text = String::from_utf8(output.stderr).unwrap();
     assert!(
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -1,10 +1,10 @@
 //! Attempts: the outcomes of responses, and connections that are established late or rejected.
 
-use bellsill_test_support::client::{fresh, put};
+use bellsill_test_support::client::{new_id, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK, entry, up};
 use bellsill_test_support::program;
-use bellsill_test_support::stand_in::{crowded, crowded_but_for, request};
+use bellsill_test_support::stand_in::{full_backlog, listen_with_backlog, request};
 use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::json;
@@ -31,12 +31,15 @@
         );
     }
     e.set_behavior(Behavior::RespondsAndCloses("200 OK"));
-    let before = e.calls().len();
+    let before = e.requests().len();
     for n in 1..4 {
         client.message("notice", 7, 8000, "each on its own connection");
-        wait_for("the request", || e.calls().len() >= before + n);
+        wait_for("the request", || e.requests().len() >= before + n);
     }
-    let mut conns: Vec<u64> = e.calls()[before..].iter().map(|c| c.conn).collect();
+    let mut conns: Vec<u64> = e.requests()[before..]
+        .iter()
+        .map(|c| c.connection)
+        .collect();
     conns.dedup();
     assert!(conns.len() >= 3);
     assert_eq!(process.platform.notifications().len(), 2);
@@ -59,9 +62,9 @@
     for (n, text) in delivered.iter().enumerate() {
         e.set_behavior(Behavior::Writes(text));
         client.message("payment", 7, 8000, "delivered");
-        wait_for("the request", || e.calls().len() > n);
+        wait_for("the request", || e.requests().len() > n);
         wait_for("the end of the message", || {
-            process.journaled().messages.is_empty()
+            process.read_journal().messages.is_empty()
         });
     }
     let malformed = [
@@ -87,10 +90,10 @@
     e.set_behavior(OK);
     client.message("notice", 7, 8000, "after all that");
     wait_for("the message", || {
-        e.calls().iter().any(|c| c.body == "after all that")
+        e.requests().iter().any(|c| c.body == "after all that")
     });
     assert_eq!(
-        e.calls().len(),
+        e.requests().len(),
         delivered.len() + malformed.len() + 1,
         "each message is sent once"
     );
@@ -99,13 +102,13 @@
 
 #[test]
 fn a_connection_established_after_the_deadline_gets_no_request() {
-    let (slow, filler) = crowded();
+    let (slow, filler) = full_backlog();
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["known"]["servers"] = json!([entry]);
-    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    process.config["known"]["servers"] = json!([entry]);
+    process.config["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     // The connection goes to the pool unused and is closed after this idle time.
-    process.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
+    process.config["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
     process.start();
     let mut client = process.client();
     let (id, sent_at) = (client.message("payment", 7, 3000, "x"), Instant::now());
@@ -130,13 +133,13 @@
 
 #[test]
 fn a_connection_established_after_its_endpoint_began_to_drain_gets_no_request() {
-    let (slow, filler) = crowded();
+    let (slow, filler) = full_backlog();
     let addr = slow.local_addr().unwrap().to_string();
     let entry = |state: &str| entry("slow", &addr, 7, state);
     let second = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["known"]["servers"] = json!([entry("up"), second.entry("second", 7, "up")]);
-    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    process.config["known"]["servers"] = json!([entry("up"), second.entry("second", 7, "up")]);
+    process.config["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     process.start();
     let mut client = process.client();
     // Messages are distributed evenly, so one of the two goes to the endpoint whose connection is not yet established.
@@ -144,13 +147,18 @@
         client.message("payment", 7, 24_000, "x"),
         client.message("payment", 7, 24_000, "x"),
     ];
-    let delivered = |id: &String| second.calls().iter().any(|c| c.header("X-Trace-Id") == id);
+    let delivered = |id: &String| {
+        second
+            .requests()
+            .iter()
+            .any(|c| c.header("X-Trace-Id") == id)
+    };
     wait_for("the first message", || messages.iter().any(delivered));
     let update = json!({"version": 2, "full": false, "servers": [entry("draining"), second.entry("more", 9, "up")]});
     process.platform.publish(&format!("{update}\n"));
     // The destination of this message is in the same line as the draining entry: a message to it is rejected until the
     // line has been read, so once it is accepted the draining is known too.
-    let later = fresh();
+    let later = new_id();
     let command = put(&later, &format!("c=notice,d=19000,k=k{later},dest=9"), "x");
     wait_for("the list update", || {
         match process.client().send(&command).as_str() {
@@ -179,7 +187,7 @@
         Endpoint::start(Behavior::Responds("410 Gone")),
     );
     let mut process = DispatcherProcess::new(program!(), &[(&full, 8), (&available, 8)]);
-    for entry in process.json["known"]["servers"].as_array_mut().unwrap() {
+    for entry in process.config["known"]["servers"].as_array_mut().unwrap() {
         entry["kind"] = "banks".into();
     }
     process.start();
@@ -187,10 +195,10 @@
     for n in 1..10 {
         client.message("payment", 8, 8000, "x");
         wait_for("the message at the available route", || {
-            available.calls().len() == n
+            available.requests().len() == n
         });
     }
-    assert_eq!(full.calls().len(), 1);
+    assert_eq!(full.requests().len(), 1);
     assert_eq!(
         process.platform.notifications().len(),
         0,
@@ -206,19 +214,19 @@
     let available = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&full, 7), (&available, 7)]);
     // With this many dispatchers, the wait after a rejection at the shared rate limit would outlast every message.
-    process.json["settings"]["balancers"] = 100_000_000.into();
+    process.config["settings"]["balancers"] = 100_000_000.into();
     process.start();
     let mut client = process.client();
     for n in 1..4 {
         client.message("payment", 7, 8000, "x");
         wait_for("the message at the available route", || {
-            available.calls().len() == n || !process.platform.notifications().is_empty()
+            available.requests().len() == n || !process.platform.notifications().is_empty()
         });
     }
     assert_eq!(
         (
-            full.calls().len(),
-            available.calls().len(),
+            full.requests().len(),
+            available.requests().len(),
             process.platform.notifications().len()
         ),
         (1, 3, 0)
@@ -229,13 +237,16 @@
 /// is established late. Observed delays were up to 1.5 s, in the scenarios join+mass, zone+brink and split+brink.
 #[test]
 fn a_connection_established_after_the_idempotency_window_gets_no_retry() {
-    let slow = crowded_but_for(1);
+    let slow = listen_with_backlog(1);
     let entry = up("slow", &slow.local_addr().unwrap().to_string(), 7);
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["known"]["servers"] = json!([entry]);
-    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
-    process.json["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
-    for class in process.json["settings"]["services"].as_array_mut().unwrap() {
+    process.config["known"]["servers"] = json!([entry]);
+    process.config["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    process.config["settings"]["limits"]["keepalive-ns"] = json!(1_000_000_000);
+    for class in process.config["settings"]["services"]
+        .as_array_mut()
+        .unwrap()
+    {
         class["window-ns"] = json!(600_000_000);
     }
     process.start();
@@ -270,18 +281,18 @@
 
 #[test]
 fn a_connection_established_after_its_endpoint_was_relocated_gets_no_request() {
-    let (old, filler) = crowded();
+    let (old, filler) = full_backlog();
     let relocated = Endpoint::start(OK);
     let entry = |addr: String| up("e0", &addr, 7);
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["known"]["servers"] = json!([entry(old.local_addr().unwrap().to_string())]);
-    process.json["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
+    process.config["known"]["servers"] = json!([entry(old.local_addr().unwrap().to_string())]);
+    process.config["settings"]["limits"]["connect-timeout-ns"] = json!(60_000_000_000u64);
     process.start();
     let id = process.client().message("payment", 7, 24_000, "x");
     let update = json!({"version": 2, "full": false, "servers": [entry(relocated.addr.clone()), relocated.entry("more", 9, "up")]});
     process.platform.publish(&format!("{update}\n"));
     // The destination of this message is in the same line, so once it is accepted the new address is known too.
-    let later = fresh();
+    let later = new_id();
     let command = put(&later, &format!("c=notice,d=19000,k=k{later},dest=9"), "x");
     wait_for("the list update", || {
         process.client().send(&command) == "+OK"
@@ -291,7 +302,7 @@
     drop((old.accept().unwrap(), filler));
     wait_for("the message at the new address", || {
         relocated
-            .calls()
+            .requests()
             .iter()
             .any(|c| c.header("X-Trace-Id") == id)
     });
--- a/crates/daemon/tests/clients.rs
+++ b/crates/daemon/tests/clients.rs
@@ -1,6 +1,6 @@
 //! The client protocol: order of replies, invalid input, timeouts, and eviction at the connection limit.
 
-use bellsill_test_support::client::{Client, fresh, put};
+use bellsill_test_support::client::{Client, new_id, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::program;
@@ -15,7 +15,7 @@
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
-    let (mut client, a, b) = (process.client(), fresh(), fresh());
+    let (mut client, a, b) = (process.client(), new_id(), new_id());
     let mut input = b"PING\r\n".to_vec();
     input.extend(put(
         &a,
@@ -25,14 +25,14 @@
     input.extend(put(&b, "c=payment,d=8000,dest=7", ""));
     input.extend(b"*1\r\n$4\r\nPING\r\n");
     for byte in input {
-        client.to.write_all(&[byte]).unwrap();
+        client.writer.write_all(&[byte]).unwrap();
     }
     assert_eq!(
         [client.line(), client.line(), client.line(), client.line()],
         ["+PONG", "+OK", "+OK", "+PONG"]
     );
-    wait_for("both messages", || e.calls().len() == 2);
-    let calls = e.calls();
+    wait_for("both messages", || e.requests().len() == 2);
+    let calls = e.requests();
     let call = calls.iter().find(|c| c.header("X-Trace-Id") == a).unwrap();
     assert_eq!(
         (call.head[0].as_str(), call.body.as_str()),
@@ -48,9 +48,9 @@
     // The endpoint's idle connections are reused for another message.
     client.message("notice", 7, 8000, "another");
     wait_for("the message on a reused connection", || {
-        e.calls().iter().any(|c| c.body == "another")
+        e.requests().iter().any(|c| c.body == "another")
     });
-    assert!(e.calls().iter().all(|c| c.conn < 2));
+    assert!(e.requests().iter().all(|c| c.connection < 2));
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
     let mut client = process.client();
-    let id = fresh();
+    let id = new_id();
     for (fields, field) in [
         ("d=1,k=a,dest=7", "c:"),
         ("c=notice,k=a,dest=7", "d:"),
@@ -112,7 +112,7 @@
         assert_eq!(other.line(), "", "closed");
     }
     client.message("notice", 7, 8000, "still served");
-    wait_for("the message", || e.calls().len() == 1);
+    wait_for("the message", || e.requests().len() == 1);
 }
 
 fn put_text(id: &str, body: &str) -> String {
@@ -124,45 +124,45 @@
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
-    let (mut client, id) = (process.client(), fresh());
+    let (mut client, id) = (process.client(), new_id());
     assert_eq!(client.send(b"PING\r\n"), "+PONG");
     // The client submits a message and closes its side while the dispatcher is suspended.
     process.signal(Signal::STOP);
     client
-        .to
+        .writer
         .write_all(&put(&id, "c=payment,d=8000,dest=7", "x"))
         .unwrap();
-    client.to.shutdown(std::net::Shutdown::Write).unwrap();
+    client.writer.shutdown(std::net::Shutdown::Write).unwrap();
     process.signal(Signal::CONT);
     assert_eq!([client.line(), client.line()], ["-BUSY", ""]);
     let later = process.client().message("payment", 7, 8000, "x");
     wait_for("a later message", || {
-        e.calls().iter().any(|c| c.header("X-Trace-Id") == later)
+        e.requests().iter().any(|c| c.header("X-Trace-Id") == later)
     });
-    assert!(!e.calls().iter().any(|c| c.header("X-Trace-Id") == id));
+    assert!(!e.requests().iter().any(|c| c.header("X-Trace-Id") == id));
 }
 
 #[test]
 fn silent_and_incomplete_clients_are_closed_and_do_not_lock_out_others() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["limits"]["sockets"] = json!(64);
+    process.config["limits"]["sockets"] = json!(64);
     process.start();
-    let request = put(&fresh(), "c=notice,d=8000,k=a,dest=7", "x");
+    let request = put(&new_id(), "c=notice,d=8000,k=a,dest=7", "x");
     let mut incomplete: Vec<Client> = (0..150).map(|_| process.client()).collect();
     for (n, client) in incomplete.iter_mut().enumerate() {
         // Errors are ignored: at the connection limit a client may already be evicted.
-        client.to.write_all(&request[..n % 3 * 20]).ok();
+        client.writer.write_all(&request[..n % 3 * 20]).ok();
     }
     for n in 1..=3 {
         process
             .client()
             .message("notice", 7, 8000, "complete request");
-        wait_for("the message", || e.calls().len() == n);
+        wait_for("the message", || e.requests().len() == n);
     }
     for client in &mut incomplete {
         let mut rest = Vec::new();
-        match client.from.read_to_end(&mut rest) {
+        match client.reader.read_to_end(&mut rest) {
             Ok(_) => {}
             Err(e) => assert_ne!(
                 e.kind(),
@@ -171,7 +171,7 @@
             ),
         }
     }
-    assert_eq!(e.calls().len(), 3);
+    assert_eq!(e.requests().len(), 3);
 }
 
 /// At the connection limit, eviction closed a client whose request had arrived but was not read yet, and the message
@@ -180,7 +180,7 @@
 fn a_client_whose_request_has_arrived_is_not_evicted() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["limits"]["sockets"] = json!(64);
+    process.config["limits"]["sockets"] = json!(64);
     process.start();
     let silent = process.client();
     let mut connected: Vec<Client> = (0..10).map(|_| process.client()).collect();
@@ -192,11 +192,11 @@
     // resumes, it sees all of this at once.
     process.signal(Signal::STOP);
     let waiting: Vec<Client> = (0..150).map(|_| process.client()).collect();
-    let ids = [fresh(), fresh()];
+    let ids = [new_id(), new_id()];
     let mut senders = [silent, connected.remove(0)];
     for (sender, id) in senders.iter_mut().zip(&ids) {
         sender
-            .to
+            .writer
             .write_all(&put(id, "c=payment,d=20000,dest=7", "x"))
             .unwrap();
     }
@@ -207,7 +207,7 @@
     }
     for id in &ids {
         wait_for("the message", || {
-            e.calls().iter().any(|c| c.header("X-Trace-Id") == id)
+            e.requests().iter().any(|c| c.header("X-Trace-Id") == id)
         });
     }
     drop(waiting);
@@ -218,11 +218,11 @@
     let mut process = DispatcherProcess::new(program!(), &[]);
     process.start();
     let mut client = process.client();
-    client.to.write_all(&b"PING\r\n".repeat(500)).unwrap();
+    client.writer.write_all(&b"PING\r\n".repeat(500)).unwrap();
     assert!((0..500).all(|_| client.line() == "+PONG"));
-    client.to.write_all(&b"NONE\r\n".repeat(500)).unwrap();
+    client.writer.write_all(&b"NONE\r\n".repeat(500)).unwrap();
     let mut rest = String::new();
-    client.from.read_to_string(&mut rest).unwrap();
+    client.reader.read_to_string(&mut rest).unwrap();
     assert!(
         rest.starts_with("-ERR unknown command") && rest.lines().count() < 500,
         "{rest}"
@@ -233,7 +233,7 @@
 fn clients_beyond_the_descriptor_limit_wait_and_connected_ones_are_served() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["limits"]["sockets"] = json!(64);
+    process.config["limits"]["sockets"] = json!(64);
     process.start();
     let mut client = process.client();
     assert_eq!(client.send(b"PING\r\n"), "+PONG");
@@ -241,7 +241,7 @@
     for _ in 0..20 {
         client.message("notice", 7, 8000, "served at the limit");
     }
-    wait_for("all messages", || e.calls().len() == 20);
+    wait_for("all messages", || e.requests().len() == 20);
     let open = std::fs::read_dir(format!("/proc/{}/fd", process.child.as_ref().unwrap().id()))
         .unwrap()
         .count();
@@ -259,7 +259,7 @@
     process.start();
     let mut client = process.client();
     let submit = |client: &mut Client, destination: u64| {
-        let id = fresh();
+        let id = new_id();
         client.send(&put(
             &id,
             &format!("c=notice,d=20000,k=k{id},dest={destination}"),
@@ -269,7 +269,7 @@
     let accepted = (0..200)
         .take_while(|_| submit(&mut client, 7) == "+OK")
         .count();
-    let journaled = process.journaled();
+    let journaled = process.read_journal();
     assert_eq!(
         (
             journaled.messages.len(),
@@ -280,7 +280,7 @@
     );
     assert_eq!(submit(&mut client, 9), "+OK");
     wait_for("the message to the other destination", || {
-        !healthy.calls().is_empty()
+        !healthy.requests().is_empty()
     });
 }
 
@@ -290,28 +290,34 @@
 fn a_request_that_crosses_the_close_is_discarded_without_a_connection_reset() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.config["mgmt"] = process.admin_addr(0).into();
     process.start();
     let mut idle = process.client();
     idle.message("notice", 7, 8000, "before");
-    assert!(process.call("drain")[0].starts_with("SUCCESS"));
+    assert!(process.admin("drain")[0].starts_with("SUCCESS"));
     assert_eq!(idle.line(), "", "closed");
-    let crossing = fresh();
-    idle.to
+    let crossing = new_id();
+    idle.writer
         .write_all(&put(&crossing, "c=notice,d=8000,k=a,dest=7", "crossing"))
         .unwrap();
     // A write to a connection that was reset would fail.
-    idle.to.write_all(b"PING\r\n").expect("no reset");
+    idle.writer.write_all(b"PING\r\n").expect("no reset");
     // Once this message is delivered, the dispatcher has handled the earlier input.
     let later = process.client().message("notice", 7, 8000, "later");
     wait_for("the later message", || {
-        e.calls().iter().any(|c| c.header("X-Trace-Id") == later)
+        e.requests().iter().any(|c| c.header("X-Trace-Id") == later)
     });
     assert_eq!(idle.line(), "", "no reply");
     let journaled = process
-        .journaled()
+        .read_journal()
         .messages
         .iter()
         .any(|m| format!("{:016x}", m.id.0) == crossing);
-    assert!(!journaled && !e.calls().iter().any(|c| c.header("X-Trace-Id") == crossing));
+    assert!(
+        !journaled
+            && !e
+                .requests()
+                .iter()
+                .any(|c| c.header("X-Trace-Id") == crossing)
+    );
 }
--- a/crates/daemon/tests/control_plane_processes.rs
+++ b/crates/daemon/tests/control_plane_processes.rs
@@ -15,7 +15,7 @@
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "first version");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "first version");
     let looked_up: u64 = installation
         .dispatchers
         .iter()
@@ -26,7 +26,7 @@
         "some destinations are in buckets of other dispatchers"
     );
     installation.write(DESTINATIONS, &second);
-    installation.all_reach(DESTINATIONS, &second, "second version");
+    installation.wait_until_all_deliver(DESTINATIONS, &second, "second version");
 }
 
 #[test]
@@ -34,14 +34,14 @@
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "with all three");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "with all three");
     installation.control[1].kill();
     installation.write(DESTINATIONS, &second);
-    installation.all_reach(DESTINATIONS, &second, "without one");
+    installation.wait_until_all_deliver(DESTINATIONS, &second, "without one");
     installation.control[1].start();
     installation.control[2].kill();
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "without the other");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "without the other");
 }
 
 #[test]
@@ -49,17 +49,17 @@
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "with all three");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "with all three");
     for process in &installation.control[1..] {
         process.signal(Signal::STOP);
     }
     installation.write(DESTINATIONS, &second);
-    installation.all_reach(DESTINATIONS, &second, "with two suspended");
+    installation.wait_until_all_deliver(DESTINATIONS, &second, "with two suspended");
     for process in &installation.control[1..] {
         process.signal(Signal::CONT);
     }
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "with all three again");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "with all three again");
 }
 
 #[test]
@@ -67,12 +67,12 @@
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "before");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "before");
     installation.dispatchers[0].process.signal(Signal::STOP);
     installation.write(DESTINATIONS, &second);
-    installation.dispatchers[1].reaches(0, &second, "by another dispatcher");
+    installation.dispatchers[1].wait_until_delivered(0, &second, "by another dispatcher");
     installation.dispatchers[0].process.signal(Signal::CONT);
-    installation.all_reach(DESTINATIONS, &second, "after");
+    installation.wait_until_all_deliver(DESTINATIONS, &second, "after");
 }
 
 #[test]
@@ -80,20 +80,20 @@
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "before the partition");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "before the partition");
     let partitioned = &installation.dispatchers[0];
-    partitioned.cut(true);
+    partitioned.set_disconnected(true);
     installation.write(DESTINATIONS, &second);
-    installation.dispatchers[1].reaches(0, &second, "by another dispatcher");
+    installation.dispatchers[1].wait_until_delivered(0, &second, "by another dispatcher");
     for destination in DESTINATIONS {
-        partitioned.reaches(
+        partitioned.wait_until_delivered(
             destination,
             &first,
             &format!("partitioned, for {destination}"),
         );
     }
-    partitioned.cut(false);
-    installation.all_reach(DESTINATIONS, &second, "after the partition");
+    partitioned.set_disconnected(false);
+    installation.wait_until_all_deliver(DESTINATIONS, &second, "after the partition");
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut installation = Installation::start(program!());
     installation.write(DESTINATIONS, &first);
-    installation.all_reach(DESTINATIONS, &first, "before");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "before");
     wait_for("the scope file to be saved", || {
         installation.dispatchers[0].scope("unsaved") == 0
     });
@@ -111,11 +111,11 @@
         .for_each(|process| process.kill());
     installation.dispatchers[0].process.kill();
     installation.dispatchers[0].start();
-    installation.all_reach(DESTINATIONS, &first, "with no control process");
+    installation.wait_until_all_deliver(DESTINATIONS, &first, "with no control process");
     installation
         .control
         .iter_mut()
         .for_each(|process| process.start());
     installation.write(DESTINATIONS, &second);
-    installation.all_reach(DESTINATIONS, &second, "with all of them again");
+    installation.wait_until_all_deliver(DESTINATIONS, &second, "with all of them again");
 }
--- a/crates/daemon/tests/disconnects_and_restarts.rs
+++ b/crates/daemon/tests/disconnects_and_restarts.rs
@@ -1,11 +1,11 @@
 //! Pending messages and notifications when descriptors run out, or a process, client, watch or connection ends.
 
 use bellsill_daemon::journal::Recovered;
-use bellsill_test_support::client::{Client, fresh, put};
+use bellsill_test_support::client::{Client, new_id, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK, up};
 use bellsill_test_support::program;
-use bellsill_test_support::stand_in::{accept, crowded, request};
+use bellsill_test_support::stand_in::{accept, full_backlog, request};
 use bellsill_test_support::wait::wait_for;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -62,7 +62,7 @@
 /// Returns the ids of the messages in the journal.
 fn journaled_ids(process: &DispatcherProcess) -> BTreeSet<String> {
     process
-        .journaled()
+        .read_journal()
         .messages
         .iter()
         .map(|m| format!("{:016x}", m.id.0))
@@ -155,14 +155,14 @@
     for _ in 0..60 {
         let mut client = process.client();
         client
-            .to
+            .writer
             .set_read_timeout(Some(Duration::from_millis(200)))
             .unwrap();
         let mut line = String::new();
         let result = client
-            .to
+            .writer
             .write_all(b"PING\r\n")
-            .and_then(|()| client.from.read_line(&mut line));
+            .and_then(|()| client.reader.read_line(&mut line));
         clients.push(client);
         if result.is_err() || line != "+PONG\r\n" {
             return;
@@ -178,7 +178,7 @@
     destination: u64,
     ms: u64,
 ) -> String {
-    let (id, mut client) = (fresh(), Some(client));
+    let (id, mut client) = (new_id(), Some(client));
     let command = put(
         &id,
         &format!("c={class},d={ms},k=k{id},dest={destination}"),
@@ -187,13 +187,13 @@
     wait_for("the message to be accepted", || {
         let mut client = client.take().unwrap_or_else(|| process.client());
         client
-            .to
+            .writer
             .set_read_timeout(Some(Duration::from_secs(20)))
             .unwrap();
-        let sent = client.to.write_all(&command);
+        let sent = client.writer.write_all(&command);
         // A client that had waited to be accepted first gets the response to its earlier `PING`.
         let response = client
-            .from
+            .reader
             .lines()
             .map_while(Result::ok)
             .find(|line| !line.ends_with("PONG"));
@@ -217,7 +217,7 @@
         .arg("-c")
         .arg("ulimit -n 32 && exec \"$0\" \"$@\"");
     command.arg(served.get_program()).args(served.get_args());
-    process.start_by(command);
+    process.start_command(command);
 }
 
 #[test]
@@ -228,17 +228,17 @@
     );
     let mut process = DispatcherProcess::new(program!(), &[(&healthy, 7), (&failing, 8)]);
     let discovery = unused_addr(&process, 7100);
-    process.json["discovery"] = discovery.clone().into();
-    process.json["limits"]["sockets"] = json!(32);
-    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.config["discovery"] = discovery.clone().into();
+    process.config["limits"]["sockets"] = json!(32);
+    process.config["mgmt"] = process.admin_addr(0).into();
     start_with_32_descriptors(&mut process);
     let mut clients = Vec::new();
     fill_client_connections(&process, &mut clients);
     let client = clients.remove(0);
     let delivered = submit(&process, client, "payment", 7, 20_000);
-    wait_for("the message", || healthy.calls_of(&delivered) == 1);
+    wait_for("the message", || healthy.received(&delivered) == 1);
     fill_client_connections(&process, &mut clients);
-    assert!(process.call("ready")[0].starts_with("SUCCESS"));
+    assert!(process.admin("ready")[0].starts_with("SUCCESS"));
     wait_for("the metric of completed messages", || {
         process.metric("downstream_requests.payment.completed") == 1
     });
@@ -249,12 +249,12 @@
     });
     fill_client_connections(&process, &mut clients);
     assert!(
-        process.platform.since.lock().unwrap().is_empty()
+        process.platform.watch_requests.lock().unwrap().is_empty()
             && process.platform.notifications().is_empty()
     );
     forward(&discovery, &process.platform.addr);
     wait_for("the watch", || {
-        !process.platform.since.lock().unwrap().is_empty()
+        !process.platform.watch_requests.lock().unwrap().is_empty()
     });
     wait_for("the notification", || {
         process.platform.notification(&failed).is_some()
@@ -273,10 +273,10 @@
     let client = process.client();
     let last = submit(&process, client, "notice", 9, 19_000);
     wait_for("a message to the endpoint of the update", || {
-        healthy.calls_of(&last) == 1
+        healthy.received(&last) == 1
     });
     assert_eq!(
-        (healthy.calls_of(&delivered), failing.calls_of(&failed)),
+        (healthy.received(&delivered), failing.received(&failed)),
         (1, 1)
     );
     assert!(
@@ -290,9 +290,9 @@
     let healthy = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[]);
     // One endpoint refuses connections; at the other, connects hang.
-    let (refusing, (hanging, _filler)) = (unused_addr(&process, 7200), crowded());
+    let (refusing, (hanging, _filler)) = (unused_addr(&process, 7200), full_backlog());
     let hanging = hanging.local_addr().unwrap().to_string();
-    process.json["known"]["servers"] = json!([up("e0", &refusing, 7), up("e1", &hanging, 8)]);
+    process.config["known"]["servers"] = json!([up("e0", &refusing, 7), up("e1", &hanging, 8)]);
     process.start();
     let mut client = process.client();
     let mut messages = BTreeSet::new();
@@ -300,7 +300,7 @@
         let (class, ms) = [("payment", 23_000), ("notice", 19_000)][n % 2];
         messages.insert(client.message(class, 7 + n as u64 / 2 % 2, ms, "x"));
     }
-    let journaled = process.journaled();
+    let journaled = process.read_journal();
     assert!(
         journaled.messages.iter().all(|m| m.attempts.is_empty())
             && journaled.pending_notifications.is_empty()
@@ -309,16 +309,16 @@
     process.kill();
     assert_eq!(journaled_ids(&process), messages);
     forward(&refusing, &healthy.addr);
-    process.json["known"]["servers"][1]["addr"] = healthy.addr.clone().into();
+    process.config["known"]["servers"][1]["addr"] = healthy.addr.clone().into();
     process.start();
     wait_for("all messages", || {
-        messages.iter().all(|id| healthy.calls_of(id) > 0)
+        messages.iter().all(|id| healthy.received(id) > 0)
     });
     wait_for("the end of all messages", || {
-        process.journaled() == Recovered::default()
+        process.read_journal() == Recovered::default()
     });
     assert!(
-        messages.iter().all(|id| healthy.calls_of(id) == 1),
+        messages.iter().all(|id| healthy.received(id) == 1),
         "each message is sent once"
     );
     assert_eq!(process.platform.notifications(), Vec::<Value>::new());
@@ -329,7 +329,7 @@
     let healthy = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[]);
     let addr = unused_addr(&process, 7200);
-    process.json["known"]["servers"] = json!([up("e0", &addr, 7), up("e1", &addr, 8)]);
+    process.config["known"]["servers"] = json!([up("e0", &addr, 7), up("e1", &addr, 8)]);
     process.start();
     let mut other = process.client();
     let mut ids = Vec::new();
@@ -338,12 +338,12 @@
     for destination in [7, 8] {
         let mut commands = Vec::new();
         for _ in 0..200 {
-            ids.push(fresh());
+            ids.push(new_id());
             let fields = format!("c=payment,d=8000,dest={destination}");
             commands.extend(put(ids.last().unwrap(), &fields, "flood"));
         }
         let mut flood = process.client();
-        flood.to.write_all(&commands).unwrap();
+        flood.writer.write_all(&commands).unwrap();
         if destination == 7 {
             assert_eq!(flood.line(), "+OK");
             assert!(
@@ -361,11 +361,11 @@
     forward(&addr, &healthy.addr);
     wait_for("the end of all messages", || {
         assert_eq!(other.send(b"PING\r\n"), "+PONG");
-        process.journaled() == Recovered::default()
+        process.read_journal() == Recovered::default()
     });
     for id in &ids {
         let (delivered, notified) = (
-            healthy.calls_of(id),
+            healthy.received(id),
             process.platform.notification(id).is_some(),
         );
         assert!(delivered <= 1, "{id} was sent {delivered} times");
@@ -385,7 +385,7 @@
     let failing = Endpoint::start(Behavior::Responds("500 Oops"));
     let mut process = DispatcherProcess::new(program!(), &[(&failing, 7)]);
     let mut old = FakePlatform::start();
-    process.json["discovery"] = old.addr.clone().into();
+    process.config["discovery"] = old.addr.clone().into();
     process.start();
     let failed = process.client().message("payment", 7, 8000, "x");
     wait_for("the notification", || old.notified(&failed) >= 1);
@@ -393,19 +393,19 @@
     let before = old.notified(&failed);
     assert_eq!(process.client().send(b"PING\r\n"), "+PONG");
     process.kill();
-    assert_eq!(process.journaled().pending_notifications.len(), 1);
+    assert_eq!(process.read_journal().pending_notifications.len(), 1);
     let new = FakePlatform::start();
-    process.json["discovery"] = new.addr.clone().into();
+    process.config["discovery"] = new.addr.clone().into();
     process.start();
     wait_for("repeated notifications", || new.notified(&failed) >= 2);
     assert_eq!(
-        process.journaled().pending_notifications.len(),
+        process.read_journal().pending_notifications.len(),
         1,
         "the notification is not acknowledged"
     );
     new.acknowledges.store(true, Ordering::SeqCst);
     wait_for("the acknowledgement", || {
-        process.journaled() == Recovered::default()
+        process.read_journal() == Recovered::default()
     });
     assert!(new.posts.lock().unwrap().iter().all(|lines| {
         let line: Value = serde_json::from_str(lines).unwrap();
@@ -422,7 +422,7 @@
         (before, count)
     );
     assert_eq!(
-        (failing.calls_of(&failed), failing.calls_of(&later)),
+        (failing.received(&failed), failing.received(&later)),
         (1, 1)
     );
 }
@@ -436,7 +436,7 @@
     );
     let old = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut process = DispatcherProcess::new(program!(), &[(&known, 7)]);
-    process.json["discovery"] = old.local_addr().unwrap().to_string().into();
+    process.config["discovery"] = old.local_addr().unwrap().to_string().into();
     process.start();
     let mut watch = accept(&old);
     assert!(request(&mut watch).unwrap().0[0].starts_with("GET /api/targets?follow=1"));
@@ -446,14 +446,14 @@
     to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .unwrap();
     write_chunk(&mut to, "{\"version\": 50, \"servers\": [\n").unwrap();
-    process.json["discovery"] = process.platform.addr.clone().into();
+    process.config["discovery"] = process.platform.addr.clone().into();
     // Building the command writes the configuration file.
     drop(process.command("check"));
     process.signal(Signal::HUP);
     wait_for("the watch at the new address", || {
-        !process.platform.since.lock().unwrap().is_empty()
+        !process.platform.watch_requests.lock().unwrap().is_empty()
     });
-    assert!(process.platform.since.lock().unwrap()[0].contains("since=0 "));
+    assert!(process.platform.watch_requests.lock().unwrap()[0].contains("since=0 "));
     // The rest of the list, and a list in a single line. The writes fail if the connection is already closed.
     let entries = json!([late.entry("late7", 7, "up"), late.entry("late9", 9, "up")]);
     write_chunk(
@@ -477,28 +477,28 @@
     let mut client = process.client();
     let command = |destination: u64| {
         put(
-            &fresh(),
+            &new_id(),
             &format!("c=notice,d=19000,k=a{destination},dest={destination}"),
             "x",
         )
     };
     wait_for("the list update", || client.send(&command(11)) == "+OK");
-    wait_for("a message to the new endpoint", || !new.calls().is_empty());
+    wait_for("a message to a new endpoint", || !new.requests().is_empty());
     assert_eq!(client.send(&command(9)), "-ERR dest: unknown destination");
     for n in 1..=8 {
         client.message("payment", 7, 20_000, "x");
         wait_for("the message", || {
-            known.calls().len() + late.calls().len() == n
+            known.requests().len() + late.requests().len() == n
         });
     }
-    assert_eq!(late.calls().len(), 0);
+    assert_eq!(late.requests().len(), 0);
 }
 
 #[test]
 fn an_idle_connection_that_received_a_partial_line_is_not_reused() {
     let endpoint = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["known"]["servers"] =
+    process.config["known"]["servers"] =
         json!([up("e0", &endpoint.local_addr().unwrap().to_string(), 7)]);
     process.start();
     let mut client = process.client();
@@ -513,7 +513,7 @@
             .unwrap();
         // Once the message has ended, the response was read and the connection is idle.
         wait_for("the end of the message", || {
-            process.journaled().messages.is_empty()
+            process.read_journal().messages.is_empty()
         });
     };
     let write_partial_line =
@@ -533,11 +533,11 @@
     let mut second = accept(&endpoint);
     respond(&mut second, &c);
     // The partial line and the next message arrive at the same time.
-    let d = fresh();
+    let d = new_id();
     process.signal(Signal::STOP);
     write_partial_line(&mut second);
     client
-        .to
+        .writer
         .write_all(&put(&d, "c=payment,d=20000,dest=7", "x"))
         .unwrap();
     process.signal(Signal::CONT);
@@ -549,7 +549,7 @@
     let mut third = accept(&endpoint);
     respond(&mut third, &d);
     wait_for("the end of all messages", || {
-        process.journaled() == Recovered::default()
+        process.read_journal() == Recovered::default()
     });
     assert_eq!(process.platform.notifications(), Vec::<Value>::new());
 }
@@ -558,20 +558,20 @@
 fn an_attempt_in_flight_at_sigkill_is_retried_only_where_its_class_allows() {
     let hung = Endpoint::start(Behavior::Hangs);
     let mut process = DispatcherProcess::new(program!(), &[(&hung, 7)]);
-    process.json["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
+    process.config["settings"]["services"][0]["window-ns"] = json!(60_000_000_000u64);
     process.start();
     let mut client = process.client();
     let once = client.message("payment", 7, 23_000, "x");
     let idempotent = client.message("notice", 7, 19_000, "x");
     wait_for("both requests", || {
-        hung.calls_of(&once) == 1 && hung.calls_of(&idempotent) >= 1
+        hung.received(&once) == 1 && hung.received(&idempotent) >= 1
     });
     process.kill();
     hung.set_behavior(OK);
-    let before = hung.calls_of(&idempotent);
+    let before = hung.received(&idempotent);
     process.start();
     wait_for("the retry of the idempotent message", || {
-        hung.calls_of(&idempotent) > before
+        hung.received(&idempotent) > before
     });
     wait_for("the notification of the other message", || {
         process.platform.notification(&once).is_some()
@@ -581,11 +581,11 @@
         "dead"
     );
     wait_for("the end of all messages", || {
-        process.journaled() == Recovered::default()
+        process.read_journal() == Recovered::default()
     });
     let last = process.client().message("payment", 7, 20_000, "x");
-    wait_for("a later message", || hung.calls_of(&last) == 1);
-    assert_eq!(hung.calls_of(&once), 1, "the message may have run");
+    wait_for("a later message", || hung.received(&last) == 1);
+    assert_eq!(hung.received(&once), 1, "the message may have run");
     assert!(
         process.platform.notification(&idempotent).is_none(),
         "no notification is sent for a delivered message"
@@ -596,22 +596,22 @@
 fn an_attempt_with_an_idempotency_key_in_flight_at_sigkill_is_not_retried_after_its_window() {
     let hung = Endpoint::start(Behavior::Hangs);
     let mut process = DispatcherProcess::new(program!(), &[(&hung, 7)]);
-    process.json["settings"]["services"][0]["window-ns"] = json!(1_000_000_000);
+    process.config["settings"]["services"][0]["window-ns"] = json!(1_000_000_000);
     process.start();
     let id = process.client().message("notice", 7, 19_000, "x");
-    wait_for("the request", || hung.calls_of(&id) >= 1);
+    wait_for("the request", || hung.received(&id) >= 1);
     process.kill();
     hung.set_behavior(OK);
     // The journal does not change while no process runs. If the machine was suspended, the retry may already have been
     // sent before the kill.
-    let journaled = process.journaled();
+    let journaled = process.read_journal();
     let attempts = journaled
         .messages
         .first()
         .map(|m| m.attempts.iter().map(|c| c.sent_at).collect::<Vec<_>>());
     let before = attempts
         .as_ref()
-        .map_or_else(|| hung.calls_of(&id), Vec::len);
+        .map_or_else(|| hung.received(&id), Vec::len);
     let window_end = attempts.and_then(|c| c.last().copied()).unwrap_or(0) + 1_100_000_000;
     // The times in the journal are those of the dispatcher's clock.
     wait_for("the end of the deduplication window", || {
@@ -627,10 +627,10 @@
         "the message may have run"
     );
     let last = process.client().message("payment", 7, 20_000, "x");
-    wait_for("a later message", || hung.calls_of(&last) == 1);
+    wait_for("a later message", || hung.received(&last) == 1);
     assert!(
-        hung.calls_of(&id) <= before,
+        hung.received(&id) <= before,
         "{} after {before}",
-        hung.calls_of(&id)
+        hung.received(&id)
     );
 }
--- a/crates/daemon/tests/discovery_watch.rs
+++ b/crates/daemon/tests/discovery_watch.rs
@@ -1,6 +1,6 @@
 //! Tests of the watch on discovery: reconnecting after failures, and changing its address on SIGHUP.
 
-use bellsill_test_support::client::{fresh, put};
+use bellsill_test_support::client::{new_id, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK, up};
 use bellsill_test_support::platform::Platform;
@@ -38,13 +38,13 @@
     );
     wait_for("a message at the new endpoint", || {
         client.message("notice", 7, 8000, "to any endpoint");
-        !second.calls().is_empty()
+        !second.requests().is_empty()
     });
     for _ in 0..10 {
         client.message("notice", 7, 8000, "while the first drains");
     }
     let count_calls =
-        |e: &Endpoint, body: &str| e.calls().iter().filter(|c| c.body == body).count();
+        |e: &Endpoint, body: &str| e.requests().iter().filter(|c| c.body == body).count();
     wait_for("all messages at the second endpoint", || {
         count_calls(&second, "while the first drains") == 10
     });
@@ -56,7 +56,7 @@
     let since = || {
         process
             .platform
-            .since
+            .watch_requests
             .lock()
             .unwrap()
             .last()
@@ -78,7 +78,7 @@
 fn an_endpoint_with_duplicate_entries_gets_no_new_message_if_one_of_them_is_draining() {
     let (first, second) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut process = DispatcherProcess::new(program!(), &[(&first, 7), (&second, 7)]);
-    let servers = process.json["known"]["servers"].as_array_mut().unwrap();
+    let servers = process.config["known"]["servers"].as_array_mut().unwrap();
     let draining = first.entry("e0", 7, "draining");
     servers.insert(0, draining);
     let duplicate = second.entry("e1", 7, "up");
@@ -88,10 +88,10 @@
     for n in 1..9 {
         client.message("payment", 7, 8000, "x");
         wait_for("the message at the second endpoint", || {
-            second.calls().len() == n || !first.calls().is_empty()
+            second.requests().len() == n || !first.requests().is_empty()
         });
     }
-    assert_eq!(first.calls().len(), 0);
+    assert_eq!(first.requests().len(), 0);
 }
 
 /// Regression test for a fault seen with a scoped configuration: when an endpoint was relocated during an attempt, the
@@ -103,8 +103,8 @@
         Endpoint::start(OK),
     );
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
-    process.json["known"]["servers"] =
+    process.config["mgmt"] = process.admin_addr(0).into();
+    process.config["known"]["servers"] =
         vec![up("e0", &old.local_addr().unwrap().to_string(), 7)].into();
     process.start();
     let mut client = process.client();
@@ -128,7 +128,9 @@
         "the connection is closed without another request"
     );
     client.message("notice", 7, 8000, "after the relocation");
-    wait_for("the message at the new address", || new.calls().len() == 1);
+    wait_for("the message at the new address", || {
+        new.requests().len() == 1
+    });
 }
 
 #[test]
@@ -143,7 +145,7 @@
     wait_for("a reopened watch", || {
         process
             .platform
-            .since
+            .watch_requests
             .lock()
             .unwrap()
             .iter()
@@ -158,7 +160,10 @@
         Endpoint::start(OK),
     );
     let mut process = DispatcherProcess::new(program!(), &[(&failing, 7)]);
-    process.platform.deaf.store(true, Ordering::SeqCst);
+    process
+        .platform
+        .drop_notifications
+        .store(true, Ordering::SeqCst);
     process.start();
     process.platform.publish(&format!(
         "{}\n",
@@ -166,21 +171,21 @@
     ));
     let mut client = process.client();
     let id = client.message("payment", 7, 8000, "may have run");
-    wait_for("the attempt", || failing.calls().len() == 1);
+    wait_for("the attempt", || failing.requests().len() == 1);
     let old = std::mem::replace(&mut process.platform, Platform::start());
     // An invalid configuration changes nothing.
-    std::fs::write(process.folder.join("config.json"), "{\"listen\":").unwrap();
+    std::fs::write(process.dir.join("config.json"), "{\"listen\":").unwrap();
     process.signal(Signal::HUP);
     assert_eq!(client.send(b"PING\r\n"), "+PONG");
-    process.json["discovery"] = "nowhere".into();
+    process.config["discovery"] = "nowhere".into();
     drop(process.command("check"));
     process.signal(Signal::HUP);
     assert_eq!(client.send(b"PING\r\n"), "+PONG");
-    assert_eq!(process.platform.since.lock().unwrap().len(), 0);
+    assert_eq!(process.platform.watch_requests.lock().unwrap().len(), 0);
     // With a new discovery address, the watch is opened there from version 0 and pending notifications are sent there.
     // The changed `listen` is not applied.
-    process.json["discovery"] = process.platform.addr.clone().into();
-    process.json["listen"] = "127.0.0.1:1".into();
+    process.config["discovery"] = process.platform.addr.clone().into();
+    process.config["listen"] = "127.0.0.1:1".into();
     drop(process.command("check"));
     process.signal(Signal::HUP);
     wait_for("the notification", || {
@@ -190,10 +195,10 @@
         "{}\n",
         json!({"version": 3, "full": true, "servers": [other.entry("e1", 7, "up")]})
     ));
-    assert!(process.platform.since.lock().unwrap()[0].contains("since=0 "));
+    assert!(process.platform.watch_requests.lock().unwrap()[0].contains("since=0 "));
     wait_for("a message to an endpoint of the new list", || {
         client.message("notice", 7, 8000, "to any endpoint");
-        !other.calls().is_empty()
+        !other.requests().is_empty()
     });
     let mut end = [0];
     wait_for("the old watch to be closed", || {
@@ -238,10 +243,10 @@
 fn the_watch_is_opened_before_the_first_reply_to_a_client() {
     let (discovery, addr) = manual_discovery();
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["discovery"] = addr;
-    process.json["settings"]["balancers"] = json!(300);
+    process.config["discovery"] = addr;
+    process.config["settings"]["balancers"] = json!(300);
     // With a longer grace, the first request may be delayed by up to half of it.
-    process.json["settings"]["guarantees"]["drain-grace-ns"] = json!(0);
+    process.config["settings"]["guarantees"]["drain-grace-ns"] = json!(0);
     process.start();
     discovery.set_nonblocking(true).unwrap();
     assert!(discovery.accept().is_ok(), "the watch has not been opened");
@@ -251,7 +256,7 @@
 fn a_watch_with_an_unterminated_line_is_reopened() {
     let (discovery, addr) = manual_discovery();
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["discovery"] = addr;
+    process.config["discovery"] = addr;
     process.start();
     let (mut first, _) = accept_watch(&discovery);
     first.write_all(CHUNKED_RESPONSE_HEAD).unwrap();
@@ -285,7 +290,7 @@
     let (discovery, addr) = manual_discovery();
     let endpoint = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["discovery"] = addr;
+    process.config["discovery"] = addr;
     process.start();
     let (mut first, _) = accept_watch(&discovery);
     first.write_all(CHUNKED_RESPONSE_HEAD).unwrap();
@@ -299,11 +304,11 @@
         "the other request is closed"
     );
     wait_for("a message to an endpoint of the list", || {
-        let id = fresh();
+        let id = new_id();
         process
             .client()
             .send(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
-        !endpoint.calls().is_empty()
+        !endpoint.requests().is_empty()
     });
 }
 
@@ -322,10 +327,10 @@
         list(1, json!([]))
     ));
     wait_for("a message to an endpoint of the list", || {
-        let id = fresh();
+        let id = new_id();
         process
             .client()
             .send(&put(&id, &format!("c=notice,d=8000,k=k{id},dest=7"), "x"));
-        !endpoint.calls().is_empty()
+        !endpoint.requests().is_empty()
     });
 }
--- a/crates/daemon/tests/graceful_shutdown.rs
+++ b/crates/daemon/tests/graceful_shutdown.rs
@@ -1,6 +1,6 @@
 //! Tests that a dispatcher loses no message when it shuts down on SIGTERM, alone or during an upgrade to a new version.
 
-use bellsill_test_support::client::{Client, connect, fresh, put};
+use bellsill_test_support::client::{Client, connect, new_id, put};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::program;
@@ -20,12 +20,12 @@
     process.start();
     let mut client = process.client();
     let pending = client.message("notice", 7, 20_000, "pending");
-    wait_for("a rejected attempt", || process.never_ran(&pending));
+    wait_for("a rejected attempt", || process.attempt_never_ran(&pending));
     e.set_behavior(OK);
     process.signal(Signal::TERM);
     // For a short time new clients are still accepted, and connected ones are served. A request without a reply was
     // not read.
-    let late = fresh();
+    let late = new_id();
     let try_late = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect(&process.listen)?;
         stream.write_all(&put(&late, "c=notice,d=20000,k=l,dest=7", "late"))?;
@@ -42,7 +42,7 @@
     process.start();
     let last = process.client().message("notice", 7, 8000, "last");
     let count_calls = |id: &str| {
-        e.calls()
+        e.requests()
             .iter()
             .filter(|c| c.header("X-Trace-Id") == id)
             .count()
@@ -67,7 +67,7 @@
     });
     client.message("notice", 7, 8000, "after closing");
     wait_for("the message", || {
-        e.calls().iter().any(|c| c.body == "after closing")
+        e.requests().iter().any(|c| c.body == "after closing")
     });
     assert_eq!(client.line(), "", "the connection is closed");
     assert_eq!(
@@ -82,7 +82,7 @@
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
     let id = process.client().message("payment", 7, 20_000, "x");
-    wait_for("the attempt", || e.calls().len() == 1);
+    wait_for("the attempt", || e.requests().len() == 1);
     process.signal(Signal::TERM);
     let mut status = None;
     wait_for("the dispatcher to exit", || {
@@ -98,7 +98,7 @@
         process.platform.notification(&id).unwrap()["result"],
         "dead"
     );
-    assert_eq!(e.calls().len(), 1);
+    assert_eq!(e.requests().len(), 1);
 }
 
 /// Submits messages until `stop` is set, and records the ids of accepted ones.
@@ -107,16 +107,16 @@
     while !stop.load(Ordering::SeqCst) {
         // A client whose connection is closed between requests repeats its request on a new connection, with the same
         // id.
-        let id = fresh();
+        let id = new_id();
         let request = put(&id, "c=payment,d=20000,dest=7", "x");
         for _ in 0..100 {
             let Ok(mut client) = open.take().map_or_else(|| connect(listen), Ok) else {
                 continue;
             };
             let mut line = String::new();
-            let sent = client.to.write_all(&request);
+            let sent = client.writer.write_all(&request);
             if sent
-                .and_then(|()| client.from.read_line(&mut line))
+                .and_then(|()| client.reader.read_line(&mut line))
                 .is_ok_and(|n| n > 0)
             {
                 assert_eq!(line, "+OK\r\n");
@@ -133,8 +133,8 @@
 fn a_new_version_takes_over_under_load_and_each_message_is_delivered_once() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
-    process.json["settings"]["limits"]["max-open"] = json!(1000);
+    process.config["mgmt"] = process.admin_addr(0).into();
+    process.config["settings"]["limits"]["max-open"] = json!(1000);
     process.start();
     let (stop, accepted) = (
         Arc::new(AtomicBool::new(false)),
@@ -157,8 +157,8 @@
     };
     wait_for_accepted(40);
     let mut old = process.child.take().unwrap();
-    process.json["mgmt"] = process.mgmt_at(1).into();
-    process.start_beside();
+    process.config["mgmt"] = process.admin_addr(1).into();
+    process.start_second_process();
     wait_for_accepted(40);
     rustix::process::kill_process(rustix::process::Pid::from_child(&old), Signal::TERM).unwrap();
     assert_eq!(old.wait().unwrap().code(), Some(0));
@@ -167,10 +167,10 @@
     clients.into_iter().for_each(|c| c.join().unwrap());
     let accepted = accepted.lock().unwrap().clone();
     wait_for("all messages to be delivered", || {
-        e.calls().len() >= accepted.len() && process.metric("pending") == 0
+        e.requests().len() >= accepted.len() && process.metric("pending") == 0
     });
     let mut calls: Vec<String> = e
-        .calls()
+        .requests()
         .iter()
         .map(|c| c.header("X-Trace-Id").to_string())
         .collect();
--- a/crates/daemon/tests/guarantees.rs
+++ b/crates/daemon/tests/guarantees.rs
@@ -1,8 +1,8 @@
 //! The documented guarantees in their strictest reasonable interpretation, each tested at its limit.
 //! `docs/terms-audit.md` lists them by row.
 
-use bellsill_test_support::client::{Client, connect, fresh, put};
-use bellsill_test_support::dispatcher_process::{DispatcherProcess, OldProcess};
+use bellsill_test_support::client::{Client, connect, new_id, put};
+use bellsill_test_support::dispatcher_process::{DispatcherProcess, KillOnDrop};
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
 use bellsill_test_support::faults::{EINTR, EIO, ENOSPC, Faults, words};
 use bellsill_test_support::platform::Platform;
@@ -30,13 +30,13 @@
     process.start();
     let before = process.client().message("notice", 7, 8_000, "before");
     wait_for("the first message", || {
-        moving.calls_of(&before) + staying.calls_of(&before) == 1
+        moving.received(&before) + staying.received(&before) == 1
     });
     publish_delta(&process, 2, vec![moving.entry("e0", 8, "up")]);
     wait_for("the list update", || {
         process
             .client()
-            .send(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "update"))
+            .send(&put(&new_id(), "c=notice,d=8000,k=n,dest=8", "update"))
             == "+OK"
     });
     let mut client = process.client();
@@ -48,17 +48,17 @@
         .collect();
     wait_for("all messages", || {
         old.iter()
-            .all(|id| moving.calls_of(id) + staying.calls_of(id) == 1)
+            .all(|id| moving.received(id) + staying.received(id) == 1)
             && new
                 .iter()
-                .all(|id| moving.calls_of(id) + staying.calls_of(id) == 1)
+                .all(|id| moving.received(id) + staying.received(id) == 1)
     });
     assert!(
-        old.iter().all(|id| moving.calls_of(id) == 0),
+        old.iter().all(|id| moving.received(id) == 0),
         "an endpoint got a message of another destination"
     );
     assert!(
-        new.iter().all(|id| staying.calls_of(id) == 0),
+        new.iter().all(|id| staying.received(id) == 0),
         "an endpoint got a message of another destination"
     );
 }
@@ -76,12 +76,12 @@
         "c=notice,d=8000,k=a,k=b,dest=7",
         "c=notice,d=8000,k=a,dest=7,dest=7",
     ] {
-        let reply = client.send(&put(&fresh(), fields, "x"));
+        let reply = client.send(&put(&new_id(), fields, "x"));
         assert!(reply.starts_with("-ERR"), "{fields}: {reply}");
     }
     client.message("notice", 7, 8_000, "good");
-    wait_for("the valid message", || e.calls().len() == 1);
-    assert_eq!(e.calls()[0].body, "good");
+    wait_for("the valid message", || e.requests().len() == 1);
+    assert_eq!(e.requests()[0].body, "good");
 }
 
 /// Row L1: every request that is read gets a reply. A new connection that times out is closed without reading from
@@ -91,12 +91,12 @@
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
-    let request = put(&fresh(), "c=notice,d=8000,k=a,dest=7", "x");
+    let request = put(&new_id(), "c=notice,d=8000,k=a,dest=7", "x");
     let (mut silent, mut partial) = (process.client(), process.client());
-    partial.to.write_all(&request[..30]).unwrap();
+    partial.writer.write_all(&request[..30]).unwrap();
     let started_at = Instant::now();
     let mut reply = Vec::new();
-    partial.from.read_to_end(&mut reply).unwrap();
+    partial.reader.read_to_end(&mut reply).unwrap();
     assert!(
         reply.starts_with(b"-ERR"),
         "{:?}",
@@ -110,13 +110,13 @@
     );
     // The request arrives after the close. If it were read and discarded, the client could not tell that it is lost;
     // because it is left unread, the connection is reset.
-    silent.to.write_all(&request).ok();
+    silent.writer.write_all(&request).ok();
     let mut reset = false;
     wait_for("the connection reset", || {
-        reset = silent.to.write_all(b"PING\r\n").is_err();
+        reset = silent.writer.write_all(b"PING\r\n").is_err();
         reset
     });
-    assert!(reset && e.calls().is_empty());
+    assert!(reset && e.requests().is_empty());
 }
 
 /// Row T6: startup waits while the state directory fails, and accepts no clients until then.
@@ -124,10 +124,10 @@
 fn a_start_waits_for_a_failing_state_directory_and_loses_nothing() {
     let e = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1"));
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    let faults = Faults::new(&process.folder, 1);
-    process.start_with(&faults);
+    let faults = Faults::new(&process.dir, 1);
+    process.start_with_faults(&faults);
     let pending = process.client().message("payment", 7, 20_000, "pending");
-    wait_for("the rejection", || process.never_ran(&pending));
+    wait_for("the rejection", || process.attempt_never_ran(&pending));
     process.kill();
     e.set_behavior(OK);
     for (word, errno) in [
@@ -137,7 +137,7 @@
     ] {
         faults.ask(word, errno);
     }
-    process.spawn_with(&faults);
+    process.spawn_with_faults(&faults);
     let started_at = Instant::now();
     while started_at.elapsed() < Duration::from_millis(1_500) {
         assert!(
@@ -158,7 +158,7 @@
     }
     faults.heal_folder();
     faults.ask(words::READ_ERRNO, 0);
-    wait_for("the pending message", || e.calls_of(&pending) == 2);
+    wait_for("the pending message", || e.received(&pending) == 2);
     assert_eq!(process.platform.notification(&pending), None);
 }
 
@@ -168,14 +168,14 @@
 fn an_adopted_journal_that_was_not_emptied_is_not_adopted_again() {
     let hung = Endpoint::start(Behavior::Hangs);
     let mut process = DispatcherProcess::new(program!(), &[(&hung, 7)]);
-    let faults = Faults::new(&process.folder, 1);
-    process.start_with(&faults);
+    let faults = Faults::new(&process.dir, 1);
+    process.start_with_faults(&faults);
     let mut client = process.client();
     let idempotent = client.message("notice", 7, 20_000, "idempotent");
-    wait_for("the request", || hung.calls_of(&idempotent) == 1);
-    let mut old = OldProcess(process.child.take().unwrap());
-    process.start_with(&faults);
-    let state = process.folder.join("state");
+    wait_for("the request", || hung.received(&idempotent) == 1);
+    let mut old = KillOnDrop(process.child.take().unwrap());
+    process.start_with_faults(&faults);
+    let state = process.dir.join("state");
     wait_for("the journal of the new process", || {
         state.join("mails.1").exists()
     });
@@ -183,10 +183,10 @@
     hung.set_behavior(OK);
     old.kill();
     wait_for("the retry of the message", || {
-        hung.calls_of(&idempotent) == 2
+        hung.received(&idempotent) == 2
     });
     wait_for("the end of the message", || {
-        process.journaled_in("mails.1") == Default::default()
+        process.read_journal_in("mails.1") == Default::default()
     });
     assert!(
         state.join("mails").exists(),
@@ -194,12 +194,12 @@
     );
     process.kill();
     faults.heal_folder();
-    process.start_with(&faults);
+    process.start_with_faults(&faults);
     let last = process.client().message("payment", 7, 20_000, "last");
-    wait_for("a later message", || hung.calls_of(&last) == 1);
+    wait_for("a later message", || hung.received(&last) == 1);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        hung.calls_of(&idempotent),
+        hung.received(&idempotent),
         2,
         "the message was adopted again"
     );
@@ -211,11 +211,11 @@
 fn an_endpoint_is_disabled_though_the_list_cannot_be_written() {
     let (disabled, other) = (Endpoint::start(OK), Endpoint::start(OK));
     let mut process = DispatcherProcess::new(program!(), &[(&disabled, 7), (&other, 7)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
-    let faults = Faults::new(&process.folder, 1);
-    process.start_with(&faults);
+    process.config["mgmt"] = process.admin_addr(0).into();
+    let faults = Faults::new(&process.dir, 1);
+    process.start_with_faults(&faults);
     faults.ask(words::OPEN_ERRNO, ENOSPC);
-    process.call("disable-server e0");
+    process.admin("disable-server e0");
     std::thread::sleep(Duration::from_secs(1));
     let mut client = process.client();
     let ids: Vec<String> = (0..10)
@@ -223,27 +223,27 @@
         .collect();
     wait_for("all messages", || {
         ids.iter()
-            .all(|id| other.calls_of(id) + disabled.calls_of(id) == 1)
+            .all(|id| other.received(id) + disabled.received(id) == 1)
     });
-    assert!(disabled.calls().is_empty(), "the endpoint is disabled");
+    assert!(disabled.requests().is_empty(), "the endpoint is disabled");
     // Once the directory works again, the list is written and a restart keeps the endpoint disabled.
     faults.heal_folder();
     wait_for("the list of disabled endpoints", || {
-        std::fs::read_to_string(process.folder.join("state/held-out"))
+        std::fs::read_to_string(process.dir.join("state/held-out"))
             .is_ok_and(|text| text.contains("e0"))
     });
     process.kill();
-    process.start_with(&faults);
+    process.start_with_faults(&faults);
     let mut client = process.client();
     let ids: Vec<String> = (0..10)
         .map(|_| client.message("notice", 7, 8_000, "x"))
         .collect();
     wait_for("all messages", || {
         ids.iter()
-            .all(|id| other.calls_of(id) + disabled.calls_of(id) == 1)
+            .all(|id| other.received(id) + disabled.received(id) == 1)
     });
     assert!(
-        disabled.calls().is_empty(),
+        disabled.requests().is_empty(),
         "the endpoint is still disabled after the restart"
     );
 }
@@ -259,17 +259,17 @@
     let newcomer = Endpoint::start(OK);
     publish_delta(&process, 2, vec![entry, newcomer.entry("e2", 8, "up")]);
     wait_for("the list update", || {
-        client.send(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "update")) == "+OK"
+        client.send(&put(&new_id(), "c=notice,d=8000,k=n,dest=8", "update")) == "+OK"
     });
     let ids: Vec<String> = (0..10)
         .map(|_| client.message("notice", 7, 8_000, "x"))
         .collect();
     wait_for("all messages", || {
         ids.iter()
-            .all(|id| other.calls_of(id) + draining.calls_of(id) == 1)
+            .all(|id| other.received(id) + draining.received(id) == 1)
     });
     assert!(
-        ids.iter().all(|id| draining.calls_of(id) == 0),
+        ids.iter().all(|id| draining.received(id) == 0),
         "a draining endpoint gets no messages"
     );
 }
@@ -281,11 +281,11 @@
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
     let pending = process.client().message("payment", 7, 20_000, "pending");
-    wait_for("the rejection", || process.never_ran(&pending));
+    wait_for("the rejection", || process.attempt_never_ran(&pending));
     process.kill();
     e.set_behavior(OK);
-    let before = e.calls_of(&pending);
-    process.json["settings"]["services"]
+    let before = e.received(&pending);
+    process.config["settings"]["services"]
         .as_array_mut()
         .unwrap()
         .pop();
@@ -294,8 +294,8 @@
         process.platform.notification(&pending).is_some()
     });
     let last = process.client().message("notice", 7, 8_000, "last");
-    wait_for("a later message", || e.calls_of(&last) == 1);
-    assert_eq!(e.calls_of(&pending), before);
+    wait_for("a later message", || e.received(&last) == 1);
+    assert_eq!(e.received(&pending), before);
 }
 
 /// Row K1: the state directory, including the list of disabled endpoints, never exceeds its size limit, also while an
@@ -306,10 +306,10 @@
     // Messages end quickly, so both journals fill up with ended messages.
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["limits"]["disk_mb"] = json!(LIMIT as f64 / 1e6);
+    process.config["limits"]["disk_mb"] = json!(LIMIT as f64 / 1e6);
     process.start();
     let body = "x".repeat(30_000);
-    let state = process.folder.join("state");
+    let state = process.dir.join("state");
     let used = move || -> u64 {
         let files = std::fs::read_dir(&state).unwrap().flatten();
         files
@@ -319,7 +319,7 @@
     let accepted = AtomicUsize::new(0);
     let fill = |client: &mut Client| {
         for _ in 0..12 {
-            let reply = client.send(&put(&fresh(), "c=payment,d=20000,k=x,dest=7", &body));
+            let reply = client.send(&put(&new_id(), "c=payment,d=20000,k=x,dest=7", &body));
             assert!(used() <= LIMIT, "{} bytes of {LIMIT}", used());
             accepted.fetch_add(usize::from(reply == "+OK"), Ordering::SeqCst);
             std::thread::sleep(Duration::from_millis(8));
@@ -327,9 +327,9 @@
     };
     let mut first = process.client();
     fill(&mut first);
-    let mut old = OldProcess(process.child.take().unwrap());
-    process.json["mgmt"] = process.mgmt_at(1).into();
-    process.start_beside();
+    let mut old = KillOnDrop(process.child.take().unwrap());
+    process.config["mgmt"] = process.admin_addr(1).into();
+    process.start_second_process();
     // Each connection goes to one of the two processes; with this many, both get some.
     for _ in 0..24 {
         fill(&mut process.client());
@@ -353,8 +353,7 @@
             "{} bytes of {LIMIT} during adoption",
             used()
         );
-        !process.folder.join("state/mails").exists()
-            || !process.folder.join("state/mails.1").exists()
+        !process.dir.join("state/mails").exists() || !process.dir.join("state/mails.1").exists()
     });
 }
 
@@ -364,15 +363,15 @@
 fn an_interrupted_connect_is_not_a_failure() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    let faults = Faults::new(&process.folder, 1);
-    process.start_with(&faults);
+    let faults = Faults::new(&process.dir, 1);
+    process.start_with_faults(&faults);
     faults.ask(words::CONNECT_ERRNO, EINTR);
     let id = process.client().message("payment", 7, 3_000, "x");
     wait_for("the end of the message", || {
-        e.calls_of(&id) > 0 || process.platform.notification(&id).is_some()
+        e.received(&id) > 0 || process.platform.notification(&id).is_some()
     });
     assert_eq!(
-        (e.calls_of(&id), process.platform.notification(&id)),
+        (e.received(&id), process.platform.notification(&id)),
         (1, None)
     );
     assert!(
@@ -388,20 +387,20 @@
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
     process.start();
-    let id = fresh();
+    let id = new_id();
     let request = put(&id, "c=payment,d=8000,dest=7", "once");
     assert_eq!(process.client().send(&request), "+OK");
     wait_for("the end of the message", || {
-        e.calls_of(&id) == 1 && process.journaled() == Default::default()
+        e.received(&id) == 1 && process.read_journal() == Default::default()
     });
     assert_eq!(process.client().send(&request), "+OK");
     process.kill();
     process.start();
     assert_eq!(process.client().send(&request), "+OK");
     let last = process.client().message("notice", 7, 8_000, "last");
-    wait_for("a later message", || e.calls_of(&last) == 1);
+    wait_for("a later message", || e.received(&last) == 1);
     assert_eq!(
-        (e.calls_of(&id), process.platform.notification(&id)),
+        (e.received(&id), process.platform.notification(&id)),
         (1, None)
     );
 }
@@ -416,11 +415,11 @@
     process.start();
     let mut client = process.client();
     client.message("notice", 7, 8_000, "first");
-    wait_for("the rejection", || e.calls().len() == 1);
+    wait_for("the rejection", || e.requests().len() == 1);
     let rejected_at = Instant::now();
     e.set_behavior(OK);
     client.message("notice", 7, 8_000, "second");
-    wait_for("the next request", || e.calls().len() > 1);
+    wait_for("the next request", || e.requests().len() > 1);
     assert!(
         rejected_at.elapsed() > Duration::from_millis(1_350),
         "next request after {:?}",
@@ -433,10 +432,10 @@
 fn a_start_waits_for_its_listeners() {
     let e = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
-    let faults = Faults::new(&process.folder, 1);
+    process.config["mgmt"] = process.admin_addr(0).into();
+    let faults = Faults::new(&process.dir, 1);
     faults.ask(words::SOCKET_PERMILLE, 1_000);
-    process.spawn_with(&faults);
+    process.spawn_with_faults(&faults);
     wait_for("failures to create sockets", || {
         faults.count(words::SOCKET_FAULTS) > 3
     });
@@ -453,8 +452,8 @@
     faults.ask(words::SOCKET_PERMILLE, 0);
     wait_for("the listener", || connect(&process.listen).is_ok());
     let id = process.client().message("payment", 7, 8_000, "x");
-    wait_for("the message", || e.calls_of(&id) == 1);
-    assert!(process.call("ready")[0].starts_with("SUCCESS"));
+    wait_for("the message", || e.received(&id) == 1);
+    assert!(process.admin("ready")[0].starts_with("SUCCESS"));
 }
 
 /// Row W3: a `Retry-After` still applies to an endpoint after the list changes its zone.
@@ -463,11 +462,11 @@
     let e = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 2"));
     let other = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["known"]["servers"][0]["kind"] = json!("banks");
+    process.config["known"]["servers"][0]["kind"] = json!("banks");
     process.start();
     let mut client = process.client();
     client.message("notice", 7, 8_000, "first");
-    wait_for("the rejection", || e.calls().len() == 1);
+    wait_for("the rejection", || e.requests().len() == 1);
     let rejected_at = Instant::now();
     e.set_behavior(OK);
     let mut moved = e.entry("e0", 7, "up");
@@ -476,11 +475,11 @@
     wait_for("the list update", || {
         process
             .client()
-            .send(&put(&fresh(), "c=notice,d=8000,k=n,dest=8", "update"))
+            .send(&put(&new_id(), "c=notice,d=8000,k=n,dest=8", "update"))
             == "+OK"
     });
     client.message("notice", 7, 8_000, "second");
-    wait_for("the next request", || e.calls().len() > 1);
+    wait_for("the next request", || e.requests().len() > 1);
     assert!(
         rejected_at.elapsed() > Duration::from_millis(1_850),
         "next request after {:?}",
@@ -496,7 +495,7 @@
     process.start();
     let platforms: Vec<Platform> = (0..4).map(|_| Platform::start()).collect();
     for platform in &platforms {
-        process.json["discovery"] = platform.addr.clone().into();
+        process.config["discovery"] = platform.addr.clone().into();
         // Building the command writes the configuration file.
         drop(process.command("serve"));
         process.signal(Signal::HUP);
@@ -514,17 +513,17 @@
         signalled.elapsed()
     );
     std::thread::sleep(Duration::from_secs(4).saturating_sub(signalled.elapsed()));
-    let before = leaving.calls().len();
+    let before = leaving.requests().len();
     let mut client = process.client();
     let ids: Vec<String> = (0..10)
         .map(|_| client.message("notice", 7, 8_000, "x"))
         .collect();
     wait_for("all messages", || {
         ids.iter()
-            .all(|id| staying.calls_of(id) + leaving.calls_of(id) == 1)
+            .all(|id| staying.received(id) + leaving.received(id) == 1)
     });
     assert_eq!(
-        leaving.calls().len(),
+        leaving.requests().len(),
         before,
         "a draining endpoint gets no messages"
     );
@@ -538,10 +537,10 @@
 fn messages_of_one_key_are_sent_in_order_over_a_restart() {
     let e = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 0.4"));
     let mut process = DispatcherProcess::new(program!(), &[(&e, 7)]);
-    process.json["settings"]["services"][0]["in-turn"] = json!(true);
+    process.config["settings"]["services"][0]["in-turn"] = json!(true);
     process.start();
     let mut client = process.client();
-    let ids: Vec<String> = (0..6).map(|_| fresh()).collect();
+    let ids: Vec<String> = (0..6).map(|_| new_id()).collect();
     for id in &ids {
         let request =
             String::from_utf8(put(id, &format!("c=notice,d=15000,k={id},dest=7"), "x")).unwrap();
@@ -549,19 +548,19 @@
         let request = request.replacen("0000000000000000", "00000000000000aa", 1);
         assert_eq!(client.send(request.as_bytes()), "+OK");
     }
-    wait_for("the rejection", || process.never_ran(&ids[0]));
+    wait_for("the rejection", || process.attempt_never_ran(&ids[0]));
     process.kill();
     e.set_behavior(OK);
-    let before = e.calls().len();
+    let before = e.requests().len();
     process.start();
     wait_for("all messages", || {
         ids.iter().all(|id| {
-            e.calls()[before..]
+            e.requests()[before..]
                 .iter()
                 .any(|c| c.header("X-Trace-Id") == *id)
         })
     });
-    let order: Vec<String> = e.calls()[before..]
+    let order: Vec<String> = e.requests()[before..]
         .iter()
         .map(|c| c.header("X-Trace-Id").to_string())
         .collect();
@@ -576,7 +575,7 @@
     process.start();
     let started_at = Instant::now();
     let mut huge = process.client();
-    let mut to = huge.to.try_clone().unwrap();
+    let mut to = huge.writer.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
         to.write_all(
             b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$16\r\n00000000000000bb\r\n",
@@ -590,9 +589,9 @@
     let other = process
         .client()
         .message("notice", 7, 8_000, "of another client");
-    wait_for("the message of another client", || e.calls_of(&other) == 1);
+    wait_for("the message of another client", || e.received(&other) == 1);
     let mut reply = Vec::new();
-    huge.from.read_to_end(&mut reply).ok();
+    huge.reader.read_to_end(&mut reply).ok();
     assert!(
         started_at.elapsed() < Duration::from_secs(6),
         "{:?}",
@@ -600,5 +599,5 @@
     );
     drop(huge);
     sender.join().unwrap();
-    assert_eq!(e.calls().len(), 1);
+    assert_eq!(e.requests().len(), 1);
 }
--- a/crates/daemon/tests/scoped_configuration.rs
+++ b/crates/daemon/tests/scoped_configuration.rs
@@ -1,6 +1,6 @@
 //! Tests of a dispatcher with a scoped configuration, which it gets from a stand-in for a control process.
 
-use bellsill_test_support::client::{fresh, put};
+use bellsill_test_support::client::{new_id, put};
 use bellsill_test_support::control_stand_in::{BUCKETS, Control};
 use bellsill_test_support::dispatcher_process::DispatcherProcess;
 use bellsill_test_support::endpoint::{Behavior, Endpoint, OK};
@@ -18,8 +18,8 @@
 impl ScopedDispatcher {
     fn new(control: &[&str], cache_destinations: usize) -> ScopedDispatcher {
         let mut process = DispatcherProcess::new(program!(), &[]);
-        process.json["mgmt"] = process.mgmt_at(0).into();
-        let installation = process.folder.join("installation.toml");
+        process.config["mgmt"] = process.admin_addr(0).into();
+        let installation = process.dir.join("installation.toml");
         let addresses: Vec<String> = control.iter().map(|addr| format!("{addr:?}")).collect();
         let text = format!(
             "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [{}]\nbuckets_per_region = {BUCKETS}\n\
@@ -42,7 +42,7 @@
 
     fn start(&mut self) {
         let command = self.command();
-        self.process.start_by(command);
+        self.process.start_command(command);
     }
 
     /// Stops the process with SIGTERM, on which it saves its scope file.
@@ -60,7 +60,7 @@
 
 fn count_calls(endpoint: &Endpoint, body: &str) -> usize {
     endpoint
-        .calls()
+        .requests()
         .iter()
         .filter(|call| call.body == body)
         .count()
@@ -84,7 +84,7 @@
         dispatcher
             .process
             .client()
-            .send(&put(&fresh(), &fields, body));
+            .send(&put(&new_id(), &fields, body));
         // The limit on pending messages is low.
         std::thread::sleep(std::time::Duration::from_millis(50));
         count_calls(endpoint, body) > 0
@@ -127,7 +127,7 @@
         accepted.push(body);
     }
     wait_for("failed lookups", || control.lookup_queries().len() > 1);
-    assert!(endpoint.calls().is_empty());
+    assert!(endpoint.requests().is_empty());
     control.fail_lookups(false);
     accepted
         .iter()
@@ -166,8 +166,8 @@
         .process
         .client()
         .message("notice", 7, 20_000, "waits");
-    wait_for("a first attempt", || !endpoint.calls().is_empty());
-    control.take_buckets_away();
+    wait_for("a first attempt", || !endpoint.requests().is_empty());
+    control.reassign_buckets();
     wait_for("the buckets to be lost", || {
         dispatcher.scope("complete_buckets") == 0
     });
@@ -196,7 +196,7 @@
         dispatcher.process.platform.notification(&id).is_some()
     });
     assert!(!control.lookup_queries().is_empty());
-    let reply = client.send(&put(&fresh(), "c=payment,d=1000,k=,dest=47", "x"));
+    let reply = client.send(&put(&new_id(), "c=payment,d=1000,k=,dest=47", "x"));
     assert_eq!(reply, "-ERR dest: unknown destination");
     // A destination that is created later is served.
     let endpoint = Endpoint::start(OK);
@@ -240,7 +240,7 @@
     let reachable = ScopedDispatcher::new(&[&control.addr], 8);
     std::fs::copy(&reachable.installation, &dispatcher.installation).unwrap();
     dispatcher.start();
-    let query = control.next_watch(1);
+    let query = control.wait_for_watch_query(1);
     assert!(
         query.contains("since=2&log=c0ffee&dispatcher=d1&buckets=0,1,2,3&cells=47"),
         "{query}"
@@ -257,14 +257,17 @@
         dispatcher.scope("complete_buckets") == u64::from(BUCKETS)
     });
     dispatcher.stop();
-    let file = dispatcher.process.folder.join("state/scope");
+    let file = dispatcher.process.dir.join("state/scope");
     let mut bytes = std::fs::read(&file).unwrap();
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(&file, bytes).unwrap();
     dispatcher.start();
     assert_eq!(dispatcher.scope("refused_files"), 1);
-    assert_eq!(control.next_watch(1), "follow=1&since=0&dispatcher=d1");
+    assert_eq!(
+        control.wait_for_watch_query(1),
+        "follow=1&since=0&dispatcher=d1"
+    );
     submit_until_delivered(&dispatcher, &endpoint, 7, "fetched again");
 }
 
@@ -301,7 +304,7 @@
     control.end_watches();
     assert!(
         control
-            .next_watch(1)
+            .wait_for_watch_query(1)
             .ends_with("buckets=0,1,2,3&cells=41,42")
     );
     // An evicted destination is looked up again when a message needs it.
@@ -340,7 +343,7 @@
     dispatcher.start();
     let mut client = dispatcher.process.client();
     client.message("notice", 40, 20_000, "waits");
-    wait_for("a first attempt", || !full.calls().is_empty());
+    wait_for("a first attempt", || !full.requests().is_empty());
     let completed = || {
         dispatcher
             .process
@@ -376,7 +379,7 @@
     control.send_snapshot_line();
     assert!(
         control
-            .next_watch(1)
+            .wait_for_watch_query(1)
             .contains("since=1&log=c0ffee&dispatcher=d1&buckets=0,1,2,3")
     );
     assert_eq!(
@@ -393,7 +396,7 @@
 fn the_known_list_is_used_where_there_is_no_scope_file() {
     let endpoint = Endpoint::start(OK);
     let mut dispatcher = ScopedDispatcher::new(&["127.0.0.1:1"], 8);
-    dispatcher.process.json["known"]["servers"] = vec![endpoint.entry("e0", 7, "up")].into();
+    dispatcher.process.config["known"]["servers"] = vec![endpoint.entry("e0", 7, "up")].into();
     dispatcher.start();
     dispatcher
         .process
--- a/crates/daemon/tests/stepped_clock.rs
+++ b/crates/daemon/tests/stepped_clock.rs
@@ -18,7 +18,7 @@
 /// The messages that had an attempt in flight when the process was killed. They may have run, and their class allows at
 /// most one run, so they must fail.
 fn interrupted_messages(process: &DispatcherProcess, ids: &[String]) -> Vec<String> {
-    let messages = process.journaled().messages;
+    let messages = process.read_journal().messages;
     let is_interrupted = |id: &&String| {
         let message = messages.iter().find(|m| format!("{:016x}", m.id.0) == **id);
         message.is_some_and(|m| m.attempts.iter().any(|a| a.may_have_run.is_none()))
@@ -37,7 +37,7 @@
     wait_for("the ends of the long-lived messages", || {
         long_lived.iter().all(|id| {
             let notified = process.platform.notification(id).is_some();
-            notified || (recovering.calls_of(id) >= 1 && !interrupted.contains(id))
+            notified || (recovering.received(id) >= 1 && !interrupted.contains(id))
         })
     });
     let failed: Vec<String> = long_lived
@@ -60,9 +60,9 @@
         program!(),
         &[(&recovering, 7), (&rejecting, 8), (&hanging, 9)],
     );
-    process.json["settings"]["services"][0]["window-ns"] = json!(WINDOW.as_nanos() as u64);
-    let faults = Faults::new(&process.folder, 1);
-    process.start_with(&faults);
+    process.config["settings"]["services"][0]["window-ns"] = json!(WINDOW.as_nanos() as u64);
+    let faults = Faults::new(&process.dir, 1);
+    process.start_with_faults(&faults);
     let mut client = process.client();
     let long_lived: Vec<String> = (0..10)
         .map(|_| client.message("payment", 7, 20_000, "long-lived"))
@@ -73,17 +73,17 @@
     let short_lived_deadline = Instant::now() + Duration::from_millis(3_000);
     let idempotent = client.message("notice", 9, 19_000, "idempotent");
     wait_for("the attempt that hangs", || {
-        hanging.calls_of(&idempotent) == 1
+        hanging.received(&idempotent) == 1
     });
     let attempted_at = Instant::now();
-    wait_for("a rejection", || process.never_ran(&long_lived[0]));
+    wait_for("a rejection", || process.attempt_never_ran(&long_lived[0]));
     process.kill();
     let interrupted = interrupted_messages(&process, &long_lived);
     faults.step_wall_clock(step_seconds);
     recovering.set_behavior(OK);
     // The deduplication window of the idempotent message ends while no process runs.
     std::thread::sleep((WINDOW + DEADLINE_TOLERANCE).saturating_sub(attempted_at.elapsed()));
-    process.start_with(&faults);
+    process.start_with_faults(&faults);
     let restarted_at = Instant::now();
     wait_for("the notifications of the short-lived messages", || {
         short_lived
@@ -105,7 +105,7 @@
         step_seconds,
     );
     assert_eq!(
-        hanging.calls_of(&idempotent),
+        hanging.received(&idempotent),
         1,
         "{step_seconds} s: sent again after its window"
     );
@@ -123,18 +123,18 @@
     let recovering = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 0.5"));
     let rejecting = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
     let mut process = DispatcherProcess::new(program!(), &[(&recovering, 7), (&rejecting, 8)]);
-    let faults = Faults::new(&process.folder, 1);
+    let faults = Faults::new(&process.dir, 1);
     // The monotonic clock of the first process is ahead of that of the second, as before a reboot of the machine.
     faults.ask(words::MONOTONIC_SHIFT_SECONDS, 100_000);
-    process.start_with(&faults);
+    process.start_with_faults(&faults);
     let mut client = process.client();
     let long_lived = client.message("payment", 7, 20_000, "long-lived");
     let short_lived = client.message("notice", 8, 2_000, "short-lived");
-    wait_for("a rejection", || process.never_ran(&long_lived));
+    wait_for("a rejection", || process.attempt_never_ran(&long_lived));
     process.kill();
     faults.ask(words::MONOTONIC_SHIFT_SECONDS, 0);
     recovering.set_behavior(OK);
-    process.start_with(&faults);
+    process.start_with_faults(&faults);
     let restarted_at = Instant::now();
     wait_for("the notification of the short-lived message", || {
         process.platform.notification(&short_lived).is_some()
@@ -145,7 +145,7 @@
         restarted_at.elapsed()
     );
     wait_for("the second attempt of the long-lived message", || {
-        recovering.calls_of(&long_lived) >= 2
+        recovering.received(&long_lived) >= 2
     });
     assert_eq!(process.platform.notification(&long_lived), None);
 }
--- a/crates/daemon/tests/stored_data.rs
+++ b/crates/daemon/tests/stored_data.rs
@@ -191,9 +191,9 @@
 #[test]
 fn the_scope_file_is_read() {
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
-    std::fs::copy(fixture("scope"), process.folder.join("state/scope")).unwrap();
-    let installation = process.folder.join("installation.toml");
+    process.config["mgmt"] = process.admin_addr(0).into();
+    std::fs::copy(fixture("scope"), process.dir.join("state/scope")).unwrap();
+    let installation = process.dir.join("installation.toml");
     // No process listens on the address of the control process.
     let text = "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [\"127.0.0.1:1\"]\nbuckets_per_region = 4\n\
         cache_destinations = 8\n\
@@ -201,7 +201,7 @@
     std::fs::write(&installation, text).unwrap();
     let mut command = process.command("serve");
     command.arg("--installation").arg(&installation);
-    process.start_by(command);
+    process.start_command(command);
     let metric = |name: &str| process.metric(&format!("scope.{name}"));
     assert_eq!((metric("destinations"), metric("cached")), (3, 1));
     assert_eq!((metric("version"), metric("refused_files")), (3, 0));
--- a/crates/daemon/tests/wire_bytes.rs
+++ b/crates/daemon/tests/wire_bytes.rs
@@ -102,7 +102,7 @@
 fn requests_to_endpoints_have_the_recorded_bytes() {
     let endpoint = RecordingServer::start(|_| "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let mut process = DispatcherProcess::new(program!(), &[]);
-    process.json["known"]["servers"] = json!([up("e0", &endpoint.address, 7)]);
+    process.config["known"]["servers"] = json!([up("e0", &endpoint.address, 7)]);
     process.start();
     let mut client = process.client();
     let tagged = put(
@@ -128,7 +128,7 @@
 fn replies_to_clients_have_the_recorded_bytes() {
     let hung = Endpoint::start(Behavior::Hangs);
     let mut process = DispatcherProcess::new(program!(), &[(&hung, 7)]);
-    process.json["settings"]["limits"]["max-open"] = json!(4);
+    process.config["settings"]["limits"]["max-open"] = json!(4);
     process.start();
     let long = "x".repeat(2000);
     let commands: Vec<Vec<u8>> = vec![
@@ -170,9 +170,9 @@
     ];
     let replies = commands.iter().map(|command| {
         let mut client = process.client();
-        client.to.write_all(command).unwrap();
+        client.writer.write_all(command).unwrap();
         let mut reply = String::new();
-        client.from.read_line(&mut reply).unwrap();
+        client.reader.read_line(&mut reply).unwrap();
         let shown: String = String::from_utf8_lossy(command).chars().take(90).collect();
         format!("{} => {}\n", shown.escape_debug(), reply.escape_debug())
     });
@@ -186,7 +186,7 @@
     let full = Endpoint::start(Behavior::Responds("429 Full\r\nRetry-After: 1000"));
     let platform = RecordingServer::start(platform_response);
     let mut process = DispatcherProcess::new(program!(), &[(&failing, 7), (&full, 99)]);
-    process.json["discovery"] = platform.address.clone().into();
+    process.config["discovery"] = platform.address.clone().into();
     process.start();
     let mut client = process.client();
     client.send(&put(
@@ -233,7 +233,7 @@
 
 /// Starts a dispatcher with a scoped configuration that follows this control process.
 fn start_scoped(process: &mut DispatcherProcess, control: &str) {
-    let installation = process.folder.join("installation.toml");
+    let installation = process.dir.join("installation.toml");
     let text = format!(
         "dispatcher = \"d1\"\nzone = \"north\"\ncontrol = [{control:?}]\nbuckets_per_region = 4\ncache_destinations = 8\n\
          zones = [{{name = \"north\", region = \"a\"}}, {{name = \"south\", region = \"b\"}}]\n",
@@ -241,14 +241,14 @@
     std::fs::write(&installation, text).unwrap();
     let mut command = process.command("serve");
     command.arg("--installation").arg(&installation);
-    process.start_by(command);
+    process.start_command(command);
 }
 
 #[test]
 fn replies_to_operators_have_the_recorded_bytes() {
     let endpoint = Endpoint::start(OK);
     let mut process = DispatcherProcess::new(program!(), &[(&endpoint, 7)]);
-    process.json["mgmt"] = process.mgmt_at(0).into();
+    process.config["mgmt"] = process.admin_addr(0).into();
     process.start();
     let long = "x".repeat(600);
     let requests = [
@@ -268,7 +268,7 @@
         &long,
     ];
     let exchange = |request: &&str| {
-        let mut stream = TcpStream::connect(process.json["mgmt"].as_str().unwrap()).unwrap();
+        let mut stream = TcpStream::connect(process.config["mgmt"].as_str().unwrap()).unwrap();
         stream.write_all(format!("{request}\n").as_bytes()).unwrap();
         let mut from = BufReader::new(stream);
         let mut reply = String::new();
--- a/crates/test-support/src/admin.rs
+++ b/crates/test-support/src/admin.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// One call as an operator makes it: a line out, the lines of the answer.
-pub fn call_at(addr: &str, line: &str) -> Vec<String> {
+pub fn admin_request(addr: &str, line: &str) -> Vec<String> {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(60)))
@@ -22,7 +22,7 @@
 
 /// One of the metrics that `show-stat` lists at this address.
 pub fn metric_at(addr: &str, name: &str) -> u64 {
-    let lines = call_at(addr, "show-stat");
+    let lines = admin_request(addr, "show-stat");
     let value = lines
         .iter()
         .find_map(|l| l.strip_prefix(&format!("dispatcher.{name}=")));
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -10,9 +10,9 @@
 /// A connection to a dispatcher, with a side to write to and one to read from.
 pub struct Client {
     /// Requests go here.
-    pub to: TcpStream,
+    pub writer: TcpStream,
     /// Replies come here.
-    pub from: BufReader<TcpStream>,
+    pub reader: BufReader<TcpStream>,
 }
 
 /// Opens a connection whose reads fail after a minute.
@@ -21,8 +21,8 @@
     // It fails after a minute, as in `wait_for`.
     stream.set_read_timeout(Some(Duration::from_secs(60)))?;
     Ok(Client {
-        from: BufReader::new(stream.try_clone()?),
-        to: stream,
+        reader: BufReader::new(stream.try_clone()?),
+        writer: stream,
     })
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// A message id that no other call of this process returns.
-pub fn fresh() -> String {
+pub fn new_id() -> String {
     format!("{:016x}", 0xb0_0000 + IDS.fetch_add(1, Ordering::SeqCst))
 }
 
@@ -45,19 +45,19 @@
     /// The next line of the replies, without its end.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
-        self.from.read_line(&mut line).unwrap();
+        self.reader.read_line(&mut line).unwrap();
         line.trim_end().to_string()
     }
 
     /// Sends these bytes, and returns the first line of the reply.
     pub fn send(&mut self, bytes: &[u8]) -> String {
-        self.to.write_all(bytes).unwrap();
+        self.writer.write_all(bytes).unwrap();
         self.line()
     }
 
     /// Hands in a message that has to be accepted, and returns its id.
     pub fn message(&mut self, class: &str, cell: u64, ms: u64, body: &str) -> String {
-        let id = fresh();
+        let id = new_id();
         let answer = self.send(&put(
             &id,
             &format!("c={class},d={ms},k=k{id},dest={cell}"),
--- a/crates/test-support/src/control_client.rs
+++ b/crates/test-support/src/control_client.rs
@@ -1,16 +1,18 @@
 //! A client of a control process: single requests, and the watch of a dispatcher.
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 use bellsill_directory::line::ScopedLine;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A connection whose reads fail after [`PATIENCE`] rather than block a test for good.
+/// A connection whose reads fail after [`WAIT_TIMEOUT`] rather than block a test for good.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    stream
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a timeout");
     stream
 }
 
@@ -24,11 +26,11 @@
     stream
         .write_all(&[head.as_bytes(), body.as_bytes()].concat())
         .expect("a request");
-    read_answer(&mut stream)
+    read_response(&mut stream)
 }
 
 /// Reads a response up to the end of its connection: the status, and the body as JSON.
-pub fn read_answer(stream: &mut TcpStream) -> (u16, Value) {
+pub fn read_response(stream: &mut TcpStream) -> (u16, Value) {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
@@ -100,7 +102,7 @@
             if last {
                 return lines;
             }
-            assert!(started.elapsed() < PATIENCE, "the line did not come");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the line did not come");
         }
     }
 
@@ -120,7 +122,7 @@
 }
 
 /// The ids of the endpoints that these lines name, in their order and with repeats.
-pub fn ids(lines: &[ScopedLine]) -> Vec<String> {
+pub fn endpoint_ids(lines: &[ScopedLine]) -> Vec<String> {
     lines
         .iter()
         .flat_map(|line| line.servers.iter().map(|entry| entry.id.clone()))
--- a/crates/test-support/src/control_process.rs
+++ b/crates/test-support/src/control_process.rs
@@ -1,6 +1,6 @@
 //! Control processes that run in threads of the test.
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 use crate::control_client::request;
 use bellsill_control_plane::config::Config;
 use bellsill_control_plane::{Stop, process};
@@ -23,22 +23,22 @@
 ";
 
 /// An address that stays the same over restarts: the listener is kept open here.
-pub struct Place {
+pub struct ReservedAddress {
     listener: TcpListener,
     /// Where the processes started here listen.
     pub address: SocketAddr,
 }
 
-impl Place {
+impl ReservedAddress {
     /// Takes a free loopback port, on which nothing answers until a process is started.
-    pub fn reserve() -> Place {
+    pub fn reserve() -> ReservedAddress {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("an address");
-        Place { listener, address }
+        ReservedAddress { listener, address }
     }
 
     /// Starts a process here, with more lines for its configuration.
-    pub fn start(&self, state: &Path, role: &str, more: &str) -> Running {
+    pub fn start(&self, state: &Path, role: &str, more: &str) -> RunningProcess {
         let config =
             Config::parse(&config_text(self.address, state, role, more)).expect("a configuration");
         let (wake, waker) = UnixStream::pair().expect("a pair of sockets");
@@ -51,7 +51,7 @@
         let thread = std::thread::spawn(move || {
             process::run_on(listener, config, stop).map_err(|e| e.to_string())
         });
-        Running {
+        RunningProcess {
             address: self.address,
             thread: Some(thread),
             waker,
@@ -60,12 +60,12 @@
     }
 
     /// Starts the process that accepts writes.
-    pub fn start_leader(&self, state: &Path) -> Running {
+    pub fn start_leader(&self, state: &Path) -> RunningProcess {
         self.start(state, "role = \"writer\"", "")
     }
 
     /// Starts a process that copies the log of the leader at that address.
-    pub fn start_follower(&self, state: &Path, leader: SocketAddr) -> Running {
+    pub fn start_follower(&self, state: &Path, leader: SocketAddr) -> RunningProcess {
         self.start(
             state,
             &format!("role = \"follower\"\nwriter = \"{leader}\""),
@@ -85,7 +85,7 @@
 }
 
 /// A control process that runs in a thread until it is stopped or dropped.
-pub struct Running {
+pub struct RunningProcess {
     /// Where it accepts requests.
     pub address: SocketAddr,
     thread: Option<JoinHandle<Result<(), String>>>,
@@ -93,14 +93,14 @@
     requested: Arc<AtomicBool>,
 }
 
-impl Running {
+impl RunningProcess {
     /// Ends it, and waits until it has ended.
     pub fn stop(mut self) -> Result<(), String> {
         self.end()
     }
 
     /// Waits until it ends by itself.
-    pub fn ended(mut self) -> Result<(), String> {
+    pub fn wait_for_exit(mut self) -> Result<(), String> {
         self.thread
             .take()
             .expect("it runs")
@@ -122,7 +122,7 @@
         request(self.address, "GET", "/v2/figures", "").1
     }
 
-    /// Polls the metrics until they are as wanted, and fails after [`PATIENCE`] with `what` as the reason.
+    /// Polls the metrics until they are as wanted, and fails after [`WAIT_TIMEOUT`] with `what` as the reason.
     pub fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
         let started = Instant::now();
         loop {
@@ -131,7 +131,7 @@
                 return metrics;
             }
             assert!(
-                started.elapsed() < PATIENCE,
+                started.elapsed() < WAIT_TIMEOUT,
                 "{what} did not come: {metrics}"
             );
             std::thread::sleep(Duration::from_millis(20));
@@ -162,9 +162,9 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProcess {
     fn drop(&mut self) {
-        // A test that expects an error calls `stop` or `ended`.
+        // A test that expects an error calls `stop` or `wait_for_exit`.
         self.end().ok();
     }
 }
--- a/crates/test-support/src/control_stand_in.rs
+++ b/crates/test-support/src/control_stand_in.rs
@@ -82,7 +82,7 @@
     }
 
     /// Assigns the dispatcher's buckets to another one.
-    pub fn take_buckets_away(&self) {
+    pub fn reassign_buckets(&self) {
         self.state.lock().unwrap().taken_away = true;
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// The query of the next watch after the first `seen` ones.
-    pub fn next_watch(&self, seen: usize) -> String {
+    pub fn wait_for_watch_query(&self, seen: usize) -> String {
         wait_for("another watch", || self.watch_queries().len() > seen);
         self.watch_queries()[seen].clone()
     }
--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -8,16 +8,16 @@
 
 /// A delivery request that came to an endpoint.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ReceivedRequest {
     /// The request line and the headers.
     pub head: Vec<String>,
     /// The body of the message.
     pub body: String,
     /// Counts the connections of its endpoint.
-    pub conn: u64,
+    pub connection: u64,
 }
 
-impl Call {
+impl ReceivedRequest {
     /// The value of this header, empty if it is not there.
     pub fn header(&self, name: &str) -> &str {
         self.head
@@ -48,7 +48,7 @@
     /// Where it listens.
     pub addr: String,
     /// All requests so far, in the order in which they came.
-    pub calls: Arc<Mutex<Vec<Call>>>,
+    pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     /// What it does with the next request.
     pub behavior: Arc<Mutex<Behavior>>,
 }
@@ -56,20 +56,24 @@
 impl Endpoint {
     /// Starts an endpoint on a free port.
     pub fn start(behavior: Behavior) -> Endpoint {
-        let (calls, behavior) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(behavior)));
+        let (requests, behavior) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(behavior)));
         let (seen, way, conns) = (
-            Arc::clone(&calls),
+            Arc::clone(&requests),
             Arc::clone(&behavior),
             Arc::new(AtomicU64::new(0)),
         );
         let addr = stand_in(move |stream| {
-            let conn = conns.fetch_add(1, Ordering::SeqCst);
+            let connection = conns.fetch_add(1, Ordering::SeqCst);
             let mut to = stream.try_clone().unwrap();
             let mut from = BufReader::new(stream);
             while let Some((head, body)) = request(&mut from) {
                 let body = String::from_utf8(body).unwrap();
                 let behavior = *way.lock().unwrap();
-                seen.lock().unwrap().push(Call { head, body, conn });
+                seen.lock().unwrap().push(ReceivedRequest {
+                    head,
+                    body,
+                    connection,
+                });
                 let done = match behavior {
                     Behavior::Responds(answer) | Behavior::RespondsAndCloses(answer) => {
                         write!(to, "HTTP/1.1 {answer}\r\nContent-Length: 2\r\n\r\nok")
@@ -85,7 +89,7 @@
         });
         Endpoint {
             addr,
-            calls,
+            requests,
             behavior,
         }
     }
@@ -96,13 +100,13 @@
     }
 
     /// A copy of all requests so far.
-    pub fn calls(&self) -> Vec<Call> {
-        self.calls.lock().unwrap().clone()
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
+        self.requests.lock().unwrap().clone()
     }
 
-    /// How many calls came for a message.
-    pub fn calls_of(&self, id: &str) -> usize {
-        self.calls()
+    /// How many requests came for a message.
+    pub fn received(&self, id: &str) -> usize {
+        self.requests()
             .iter()
             .filter(|call| call.header("X-Trace-Id") == id)
             .count()
--- a/crates/test-support/src/installation.rs
+++ b/crates/test-support/src/installation.rs
@@ -1,7 +1,7 @@
 //! A complete installation at small scale: three control processes and three dispatchers, each a process of the program, and a
 //! link to the control processes that can be cut for each dispatcher.
 
-use crate::client::{fresh, put};
+use crate::client::{new_id, put};
 use crate::dispatcher_process::{DispatcherProcess, Program};
 use crate::endpoint::Endpoint;
 use crate::stand_in::stand_in;
@@ -25,7 +25,7 @@
 pub struct ControlProcess {
     program: Program,
     addr: String,
-    folder: PathBuf,
+    dir: PathBuf,
     child: Option<Child>,
 }
 
@@ -50,7 +50,7 @@
         ControlProcess {
             program,
             addr,
-            folder,
+            dir: folder,
             child: None,
         }
     }
@@ -61,7 +61,7 @@
         command
             .arg("control")
             .arg("--config")
-            .arg(self.folder.join("control.toml"))
+            .arg(self.dir.join("control.toml"))
             .arg("--log")
             .arg("warn");
         self.child = Some(command.spawn().unwrap());
@@ -151,7 +151,7 @@
 impl Dispatcher {
     fn new(program: Program, number: usize, control: &[ControlProcess]) -> Dispatcher {
         let mut process = DispatcherProcess::new(program, &[]);
-        process.json["mgmt"] = process.mgmt_at(0).into();
+        process.config["mgmt"] = process.admin_addr(0).into();
         let links: Vec<Link> = control
             .iter()
             .map(|process| Link::to(process.addr.clone()))
@@ -166,7 +166,7 @@
             addresses.join(", "),
             layout()
         );
-        std::fs::write(process.folder.join("installation.toml"), text).unwrap();
+        std::fs::write(process.dir.join("installation.toml"), text).unwrap();
         Dispatcher { process, links }
     }
 
@@ -175,15 +175,15 @@
         let mut command = self.process.command("serve");
         command
             .arg("--installation")
-            .arg(self.process.folder.join("installation.toml"));
-        self.process.start_by(command);
+            .arg(self.process.dir.join("installation.toml"));
+        self.process.start_command(command);
     }
 
     /// Cuts or heals the link to all control processes.
-    pub fn cut(&self, cut: bool) {
+    pub fn set_disconnected(&self, disconnected: bool) {
         self.links
             .iter()
-            .for_each(|link| link.cut.store(cut, Ordering::SeqCst));
+            .for_each(|link| link.cut.store(disconnected, Ordering::SeqCst));
     }
 
     /// One of the metrics of its part of the endpoint list.
@@ -192,11 +192,11 @@
     }
 
     /// Hands in one message after another until one has reached the endpoint, whatever the answers to the ones before.
-    pub fn reaches(&self, destination: u64, endpoint: &Endpoint, body: &str) {
-        let came = || endpoint.calls().iter().any(|call| call.body == body);
+    pub fn wait_until_delivered(&self, destination: u64, endpoint: &Endpoint, body: &str) {
+        let came = || endpoint.requests().iter().any(|call| call.body == body);
         wait_for(&format!("the message {body:?} for {destination}"), || {
             let fields = format!("c=payment,d=8000,k=,dest={destination}");
-            self.process.client().send(&put(&fresh(), &fields, body));
+            self.process.client().send(&put(&new_id(), &fields, body));
             // The room for messages is small.
             std::thread::sleep(Duration::from_millis(50));
             came()
@@ -219,7 +219,7 @@
             .map(|_| DispatcherProcess::new(program, &[]))
             .collect();
         let addr = |n: usize| places[n].listen.replace(":6379", ":7400");
-        let folder = |n: usize| places[n].folder.with_extension("control");
+        let folder = |n: usize| places[n].dir.with_extension("control");
         let mut control: Vec<ControlProcess> = (0..SIZE)
             .map(|n| {
                 let leader = Some(addr(0)).filter(|_| n > 0);
@@ -279,10 +279,15 @@
     }
 
     /// Every dispatcher delivers to each of these destinations.
-    pub fn all_reach(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint, what: &str) {
+    pub fn wait_until_all_deliver(
+        &self,
+        destinations: std::ops::Range<u64>,
+        endpoint: &Endpoint,
+        what: &str,
+    ) {
         for (n, dispatcher) in self.dispatchers.iter().enumerate() {
             for destination in destinations.clone() {
-                dispatcher.reaches(
+                dispatcher.wait_until_delivered(
                     destination,
                     endpoint,
                     &format!("{what}: by d{n} for {destination}"),
@@ -296,7 +301,7 @@
     fn drop(&mut self) {
         for process in &mut self.control {
             process.kill();
-            std::fs::remove_dir_all(&process.folder).ok();
+            std::fs::remove_dir_all(&process.dir).ok();
         }
     }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -23,4 +23,4 @@
 pub mod wait;
 
 /// How long the helpers for control processes wait for something before the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -16,25 +16,25 @@
     /// The connections on which the endpoint list is followed.
     pub watches: Arc<Mutex<Vec<TcpStream>>>,
     /// The request line of each watch, which says from where the list is followed.
-    pub since: Arc<Mutex<Vec<String>>>,
+    pub watch_requests: Arc<Mutex<Vec<String>>>,
     /// All notifications that were accepted, in order.
     pub notifications: Arc<Mutex<Vec<Value>>>,
     /// While set, notifications are read and their connection is closed with no answer.
-    pub deaf: Arc<AtomicBool>,
+    pub drop_notifications: Arc<AtomicBool>,
 }
 
 impl Platform {
     /// Starts both on a free port; notifications are accepted.
     pub fn start() -> Platform {
         let watches: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
-        let since: Arc<Mutex<Vec<String>>> = Arc::default();
+        let watch_requests: Arc<Mutex<Vec<String>>> = Arc::default();
         let notifications: Arc<Mutex<Vec<Value>>> = Arc::default();
-        let deaf = Arc::new(AtomicBool::new(false));
+        let drop_notifications = Arc::new(AtomicBool::new(false));
         let (w, s, n, d) = (
             Arc::clone(&watches),
-            Arc::clone(&since),
+            Arc::clone(&watch_requests),
             Arc::clone(&notifications),
-            Arc::clone(&deaf),
+            Arc::clone(&drop_notifications),
         );
         let addr = stand_in(move |stream| {
             let mut to = stream.try_clone().unwrap();
@@ -63,9 +63,9 @@
         Platform {
             addr,
             watches,
-            since,
+            watch_requests,
             notifications,
-            deaf,
+            drop_notifications,
         }
     }
 
--- a/crates/test-support/src/soak/mod.rs
+++ b/crates/test-support/src/soak/mod.rs
@@ -74,15 +74,15 @@
             json!({"id": id, "addr": endpoint(limiter), "zone": "north", "kind": kind, "cell": cell,
                 "state": "up"})
         });
-        process.json["known"]["servers"] = json!(servers);
+        process.config["known"]["servers"] = json!(servers);
         let platform = Arc::clone(&shared);
-        process.json["discovery"] =
+        process.config["discovery"] =
             stand_in(move |stream| serve_platform(stream, &platform)).into();
-        process.json["settings"]["limits"]["max-open"] = json!(400);
-        process.json["settings"]["family-info"]["workers"] = json!(32);
-        process.json["settings"]["services"][0]["window-ns"] =
+        process.config["settings"]["limits"]["max-open"] = json!(400);
+        process.config["settings"]["family-info"]["workers"] = json!(32);
+        process.config["settings"]["services"][0]["window-ns"] =
             json!(scenario.window.as_nanos() as u64);
-        let faults = Faults::new(&process.folder, scenario.seed);
+        let faults = Faults::new(&process.dir, scenario.seed);
         let n = WORLDS.fetch_add(1, Ordering::SeqCst);
         let random = Pcg64::seed_from_u64(scenario.seed.wrapping_add(n << 32));
         let mut world = World {
@@ -121,18 +121,18 @@
     }
 
     fn start_process(&mut self) {
-        let mut command = self.process.command_with(&self.faults);
+        let mut command = self.process.command_with_faults(&self.faults);
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.log_path())
             .unwrap();
         command.arg("--log").arg("debug").stderr(log);
-        self.process.start_by(command);
+        self.process.start_command(command);
     }
 
     fn log_path(&self) -> std::path::PathBuf {
-        self.process.folder.join("log")
+        self.process.dir.join("log")
     }
 
     /// What the dispatcher logged of the messages that a breach names, so that each breach comes with its trace.
--- a/crates/test-support/src/soak/sender.rs
+++ b/crates/test-support/src/soak/sender.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::Scenario;
 use super::servers::Shared;
-use crate::client::{Client, connect, fresh, put};
+use crate::client::{Client, connect, new_id, put};
 use crate::ledger::{Class, Heard};
 use rand::RngExt;
 use rand_pcg::Pcg64;
@@ -24,12 +24,12 @@
 }
 
 fn ask(client: &mut Client, bytes: &[u8]) -> Asked {
-    client.to.set_read_timeout(Some(ANSWER_WITHIN)).ok();
-    if client.to.write_all(bytes).is_err() {
+    client.writer.set_read_timeout(Some(ANSWER_WITHIN)).ok();
+    if client.writer.write_all(bytes).is_err() {
         return Asked::Closed;
     }
     let mut line = String::new();
-    match client.from.read_line(&mut line) {
+    match client.reader.read_line(&mut line) {
         Ok(0) => Asked::Closed,
         Ok(_) if line.ends_with('\n') => Asked::Answered(line.trim_end().to_string()),
         Ok(_) => Asked::Closed,
@@ -76,20 +76,23 @@
             return;
         };
         client
-            .to
+            .writer
             .write_all(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000")
             .ok();
         let shared = Arc::clone(&self.shared);
         std::thread::spawn(move || {
             let began = Instant::now();
-            client.to.set_read_timeout(Some(2 * BAD_CLIENT_OWED)).ok();
-            let _read = client.from.read(&mut [0; 64]);
+            client
+                .writer
+                .set_read_timeout(Some(2 * BAD_CLIENT_OWED))
+                .ok();
+            let _read = client.reader.read(&mut [0; 64]);
             shared.ledger().bad_client_ended(began, BAD_CLIENT_OWED);
         });
     }
 
     fn hand_in(&mut self) {
-        let id = fresh();
+        let id = new_id();
         let tagged = self.random.random_range(0..2) == 0;
         let lifetime = self.random.random_range(self.scenario.lifetimes_ms.clone());
         let class = match tagged {
--- a/crates/test-support/src/stand_in.rs
+++ b/crates/test-support/src/stand_in.rs
@@ -41,14 +41,14 @@
 }
 
 /// An endpoint whose queue of new connections is full with the one returned: another is established when there is room.
-pub fn crowded() -> (TcpListener, TcpStream) {
-    let listener = crowded_but_for(1);
+pub fn full_backlog() -> (TcpListener, TcpStream) {
+    let listener = listen_with_backlog(1);
     let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (listener, filler)
 }
 
 /// An endpoint whose queue takes so many new connections that it has not accepted, and no more.
-pub fn crowded_but_for(places: i32) -> TcpListener {
+pub fn listen_with_backlog(places: i32) -> TcpListener {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener
