--- a/crates/test-support/src/soak/sender.rs
+++ b/crates/test-support/src/soak/sender.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::Scenario;
 use super::servers::Shared;
-use crate::client::{Client, connect, fresh, put};
+use crate::client::{Client, connect, new_id, put};
 use crate::ledger::{Class, Reply};
 use rand::RngExt;
 use rand_pcg::Pcg64;
@@ -25,12 +25,12 @@
 }
 
 fn send_request(client: &mut Client, bytes: &[u8]) -> RequestResult {
-    client.to.set_read_timeout(Some(REPLY_TIMEOUT)).ok();
-    if client.to.write_all(bytes).is_err() {
+    client.writer.set_read_timeout(Some(REPLY_TIMEOUT)).ok();
+    if client.writer.write_all(bytes).is_err() {
         return RequestResult::Closed;
     }
     let mut line = String::new();
-    match client.from.read_line(&mut line) {
+    match client.reader.read_line(&mut line) {
         Ok(0) => RequestResult::Closed,
         Ok(_) if line.ends_with('\n') => RequestResult::Replied(line.trim_end().to_string()),
         Ok(_) => RequestResult::Closed,
@@ -81,17 +81,17 @@
             return;
         };
         client
-            .to
+            .writer
             .write_all(b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n00000000")
             .ok();
         let shared = Arc::clone(&self.shared);
         std::thread::spawn(move || {
             let started_at = Instant::now();
             client
-                .to
+                .writer
                 .set_read_timeout(Some(2 * PARTIAL_REQUEST_LIMIT))
                 .ok();
-            let _read = client.from.read(&mut [0; 64]);
+            let _read = client.reader.read(&mut [0; 64]);
             shared
                 .ledger()
                 .partial_request_ended(started_at, PARTIAL_REQUEST_LIMIT);
@@ -99,7 +99,7 @@
     }
 
     fn submit(&mut self) {
-        let id = fresh();
+        let id = new_id();
         let is_idempotent = self.random.random_range(0..2) == 0;
         let lifetime = self.random.random_range(self.scenario.lifetimes_ms.clone());
         let class = match is_idempotent {
