--- a/crates/test-support/src/control_client.rs
+++ b/crates/test-support/src/control_client.rs
@@ -1,4 +1,4 @@
-//! A client of a control process: single requests, and the watch of a dispatcher.
+//! A client of a control process: single requests, and the watch that a dispatcher opens.
 
 use crate::WAIT_TIMEOUT;
 use bellsill_directory::line::ScopedLine;
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// A connection whose reads fail after [`WAIT_TIMEOUT`] rather than block a test for good.
+/// Opens a connection with a read timeout of [`WAIT_TIMEOUT`], so that a test cannot block indefinitely.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
     stream
@@ -16,7 +16,7 @@
     stream
 }
 
-/// One request on a connection of its own: the status, and the body as JSON.
+/// Sends one request on a new connection, and returns the status and the JSON body of the response.
 pub fn request(address: SocketAddr, method: &str, target: &str, body: &str) -> (u16, Value) {
     let mut stream = connect(address);
     let length = body.len();
@@ -29,26 +29,26 @@
     read_response(&mut stream)
 }
 
-/// Reads a response up to the end of its connection: the status, and the body as JSON.
+/// Reads a response until the connection is closed, and returns its status and JSON body.
 pub fn read_response(stream: &mut TcpStream) -> (u16, Value) {
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    let (head, body) = response.split_once("\r\n\r\n").expect("a response head");
     let status = head
         .split(' ')
         .nth(1)
         .and_then(|status| status.parse().ok())
         .expect("a status");
-    (status, serde_json::from_str(body).expect("a body of JSON"))
+    (status, serde_json::from_str(body).expect("a JSON body"))
 }
 
-/// The stream of endpoint list changes that a dispatcher follows.
+/// A watch: the stream of endpoint list changes sent to a dispatcher.
 pub struct Watch {
     reader: BufReader<TcpStream>,
 }
 
 impl Watch {
-    /// Sends the watch request with these query fields, and reads the head of the answer, which must be 200.
+    /// Sends a watch request with these query fields, and reads the response head. Asserts that the status is 200.
     pub fn open(address: SocketAddr, query: &str) -> Watch {
         let mut reader = BufReader::new(connect(address));
         let request = format!("GET /api/targets?follow=1&{query} HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -57,25 +57,25 @@
             .write_all(request.as_bytes())
             .expect("a request");
         let mut watch = Watch { reader };
-        assert_eq!(watch.text_line().split(' ').nth(1), Some("200"));
-        while !watch.text_line().is_empty() {}
+        assert_eq!(watch.read_text_line().split(' ').nth(1), Some("200"));
+        while !watch.read_text_line().is_empty() {}
         watch
     }
 
-    fn text_line(&mut self) -> String {
+    fn read_text_line(&mut self) -> String {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a line");
         line.trim_end().to_string()
     }
 
-    /// The next line that is not empty; none once the watch has ended.
+    /// Returns the next line that is not a heartbeat, or `None` once the watch has ended.
     pub fn next_line(&mut self) -> Option<ScopedLine> {
         loop {
-            let size = self.text_line();
+            let size = self.read_text_line();
             if size.is_empty() {
                 return None;
             }
-            let size = usize::from_str_radix(&size, 16).expect("a size");
+            let size = usize::from_str_radix(&size, 16).expect("a chunk size");
             let mut chunk = vec![0; size + 2];
             self.reader.read_exact(&mut chunk).expect("a chunk");
             let line = chunk.trim_ascii();
@@ -85,28 +85,32 @@
         }
     }
 
-    /// Reads until the wanted line has come, and returns all up to it.
-    pub fn until(&mut self, wanted: impl Fn(&ScopedLine) -> bool) -> Vec<ScopedLine> {
+    /// Reads up to the first line that satisfies the predicate, and returns all lines including that one. Asserts that
+    /// versions never decrease.
+    pub fn until(&mut self, predicate: impl Fn(&ScopedLine) -> bool) -> Vec<ScopedLine> {
         let started = Instant::now();
         let mut lines: Vec<ScopedLine> = Vec::new();
         loop {
             let line = self.next_line().expect("a line");
-            let last = wanted(&line);
+            let last = predicate(&line);
             assert!(
                 lines
                     .last()
-                    .is_none_or(|before| before.version <= line.version),
-                "the version went back"
+                    .is_none_or(|previous| previous.version <= line.version),
+                "the version decreased"
             );
             lines.push(line);
             if last {
                 return lines;
             }
-            assert!(started.elapsed() < WAIT_TIMEOUT, "the line did not come");
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting for a watch line"
+            );
         }
     }
 
-    /// Reads until these many buckets have been filled.
+    /// Reads until this many buckets have been filled.
     pub fn until_filled(&mut self, buckets: usize) -> Vec<ScopedLine> {
         let mut lines = Vec::new();
         while lines
@@ -121,7 +125,7 @@
     }
 }
 
-/// The ids of the endpoints that these lines name, in their order and with repeats.
+/// Returns the ids of the endpoints in these lines, in order and with duplicates.
 pub fn endpoint_ids(lines: &[ScopedLine]) -> Vec<String> {
     lines
         .iter()
--- a/crates/test-support/src/control_process.rs
+++ b/crates/test-support/src/control_process.rs
@@ -1,4 +1,4 @@
-//! Control processes that run in threads of the test.
+//! Control processes that run in threads of the test process.
 
 use crate::WAIT_TIMEOUT;
 use crate::control_client::request;
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Four dispatchers, one in each zone of [`config_text`], as lines for `POST /v2/members`.
+/// The body of `POST /v2/members` for four dispatchers, one in each zone of [`config_text`].
 pub const MEMBERS: &str = "\
 {\"name\":\"north-a\",\"zone\":\"north-1\"}
 {\"name\":\"north-b\",\"zone\":\"north-2\"}
@@ -22,22 +22,22 @@
 {\"name\":\"south-b\",\"zone\":\"south-2\"}
 ";
 
-/// An address that stays the same over restarts: the listener is kept open here.
+/// A listener that is kept open, so that a control process has the same address after a restart.
 pub struct ReservedAddress {
     listener: TcpListener,
-    /// Where the processes started here listen.
+    /// The address of the listener.
     pub address: SocketAddr,
 }
 
 impl ReservedAddress {
-    /// Takes a free loopback port, on which nothing answers until a process is started.
+    /// Binds a free loopback port. Connections are not accepted until a process is started.
     pub fn reserve() -> ReservedAddress {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("an address");
         ReservedAddress { listener, address }
     }
 
-    /// Starts a process here, with more lines for its configuration.
+    /// Starts a control process on this address. `role` and `more` are added to its configuration; see [`config_text`].
     pub fn start(&self, state: &Path, role: &str, more: &str) -> RunningProcess {
         let config =
             Config::parse(&config_text(self.address, state, role, more)).expect("a configuration");
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Starts the process that accepts writes.
+    /// Starts a leader, which accepts writes.
     pub fn start_leader(&self, state: &Path) -> RunningProcess {
         self.start(state, "role = \"writer\"", "")
     }
 
-    /// Starts a process that copies the log of the leader at that address.
+    /// Starts a follower, which replicates the log of the leader at this address.
     pub fn start_follower(&self, state: &Path, leader: SocketAddr) -> RunningProcess {
         self.start(
             state,
@@ -74,7 +74,7 @@
     }
 }
 
-/// The text of a configuration file with two regions of two zones; `role` and `more` are lines of TOML.
+/// Returns the text of a configuration file with two regions of two zones each. `role` and `more` are lines of TOML.
 pub fn config_text(listen: SocketAddr, state: &Path, role: &str, more: &str) -> String {
     let state = state.display();
     format!(
@@ -86,7 +86,7 @@
 
 /// A control process that runs in a thread until it is stopped or dropped.
 pub struct RunningProcess {
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     thread: Option<JoinHandle<Result<(), String>>>,
     waker: UnixStream,
@@ -94,45 +94,46 @@
 }
 
 impl RunningProcess {
-    /// Ends it, and waits until it has ended.
+    /// Stops the process and waits until it has exited.
     pub fn stop(mut self) -> Result<(), String> {
-        self.end()
+        self.stop_and_join()
     }
 
-    /// Waits until it ends by itself.
+    /// Waits until the process exits without being stopped.
     pub fn wait_for_exit(mut self) -> Result<(), String> {
         self.thread
             .take()
-            .expect("it runs")
+            .expect("the process is running")
             .join()
             .expect("no panic")
     }
 
-    fn end(&mut self) -> Result<(), String> {
+    fn stop_and_join(&mut self) -> Result<(), String> {
         self.requested.store(true, Ordering::SeqCst);
-        // A process that has ended by itself has closed its side.
+        // The write fails if the process has already exited, since its end of the socket is closed.
         self.waker.write_all(b"x").ok();
         self.thread
             .take()
             .map_or(Ok(()), |thread| thread.join().expect("no panic"))
     }
 
-    /// The answer of `GET /v2/figures`.
+    /// Returns the metrics: the response body of `GET /v2/figures`.
     pub fn metrics(&self) -> Value {
         request(self.address, "GET", "/v2/figures", "").1
     }
 
-    /// Polls the metrics until they are as wanted, and fails after [`WAIT_TIMEOUT`] with `what` as the reason.
-    pub fn wait_for(&self, what: &str, wanted: impl Fn(&Value) -> bool) -> Value {
+    /// Polls the metrics until they satisfy the predicate, and returns them. Panics after [`WAIT_TIMEOUT`] with a
+    /// message that contains `what`.
+    pub fn wait_for(&self, what: &str, predicate: impl Fn(&Value) -> bool) -> Value {
         let started = Instant::now();
         loop {
             let metrics = self.metrics();
-            if wanted(&metrics) {
+            if predicate(&metrics) {
                 return metrics;
             }
             assert!(
                 started.elapsed() < WAIT_TIMEOUT,
-                "{what} did not come: {metrics}"
+                "timed out waiting for {what}: {metrics}"
             );
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -145,17 +146,17 @@
         })
     }
 
-    /// Posts endpoint entries, one JSON object per line, and returns the version they got.
+    /// Writes endpoint entries, one JSON object per line, and returns the version assigned to them.
     pub fn write(&self, body: &str) -> u64 {
-        let (status, answer) = request(self.address, "POST", "/api/targets", body);
-        assert_eq!(status, 200, "{answer}");
-        answer["version"].as_u64().expect("a version")
+        let (status, response) = request(self.address, "POST", "/api/targets", body);
+        assert_eq!(status, 200, "{response}");
+        response["version"].as_u64().expect("a version")
     }
 
-    /// Declares the members, and waits until buckets are assigned to them.
+    /// Declares [`MEMBERS`], and waits until buckets are assigned to them.
     pub fn declare(&self) {
-        let (status, answer) = request(self.address, "POST", "/v2/members", MEMBERS);
-        assert_eq!(status, 200, "{answer}");
+        let (status, response) = request(self.address, "POST", "/v2/members", MEMBERS);
+        assert_eq!(status, 200, "{response}");
         self.wait_for("the assignment", |metrics| {
             metrics["epoch"].as_u64() >= Some(1)
         });
@@ -164,7 +165,7 @@
 
 impl Drop for RunningProcess {
     fn drop(&mut self) {
-        // A test that expects an error calls `stop` or `wait_for_exit`.
-        self.end().ok();
+        // Errors are ignored here; a test that expects one calls `stop` or `wait_for_exit`.
+        self.stop_and_join().ok();
     }
 }
--- a/crates/test-support/src/control_stand_in.rs
+++ b/crates/test-support/src/control_stand_in.rs
@@ -1,5 +1,5 @@
-//! A control process as far as a dispatcher sees it, in the test's own process: one whose answers a test can hold back. The
-//! dispatcher's region is that of zone `north`, whose four buckets it holds; all else has to be looked up.
+//! A stand-in for a control process that runs in the test process and whose responses the test controls. The dispatcher
+//! is in the region of zone `north` and holds the four buckets of that region; it must look up all other destinations.
 
 use crate::stand_in::{request, stand_in};
 use crate::wait::wait_for;
@@ -11,50 +11,50 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How many buckets a region has.
+/// The number of buckets per region.
 pub const BUCKETS: u32 = 4;
-/// The region's buckets come first among all.
+/// The zone whose region's buckets the dispatcher holds. Those buckets have the lowest numbers.
 const HELD_ZONE: &str = "north";
 const LOG: &str = "c0ffee";
-/// An empty line is sent this often, more often than by a real one.
-const EMPTY_LINE_EVERY: Duration = Duration::from_millis(100);
+/// The interval of heartbeats, which is shorter than that of a real control process.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
 struct State {
     version: u64,
     entries: Vec<EndpointEntry>,
-    /// Destinations that are sent beside the buckets.
-    cells: BTreeSet<u64>,
-    /// Watches end when it changes.
-    epoch: u64,
-    /// The dispatcher's buckets are another's.
-    taken_away: bool,
-    /// The next line claims to be a snapshot.
-    whole_list_next: bool,
-    /// Lookups are answered 503.
-    lookups_fail: bool,
+    /// Cached destinations, whose changes are sent in addition to those of the buckets.
+    cached_destinations: BTreeSet<u64>,
+    /// Open watches end when it changes.
+    watch_generation: u64,
+    /// Whether the dispatcher's buckets are assigned to another dispatcher.
+    reassigned: bool,
+    /// Whether the next line is marked as a snapshot.
+    snapshot_next: bool,
+    /// Whether lookups get status 503.
+    fail_lookups: bool,
     watch_queries: Vec<String>,
     lookup_queries: Vec<String>,
 }
 
-/// The stand-in, with what the test has it serve.
+/// The stand-in control process.
 #[derive(Clone)]
 pub struct Control {
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: String,
     state: Arc<Mutex<State>>,
 }
 
 impl Control {
-    /// Starts it on a free port, with no endpoints.
+    /// Starts it on a free port, with an empty endpoint list.
     pub fn start() -> Control {
         let state: Arc<Mutex<State>> = Arc::default();
-        let served = Arc::clone(&state);
-        let addr = stand_in(move |stream| serve(stream, &served));
+        let shared = Arc::clone(&state);
+        let addr = stand_in(move |stream| serve(stream, &shared));
         Control { addr, state }
     }
 
-    /// Writes an endpoint, as `POST /api/targets` does.
+    /// Writes an endpoint entry, as `POST /api/targets` does.
     pub fn write(&self, id: &str, addr: &str, zone: &str, destination: u64, up: bool) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
@@ -76,37 +76,37 @@
         state.entries.push(entry);
     }
 
-    /// Ends all watches; the next ones are served.
+    /// Ends all open watches. New watches are accepted.
     pub fn end_watches(&self) {
-        self.state.lock().unwrap().epoch += 1;
+        self.state.lock().unwrap().watch_generation += 1;
     }
 
-    /// Assigns the dispatcher's buckets to another one.
+    /// Assigns the dispatcher's buckets to another dispatcher.
     pub fn reassign_buckets(&self) {
-        self.state.lock().unwrap().taken_away = true;
+        self.state.lock().unwrap().reassigned = true;
     }
 
-    /// Sends a line that no dispatcher may take: a snapshot in the middle of a watch.
+    /// Sends a snapshot in the middle of a watch, which a dispatcher must reject.
     pub fn send_snapshot_line(&self) {
-        self.state.lock().unwrap().whole_list_next = true;
+        self.state.lock().unwrap().snapshot_next = true;
     }
 
-    /// Whether lookups are answered 503 from now on.
+    /// Sets whether lookups fail with status 503 from now on.
     pub fn fail_lookups(&self, fail: bool) {
-        self.state.lock().unwrap().lookups_fail = fail;
+        self.state.lock().unwrap().fail_lookups = fail;
     }
 
-    /// The query of each watch so far.
+    /// Returns the query of each watch so far.
     pub fn watch_queries(&self) -> Vec<String> {
         self.state.lock().unwrap().watch_queries.clone()
     }
 
-    /// The query of each lookup so far, of failed ones too.
+    /// Returns the query of each lookup so far, including failed ones.
     pub fn lookup_queries(&self) -> Vec<String> {
         self.state.lock().unwrap().lookup_queries.clone()
     }
 
-    /// The query of the next watch after the first `seen` ones.
+    /// Waits for the next watch after the first `seen` watches, and returns its query.
     pub fn wait_for_watch_query(&self, seen: usize) -> String {
         wait_for("another watch", || self.watch_queries().len() > seen);
         self.watch_queries()[seen].clone()
@@ -122,7 +122,7 @@
     let target = head[0].split(' ').nth(1).unwrap().to_string();
     let query = target
         .strip_prefix("/api/targets?")
-        .expect("a request for targets")
+        .expect("a request for /api/targets")
         .to_string();
     let fields: BTreeMap<&str, &str> = query
         .split('&')
@@ -151,22 +151,24 @@
 ) {
     let mut state = state.lock().unwrap();
     state.lookup_queries.push(query.to_string());
-    if state.lookups_fail {
+    if state.fail_lookups {
         to.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             .ok();
         return;
     }
-    let cells = numbers(fields, "cells");
+    let requested = numbers(fields, "cells");
     let forgotten = numbers(fields, "forget");
-    state.cells.retain(|cell| !forgotten.contains(cell));
-    state.cells.extend(&cells);
-    let wanted = |entry: &&EndpointEntry| {
-        cells.contains(&entry.destination) && entry.state != EndpointState::Removed
+    state
+        .cached_destinations
+        .retain(|destination| !forgotten.contains(destination));
+    state.cached_destinations.extend(&requested);
+    let is_requested = |entry: &&EndpointEntry| {
+        requested.contains(&entry.destination) && entry.state != EndpointState::Removed
     };
     let line = ScopedLine {
         version: Version(state.version),
         log: LOG.into(),
-        servers: state.entries.iter().filter(wanted).cloned().collect(),
+        servers: state.entries.iter().filter(is_requested).cloned().collect(),
         ..ScopedLine::default()
     };
     let body = serde_json::to_string(&line).unwrap() + "\n";
@@ -184,13 +186,13 @@
     query: &str,
     state: &Mutex<State>,
 ) {
-    let (mut line, epoch) = {
+    let (mut line, generation) = {
         let mut state = state.lock().unwrap();
         state.watch_queries.push(query.to_string());
-        state.cells = numbers(fields, "cells");
-        (first_line(fields, &state), state.epoch)
+        state.cached_destinations = numbers(fields, "cells");
+        (first_line(fields, &state), state.watch_generation)
     };
-    let (mut told, mut holds) = (line.version, true);
+    let (mut sent_version, mut assigned) = (line.version, true);
     if to
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .is_err()
@@ -207,32 +209,33 @@
         if write!(to, "{:x}\r\n{text}\r\n", text.len()).is_err() {
             return;
         }
-        std::thread::sleep(EMPTY_LINE_EVERY);
+        std::thread::sleep(HEARTBEAT_INTERVAL);
         let mut state = state.lock().unwrap();
-        if state.epoch != epoch {
+        if state.watch_generation != generation {
             return;
         }
-        line = match state.version > told.0 {
+        line = match state.version > sent_version.0 {
             true => ScopedLine {
-                servers: changes(&state, told),
+                servers: changes(&state, sent_version),
                 ..ScopedLine::default()
             },
             false => ScopedLine::default(),
         };
-        if state.version > told.0 {
-            told = Version(state.version);
-            line.version = told;
+        if state.version > sent_version.0 {
+            sent_version = Version(state.version);
+            line.version = sent_version;
         }
-        line.full = std::mem::take(&mut state.whole_list_next);
-        if holds && state.taken_away {
-            holds = false;
-            line.version = told;
+        line.full = std::mem::take(&mut state.snapshot_next);
+        if assigned && state.reassigned {
+            assigned = false;
+            line.version = sent_version;
             line.lost = (0..BUCKETS).map(BucketId).collect();
         }
     }
 }
 
-/// The first line: changes since, or all buckets anew and filled at once.
+/// Returns the first line of a watch. If the dispatcher already has all buckets, it contains the changes since its
+/// version; otherwise, all entries, with the missing buckets both gained and filled.
 fn first_line(fields: &BTreeMap<&str, &str>, state: &State) -> ScopedLine {
     let known = fields.get("log") == Some(&LOG);
     let since = if known {
@@ -262,9 +265,9 @@
 }
 
 fn changes(state: &State, since: Version) -> Vec<EndpointEntry> {
-    let told = |entry: &&EndpointEntry| {
-        let held = entry.zone == HELD_ZONE && !state.taken_away;
-        entry.version > since && (held || state.cells.contains(&entry.destination))
+    let is_sent = |entry: &&EndpointEntry| {
+        let held = entry.zone == HELD_ZONE && !state.reassigned;
+        entry.version > since && (held || state.cached_destinations.contains(&entry.destination))
     };
-    state.entries.iter().filter(told).cloned().collect()
+    state.entries.iter().filter(is_sent).cloned().collect()
 }
--- a/crates/test-support/src/dispatcher_process.rs
+++ b/crates/test-support/src/dispatcher_process.rs
@@ -1,4 +1,4 @@
-//! The dispatcher as a process of its own, spoken to over loopback sockets.
+//! A dispatcher that runs as a separate process, with loopback sockets.
 
 use crate::admin::{admin_request, metric_at};
 use crate::client::{Client, connect};
@@ -15,17 +15,17 @@
 use std::process::{Child, Command};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The program under test, and where its tests may keep files. Cargo names both only to the tests of the package that has
-/// the program; [`program!`](crate::program) puts them in.
+/// The executable under test, and a directory for temporary files. Cargo provides both paths only to the tests of the
+/// package that builds the executable; [`program!`](crate::program) reads them there.
 #[derive(Clone, Copy)]
 pub struct Program {
     /// The path of the executable.
     pub executable: &'static str,
-    /// The folder for files of tests.
+    /// The directory for temporary files of tests.
     pub temp_dir: &'static str,
 }
 
-/// The [`Program`] of the package whose test calls this.
+/// Returns the [`Program`] of the package whose test invokes the macro.
 #[macro_export]
 macro_rules! program {
     () => {
@@ -36,33 +36,36 @@
     };
 }
 
-/// A dispatcher's process with its configuration, its folder, and its platform. The process and the folder go when it is
-/// dropped.
+/// A dispatcher process with its configuration, its directory and its [`Platform`]. Dropping it kills the process and
+/// removes the directory.
 pub struct DispatcherProcess {
     program: Program,
-    /// Holds the configuration and, in `state`, what the process keeps.
+    /// The directory of the configuration file and of the state directory, `state`.
     pub dir: PathBuf,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: String,
-    /// The configuration, written to the folder at each start.
+    /// The configuration, which is written to the directory at each start.
     pub config: Value,
-    /// The discovery that the configuration names, and the receiver of notifications.
+    /// The discovery and notification receiver that the configuration refers to.
     pub platform: Platform,
-    /// The process, while there is one.
+    /// The process, if one is running.
     pub child: Option<Child>,
 }
 
-static PROCESSES: AtomicU64 = AtomicU64::new(0);
-static COPIES: AtomicU64 = AtomicU64::new(0);
+static NEXT_PROCESS: AtomicU64 = AtomicU64::new(0);
+static NEXT_COPY: AtomicU64 = AtomicU64::new(0);
 
 impl DispatcherProcess {
-    /// Sets up a dispatcher that knows these endpoints, each with its destination, and starts nothing yet.
+    /// Prepares a dispatcher that is configured with these endpoints and their destinations, without starting it.
     pub fn new(program: Program, endpoints: &[(&Endpoint, u64)]) -> DispatcherProcess {
-        let (n, pid) = (PROCESSES.fetch_add(1, Ordering::SeqCst), std::process::id());
-        // An address of its own, so that nothing else is ever given its port.
+        let (n, pid) = (
+            NEXT_PROCESS.fetch_add(1, Ordering::SeqCst),
+            std::process::id(),
+        );
+        // Each dispatcher has its own loopback address, so that its port cannot be assigned to another socket.
         let listen = format!("127.{}.{}.{}:6379", 16 + pid % 200, pid / 200 % 250, n + 1);
-        let folder = PathBuf::from(program.temp_dir).join(format!("rig-{pid}-{n}"));
-        std::fs::create_dir_all(folder.join("state")).unwrap();
+        let dir = PathBuf::from(program.temp_dir).join(format!("dispatcher-{pid}-{n}"));
+        std::fs::create_dir_all(dir.join("state")).unwrap();
         let mut config: Value =
             serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
         let platform = Platform::start();
@@ -70,12 +73,12 @@
         config["discovery"] = platform.addr.clone().into();
         let entries = endpoints.iter().enumerate();
         config["known"]["servers"] = entries
-            .map(|(i, (e, cell))| e.entry(&format!("e{i}"), *cell, "up"))
+            .map(|(i, (e, destination))| e.entry(&format!("e{i}"), *destination, "up"))
             .collect::<Vec<_>>()
             .into();
         DispatcherProcess {
             program,
-            dir: folder,
+            dir,
             listen,
             config,
             platform,
@@ -83,13 +86,13 @@
         }
     }
 
-    /// Writes the configuration, and returns the command line of this subcommand with it.
-    pub fn command(&self, what: &str) -> Command {
+    /// Writes the configuration file, and returns the command that runs this subcommand with it.
+    pub fn command(&self, subcommand: &str) -> Command {
         std::fs::write(self.dir.join("config.json"), self.config.to_string()).unwrap();
         let mut command = Command::new(self.program.executable);
         command
             .env_remove("RELAY_STATE")
-            .arg(what)
+            .arg(subcommand)
             .arg("--config")
             .arg(self.dir.join("config.json"));
         command
@@ -100,34 +103,34 @@
         command
     }
 
-    /// Starts the dispatcher, and waits until it is ready.
+    /// Starts the dispatcher and waits until it is ready.
     pub fn start(&mut self) {
         let command = self.command("serve");
         self.start_command(command);
     }
 
-    /// The command of a process whose system calls can be made to fail.
+    /// Returns the command that starts the dispatcher with fault injection into its system calls.
     pub fn command_with_faults(&self, faults: &Faults) -> Command {
         let mut command = self.command("serve");
         faults.preload(&mut command, &self.dir.join("state"));
         command
     }
 
-    /// Starts such a process, and waits until it is ready.
+    /// Starts the dispatcher with fault injection and waits until it is ready.
     pub fn start_with_faults(&mut self, faults: &Faults) {
         let command = self.command_with_faults(faults);
         self.start_command(command);
     }
 
-    /// Starts such a process, and does not wait.
+    /// Starts the dispatcher with fault injection, without waiting.
     pub fn spawn_with_faults(&mut self, faults: &Faults) {
         self.child = Some(self.command_with_faults(faults).spawn().unwrap());
     }
 
-    /// Starts a process by this command, and waits until it answers a `PING`.
+    /// Starts this command and waits until the dispatcher replies to a `PING`.
     pub fn start_command(&mut self, mut command: Command) {
         self.child = Some(command.spawn().unwrap());
-        wait_for("a dispatcher that is ready", || {
+        wait_for("the dispatcher to be ready", || {
             let Ok(mut stream) = TcpStream::connect(&self.listen) else {
                 return false;
             };
@@ -139,70 +142,72 @@
         });
     }
 
-    /// Starts a process beside one that runs, at the `mgmt` address that the configuration names now.
+    /// Starts another process while the earlier one is still running, as during an upgrade, and waits until it is
+    /// ready. The test must have set a different `mgmt` address in the configuration.
     pub fn start_second_process(&mut self) {
         let child = self.command("serve").spawn().unwrap();
         self.child = Some(child);
-        wait_for("a new version that is ready", || {
+        wait_for("the new process to be ready", || {
             TcpStream::connect(self.config["mgmt"].as_str().unwrap()).is_ok()
         });
         assert!(self.admin("ready")[0].starts_with("SUCCESS"));
     }
 
-    /// What the journal holds at this moment.
+    /// Reads the current contents of the journal.
     pub fn read_journal(&self) -> Recovered {
         self.read_journal_in("mails")
     }
 
-    /// What that journal of the folder holds at this moment.
-    pub fn read_journal_in(&self, journal: &str) -> Recovered {
-        // A folder of its own each time: a process that another test starts just now holds a lock on the last one's file
-        // until it is the program, and the journal would be taken for another's and found empty.
+    /// Reads the current contents of this file in the state directory as a journal.
+    pub fn read_journal_in(&self, file: &str) -> Recovered {
+        // Each copy is in a new directory, since a process that another test is starting holds an inherited lock on the
+        // previous copy until it calls `exec`. Such a copy would be treated as
+        // another process's journal and read as empty.
         let copy = self
             .dir
-            .join(format!("copy-{}", COPIES.fetch_add(1, Ordering::SeqCst)));
+            .join(format!("copy-{}", NEXT_COPY.fetch_add(1, Ordering::SeqCst)));
         std::fs::create_dir_all(&copy).unwrap();
-        std::fs::copy(self.dir.join("state").join(journal), copy.join("mails")).unwrap();
+        std::fs::copy(self.dir.join("state").join(file), copy.join("mails")).unwrap();
         MessageJournal::open(&copy, 10_000_000).unwrap().1
     }
 
-    /// Whether the journal says that an attempt of the message never ran.
+    /// Returns whether the journal records an attempt of the message as certain not to have run.
     pub fn attempt_never_ran(&self, id: &str) -> bool {
         let messages = self.read_journal().messages;
         let message = messages.iter().find(|m| format!("{:016x}", m.id.0) == id);
         message.is_some_and(|m| m.attempts.iter().any(|c| c.may_have_run == Some(false)))
     }
 
-    /// Ends the process by SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         let mut child = self.child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let pid = rustix::process::Pid::from_child(self.child.as_ref().unwrap());
         rustix::process::kill_process(pid, signal).unwrap();
     }
 
-    /// Where operators call this dispatcher: the n-th process beside others has an address of its own.
+    /// Returns an admin address for this dispatcher. Processes that run at the same time need different values of `n`.
     pub fn admin_addr(&self, n: u16) -> String {
-        let ip: std::net::SocketAddr = self.listen.parse().unwrap();
-        format!("{}:{}", ip.ip(), 9100 + n)
+        let listen: std::net::SocketAddr = self.listen.parse().unwrap();
+        format!("{}:{}", listen.ip(), 9100 + n)
     }
 
-    /// One call as an operator makes it; see [`admin_request`].
+    /// Sends an admin request; see [`admin_request`].
     pub fn admin(&self, line: &str) -> Vec<String> {
         admin_request(self.config["mgmt"].as_str().unwrap(), line)
     }
 
-    /// One of the metrics that the process shows to operators now.
+    /// Returns the current value of a metric; see [`metric_at`].
     pub fn metric(&self, name: &str) -> u64 {
         metric_at(self.config["mgmt"].as_str().unwrap(), name)
     }
 
-    /// A new connection of a client.
+    /// Opens a client connection.
     pub fn client(&self) -> Client {
         connect(&self.listen).unwrap()
     }
@@ -217,14 +222,14 @@
     }
 }
 
-/// A process that does not outlive its test, however that ends.
+/// A process that is killed when this is dropped, so that it does not outlive its test even if that panics.
 pub struct KillOnDrop(
     /// The process.
     pub Child,
 );
 
 impl KillOnDrop {
-    /// Ends it by SIGKILL, if it has not ended yet.
+    /// Kills the process with SIGKILL, if it is still running.
     pub fn kill(&mut self) {
         self.0.kill().ok();
         self.0.wait().ok();
--- a/crates/test-support/src/endpoint_lines.rs
+++ b/crates/test-support/src/endpoint_lines.rs
@@ -1,8 +1,8 @@
-//! Endpoint entries as operators write them to a control process.
+//! Endpoint entries in the line format that operators write to a control process.
 
 use bellsill_directory::line::EndpointState;
 
-/// The line that writes endpoint `number`, the only one of the destination with the same number.
+/// Returns the line for endpoint `number`, which is the only endpoint of the destination with the same number.
 pub fn entry(number: u64, state: EndpointState) -> String {
     let state = serde_json::to_string(&state).expect("a state");
     let port = 1000 + number % 60_000;
@@ -12,7 +12,7 @@
     )
 }
 
-/// The lines of a range of endpoints, all in one state.
+/// Returns the lines for a range of endpoints, all in the same state.
 pub fn entries(numbers: std::ops::Range<u64>, state: EndpointState) -> String {
     numbers.map(|number| entry(number, state)).collect()
 }
--- a/crates/test-support/src/installation.rs
+++ b/crates/test-support/src/installation.rs
@@ -1,5 +1,5 @@
-//! A complete installation at small scale: three control processes and three dispatchers, each a process of the program, and a
-//! link to the control processes that can be cut for each dispatcher.
+//! A small complete installation of three control processes and three dispatchers, each a separate process. Each
+//! dispatcher connects to the control processes through TCP proxies, which can simulate a network partition.
 
 use crate::client::{new_id, put};
 use crate::dispatcher_process::{DispatcherProcess, Program};
@@ -15,13 +15,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Dispatchers `d0` to `d2` and control processes `c0` (the writer) to `c2`.
+/// The number of dispatchers (`d0` to `d2`), and of control processes, of which the first is the leader.
 pub const SIZE: usize = 3;
 const BUCKETS_PER_REGION: u32 = 16;
-/// The dispatchers' zones. Each bucket is held in both.
+/// The zones of the dispatchers. Each bucket has a holder in both zones.
 const ZONES: [&str; SIZE] = ["north", "south", "north"];
 
-/// A control process with its configuration and its log in a folder.
+/// A control process, and the directory of its configuration file and its log.
 pub struct ControlProcess {
     program: Program,
     addr: String,
@@ -30,32 +30,27 @@
 }
 
 impl ControlProcess {
-    fn new(
-        program: Program,
-        addr: String,
-        folder: PathBuf,
-        writer: Option<&str>,
-    ) -> ControlProcess {
-        std::fs::create_dir_all(folder.join("log")).unwrap();
-        let role = match writer {
+    fn new(program: Program, addr: String, dir: PathBuf, leader: Option<&str>) -> ControlProcess {
+        std::fs::create_dir_all(dir.join("log")).unwrap();
+        let role = match leader {
             None => "role = \"writer\"".to_string(),
-            Some(writer) => format!("role = \"follower\"\nwriter = \"{writer}\""),
+            Some(leader) => format!("role = \"follower\"\nwriter = \"{leader}\""),
         };
         let text = format!(
             "name = \"control\"\nlisten = \"{addr}\"\nstate = \"{}\"\n{role}\n{}",
-            folder.join("log").display(),
+            dir.join("log").display(),
             layout()
         );
-        std::fs::write(folder.join("control.toml"), text).unwrap();
+        std::fs::write(dir.join("control.toml"), text).unwrap();
         ControlProcess {
             program,
             addr,
-            dir: folder,
+            dir,
             child: None,
         }
     }
 
-    /// Starts it, and waits until it accepts connections.
+    /// Starts the process and waits until it accepts connections.
     pub fn start(&mut self) {
         let mut command = Command::new(self.program.executable);
         command
@@ -65,17 +60,17 @@
             .arg("--log")
             .arg("warn");
         self.child = Some(command.spawn().unwrap());
-        wait_for("a control process that is ready", || {
+        wait_for("the control process to be ready", || {
             TcpStream::connect(&self.addr).is_ok()
         });
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(self.child.as_ref().unwrap()), signal).unwrap();
     }
 
-    /// Ends it by SIGKILL, if it runs.
+    /// Kills the process with SIGKILL, if it is running.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().unwrap();
@@ -90,7 +85,7 @@
     }
 }
 
-/// The layout as both kinds of processes are told it.
+/// Returns the layout settings, which are the same for dispatchers and control processes.
 fn layout() -> String {
     format!(
         "buckets_per_region = {BUCKETS_PER_REGION}\n\
@@ -98,41 +93,43 @@
     )
 }
 
-/// A link to one address: bytes go both ways until it is cut, then they wait, and new connections too.
+/// A TCP proxy to one address. While it is disconnected, bytes in both directions and new connections are delayed, as
+/// in a network partition.
 #[derive(Clone)]
-struct Link {
+struct Proxy {
     addr: String,
-    cut: Arc<AtomicBool>,
+    disconnected: Arc<AtomicBool>,
 }
 
-impl Link {
-    fn to(target: String) -> Link {
-        let cut = Arc::new(AtomicBool::new(false));
-        let seen = Arc::clone(&cut);
-        let addr = stand_in(move |near| {
-            wait_until_healed(&seen);
-            let Ok(far) = TcpStream::connect(&target) else {
+impl Proxy {
+    fn start(target: String) -> Proxy {
+        let disconnected = Arc::new(AtomicBool::new(false));
+        let shared = Arc::clone(&disconnected);
+        let addr = stand_in(move |client| {
+            wait_while_disconnected(&shared);
+            let Ok(server) = TcpStream::connect(&target) else {
                 return;
             };
-            let (near_again, far_again) = (near.try_clone().unwrap(), far.try_clone().unwrap());
-            let there = Arc::clone(&seen);
-            std::thread::spawn(move || carry(near_again, far_again, &there));
-            carry(far, near, &seen);
+            let (client_copy, server_copy) =
+                (client.try_clone().unwrap(), server.try_clone().unwrap());
+            let shared_by_other = Arc::clone(&shared);
+            std::thread::spawn(move || forward(client_copy, server_copy, &shared_by_other));
+            forward(server, client, &shared);
         });
-        Link { addr, cut }
+        Proxy { addr, disconnected }
     }
 }
 
-fn wait_until_healed(cut: &AtomicBool) {
-    while cut.load(Ordering::SeqCst) {
+fn wait_while_disconnected(disconnected: &AtomicBool) {
+    while disconnected.load(Ordering::SeqCst) {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
+fn forward(mut from: TcpStream, mut to: TcpStream, disconnected: &AtomicBool) {
     let mut bytes = [0; 4096];
     while let Ok(count) = from.read(&mut bytes) {
-        wait_until_healed(cut);
+        wait_while_disconnected(disconnected);
         if count == 0 || to.write_all(&bytes[..count]).is_err() {
             break;
         }
@@ -141,24 +138,24 @@
     from.shutdown(std::net::Shutdown::Both).ok();
 }
 
-/// A dispatcher, and its links to the control processes.
+/// A dispatcher and its proxies to the control processes.
 pub struct Dispatcher {
-    /// Its process.
+    /// The dispatcher process.
     pub process: DispatcherProcess,
-    links: Vec<Link>,
+    proxies: Vec<Proxy>,
 }
 
 impl Dispatcher {
     fn new(program: Program, number: usize, control: &[ControlProcess]) -> Dispatcher {
         let mut process = DispatcherProcess::new(program, &[]);
         process.config["mgmt"] = process.admin_addr(0).into();
-        let links: Vec<Link> = control
+        let proxies: Vec<Proxy> = control
             .iter()
-            .map(|process| Link::to(process.addr.clone()))
+            .map(|process| Proxy::start(process.addr.clone()))
             .collect();
-        let addresses: Vec<String> = links
+        let addresses: Vec<String> = proxies
             .iter()
-            .map(|link| format!("{:?}", link.addr))
+            .map(|proxy| format!("{:?}", proxy.addr))
             .collect();
         let text = format!(
             "dispatcher = \"d{number}\"\nzone = \"{}\"\ncontrol = [{}]\n{}",
@@ -167,10 +164,10 @@
             layout()
         );
         std::fs::write(process.dir.join("installation.toml"), text).unwrap();
-        Dispatcher { process, links }
+        Dispatcher { process, proxies }
     }
 
-    /// Starts it with the installation that its folder describes.
+    /// Starts it with the installation file in its directory, and waits until it is ready.
     pub fn start(&mut self) {
         let mut command = self.process.command("serve");
         command
@@ -179,51 +176,56 @@
         self.process.start_command(command);
     }
 
-    /// Cuts or heals the link to all control processes.
+    /// Sets whether the dispatcher is disconnected from all control processes.
     pub fn set_disconnected(&self, disconnected: bool) {
-        self.links
+        self.proxies
             .iter()
-            .for_each(|link| link.cut.store(disconnected, Ordering::SeqCst));
+            .for_each(|proxy| proxy.disconnected.store(disconnected, Ordering::SeqCst));
     }
 
-    /// One of the metrics of its part of the endpoint list.
+    /// Returns the current value of a metric of its scope of the endpoint list.
     pub fn scope(&self, name: &str) -> u64 {
         self.process.metric(&format!("scope.{name}"))
     }
 
-    /// Hands in one message after another until one has reached the endpoint, whatever the answers to the ones before.
+    /// Submits messages until one of them reaches the endpoint. Replies are ignored: earlier messages may be rejected.
     pub fn wait_until_delivered(&self, destination: u64, endpoint: &Endpoint, body: &str) {
-        let came = || endpoint.requests().iter().any(|call| call.body == body);
+        let is_received = || {
+            endpoint
+                .requests()
+                .iter()
+                .any(|request| request.body == body)
+        };
         wait_for(&format!("the message {body:?} for {destination}"), || {
             let fields = format!("c=payment,d=8000,k=,dest={destination}");
             self.process.client().send(&put(&new_id(), &fields, body));
-            // The room for messages is small.
+            // The dispatcher has room for only a few messages, so they are submitted slowly.
             std::thread::sleep(Duration::from_millis(50));
-            came()
+            is_received()
         });
     }
 }
 
-/// All processes; they end when it is dropped.
+/// All processes of the installation, which are killed when it is dropped.
 pub struct Installation {
-    /// The first of them accepts writes.
+    /// The control processes. The first one is the leader.
     pub control: Vec<ControlProcess>,
-    /// Two of the first zone and one of the second.
+    /// The dispatchers: two in zone `north` and one in zone `south`.
     pub dispatchers: Vec<Dispatcher>,
 }
 
 impl Installation {
-    /// All processes run, and the dispatchers are declared and hold their buckets.
+    /// Starts all processes, declares the dispatchers, and waits until they hold their buckets.
     pub fn start(program: Program) -> Installation {
-        let places: Vec<DispatcherProcess> = (0..SIZE)
+        let prepared: Vec<DispatcherProcess> = (0..SIZE)
             .map(|_| DispatcherProcess::new(program, &[]))
             .collect();
-        let addr = |n: usize| places[n].listen.replace(":6379", ":7400");
-        let folder = |n: usize| places[n].dir.with_extension("control");
+        let addr = |n: usize| prepared[n].listen.replace(":6379", ":7400");
+        let dir = |n: usize| prepared[n].dir.with_extension("control");
         let mut control: Vec<ControlProcess> = (0..SIZE)
             .map(|n| {
                 let leader = Some(addr(0)).filter(|_| n > 0);
-                ControlProcess::new(program, addr(n), folder(n), leader.as_deref())
+                ControlProcess::new(program, addr(n), dir(n), leader.as_deref())
             })
             .collect();
         control.iter_mut().for_each(ControlProcess::start);
@@ -246,7 +248,7 @@
         installation
     }
 
-    /// Waits until every bucket is held in both zones.
+    /// Waits until every bucket has a complete holder in both zones.
     pub fn wait_for_buckets(&self) {
         wait_for("every bucket in both zones", || {
             let held: u64 = self
@@ -258,10 +260,14 @@
         });
     }
 
-    /// Writes an endpoint of each of these destinations, at the writer.
+    /// Writes one endpoint entry for each of these destinations to the leader.
     pub fn write(&self, destinations: std::ops::Range<u64>, endpoint: &Endpoint) {
-        let lines = destinations
-            .map(|cell| format!("{}\n", endpoint.entry(&format!("e{cell}"), cell, "up")));
+        let lines = destinations.map(|destination| {
+            format!(
+                "{}\n",
+                endpoint.entry(&format!("e{destination}"), destination, "up")
+            )
+        });
         self.post("/api/targets", &lines.collect::<String>());
     }
 
@@ -278,7 +284,7 @@
         assert!(status.starts_with("HTTP/1.1 200 "), "{path}: {status}");
     }
 
-    /// Every dispatcher delivers to each of these destinations.
+    /// Waits until every dispatcher has delivered a message to each of these destinations.
     pub fn wait_until_all_deliver(
         &self,
         destinations: std::ops::Range<u64>,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the tests of several packages share. Only tests depend on this package; nothing of it is deployed.
+//! Test helpers shared by several packages. Only tests depend on this package; it is not deployed.
 //!
-//! [`control_process`], [`control_client`] and [`endpoint_lines`] are for control processes that run in threads of a
-//! test. The other modules start the program itself, a [`dispatcher_process`] or a whole [`installation`], with stand-ins
-//! for the systems around it; [`soak`] plays it under faults.
+//! [`control_process`], [`control_client`] and [`endpoint_lines`] support tests that run control processes in threads.
+//! The other modules start the executable, either a single dispatcher ([`dispatcher_process`]) or a complete
+//! [`installation`], with stand-ins for external systems. [`soak`] runs a dispatcher under injected faults.
 
 use std::time::Duration;
 
@@ -22,5 +22,5 @@
 pub mod stand_in;
 pub mod wait;
 
-/// How long the helpers for control processes wait for something before the test fails.
+/// The timeout of the helpers for control processes; the test fails when it expires.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/test-support/src/platform.rs
+++ b/crates/test-support/src/platform.rs
@@ -1,4 +1,4 @@
-//! The systems behind a dispatcher: discovery, and the receiver of notifications.
+//! Stand-ins for the systems that a dispatcher connects to: discovery and the notification receiver.
 
 use crate::stand_in::{request, stand_in};
 use crate::wait::wait_for;
@@ -8,29 +8,29 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Discovery and the receiver of notifications, on one address.
+/// Discovery and the notification receiver, on one address.
 #[derive(Clone)]
 pub struct Platform {
-    /// Where both listen.
+    /// The address of both.
     pub addr: String,
-    /// The connections on which the endpoint list is followed.
+    /// The connections of the watches of the endpoint list.
     pub watches: Arc<Mutex<Vec<TcpStream>>>,
-    /// The request line of each watch, which says from where the list is followed.
+    /// The request line of each watch, which contains the version that the watch starts from.
     pub watch_requests: Arc<Mutex<Vec<String>>>,
-    /// All notifications that were accepted, in order.
+    /// All accepted notifications, in order of arrival.
     pub notifications: Arc<Mutex<Vec<Value>>>,
-    /// While set, notifications are read and their connection is closed with no answer.
+    /// While set, notification requests are read and the connection is closed without a response.
     pub drop_notifications: Arc<AtomicBool>,
 }
 
 impl Platform {
-    /// Starts both on a free port; notifications are accepted.
+    /// Starts both on a free port, with notifications accepted.
     pub fn start() -> Platform {
         let watches: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
         let watch_requests: Arc<Mutex<Vec<String>>> = Arc::default();
         let notifications: Arc<Mutex<Vec<Value>>> = Arc::default();
         let drop_notifications = Arc::new(AtomicBool::new(false));
-        let (w, s, n, d) = (
+        let (open_watches, requests_seen, accepted, dropping) = (
             Arc::clone(&watches),
             Arc::clone(&watch_requests),
             Arc::clone(&notifications),
@@ -43,16 +43,16 @@
                 if head[0].starts_with("GET /api/targets?follow=1&since=") {
                     to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                         .unwrap();
-                    s.lock().unwrap().push(head[0].clone());
-                    w.lock().unwrap().push(to.try_clone().unwrap());
+                    requests_seen.lock().unwrap().push(head[0].clone());
+                    open_watches.lock().unwrap().push(to.try_clone().unwrap());
                     continue;
                 }
                 assert_eq!(head[0], "POST /v2/finals HTTP/1.1");
-                if d.load(Ordering::SeqCst) {
+                if dropping.load(Ordering::SeqCst) {
                     return;
                 }
                 let lines = String::from_utf8(body).unwrap();
-                n.lock().unwrap().extend(
+                accepted.lock().unwrap().extend(
                     lines
                         .lines()
                         .map(|l| serde_json::from_str::<Value>(l).unwrap()),
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Sends the text to all watches, each byte in a chunk of its own.
+    /// Sends the text to all watches, each byte in a separate chunk.
     pub fn publish(&self, text: &str) {
         wait_for("a watch", || !self.watches.lock().unwrap().is_empty());
         for watch in self.watches.lock().unwrap().iter_mut() {
             for byte in text.bytes() {
-                // One that has ended gets no more.
+                // The write fails if the watch has ended.
                 watch
                     .write_all(&[b'1', b'\r', b'\n', byte, b'\r', b'\n'])
                     .ok();
@@ -82,12 +82,12 @@
         }
     }
 
-    /// A copy of all notifications accepted so far.
+    /// Returns a copy of all notifications accepted so far.
     pub fn notifications(&self) -> Vec<Value> {
         self.notifications.lock().unwrap().clone()
     }
 
-    /// The first notification of this message.
+    /// Returns the first notification of this message, if any.
     pub fn notification(&self, id: &str) -> Option<Value> {
         self.notifications().into_iter().find(|n| n["ref"] == id)
     }
--- a/crates/test-support/src/stand_in.rs
+++ b/crates/test-support/src/stand_in.rs
@@ -1,11 +1,11 @@
-//! Listeners that stand in for other systems, and what their servers read.
+//! Listeners that stand in for external systems, and a reader for HTTP requests.
 
 use crate::wait::wait_for;
 use std::io::{BufRead, BufReader, Read};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Reads one HTTP request: the lines of its head, and its body. None once the connection has ended.
+/// Reads one HTTP request, and returns the lines of its head and its body, or `None` if the connection is closed.
 pub fn request(from: &mut BufReader<TcpStream>) -> Option<(Vec<String>, Vec<u8>)> {
     let mut lines = Vec::new();
     loop {
@@ -27,7 +27,7 @@
     Some((lines, body))
 }
 
-/// Listens on a free loopback port, with a thread for each connection, and returns the address.
+/// Listens on a free loopback port, runs `serve` in a new thread for each connection, and returns the address.
 pub fn stand_in(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap().to_string();
@@ -40,15 +40,16 @@
     addr
 }
 
-/// An endpoint whose queue of new connections is full with the one returned: another is established when there is room.
+/// Returns a listener with a full backlog, and the connection that fills it. Further connections are established only
+/// when the backlog has room.
 pub fn full_backlog() -> (TcpListener, TcpStream) {
     let listener = listen_with_backlog(1);
-    let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (listener, filler)
+    let pending = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (listener, pending)
 }
 
-/// An endpoint whose queue takes so many new connections that it has not accepted, and no more.
-pub fn listen_with_backlog(places: i32) -> TcpListener {
+/// Returns a listener whose backlog holds this many connections that have not been accepted.
+pub fn listen_with_backlog(connections: i32) -> TcpListener {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener
@@ -59,16 +60,16 @@
                 .into(),
         )
         .unwrap();
-    listener.listen(places - 1).unwrap();
+    listener.listen(connections - 1).unwrap();
     listener.into()
 }
 
-/// Waits for the next connection; its reads fail after a minute.
-pub fn accept(at: &TcpListener) -> BufReader<TcpStream> {
-    at.set_nonblocking(true).unwrap();
+/// Waits for the next connection, and sets its read timeout to one minute.
+pub fn accept(listener: &TcpListener) -> BufReader<TcpStream> {
+    listener.set_nonblocking(true).unwrap();
     let mut next = None;
     wait_for("a connection", || {
-        next = at.accept().ok();
+        next = listener.accept().ok();
         next.is_some()
     });
     let stream = next.unwrap().0;
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -1,14 +1,14 @@
-//! Waiting for what a test expects.
+//! Polling for a condition that a test expects.
 
 use std::time::{Duration, Instant};
 
-/// Waits for a condition to become true. It fails only if that does not happen within a minute.
-pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-    let from = Instant::now();
-    while !done() {
+/// Polls until the condition is true. Panics with `what` in the message if that takes more than a minute.
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
         assert!(
-            from.elapsed() < Duration::from_secs(60),
-            "never came: {what}"
+            started.elapsed() < Duration::from_secs(60),
+            "timed out waiting for {what}"
         );
         std::thread::sleep(Duration::from_millis(2));
     }
