--- a/crates/testbed/src/command_line.rs
+++ b/crates/testbed/src/command_line.rs
@@ -1,7 +1,7 @@
-//! The program `bellsill-testbed`. Status 0: done and valid, rules kept; 1: a rule was broken, or a run is not valid; 2: what was
-//! asked for cannot be done, nothing was started.
+//! The program `bellsill-testbed`. Exit status 0: all runs are valid and kept the rules; 1: a rule was broken, or a run failed
+//! or is not valid; 2: the command failed, for instance because an experiment is invalid.
 
-use crate::experiment::{self, BadExperiment, Experiment};
+use crate::experiment::{self, Experiment, ExperimentError};
 use crate::hollow::options::HollowOptions;
 use crate::run::{self, RunLine, RunOptions};
 use crate::spec::{Drive, Vary};
@@ -14,47 +14,47 @@
 #[command(
     name = "bellsill-testbed",
     version,
-    about = "Plays dispatchers against a model of the world, and says what came of it"
+    about = "Runs dispatchers against modelled endpoints and faults, and reports the results"
 )]
-struct Line {
-    /// What of its own doings is logged.
+struct Cli {
+    /// The log level of the testbed itself.
     #[arg(long, global = true, default_value = "warn", env = "BELLSILL_LAB_LOG")]
     log: String,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum DriveWord {
+enum DriveArg {
     Virtual,
     Sockets,
 }
 
 #[derive(Args)]
 struct RunArgs {
-    /// The longer form of the experiments.
+    /// Run the long form of the experiments.
     #[arg(long)]
     long: bool,
-    /// Instead of what the experiments say.
+    /// Override the drive of the experiments.
     #[arg(long)]
-    drive: Option<DriveWord>,
-    /// Instead of what the experiments say, such as 1,2,3.
+    drive: Option<DriveArg>,
+    /// Override the seeds of the experiments, for example 1,2,3.
     #[arg(long, value_delimiter = ',')]
     seeds: Option<Vec<u64>>,
-    /// Where runs are written, a line of JSON each; those that are there already are not played again.
+    /// The directory for stored runs, one line of JSON each; runs already stored there are reused.
     #[arg(long, default_value = "target/lab")]
     out: PathBuf,
-    /// The dispatcher, for runs on sockets.
+    /// The dispatcher executable, for runs on sockets.
     #[arg(long, default_value = "target/release/bellsill")]
     program: PathBuf,
-    /// No progress bar.
+    /// Hide the progress bar.
     #[arg(long)]
     quiet: bool,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Plays experiments and writes a report beside their runs.
+enum Command {
+    /// Runs experiments and writes a report next to their stored runs.
     Run {
         #[arg(required = true)]
         files: Vec<PathBuf>,
@@ -69,10 +69,10 @@
         #[command(flatten)]
         args: RunArgs,
     },
-    /// Plays an experiment over values of one field.
+    /// Runs an experiment with several values of one field.
     Sweep {
         file: PathBuf,
-        /// Such as load.rate or troubles[0].part.
+        /// The field, for example load.rate or troubles[0].part.
         #[arg(long)]
         field: String,
         #[arg(long, value_delimiter = ',', required = true)]
@@ -80,30 +80,31 @@
         #[command(flatten)]
         args: RunArgs,
     },
-    /// Writes one HTML file from files of runs.
+    /// Writes an HTML report from files of runs.
     Report {
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[arg(short, long, default_value = "report.html")]
         output: PathBuf,
     },
-    /// Measures what a dispatcher costs by what it knows and holds, and fits slopes.
+    /// Measures the cost of a dispatcher by the destinations it knows and the messages it holds, and fits slopes.
     Capacity(crate::capacity::CapacityArgs),
-    /// Runs hollow dispatchers and control processes on loopback, and measures them.
+    /// Runs and measures hollow dispatchers and control processes on loopback.
     Hollow(HollowOptions),
-    /// Carries dispatchers for `hollow`, which starts it.
+    /// Worker process of `hollow`, which starts it; runs some of the dispatchers.
     #[command(hide = true)]
     HollowWorker { options: String },
-    /// Says what is wrong with experiments; starts nothing.
+    /// Validates experiments without running them.
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
 }
 
+/// Parses the command line, executes the command and returns the exit status.
 pub fn main() -> ExitCode {
-    let line = Line::parse();
-    let filter = tracing_subscriber::EnvFilter::try_new(&line.log);
+    let cli = Cli::parse();
+    let filter = tracing_subscriber::EnvFilter::try_new(&cli.log);
     let filter = match filter {
         Ok(filter) => filter,
         Err(e) => {
@@ -115,8 +116,8 @@
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .init();
-    match execute(line.what) {
-        Ok(good) => ExitCode::from(u8::from(!good)),
+    match execute(cli.command) {
+        Ok(passed) => ExitCode::from(u8::from(!passed)),
         Err(e) => {
             eprintln!("{e:#}");
             ExitCode::from(2)
@@ -127,8 +128,8 @@
 fn run_options(args: &RunArgs) -> RunOptions {
     RunOptions {
         drive: args.drive.map(|d| match d {
-            DriveWord::Virtual => Drive::Virtual,
-            DriveWord::Sockets => Drive::Sockets,
+            DriveArg::Virtual => Drive::Virtual,
+            DriveArg::Sockets => Drive::Sockets,
         }),
         seeds: args.seeds.clone(),
         program: args.program.clone(),
@@ -137,26 +138,30 @@
     }
 }
 
-/// All experiments are read before the first is played.
-fn read(files: &[PathBuf], long: bool) -> Result<Vec<Experiment>, BadExperiment> {
+/// Reads all experiments before the first run, so that an invalid one starts nothing.
+fn read(files: &[PathBuf], long: bool) -> Result<Vec<Experiment>, ExperimentError> {
     files
         .iter()
         .map(|file| experiment::read(file, long))
         .collect()
 }
 
-fn good(runs: &[RunLine]) -> bool {
+fn all_passed(runs: &[RunLine]) -> bool {
     runs.iter()
         .all(|r| r.valid() && r.verdict.passed() && r.faults.is_empty())
 }
 
-/// Plays an experiment, says what came of it and writes the report.
-fn play(experiment: &Experiment, args: &RunArgs) -> Result<(Vec<RunLine>, PathBuf)> {
-    let folder = args.out.join(&experiment.name);
-    let runs = run::run_all(experiment, &run_options(args), &folder.join("runs.jsonl"))?;
+/// Runs an experiment, prints a summary of each run and writes the report.
+fn run_experiment(experiment: &Experiment, args: &RunArgs) -> Result<(Vec<RunLine>, PathBuf)> {
+    let directory = args.out.join(&experiment.name);
+    let runs = run::run_all(
+        experiment,
+        &run_options(args),
+        &directory.join("runs.jsonl"),
+    )?;
     runs.iter()
         .for_each(|run| println!("{}", run::summary(run)));
-    let report = folder.join("report.html");
+    let report = directory.join("report.html");
     write_report(&runs, &report)?;
     Ok((runs, report))
 }
@@ -167,13 +172,13 @@
     Ok(())
 }
 
-fn execute(what: What) -> Result<bool> {
-    match what {
-        What::Capacity(args) => crate::capacity::execute(&args).map(|()| true),
-        What::Hollow(options) => crate::hollow::scenario::play(options),
-        What::HollowWorker { options } => crate::hollow::worker::run(&options).map(|()| true),
-        What::Check { files } => {
-            let mut fine = true;
+fn execute(command: Command) -> Result<bool> {
+    match command {
+        Command::Capacity(args) => crate::capacity::execute(&args).map(|()| true),
+        Command::Hollow(options) => crate::hollow::scenario::play(options),
+        Command::HollowWorker { options } => crate::hollow::worker::run(&options).map(|()| true),
+        Command::Check { files } => {
+            let mut passed = true;
             for file in &files {
                 match experiment::read(file, false).and_then(|_| experiment::read(file, true)) {
                     Ok(e) => {
@@ -186,21 +191,21 @@
                     }
                     Err(e) => {
                         eprintln!("{e}");
-                        fine = false;
+                        passed = false;
                     }
                 }
             }
-            anyhow::ensure!(fine, "nothing was started");
+            anyhow::ensure!(passed, "at least one experiment is invalid");
             Ok(true)
         }
-        What::Run { files, args } => {
-            let mut fine = true;
+        Command::Run { files, args } => {
+            let mut passed = true;
             for experiment in read(&files, args.long)? {
-                fine &= good(&play(&experiment, &args)?.0);
+                passed &= all_passed(&run_experiment(&experiment, &args)?.0);
             }
-            Ok(fine)
+            Ok(passed)
         }
-        What::Compare { files, args } => {
+        Command::Compare { files, args } => {
             let jsonl = |f: &PathBuf| f.extension().is_some_and(|e| e == "jsonl");
             let (runs, names) = match &files[..] {
                 [one, two] if jsonl(one) && jsonl(two) => {
@@ -210,28 +215,25 @@
                             variant: format!("{name}: {}", r.variant),
                             ..r
                         };
-                        Ok(run::lines(path)?.into_iter().map(named).collect())
+                        Ok(run::read_runs(path)?.into_iter().map(named).collect())
                     };
                     let (one, two) = (of(one)?, of(two)?);
                     (one.into_iter().chain(two).collect(), "files")
                 }
                 [one] if !jsonl(one) => {
                     let experiment = experiment::read(one, args.long)?;
-                    (play(&experiment, &args)?.0, "variants")
+                    (run_experiment(&experiment, &args)?.0, "variants")
                 }
                 _ => anyhow::bail!(
-                    "compare takes one experiment, or two files of runs that end in .jsonl"
+                    "compare expects one experiment, or two files of runs that end in .jsonl"
                 ),
             };
             let table = crate::compare::table(&runs);
-            anyhow::ensure!(
-                !table.is_empty(),
-                "there are no two {names} with a seed in common"
-            );
+            anyhow::ensure!(!table.is_empty(), "no two {names} have a seed in common");
             print!("{table}");
-            Ok(good(&runs))
+            Ok(all_passed(&runs))
         }
-        What::Sweep {
+        Command::Sweep {
             file,
             field,
             values,
@@ -247,17 +249,17 @@
                 ..Default::default()
             };
             let experiment = experiment::read_varied(&file, args.long, Some(vary))?;
-            let (runs, _) = play(&experiment, &args)?;
-            print!("{}", crate::compare::curve(&runs));
-            Ok(good(&runs))
+            let (runs, _) = run_experiment(&experiment, &args)?;
+            print!("{}", crate::compare::sweep_lines(&runs));
+            Ok(all_passed(&runs))
         }
-        What::Report { files, output } => {
+        Command::Report { files, output } => {
             let mut runs = vec![];
             for file in &files {
-                runs.extend(run::lines(file)?);
+                runs.extend(run::read_runs(file)?);
             }
             write_report(&runs, &output)?;
-            Ok(good(&runs))
+            Ok(all_passed(&runs))
         }
     }
 }
--- a/crates/testbed/src/experiment.rs
+++ b/crates/testbed/src/experiment.rs
@@ -1,17 +1,17 @@
-//! An experiment: world, load, faults, seeds and what varies, read from a TOML file (and those it builds on) and checked.
+//! Reads an experiment (endpoints, load, faults, seeds and variants) from a TOML file and its base files, and validates it.
 
 use crate::spec::{File, Spec, Vary, check};
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 
-/// One thing that is wrong with an experiment's file.
+/// A field of an experiment file with an invalid value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidField {
-    /// Such as `faults[1].zone`.
+    /// The path of the field, for example `troubles[1].zone`.
     pub field: String,
-    /// Counted from 1; none where the field is missing.
+    /// The line, counted from 1; `None` if the field is missing.
     pub line: Option<usize>,
-    /// What is allowed there.
+    /// The values that are allowed.
     pub expected: String,
 }
 
@@ -28,26 +28,28 @@
     }
 }
 
-/// Why an experiment cannot be run; nothing has been started.
+/// Why an experiment cannot be run.
 #[derive(Debug)]
-pub enum BadExperiment {
+pub enum ExperimentError {
     /// The file could not be read.
-    Unread(PathBuf, std::io::Error),
-    /// Not TOML, or not of the form: the message of the TOML parser, with line and column.
-    Form(PathBuf, String),
-    /// The form is right, but not what some fields hold.
+    Unreadable(PathBuf, std::io::Error),
+    /// The file is not TOML or does not match the schema: the message of the TOML parser, with line and column.
+    Malformed(PathBuf, String),
+    /// The file matches the schema, but some values are out of range.
     InvalidFields(PathBuf, Vec<InvalidField>),
 }
 
-impl std::fmt::Display for BadExperiment {
+impl std::fmt::Display for ExperimentError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            BadExperiment::Unread(path, e) => write!(f, "{}: {e}", path.display()),
-            BadExperiment::Form(path, e) => write!(f, "{}: {}", path.display(), e.trim_end()),
-            BadExperiment::InvalidFields(path, faults) => {
-                let lines: Vec<String> = faults
+            ExperimentError::Unreadable(path, e) => write!(f, "{}: {e}", path.display()),
+            ExperimentError::Malformed(path, e) => {
+                write!(f, "{}: {}", path.display(), e.trim_end())
+            }
+            ExperimentError::InvalidFields(path, fields) => {
+                let lines: Vec<String> = fields
                     .iter()
-                    .map(|fault| format!("{}: {fault}", path.display()))
+                    .map(|field| format!("{}: {field}", path.display()))
                     .collect();
                 f.write_str(&lines.join("\n"))
             }
@@ -55,33 +57,33 @@
     }
 }
 
-impl std::error::Error for BadExperiment {}
+impl std::error::Error for ExperimentError {}
 
-/// One way of running an experiment.
+/// A variant of an experiment; it is run with every seed.
 #[derive(Clone, Debug)]
 pub struct Variant {
-    /// What sets it apart.
+    /// The varied field and its value, or the name of the program.
     pub name: String,
-    /// The run, all but its seed.
+    /// The specification of its runs, without the seed.
     pub spec: Spec,
-    /// The build of the dispatcher, where the variant names one.
+    /// The dispatcher executable, if the variant names one.
     pub program: Option<PathBuf>,
 }
 
-/// An experiment that can be run.
+/// A validated experiment.
 #[derive(Clone, Debug)]
 pub struct Experiment {
-    /// The file's name, without its ending.
+    /// The file name without its extension.
     pub name: String,
-    /// For reports.
+    /// The title, for reports.
     pub title: String,
-    /// Every variant is run with each of these.
+    /// The seeds that every variant is run with.
     pub seeds: Vec<u64>,
-    /// The ways of running it.
+    /// The variants; a single one if nothing varies.
     pub variants: Vec<Variant>,
 }
 
-/// Puts `over` on top of `base`, table by table; anything else replaces.
+/// Merges `over` into `base`: tables are merged recursively, other values replace the old ones.
 fn overlay(base: &mut Table, over: Table) {
     for (key, value) in over {
         match (base.get_mut(&key), value) {
@@ -93,7 +95,7 @@
     }
 }
 
-/// Sets a field such as `load.rate` or `faults[0].share`. False: its place does not exist.
+/// Sets a field such as `load.rate` or `troubles[0].share`. Returns false if the table or array element around it is missing.
 fn set(table: &mut Table, field: &str, value: &Value) -> bool {
     let (head, rest) = field
         .split_once('.')
@@ -122,11 +124,11 @@
     }
 }
 
-/// The line of a field such as `troubles[1].zone`, or of the nearest thing around it.
+/// The line of a field such as `troubles[1].zone`, or of the innermost enclosing table or array that is present.
 fn line_of(text: &str, field: &str) -> Option<usize> {
     use toml::de::{DeTable, DeValue};
-    let whole = DeTable::parse(text).ok()?;
-    let (mut at, mut table) = (None, whole.get_ref());
+    let document = DeTable::parse(text).ok()?;
+    let (mut at, mut table) = (None, document.get_ref());
     for part in field.split('.') {
         let (name, index) = part
             .split_once('[')
@@ -152,22 +154,21 @@
     at.map(|at| text[..at.min(text.len())].matches('\n').count() + 1)
 }
 
-/// What the file holds beside the run itself.
-const AROUND: [&str; 4] = ["title", "seeds", "vary", "long"];
+/// The keys of a file that are not part of the specification of a run.
+const NON_SPEC_KEYS: [&str; 4] = ["title", "seeds", "vary", "long"];
 
-/// The texts of an experiment: its own, and those that it builds on, nearest first.
+/// The text of an experiment file and of its base files, nearest first.
 struct Texts(Vec<(PathBuf, String)>);
 
-/// Experiments build on one another this deep.
-const DEPTH: usize = 4;
+/// The maximum number of base files below an experiment; it also ends cycles.
+const MAX_BASE_DEPTH: usize = 4;
 
 impl Texts {
-    /// Where a field is written: in the nearest text that has it.
+    /// The file and line of a field, in the nearest text that contains it or an enclosing table.
     fn place(&self, field: &str) -> Option<(PathBuf, usize)> {
-        // The longest part of the field that is written somewhere counts.
-        let whole =
+        let find =
             |(path, text): &(PathBuf, String)| line_of(text, field).map(|l| (path.clone(), l));
-        self.0.iter().find_map(whole)
+        self.0.iter().find_map(find)
     }
     /// The first line that sets a key of this name, for an error of the TOML parser in a merged table.
     fn key_line(&self, key: &str) -> Option<(PathBuf, usize)> {
@@ -180,52 +181,56 @@
             .iter()
             .find_map(|(path, text)| Some((path.clone(), text.lines().position(sets)? + 1)))
     }
-    fn read(path: &Path) -> Result<(Texts, Table), BadExperiment> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| BadExperiment::Unread(path.into(), e))?;
-        Texts::layer(path, text, 0)
+    fn read(path: &Path) -> Result<(Texts, Table), ExperimentError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| ExperimentError::Unreadable(path.into(), e))?;
+        Texts::merge(path, text, 0)
     }
-    /// The text over what it builds on.
-    fn layer(path: &Path, text: String, depth: usize) -> Result<(Texts, Table), BadExperiment> {
-        let form = |e: toml::de::Error| BadExperiment::Form(path.into(), e.to_string());
-        let mut own: Table = toml::from_str(&text).map_err(form)?;
+    /// Parses the text and merges it over its base files.
+    fn merge(path: &Path, text: String, depth: usize) -> Result<(Texts, Table), ExperimentError> {
+        let malformed = |e: toml::de::Error| ExperimentError::Malformed(path.into(), e.to_string());
+        let mut own: Table = toml::from_str(&text).map_err(malformed)?;
         let base = own.remove("base");
         let mut texts = vec![(path.to_path_buf(), text)];
         let Some(base) = base else {
             return Ok((Texts(texts), own));
         };
-        let expected = "the name of another experiment's file, beside this one, four deep at most";
-        let fault = || {
+        let expected =
+            "the name of an experiment file in the same directory, nested at most four deep";
+        let invalid_base = || {
             let line = line_of(&texts[0].1, "base");
-            let fault = InvalidField {
+            let field = InvalidField {
                 field: "base".into(),
                 line,
                 expected: expected.into(),
             };
-            BadExperiment::InvalidFields(path.into(), vec![fault])
+            ExperimentError::InvalidFields(path.into(), vec![field])
         };
-        let name = base.as_str().filter(|_| depth < DEPTH).ok_or_else(fault)?;
+        let name = base
+            .as_str()
+            .filter(|_| depth < MAX_BASE_DEPTH)
+            .ok_or_else(invalid_base)?;
         let under = path.parent().unwrap_or(Path::new("")).join(name);
-        let text =
-            std::fs::read_to_string(&under).map_err(|e| BadExperiment::Unread(under.clone(), e))?;
-        let (below, mut table) = Texts::layer(&under, text, depth + 1)?;
+        let text = std::fs::read_to_string(&under)
+            .map_err(|e| ExperimentError::Unreadable(under.clone(), e))?;
+        let (below, mut table) = Texts::merge(&under, text, depth + 1)?;
         overlay(&mut table, own);
         texts.extend(below.0);
         Ok((Texts(texts), table))
     }
 }
 
-/// Reads an experiment; `long` takes its longer form.
-pub fn read(path: &Path, long: bool) -> Result<Experiment, BadExperiment> {
+/// Reads an experiment, in its long form if `long` is set.
+pub fn read(path: &Path, long: bool) -> Result<Experiment, ExperimentError> {
     read_varied(path, long, None)
 }
 
-/// The same, varying something else than the file does.
+/// Reads an experiment; `vary`, if present, replaces the variation of the file.
 pub fn read_varied(
     path: &Path,
     long: bool,
     vary: Option<Vary>,
-) -> Result<Experiment, BadExperiment> {
+) -> Result<Experiment, ExperimentError> {
     let name = path
         .file_stem()
         .map_or_else(String::new, |n| n.to_string_lossy().into_owned());
@@ -233,33 +238,36 @@
     build(texts, table, &name, path, long, vary)
 }
 
-/// Reads an experiment from a text.
-pub fn parse(text: &str, name: &str) -> Result<Experiment, BadExperiment> {
+/// Reads an experiment from a string.
+pub fn parse(text: &str, name: &str) -> Result<Experiment, ExperimentError> {
     let path = PathBuf::from(name);
-    let (texts, table) = Texts::layer(&path, text.to_string(), 0)?;
+    let (texts, table) = Texts::merge(&path, text.to_string(), 0)?;
     build(texts, table, name, &path, false, None)
 }
 
-/// The error of the TOML parser in a table that is merged from several texts, with its place.
-fn misread(texts: &Texts, path: &Path, e: &toml::de::Error) -> BadExperiment {
-    let said = e.message().to_string();
-    let key = said.split('`').nth(1).unwrap_or("");
-    match texts.key_line(key).filter(|_| said.starts_with("unknown")) {
-        Some((path, line)) => BadExperiment::Form(path, format!("line {line}, {said}")),
+/// Adds the position to an error of the TOML parser in a table that was merged from several texts.
+fn locate_error(texts: &Texts, path: &Path, e: &toml::de::Error) -> ExperimentError {
+    let message = e.message().to_string();
+    let key = message.split('`').nth(1).unwrap_or("");
+    match texts
+        .key_line(key)
+        .filter(|_| message.starts_with("unknown"))
+    {
+        Some((path, line)) => ExperimentError::Malformed(path, format!("line {line}, {message}")),
         None => {
-            // In a single text the reader knows the place.
-            let placed = (texts.0.len() == 1)
+            // With a single text, parsing it again gives the position.
+            let located = (texts.0.len() == 1)
                 .then(|| toml::from_str::<File>(&texts.0[0].1).err())
                 .flatten();
-            BadExperiment::Form(path.into(), placed.as_ref().unwrap_or(e).to_string())
+            ExperimentError::Malformed(path.into(), located.as_ref().unwrap_or(e).to_string())
         }
     }
 }
 
-/// The file as a whole, without what varies: what is wrong there is wrong in every variant.
-fn whole_file(texts: &Texts, path: &Path, table: &Table) -> Result<File, BadExperiment> {
+/// Parses the whole file before variants are applied; an error here concerns every variant.
+fn parse_file(texts: &Texts, path: &Path, table: &Table) -> Result<File, ExperimentError> {
     let read: Result<File, toml::de::Error> = table.clone().try_into();
-    read.map_err(|e| misread(texts, path, &e))
+    read.map_err(|e| locate_error(texts, path, &e))
 }
 
 fn build(
@@ -269,13 +277,15 @@
     path: &Path,
     long: bool,
     vary: Option<Vary>,
-) -> Result<Experiment, BadExperiment> {
-    let mut file = whole_file(&texts, path, &table)?;
+) -> Result<Experiment, ExperimentError> {
+    let mut file = parse_file(&texts, path, &table)?;
     if let (true, Some(Value::Table(over))) = (long, table.get("long").cloned()) {
         overlay(&mut table, over);
-        file = whole_file(&texts, path, &table)?;
+        file = parse_file(&texts, path, &table)?;
     }
-    AROUND.iter().for_each(|key| drop(table.remove(*key)));
+    NON_SPEC_KEYS
+        .iter()
+        .for_each(|key| drop(table.remove(*key)));
     let mut builder = Builder {
         texts,
         path,
@@ -283,7 +293,7 @@
         variants: vec![],
     };
     if file.seeds.is_empty() {
-        builder.report("seeds", "at least one whole number");
+        builder.report("seeds", "at least one integer");
     }
     match vary.or(file.vary) {
         None => builder.add("as written".into(), table, None),
@@ -297,11 +307,11 @@
             variants: builder.variants,
         })
     } else {
-        Err(BadExperiment::InvalidFields(path.into(), builder.invalid))
+        Err(ExperimentError::InvalidFields(path.into(), builder.invalid))
     }
 }
 
-/// Collects the variants of an experiment, and all that is wrong in them.
+/// Collects the variants of an experiment and their invalid fields.
 struct Builder<'a> {
     texts: Texts,
     path: &'a Path,
@@ -310,7 +320,7 @@
 }
 
 impl Builder<'_> {
-    /// What is wrong in several variants is reported once.
+    /// Records an invalid field; the same error in several variants is recorded once.
     fn report(&mut self, field: &str, expected: &str) {
         let place = self.texts.place(field);
         let line = place.as_ref().map(|p| p.1);
@@ -339,17 +349,17 @@
             }
             Err(e) => self.report(
                 "vary.values",
-                &format!("values that its field can take ({})", e.message()),
+                &format!("values that are valid for the field ({})", e.message()),
             ),
         }
     }
 
     fn add_all(&mut self, vary: &Vary, table: &Table) {
         if vary.field.is_some() == vary.values.is_empty() {
-            self.report("vary", "a field together with its values, or programs");
+            self.report("vary", "field and values together, or programs");
         }
         if vary.field.is_none() && vary.programs.is_empty() {
-            self.report("vary", "a field with values, or programs");
+            self.report("vary", "field with values, or programs");
         }
         let field = vary.field.as_deref().unwrap_or("");
         for value in &vary.values {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: a model of endpoints and their failures without I/O, two drives of it (real sockets, and virtual time),
-//! a load generator, an auditor of the six rules, experiments and reports. `docs/lab.md` says how to use it.
+//! The testbed: a model of endpoints and their faults that does no I/O, two drivers for it (real sockets and virtual time), a
+//! load generator, an auditor of the six rules, experiments and reports. `docs/lab.md` describes its use.
 // Not finished yet: see docs/ROADMAP.md.
 #![allow(
     missing_docs,
--- a/crates/testbed/src/report/charts.rs
+++ b/crates/testbed/src/report/charts.rs
@@ -1,19 +1,21 @@
 //! The charts of a report.
 
-use super::curves::{a_second, by_dispatcher, curve, latency, nines, over_time, time};
+use super::curves::{
+    by_dispatcher, curve, latency_curve, over_time, per_second, percentile_label, time,
+};
 use super::plot::{Chart, Line, Span};
 use crate::cost::Usage;
 use crate::measure::Point;
 use crate::run::RunLine;
 use crate::world::time::START;
 
-/// What the charts over time have in common.
-struct Frame<'a> {
+/// Settings that all charts over time share.
+struct TimeAxis<'a> {
     spans: &'a [Span],
     x_to: f64,
 }
 
-impl<'a> Frame<'a> {
+impl<'a> TimeAxis<'a> {
     fn chart(&self, title: &'a str, y: &'a str, lines: Vec<Line>, y_top: f64) -> Chart<'a> {
         Chart {
             title,
@@ -25,29 +27,29 @@
             y_log: false,
             y_top,
             x_to: self.x_to,
-            x_words: None,
+            x_formatter: None,
         }
     }
 }
 
-/// All charts of the runs of an experiment, in the order of the report.
+/// All charts of an experiment, in the order of the report.
 pub(super) fn charts<'a>(runs: &[&RunLine], spans: &'a [Span]) -> Vec<Chart<'a>> {
     let x_to = runs
         .iter()
         .map(|r| time(r.results.points.len()))
         .fold(0.0, f64::max);
-    let frame = Frame { spans, x_to };
-    let mut charts = rates(&frame, runs);
-    charts.extend(cold_returns(&frame, runs));
-    charts.extend(held(&frame, runs));
-    charts.push(latencies(&frame, runs));
+    let time_axis = TimeAxis { spans, x_to };
+    let mut charts = rates(&time_axis, runs);
+    charts.extend(cold_returns(&time_axis, runs));
+    charts.extend(held_messages(&time_axis, runs));
+    charts.push(latencies(&time_axis, runs));
     if !runs[0].cost.usage.is_empty() {
-        charts.extend(processes(&frame, &runs[0].cost.usage));
+        charts.extend(processes(&time_axis, &runs[0].cost.usage));
     }
     charts
 }
 
-fn rates<'a>(frame: &Frame<'a>, runs: &[&RunLine]) -> Vec<Chart<'a>> {
+fn rates<'a>(time_axis: &TimeAxis<'a>, runs: &[&RunLine]) -> Vec<Chart<'a>> {
     let share = |p: &[Point]| {
         let (asked, got) = p
             .iter()
@@ -55,53 +57,55 @@
         got / asked
     };
     vec![
-        frame.chart(
-            "Delivered importance of what was asked for, by the moment of asking",
+        time_axis.chart(
+            "Delivered importance as a share of the requested importance, by submission time",
             "share",
             over_time(runs, |r| curve(&r.results.points, share)),
             1.0,
         ),
-        frame.chart(
+        time_axis.chart(
             "Calls",
-            "a second",
-            over_time(runs, |r| curve(&r.results.points, a_second(|p| p.calls))),
+            "per second",
+            over_time(runs, |r| curve(&r.results.points, per_second(|p| p.calls))),
             1.0,
         ),
-        frame.chart(
-            "Refused calls",
-            "a second",
-            over_time(runs, |r| curve(&r.results.points, a_second(|p| p.refused))),
+        time_axis.chart(
+            "Rejected calls",
+            "per second",
+            over_time(runs, |r| {
+                curve(&r.results.points, per_second(|p| p.refused))
+            }),
             1.0,
         ),
-        frame.chart(
-            "Calls broken off, errors and answers that cannot be read",
-            "a second",
+        time_axis.chart(
+            "Calls without a response, with an error or with an unreadable response",
+            "per second",
             over_time(runs, |r| {
-                curve(&r.results.points, a_second(|p| p.unanswered + p.errors))
+                curve(&r.results.points, per_second(|p| p.unanswered + p.errors))
             }),
             1.0,
         ),
-        frame.chart(
-            "Mails turned away, deferred and bounced",
-            "a second",
+        time_axis.chart(
+            "Submissions rejected, messages deferred and bounced",
+            "per second",
             over_time(runs, |r| {
                 curve(
                     &r.results.points,
-                    a_second(|p| p.turned_away + p.deferred + p.bounced),
+                    per_second(|p| p.turned_away + p.deferred + p.bounced),
                 )
             }),
             1.0,
         ),
-        frame.chart(
+        time_axis.chart(
             "Connections opened",
-            "a second",
-            over_time(runs, |r| curve(&r.results.points, a_second(|p| p.opened))),
+            "per second",
+            over_time(runs, |r| curve(&r.results.points, per_second(|p| p.opened))),
             1.0,
         ),
     ]
 }
 
-fn cold_returns<'a>(frame: &Frame<'a>, runs: &[&RunLine]) -> Option<Chart<'a>> {
+fn cold_returns<'a>(time_axis: &TimeAxis<'a>, runs: &[&RunLine]) -> Option<Chart<'a>> {
     if runs.iter().all(|r| r.returns.is_empty()) {
         return None;
     }
@@ -112,9 +116,9 @@
             .collect::<Vec<_>>()
     };
     Some(Chart {
-        levels: vec![(1.0, "all that they can do")],
-        ..frame.chart(
-            "Load on all endpoints that have returned cold, against what they can do at the moment",
+        levels: vec![(1.0, "capacity")],
+        ..time_axis.chart(
+            "Load on all endpoints that returned cold, relative to their current capacity",
             "calls / capacity",
             over_time(runs, load),
             1.0,
@@ -122,7 +126,7 @@
     })
 }
 
-fn held<'a>(frame: &Frame<'a>, runs: &[&RunLine]) -> Option<Chart<'a>> {
+fn held_messages<'a>(time_axis: &TimeAxis<'a>, runs: &[&RunLine]) -> Option<Chart<'a>> {
     if runs.iter().all(|r| r.cost.open.is_empty()) {
         return None;
     }
@@ -133,10 +137,10 @@
             .map(|o| (o.0, o.1 as f64))
             .collect::<Vec<_>>()
     };
-    Some(frame.chart("Mails held", "mails", over_time(runs, open), 1.0))
+    Some(time_axis.chart("Messages held", "messages", over_time(runs, open), 1.0))
 }
 
-/// One line a class and seed of the first variant.
+/// A line for each class and seed of the first variant, and one for the submission latency.
 fn latency_lines(runs: &[&RunLine]) -> Vec<Line> {
     let first = runs[0];
     let mut lines = vec![];
@@ -152,7 +156,7 @@
             } else {
                 String::new()
             };
-            let points = found.map_or(vec![], |c| latency(&c.latency));
+            let points = found.map_or(vec![], |c| latency_curve(&c.latency));
             lines.push(Line {
                 name,
                 colour,
@@ -162,9 +166,9 @@
         }
     }
     if first.results.submission_latency.max_us > 1 {
-        let points = latency(&first.results.submission_latency);
+        let points = latency_curve(&first.results.submission_latency);
         lines.push(Line {
-            name: "answer to the hand-in".into(),
+            name: "submission".into(),
             colour: 7,
             thin: false,
             points,
@@ -173,16 +177,16 @@
     lines
 }
 
-fn latencies<'a>(frame: &Frame<'a>, runs: &[&RunLine]) -> Chart<'a> {
+fn latencies<'a>(time_axis: &TimeAxis<'a>, runs: &[&RunLine]) -> Chart<'a> {
     let lines = latency_lines(runs);
     Chart {
-        x: "share of the mails under it",
+        x: "share of messages with a lower latency",
         x_to: 0.0,
         y_log: true,
         spans: &[],
-        x_words: Some(nines),
-        ..frame.chart(
-            "Latency by queue class, from the intended hand-in (first variant)",
+        x_formatter: Some(percentile_label),
+        ..time_axis.chart(
+            "Latency by queue class, from the intended submission time (first variant)",
             "ms",
             lines,
             1.0,
@@ -190,15 +194,15 @@
     }
 }
 
-fn processes<'a>(frame: &Frame<'a>, usage: &[Usage]) -> Vec<Chart<'a>> {
+fn processes<'a>(time_axis: &TimeAxis<'a>, usage: &[Usage]) -> Vec<Chart<'a>> {
     vec![
-        frame.chart(
-            "Processor time of each dispatcher",
+        time_axis.chart(
+            "CPU time of each dispatcher",
             "cores",
             by_dispatcher(usage, |s| s.1),
             0.05,
         ),
-        frame.chart(
+        time_axis.chart(
             "Memory of each dispatcher",
             "MB",
             by_dispatcher(usage, |s| s.2),
--- a/crates/testbed/src/report/curves.rs
+++ b/crates/testbed/src/report/curves.rs
@@ -1,35 +1,35 @@
-//! Curves: what runs measured, as points of a chart.
+//! Converts measurements of runs into curves for charts.
 
 use super::plot::Line;
 use crate::cost::Usage;
 use crate::measure::{BUCKET, Point, Spread};
 use crate::run::RunLine;
 
-/// More dispatchers than these are drawn as the least, the middle and the most of all.
-const EACH_DRAWN: usize = 8;
-/// Points of the curves that are taken together.
-const SMOOTH: usize = 2;
+/// With more dispatchers than this, a chart shows only their minimum, median and maximum.
+const MAX_DISPATCHER_LINES: usize = 8;
+/// How many measured points make one point of a curve.
+const POINTS_PER_SAMPLE: usize = 2;
 
 pub(super) fn time(point: usize) -> f64 {
     point as f64 * BUCKET as f64 / 1e9
 }
 
-/// A curve over time from the points of a run, some points at a time.
+/// A curve over time; `of` is applied to `POINTS_PER_SAMPLE` points at a time.
 pub(super) fn curve(points: &[Point], of: impl Fn(&[Point]) -> f64) -> Vec<(f64, f64)> {
     points
-        .chunks(SMOOTH)
+        .chunks(POINTS_PER_SAMPLE)
         .enumerate()
-        .map(|(i, c)| (time(i * SMOOTH), of(c)))
+        .map(|(i, c)| (time(i * POINTS_PER_SAMPLE), of(c)))
         .collect()
 }
 
-pub(super) fn a_second(of: impl Fn(&Point) -> u64) -> impl Fn(&[Point]) -> f64 {
+pub(super) fn per_second(of: impl Fn(&Point) -> u64) -> impl Fn(&[Point]) -> f64 {
     move |points| {
         points.iter().map(&of).sum::<u64>() as f64 * 1e9 / (points.len() as f64 * BUCKET as f64)
     }
 }
 
-/// The mean of the curves of several seeds, as long as any goes on.
+/// The mean of the curves of several seeds, up to the end of the longest one.
 fn mean(curves: &[Vec<(f64, f64)>]) -> Vec<(f64, f64)> {
     let longest = curves.iter().max_by_key(|c| c.len());
     let Some(longest) = longest else {
@@ -48,7 +48,7 @@
         .collect()
 }
 
-/// Each name once, in the order in which they come.
+/// The distinct names in order of first appearance.
 pub(super) fn distinct<'a>(all: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut names = vec![];
     all.for_each(|name| {
@@ -59,7 +59,7 @@
     names
 }
 
-/// For each variant the mean over its seeds, and each seed thinly.
+/// For each variant a thick line for the mean over its seeds and, with several seeds, a thin line for each.
 pub(super) fn over_time(runs: &[&RunLine], of: impl Fn(&RunLine) -> Vec<(f64, f64)>) -> Vec<Line> {
     let names = distinct(runs.iter().map(|r| r.variant.as_str()));
     let mut lines = vec![];
@@ -89,11 +89,11 @@
     lines
 }
 
-pub(super) fn latency(spread: &Spread) -> Vec<(f64, f64)> {
+pub(super) fn latency_curve(spread: &Spread) -> Vec<(f64, f64)> {
     if spread.count == 0 {
         return vec![];
     }
-    // Nines: 0 is the median's half, 1 is 0.9, 2 is 0.99.
+    // The x axis counts nines of the quantile: 0 is the minimum, 1 is 0.9, 2 is 0.99.
     let most = (spread.count as f64).log10().min(5.0);
     (0..=60)
         .map(|i| most * f64::from(i) / 60.0)
@@ -101,19 +101,19 @@
         .collect()
 }
 
-pub(super) fn nines(n: f64) -> String {
-    let share = 100.0 * (1.0 - 10f64.powf(-n));
-    let text = format!("{share:.*}", (n.floor() as usize).max(1));
+pub(super) fn percentile_label(nines: f64) -> String {
+    let share = 100.0 * (1.0 - 10f64.powf(-nines));
+    let text = format!("{share:.*}", (nines.floor() as usize).max(1));
     format!("{}%", text.trim_end_matches('0').trim_end_matches('.'))
 }
 
-/// A figure of each dispatcher over time: each drawn, or the least, the middle and the most where there are many.
+/// A metric over time, one line per dispatcher, or their minimum, median and maximum if there are many.
 pub(super) fn by_dispatcher(
     usage: &[Usage],
     of: impl Fn(&(f64, f64, f64, u64)) -> f64,
 ) -> Vec<Line> {
     let line = |u: &Usage| u.samples.iter().map(|s| (s.0, of(s))).collect::<Vec<_>>();
-    if usage.len() <= EACH_DRAWN {
+    if usage.len() <= MAX_DISPATCHER_LINES {
         let one = |(i, u): (usize, &Usage)| Line {
             name: format!("dispatcher {}", u.dispatcher),
             colour: i,
@@ -124,7 +124,7 @@
     }
     let curves: Vec<_> = usage.iter().map(line).collect();
     let longest = curves.iter().map(Vec::len).max().unwrap_or(0);
-    let mut lines: Vec<Line> = ["least", "middle", "most"]
+    let mut lines: Vec<Line> = ["minimum", "median", "maximum"]
         .iter()
         .enumerate()
         .map(|(colour, name)| Line {
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A report: one HTML file that needs nothing else, with what the runs say as tables and plots.
+//! Renders runs as a report: a self-contained HTML file with tables and charts.
 
 mod charts;
 mod curves;
@@ -11,13 +11,14 @@
 use charts::charts;
 use curves::distinct;
 use plot::{Chart, Line, Span};
-use tables::{escape, figures};
+use tables::{escape, result_tables};
 
 const STYLE: &str = "body{font:15px/1.5 sans-serif;max-width:900px;margin:24px auto;padding:0 16px;color:#222;background:#fff}\
 table{border-collapse:collapse;margin:12px 0;font-size:13px}td,th{border:1px solid #ccc;padding:3px 8px;text-align:right}\
 td:first-child,th:first-child{text-align:left}h1{font-size:24px}h2{font-size:19px;margin-top:36px}svg{max-width:100%;height:auto}\
 .bad{background:#fbe3e0;padding:8px 12px;border-left:4px solid #b22}.good{color:#2a6b2a}.note{color:#555;font-size:13px}";
 
+/// The report of the given runs, with a section for each experiment.
 pub fn html(runs: &[RunLine]) -> Result<String> {
     let names = distinct(runs.iter().map(|r| r.experiment.as_str()));
     let mut body = String::new();
@@ -37,7 +38,7 @@
     ))
 }
 
-/// All that the runs of one experiment say.
+/// The section of one experiment.
 fn section(runs: &[RunLine]) -> Result<String> {
     let valid: Vec<&RunLine> = runs.iter().filter(|r| r.valid()).collect();
     let Some(first) = runs.first() else {
@@ -45,15 +46,15 @@
     };
     let mut text = format!("<h1>{}</h1>", escape(&first.title));
     text += &format!(
-        "<p class=\"note\">{}: {} dispatchers, {} endpoints, {} mails a second for {} s; {}. Shaded: troubles. Where an \
-         experiment has several seeds, each is a thin line and their mean a thick one.</p>",
+        "<p class=\"note\">{}: {} dispatchers, {} endpoints, {} messages per second for {} s; {}. Shaded: injected faults. If an \
+         experiment has several seeds, thin lines show the seeds and thick lines their mean.</p>",
         escape(&first.experiment),
         first.dispatchers,
         first.endpoints,
         first.rate,
         first.load_s,
         match first.drive {
-            crate::spec::Drive::Virtual => "the decisions in virtual time, simulated",
+            crate::spec::Drive::Virtual => "decision logic simulated in virtual time",
             crate::spec::Drive::Sockets => "real processes on loopback sockets",
         }
     );
@@ -68,25 +69,25 @@
         })
         .collect();
     if !marks.is_empty() {
-        text += &format!("<p>Troubles: {}.</p>", escape(&marks.join("; ")));
+        text += &format!("<p>Injected faults: {}.</p>", escape(&marks.join("; ")));
     }
     for run in runs.iter().filter(|r| !r.valid()) {
-        let whose = format!(
+        let reason = format!(
             "{}, seed {}: {}",
             run.variant,
             run.seed,
             run.not_valid.join("; ")
         );
         text += &format!(
-            "<p class=\"bad\">Not valid, and left out below: {}</p>",
-            escape(&whose)
+            "<p class=\"bad\">Not valid, and excluded below: {}</p>",
+            escape(&reason)
         );
     }
     text += &verdicts(runs);
     if valid.is_empty() {
         return Ok(text);
     }
-    text += &figures(&valid);
+    text += &result_tables(&valid);
     let compared = compare::table(runs);
     if !compared.is_empty() {
         text += &format!(
@@ -117,7 +118,7 @@
             (s.0 + r.verdict.messages, s.1 + r.verdict.calls)
         });
         return format!(
-            "<p class=\"good\">The six rules were kept, over {messages} mails handed in and {calls} calls.</p>"
+            "<p class=\"good\">The six rules were kept, over {messages} submitted messages and {calls} calls.</p>"
         );
     }
     let mut text = String::new();
@@ -134,15 +135,15 @@
             run.seed,
             escape(&counts.join(", "))
         );
-        for words in run.verdict.samples.iter().take(20) {
-            text += &format!("<li>{}</li>", escape(&words.to_string()));
+        for violation in run.verdict.samples.iter().take(20) {
+            text += &format!("<li>{}</li>", escape(&violation.to_string()));
         }
         text += "</ul></div>";
     }
     text
 }
 
-/// Where one field varies over numbers: some figures against it.
+/// If a numeric field varies over at least three values: charts of the metrics over it.
 fn sweeps(runs: &[&RunLine]) -> Result<String> {
     let value = |r: &RunLine| {
         r.variant
@@ -157,12 +158,12 @@
     }
     let field = runs[0].variant.split(" = ").next().unwrap_or("");
     let mut text = format!("<h2>Over {}</h2>", escape(field));
-    for (what, figure, _) in compare::FIGURES {
+    for (name, metric, _) in compare::FIGURES {
         let at = |v: f64| {
             let of: Vec<f64> = runs
                 .iter()
                 .filter(|r| value(r) == Some(v))
-                .map(|r| figure(r))
+                .map(|r| metric(r))
                 .collect();
             (v, of.iter().sum::<f64>() / of.len() as f64)
         };
@@ -177,7 +178,7 @@
             points,
         }];
         let chart = Chart {
-            title: what,
+            title: name,
             x: field,
             y: "",
             lines,
@@ -186,7 +187,7 @@
             y_log: false,
             y_top: 0.0,
             x_to: 0.0,
-            x_words: None,
+            x_formatter: None,
         };
         text += &chart.svg()?;
     }
--- a/crates/testbed/src/report/plot.rs
+++ b/crates/testbed/src/report/plot.rs
@@ -1,41 +1,44 @@
-//! Lines over marked spans, as SVG.
+//! Line charts with shaded spans, rendered as SVG.
 
 use anyhow::{Result, anyhow};
 use plotters::prelude::*;
 
+/// A line of a chart.
 pub struct Line {
+    /// The name in the legend; an unnamed line has no entry there.
     pub name: String,
-    /// Lines of one number have one colour.
+    /// The index into the colour palette.
     pub colour: usize,
     pub thin: bool,
     pub points: Vec<(f64, f64)>,
 }
 
-/// A span that is shaded, with what it was.
+/// A shaded span of the x axis.
 pub struct Span {
     pub name: String,
     pub from: f64,
     pub to: f64,
 }
 
+/// A line chart.
 pub struct Chart<'a> {
     pub title: &'a str,
     pub x: &'a str,
     pub y: &'a str,
     pub lines: Vec<Line>,
     pub spans: &'a [Span],
-    /// Lines across, at these heights.
+    /// Horizontal reference lines: y value and name.
     pub levels: Vec<(f64, &'a str)>,
     pub y_log: bool,
-    /// The least that the y axis reaches up to.
+    /// The minimum upper end of the y axis.
     pub y_top: f64,
-    /// Where the x axis ends at least; its start is nought, or before.
+    /// The minimum upper end of the x axis, which starts at 0 or below.
     pub x_to: f64,
-    /// Words for points of the x axis, where its numbers say nothing.
-    pub x_words: Option<fn(f64) -> String>,
+    /// Formats the labels of the x axis, if they are not plain numbers.
+    pub x_formatter: Option<fn(f64) -> String>,
 }
 
-/// Told apart by people who see few colours, too.
+/// A palette that people with colour vision deficiency can tell apart.
 const COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -48,7 +51,7 @@
 ];
 const SIZE: (u32, u32) = (860, 300);
 
-fn number(y: f64) -> String {
+fn format_number(y: f64) -> String {
     match y.abs() {
         y if y >= 1e6 => format!("{:.1}M", y / 1e6),
         y if y >= 1e4 => format!("{:.0}k", y / 1e3),
@@ -59,6 +62,7 @@
 }
 
 impl Chart<'_> {
+    /// Renders the chart as an SVG element.
     pub fn svg(&self) -> Result<String> {
         let all = || {
             self.lines
@@ -86,7 +90,7 @@
                 .filter(|y| *y > 0.0)
                 .fold(f64::MAX, f64::min)
                 .min(top / 10.0);
-            // The two kinds of axis are two types: the body is the same.
+            // Linear and logarithmic axes have different types, so that a function could not take both.
             macro_rules! draw {
                 ($range:expr, $bottom:expr) => {{
                     let mut chart = builder
@@ -99,15 +103,18 @@
                             .draw_series([Rectangle::new(corners, shade)])
                             .map_err(|e| anyhow!("{e}"))?;
                     }
-                    let words = |x: &f64| self.x_words.map_or_else(|| number(*x), |w| w(*x));
+                    let label = |x: &f64| {
+                        self.x_formatter
+                            .map_or_else(|| format_number(*x), |format| format(*x))
+                    };
                     let mut mesh = chart.configure_mesh();
                     mesh.x_desc(self.x)
                         .y_desc(self.y)
                         .x_labels(11)
                         .y_labels(6)
                         .light_line_style(TRANSPARENT);
-                    mesh.x_label_formatter(&words)
-                        .y_label_formatter(&|y| number(*y));
+                    mesh.x_label_formatter(&label)
+                        .y_label_formatter(&|y| format_number(*y));
                     mesh.draw().map_err(|e| anyhow!("{e}"))?;
                     for (height, name) in &self.levels {
                         let style = RGBColor(180, 30, 30).stroke_width(1);
--- a/crates/testbed/src/report/tables.rs
+++ b/crates/testbed/src/report/tables.rs
@@ -24,7 +24,7 @@
     format!("<table><tr>{}</tr>{body}</table>", cells("th", &head))
 }
 
-pub(super) fn figures(runs: &[&RunLine]) -> String {
+pub(super) fn result_tables(runs: &[&RunLine]) -> String {
     let row = |r: &&RunLine| {
         let d = &r.results;
         vec![
@@ -49,23 +49,23 @@
         "importance delivered",
         "worst 10 s",
         "worst class",
-        "mails",
+        "messages",
         "calls",
-        "refused",
-        "opened",
-        "turned away",
-        "CPU us a mail",
+        "rejected",
+        "connections opened",
+        "submissions rejected",
+        "CPU us per message",
     ];
     let rows: Vec<Vec<String>> = runs.iter().map(row).collect();
-    let mut text = format!("<h2>Figures</h2>{}", table(&head, &rows));
+    let mut text = format!("<h2>Results</h2>{}", table(&head, &rows));
     let mut rows = vec![];
     for run in runs {
         for c in &run.results.classes {
             let l = &c.latency;
             let ms = |us: u64| format!("{:.1}", us as f64 / 1e3);
-            let whose = format!("{}, seed {}: {}", run.variant, run.seed, c.name);
+            let label = format!("{}, seed {}: {}", run.variant, run.seed, c.name);
             let counts = [c.late, c.bounced, c.deferred].map(|n| n.to_string());
-            let mut row = vec![whose, format!("{:.4}", c.share())];
+            let mut row = vec![label, format!("{:.4}", c.share())];
             row.extend([l.p50_us, l.p90_us, l.p99_us, l.p999_us, l.max_us].map(ms));
             row.extend(counts);
             rows.push(row);
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs of an experiment and the line that each leaves on disk.
+//! Executes the runs of an experiment and stores each as one line of JSON.
 
 use crate::audit::Verdict;
 use crate::cost::Cost;
@@ -15,12 +15,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// A fault as a report marks it.
+/// An injected fault as it is stored with a run and marked in charts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultMark {
     /// What it does.
     pub what: FaultKind,
-    /// What it affects, in words.
+    /// What it affects, as text for reports.
     pub whom: String,
     /// When it begins.
     pub from_s: f64,
@@ -28,7 +28,7 @@
     pub to_s: f64,
 }
 
-/// One run: one line of JSON.
+/// The stored form of a run: one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunLine {
     /// The name of the experiment.
@@ -37,61 +37,61 @@
     pub title: String,
     /// The name of the variant.
     pub variant: String,
-    /// What all draws started from.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How it was run.
+    /// Virtual time or real sockets.
     pub drive: Drive,
-    /// Of all that the run is made of; a run with another is another run.
+    /// Checksum of everything that determines the run except its seed; runs with different ones are not interchangeable.
     #[serde(rename = "print")]
     pub fingerprint: String,
-    /// Why the run is not valid; empty where it is.
+    /// Reasons why the run is not valid; empty for a valid run.
     pub not_valid: Vec<String>,
-    /// What went wrong beside the rules.
+    /// Failures other than violations of the rules.
     pub faults: Vec<String>,
-    /// Ctrl-C came; all else that is here was measured until then.
+    /// Whether the run ended early on Ctrl-C; the other fields then cover the time until it.
     pub interrupted: bool,
-    /// How many there were.
+    /// The number of dispatchers.
     pub dispatchers: usize,
-    /// How many there were at the start.
+    /// The number of endpoints at the start.
     pub endpoints: usize,
-    /// For how long messages were submitted.
+    /// How long messages were submitted, in seconds.
     pub load_s: f64,
-    /// Messages a second.
+    /// Messages per second.
     pub rate: f64,
-    /// What went wrong by the script.
+    /// The faults that the experiment injected.
     #[serde(rename = "troubles")]
     pub injected_faults: Vec<FaultMark>,
-    /// What it came to.
+    /// The measured results.
     pub results: Results,
-    /// What the auditor found.
+    /// The findings of the auditor.
     pub verdict: Verdict,
-    /// The load on endpoints that had returned cold.
+    /// The load on endpoints that returned cold.
     pub returns: Vec<ReturnLoad>,
-    /// Calls on the decisions; virtual time only.
+    /// Calls of the decision logic; virtual time only.
     pub steps: u64,
-    /// What it cost this machine.
+    /// CPU, memory and time that the run used on this machine.
     pub cost: Cost,
 }
 
 impl RunLine {
-    /// Whether its figures count.
+    /// Whether its measurements may be used.
     pub fn valid(&self) -> bool {
         self.not_valid.is_empty()
     }
 }
 
-/// How runs are done, beside what the experiment settles.
+/// Options of runs that are not part of the experiment.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Another drive than the experiment's.
+    /// Overrides the drive of the experiment.
     pub drive: Option<Drive>,
-    /// Other seeds than the experiment's.
+    /// Overrides the seeds of the experiment.
     pub seeds: Option<Vec<u64>>,
-    /// The dispatcher's program, for runs on sockets whose variant names none.
+    /// The dispatcher executable, for runs on sockets whose variant names none.
     pub program: PathBuf,
-    /// Logs and state folders of dispatchers.
+    /// The directory for the logs and state directories of dispatchers.
     pub work: PathBuf,
-    /// Without progress bars.
+    /// Hides the progress bars.
     pub quiet: bool,
 }
 
@@ -112,7 +112,7 @@
     variant.spec.faults.iter().map(mark).collect()
 }
 
-/// The most memory that this process ever held, in megabytes.
+/// The peak resident memory of this process, in megabytes.
 pub fn peak_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
@@ -121,14 +121,14 @@
         / 1024.0
 }
 
-/// One run, from its plan to its line.
+/// Executes one run and returns its stored form.
 fn run_once(
     experiment: &Experiment,
     variant: &Variant,
     seed: u64,
     options: &RunOptions,
     fingerprint: String,
-    tick: &mut dyn FnMut(f64),
+    report_progress: &mut dyn FnMut(f64),
 ) -> Result<RunLine> {
     let drive = options.drive.unwrap_or(variant.spec.run.drive);
     let plan = Plan::new(&variant.spec, seed);
@@ -156,14 +156,14 @@
     let from = Instant::now();
     match drive {
         Drive::Virtual => {
-            let outcome = virtual_time::run(plan, tick);
+            let outcome = virtual_time::run(plan, report_progress);
             (line.results, line.verdict, line.returns) =
                 (outcome.results, outcome.verdict, outcome.returns);
             line.steps = outcome.steps;
         }
         Drive::Sockets => {
             let program = variant.program.as_ref().unwrap_or(&options.program);
-            let outcome = sockets::run(plan, program, &options.work, tick)?;
+            let outcome = sockets::run(plan, program, &options.work, report_progress)?;
             (line.results, line.verdict, line.returns) =
                 (outcome.results, outcome.verdict, outcome.returns);
             (line.not_valid, line.faults, line.cost) =
@@ -177,20 +177,20 @@
     Ok(line)
 }
 
-/// The checksum of a program's file, read in pieces; zero where there is none.
+/// The checksum of an executable, read in chunks; that of an empty file if it cannot be opened.
 fn checksum(path: std::io::Result<PathBuf>) -> u32 {
     let mut hash = crc32fast::Hasher::new();
-    let mut piece = vec![0; 1 << 16];
+    let mut chunk = vec![0; 1 << 16];
     if let Ok(mut file) = path.and_then(std::fs::File::open) {
-        while let Ok(n @ 1..) = file.read(&mut piece) {
-            hash.update(&piece[..n]);
+        while let Ok(n @ 1..) = file.read(&mut chunk) {
+            hash.update(&chunk[..n]);
         }
     }
     hash.finalize()
 }
 
-/// Names all that the runs of a variant are made of but their seeds. Another build, of the dispatcher or of the testbed
-/// (`own` is its checksum), makes another run.
+/// Identifies everything that determines the runs of a variant except their seeds. A different build of the dispatcher or of
+/// the testbed (`own` is its checksum) changes it, so that stored runs of the old build are not reused.
 fn fingerprint(variant: &Variant, options: &RunOptions, own: u32) -> String {
     let drive = options.drive.unwrap_or(variant.spec.run.drive);
     let program = match drive {
@@ -205,17 +205,21 @@
     format!("{:08x}", crc32fast::hash(all.as_bytes()))
 }
 
-/// Reads the lines of a file of runs.
-pub fn lines(path: &Path) -> Result<Vec<RunLine>> {
+/// Reads a file of runs.
+pub fn read_runs(path: &Path) -> Result<Vec<RunLine>> {
     let file = std::fs::File::open(path).with_context(|| path.display().to_string())?;
     let mut runs = vec![];
     for (i, line) in std::io::BufReader::new(file).lines().enumerate() {
         let line = line.with_context(|| path.display().to_string())?;
         match serde_json::from_str(&line) {
             Ok(run) => runs.push(run),
-            // A line that was being written when the testbed was killed.
+            // The testbed was killed while it wrote this line.
             Err(e) if e.is_eof() => {
-                tracing::warn!("{}: line {} is cut off and skipped", path.display(), i + 1)
+                tracing::warn!(
+                    "{}: line {} is truncated; skipping it",
+                    path.display(),
+                    i + 1
+                )
             }
             Err(e) => anyhow::bail!("{}: line {}: {e}", path.display(), i + 1),
         }
@@ -223,7 +227,7 @@
     Ok(runs)
 }
 
-fn bar(what: &str, quiet: bool) -> ProgressBar {
+fn progress_bar(label: &str, quiet: bool) -> ProgressBar {
     let bar = if quiet {
         ProgressBar::hidden()
     } else {
@@ -231,13 +235,17 @@
     };
     let style = ProgressStyle::with_template("{msg} [{bar:32}] {percent:>3}% {elapsed}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    bar.set_message(what.to_string());
+    bar.set_message(label.to_string());
     bar
 }
 
-/// Plays what of an experiment is not in the file yet, a line a run, and hands back all of its lines.
+/// Executes the runs of an experiment that are not in the file yet, appends each to it, and returns all runs.
 pub fn run_all(experiment: &Experiment, options: &RunOptions, file: &Path) -> Result<Vec<RunLine>> {
-    let old = if file.exists() { lines(file)? } else { vec![] };
+    let old = if file.exists() {
+        read_runs(file)?
+    } else {
+        vec![]
+    };
     if let Some(folder) = file.parent() {
         std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
     }
@@ -245,7 +253,7 @@
         .create(true)
         .append(true)
         .open(file)?;
-    // A line that was cut off must not swallow the next one.
+    // Ends a truncated last line, so that the next run starts on a line of its own.
     if std::fs::read(file)?.last().is_some_and(|b| *b != b'\n') {
         out.write_all(b"\n")?;
     }
@@ -264,21 +272,21 @@
                 runs.push(run.clone());
                 continue;
             }
-            let bar = bar(
+            let bar = progress_bar(
                 &format!("{}, {}, seed {seed}", experiment.name, variant.name),
                 options.quiet,
             );
-            let mut tick = |part: f64| bar.set_position((part * 1_000.0) as u64);
+            let mut report_progress = |part: f64| bar.set_position((part * 1_000.0) as u64);
             let run = run_once(
                 experiment,
                 variant,
                 seed,
                 options,
                 fingerprint.clone(),
-                &mut tick,
+                &mut report_progress,
             )?;
             bar.finish_and_clear();
-            // In one write, so that a line is whole or the last.
+            // One write per line: only the last line of the file can be truncated.
             let mut line = serde_json::to_vec(&run)?;
             line.push(b'\n');
             out.write_all(&line)?;
@@ -287,7 +295,7 @@
             runs.push(run);
             anyhow::ensure!(
                 !interrupted,
-                "interrupted; what was measured is in {}",
+                "interrupted; the measurements until then are in {}",
                 file.display()
             );
         }
@@ -295,12 +303,12 @@
     Ok(runs)
 }
 
-/// A run in a few lines.
+/// A summary of a run for the terminal.
 pub fn summary(run: &RunLine) -> String {
     let r = &run.results;
     let mut text = format!(
-        "{}, {}, seed {} ({:?}): delivered {:.4} of the importance asked for (worst 10 s {:.3}, worst class {:.3}); \
-         {} mails, {} calls, {} refused, {} connections opened, {} turned away, {} unheard; {:.1} s, {:.0} MB",
+        "{}, {}, seed {} ({:?}): delivered {:.4} of the requested importance (worst 10 s {:.3}, worst class {:.3}); \
+         {} messages, {} calls, {} rejected, {} connections opened, {} submissions rejected, {} unanswered; {:.1} s, {:.0} MB",
         run.experiment,
         run.variant,
         run.seed,
--- a/crates/testbed/src/spec/defaults.rs
+++ b/crates/testbed/src/spec/defaults.rs
@@ -1,4 +1,4 @@
-//! What a field is where an experiment leaves it out.
+//! Default values of fields that an experiment leaves out.
 
 pub(super) fn one_seed() -> Vec<u64> {
     vec![1]
--- a/crates/testbed/src/spec/format.rs
+++ b/crates/testbed/src/spec/format.rs
@@ -1,22 +1,22 @@
-//! The form of an experiment's file, with its units and ranges. Times end in `_ms`, `_us` or `_s`; shares lie in 0 to 1.
+//! The schema of experiment files. The suffixes `_ms`, `_us` and `_s` give the unit of a time; shares are from 0 to 1.
 
 use super::defaults;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// The whole file, as it is written; the run itself is read again from it once for each variant.
+/// The whole file as written. The fields of a run only validate it: each variant parses its own `Spec`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// For reports.
+    /// The title, for reports.
     pub title: String,
-    /// Every variant is run with each of these.
+    /// The seeds that every variant is run with.
     #[serde(default = "defaults::one_seed")]
     pub seeds: Vec<u64>,
-    /// What varies between runs.
+    /// What varies between the variants.
     pub vary: Option<Vary>,
-    /// What the longer form changes, in the same places.
+    /// The values that the long form of the experiment changes.
     #[allow(dead_code)]
     pub long: Option<toml::Table>,
     #[allow(dead_code)]
@@ -45,21 +45,21 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vary {
-    /// A field of the file such as `load.rate`.
+    /// The varied field, such as `load.rate`.
     pub field: Option<String>,
-    /// What it is set to, one value a variant.
+    /// The values of the field, one for each variant.
     #[serde(default)]
     pub values: Vec<toml::Value>,
-    /// Builds of the program by a name of their own; sockets only.
+    /// Dispatcher executables by variant name; sockets only.
     #[serde(default)]
     pub programs: BTreeMap<String, PathBuf>,
 }
 
-/// One run, all but its seed.
+/// The specification of a run, without its seed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// How and for how long it goes.
+    /// How and for how long it runs.
     pub run: Run,
     /// The destinations and their endpoints.
     pub world: WorldSpec,
@@ -72,37 +72,37 @@
     /// The dispatchers and their settings.
     #[serde(default)]
     pub dispatchers: Dispatchers,
-    /// The figures of the rules.
+    /// The parameters of the rules.
     #[serde(default)]
     pub rules: Rules,
-    /// What goes wrong, and when.
+    /// The faults that are injected.
     #[serde(default)]
     #[serde(rename = "troubles")]
     pub faults: Vec<Fault>,
 }
 
-/// What the dispatchers of a run are.
+/// How the dispatchers of a run are executed.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Drive {
-    /// The decisions alone, with no sockets and no sleeping.
+    /// The decision logic alone in virtual time, without sockets or sleeping.
     Virtual,
     /// Real `bellsill serve` processes on loopback.
     Sockets,
 }
 
-/// How and for how long a run goes.
+/// How and for how long a run is executed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// What the dispatchers are.
+    /// Virtual time or sockets.
     pub drive: Drive,
-    /// For how long messages are submitted; the run then continues until each has had its queue lifetime.
+    /// How long messages are submitted; the run then continues until the queue lifetime of the last message is over.
     pub seconds: f64,
-    /// The processor time of dispatchers counts from this second on, to the end of the load.
+    /// The CPU time of dispatchers is counted from this second to the end of the load.
     #[serde(default)]
     pub cpu_from_s: f64,
-    /// A generator later than this at its 99th percentile, or late by ten times as much once, makes a run not valid.
+    /// A run is not valid if the 99th percentile of the load generator's lateness exceeds this, or its maximum ten times this.
     #[serde(default = "defaults::late_ms")]
     pub late_ms: f64,
 }
@@ -115,12 +115,12 @@
     pub zones: Vec<String>,
     /// How many destinations there are.
     pub destinations: usize,
-    /// Endpoints of each destination, dealt over the zones in turn.
+    /// The number of endpoints of each destination, assigned to the zones in turn.
     pub endpoints_each: usize,
-    /// The part of a destination of rank r is as r to the power of minus this.
+    /// The exponent s of the Zipf distribution of messages: a destination of rank r has a share proportional to r^-s.
     #[serde(default)]
     pub popularity: f64,
-    /// After each change of the list, when a dispatcher learns of it: between these.
+    /// The minimum and maximum delay until a dispatcher learns of a change of the endpoint list.
     #[serde(default = "defaults::list_lag_ms")]
     pub list_lag_ms: [f64; 2],
 }
@@ -131,9 +131,9 @@
 pub enum LimitForm {
     /// There is no limit.
     None,
-    /// Calls a second, with a tenth of a second's worth (one at least) at once.
+    /// Calls per second; a burst may have as many as a tenth of a second allows, at least one.
     Rate,
-    /// A count in each span, spans laid end to end.
+    /// A number of calls in each of consecutive fixed windows.
     Span,
 }
 
@@ -143,42 +143,42 @@
 pub struct Kind {
     /// Its name in the endpoint list.
     pub name: String,
-    /// Of the destinations.
+    /// The share of the destinations.
     pub share: f64,
-    /// Are its endpoints separate routes, each with a limit of its own?
+    /// Whether each endpoint is a separate route with its own limit.
     #[serde(default)]
     pub apart: bool,
-    /// What an endpoint can do, as a multiple of its part of the load with popularity reckoned in.
+    /// The capacity of an endpoint, as a multiple of its share of the load including popularity.
     #[serde(default = "defaults::headroom")]
     pub headroom: f64,
-    /// Calls that wait in an endpoint for each that it works on.
+    /// The queue length of an endpoint, as a multiple of the calls that it executes concurrently.
     #[serde(default = "defaults::queue")]
     pub queue: f64,
     /// Whether there is a limit, and how it counts.
     #[serde(default = "no_limit")]
     pub limit: LimitForm,
-    /// The limit as a multiple of the destination's part of the load.
+    /// The limit, as a multiple of the destination's share of the load.
     #[serde(default = "defaults::headroom")]
     pub limit_headroom: f64,
-    /// The length of a span, where the limit counts in spans.
+    /// The length of a window, for the limit form `span`.
     #[serde(default = "defaults::span_ms")]
     pub span_ms: f64,
-    /// Do rejected calls use the limit up?
+    /// Whether rejected calls count against the limit.
     #[serde(default)]
     pub refusals_count: bool,
-    /// The part of rejections that have a Retry-After.
+    /// The share of rejections that have a Retry-After.
     #[serde(default = "defaults::half")]
     pub told_share: f64,
-    /// The Retry-After of a rate: between these.
+    /// The minimum and maximum Retry-After, for the limit form `rate`.
     #[serde(default = "defaults::told_ms")]
     pub told_ms: [f64; 2],
-    /// Connections that an endpoint holds.
+    /// The maximum number of connections of an endpoint.
     #[serde(default = "defaults::connections")]
     pub connections: usize,
-    /// What the first call on a connection takes longer.
+    /// The additional time of the first call on a connection.
     #[serde(default = "defaults::handshake_ms")]
     pub handshake_ms: f64,
-    /// Service times are multiplied by a figure drawn for each destination between these.
+    /// The minimum and maximum of the factor on service times, which is drawn for each destination.
     #[serde(default = "defaults::pace")]
     pub pace: [f64; 2],
 }
@@ -187,11 +187,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// It may: it is idempotent.
+    /// It may, because it is idempotent.
     Redeliverable,
-    /// It may, for a time: endpoints drop repeats by its idempotency key.
+    /// It may within a window in which endpoints discard duplicates by its idempotency key.
     Tagged,
-    /// It may not, once an attempt may have taken effect.
+    /// It may not once an attempt may have taken effect.
     OnceOnly,
 }
 
@@ -201,30 +201,30 @@
 pub struct Class {
     /// Its name in submissions.
     pub name: String,
-    /// Of the messages.
+    /// The share of the messages.
     pub share: f64,
     /// Its priority weight.
     #[serde(default = "defaults::one")]
     pub importance: f64,
     /// Its latency objective.
     pub target_ms: f64,
-    /// How long a message may wait in a queue.
+    /// The queue lifetime of a message.
     pub lifetime_ms: f64,
-    /// Of the importance, just before the queue lifetime is up.
+    /// The share of the importance that remains just before the queue lifetime ends.
     #[serde(default = "defaults::late_share")]
     pub late_share: f64,
     /// Whether a message may be sent again.
     pub repeat: Repeat,
-    /// Tagged: for how long endpoints drop a repeat.
+    /// Tagged: how long endpoints discard duplicates.
     #[serde(default = "defaults::window_ms")]
     pub window_ms: f64,
-    /// Tagged: do only endpoints of one zone know of one another?
+    /// Tagged: whether endpoints recognize duplicates only within their zone.
     #[serde(default)]
     pub same_zone: bool,
-    /// Messages of one key go in order; keys in use at a time.
+    /// The number of ordering keys in use at a time; messages with the same key are delivered in order. 0: no keys.
     #[serde(default)]
     pub ordered_keys: usize,
-    /// At a destination of pace 1: evenly between these.
+    /// The minimum and maximum of the uniformly distributed service time at a destination of pace 1.
     pub service_ms: [f64; 2],
 }
 
@@ -232,34 +232,34 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Messages a second, all dispatchers together.
+    /// Messages per second over all dispatchers.
     pub rate: f64,
-    /// From `at_s` on the rate is `times` as much, reached evenly over `over_s`.
+    /// Changes of the rate to `times` its base value, linearly over `over_s` from `at_s` on.
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// Of the messages, those that come in bursts for one destination, and how many come at once.
+    /// The share of the messages that arrive in bursts for one destination.
     #[serde(default)]
     pub burst_share: f64,
-    /// The size of one of these bursts.
+    /// The number of messages of such a burst.
     #[serde(default = "defaults::burst_size")]
     pub burst_size: usize,
-    /// Messages for one destination that come on top of all that.
+    /// Bursts for one destination in addition to the rate.
     #[serde(default)]
     #[serde(rename = "clumps")]
     pub bursts: Vec<Burst>,
-    /// How often a client submits a message again that was rejected.
+    /// How often a client retries a rejected submission.
     #[serde(default = "defaults::retries")]
     pub retries: u32,
-    /// The wait before that where there is no Retry-After: between these.
+    /// The minimum and maximum delay of such a retry if the rejection has no Retry-After.
     #[serde(default = "defaults::retry_ms")]
     pub retry_ms: [f64; 2],
-    /// For how long a client waits for the answer to a submission.
+    /// How long a client waits for the reply to a submission.
     #[serde(default = "defaults::answer_ms")]
     pub answer_ms: f64,
-    /// The size of a body.
+    /// The size of a message body.
     #[serde(default = "defaults::body_bytes")]
     pub body_bytes: usize,
-    /// Clients write head and body apart and leave the kernel to wait for more (no TCP_NODELAY); sockets only.
+    /// Whether clients write head and body separately without TCP_NODELAY, so that Nagle's algorithm delays the body; sockets only.
     #[serde(default)]
     pub nagle: bool,
 }
@@ -268,27 +268,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When it begins.
+    /// The start of the change.
     pub at_s: f64,
-    /// The rate afterwards, as a multiple.
+    /// The rate after the change, as a multiple of the base rate.
     pub times: f64,
-    /// How long the change takes.
+    /// The duration of the change.
     #[serde(default)]
     pub over_s: f64,
 }
 
-/// Messages for one destination that come together.
+/// A burst of messages for one destination.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When the first comes.
+    /// The arrival of the first message.
     pub at_s: f64,
-    /// Where they go.
+    /// The destination, counted from 0.
     pub destination: usize,
-    /// How many they are.
+    /// The number of messages.
     #[serde(rename = "mails")]
     pub messages: usize,
-    /// They come evenly in this span.
+    /// The time over which the arrivals are spread evenly.
     #[serde(default)]
     pub over_s: f64,
 }
@@ -297,47 +297,47 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Dispatchers {
-    /// How many there are.
+    /// The number of dispatchers.
     pub count: usize,
-    /// As a multiple of what the load keeps busy; two at least.
+    /// The number of slots, as a multiple of those that the load keeps busy; at least two slots.
     pub slots_times: f64,
-    /// The queue capacity, in seconds of the load; sixteen messages at least.
+    /// The queue capacity, in seconds of the load; at least sixteen messages.
     pub hold_s: f64,
-    /// Given outright, these go before the two above.
+    /// The number of slots; overrides `slots_times`.
     pub slots: Option<usize>,
-    /// Messages held at most.
+    /// The queue capacity in messages; overrides `hold_s`.
     pub hold: Option<usize>,
-    /// Attempts of one message at most.
+    /// The maximum number of attempts of a message.
     pub max_connects: u32,
-    /// How long a connection may take to come up.
+    /// The timeout for establishing a connection.
     pub connect_timeout_ms: f64,
-    /// How long an idle connection is kept.
+    /// The idle timeout of connections.
     pub keep_alive_ms: f64,
-    /// The longest Retry-After; 0 is no bound.
+    /// The maximum Retry-After; 0 sets no maximum.
     pub max_come_back_ms: f64,
-    /// The memory of a process.
+    /// The memory limit of a process.
     pub memory_mb: u64,
-    /// The descriptors of a process.
+    /// The limit on sockets of a process.
     pub sockets: u64,
-    /// The disk space of a process.
+    /// The disk space limit of a process.
     pub disk_mb: u64,
 }
 
-/// The figures of the rules.
+/// The parameters of the rules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// For how long a draining endpoint may still get something new.
+    /// How long a draining endpoint may still receive new calls.
     pub drain_grace_ms: f64,
     /// The share of its capacity that a cold endpoint starts with.
     pub cold_share: f64,
-    /// How long a cold endpoint takes to warm up.
+    /// The slow start period of a cold endpoint.
     pub ramp_ms: f64,
     /// The multiple of its capacity that overloads a cold endpoint.
     pub tip_multiple: f64,
-    /// The window in which its calls are counted.
+    /// The window in which calls to a cold endpoint are counted.
     pub tip_window_ms: f64,
-    /// The cooldown of a key after an attempt without an answer.
+    /// The cooldown of an ordering key after an attempt without a response.
     pub key_rest_ms: f64,
 }
 
@@ -345,41 +345,41 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// New connections are refused, old ones break.
+    /// New connections are refused and existing ones break.
     Down,
-    /// Connections break as soon as a call has come.
+    /// Connections break as soon as a call was received.
     Reset,
-    /// No answer, no reset; new connections never come up.
+    /// No response and no reset; new connections are never established.
     Silent,
     /// Calls are accepted and make no progress.
     Hung,
-    /// Refuses all calls; with a Retry-After until it opens, where its kind has them.
+    /// All calls are rejected, with a Retry-After until the end of the fault if the kind sends one.
     Shut,
-    /// Takes `times` as long.
+    /// Calls take `times` as long.
     Slow,
-    /// `part` of the calls are answered with an error; half of these took effect.
+    /// A share `part` of the calls fails with an error response; half of these took effect.
     Failing,
-    /// `part` of the answers never come, though the call took effect.
+    /// A share `part` of the responses is lost although the calls took effect.
     AnswersLost,
-    /// `part` of the answers cannot be read, though the call took effect.
+    /// A share `part` of the responses is unreadable although the calls took effect.
     AnswersSpoilt,
     /// Connections idle for over 300 ms are dropped silently.
     Reaped,
-    /// The limit (where the kind has none: its capacity) is this `part` of what it was.
+    /// The limit, or the capacity if the kind has no limit, is reduced to `part` of its value.
     LimitLowered,
-    /// Listed as draining, and gone at the end.
+    /// The endpoint is listed as draining, and removed at the end.
     Drained,
-    /// Gone from the start; others under new names come in their place, cold.
+    /// The endpoint is removed at the start and replaced by a cold one with a new name.
     Replaced,
-    /// The list comes later by `lag_s`.
+    /// The endpoint list arrives `lag_s` later.
     ListLate,
-    /// Nothing of the list comes.
+    /// The endpoint list does not arrive.
     ListFrozen,
-    /// Dispatchers are killed, and started again at the end.
+    /// Dispatchers are killed, and restarted at the end.
     Killed,
-    /// Dispatchers are asked to shut down, killed 3.7 s later at the latest, and started again at the end.
+    /// Dispatchers are asked to shut down, killed after at most 3.7 s, and restarted at the end.
     Restarted,
-    /// Dispatchers together are given this `part` of all messages.
+    /// The affected dispatchers together receive a share `part` of all messages.
     Hot,
 }
 
@@ -391,11 +391,13 @@
             FaultKind::Killed | FaultKind::Restarted | FaultKind::Hot
         )
     }
+
     /// Whether it affects the endpoint list.
-    pub fn of_the_list(self) -> bool {
+    pub fn affects_endpoint_list(self) -> bool {
         matches!(self, FaultKind::ListLate | FaultKind::ListFrozen)
     }
-    /// After these an endpoint is cold.
+
+    /// Whether an endpoint is cold afterwards by default.
     pub fn cold_after(self) -> bool {
         matches!(
             self,
@@ -404,33 +406,34 @@
     }
 }
 
-/// A fault of the script.
+/// A fault to inject.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What it does.
+    /// The kind of fault.
     pub what: FaultKind,
     /// When it begins.
     pub from_s: f64,
     /// When it ends.
     pub to_s: f64,
-    /// What it affects: one of these four. Of dispatchers, `share` counts them and `dispatcher` names one, from 0.
+    /// All endpoints of this zone. The target of an endpoint fault is one of `zone`, `destination`, `endpoint` and `share`; that of
+    /// a dispatcher fault is `dispatcher` or `share`.
     pub zone: Option<String>,
-    /// All endpoints of this destination.
+    /// All endpoints of this destination, counted from 0.
     pub destination: Option<usize>,
-    /// This endpoint.
+    /// This endpoint, counted from 0.
     pub endpoint: Option<usize>,
-    /// This share, drawn by the seed.
+    /// This share of the endpoints or dispatchers, drawn from the seed.
     pub share: Option<f64>,
-    /// This dispatcher.
+    /// This dispatcher, counted from 0.
     pub dispatcher: Option<usize>,
-    /// How much of the calls, answers, messages or limit; with the kinds that say so.
+    /// The share of the calls, responses, messages or limit, for the kinds that have one.
     pub part: Option<f64>,
-    /// How many times as long calls take.
+    /// The factor on the duration of calls, for `slow`.
     pub times: Option<f64>,
-    /// How much later the list comes.
+    /// The additional delay of the endpoint list, for `list-late`.
     pub lag_s: Option<f64>,
-    /// Whether what it affected comes back cold; else as its kind does.
+    /// Whether the affected endpoints return cold; by default, this depends on the kind.
     pub cold: Option<bool>,
 }
 
--- a/crates/testbed/src/spec/mod.rs
+++ b/crates/testbed/src/spec/mod.rs
@@ -1,4 +1,4 @@
-//! Experiment files: their format, the defaults of their fields, and the ranges that are checked.
+//! The format of experiment files: their fields, defaults and valid ranges.
 
 mod check;
 mod defaults;
--- a/crates/testbed/src/spec/section_defaults.rs
+++ b/crates/testbed/src/spec/section_defaults.rs
@@ -1,4 +1,4 @@
-//! What the sections on dispatchers and rules are where an experiment leaves them out.
+//! Default values of the sections `dispatchers` and `rules`.
 
 use super::format::{Dispatchers, Rules};
 
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A folder of its own for each test, and the testbed's program run in it.
+//! A temporary directory for each test, and the programs that tests run.
 #![allow(dead_code)]
 
-use bellsill_testbed::run::{RunLine, lines};
+use bellsill_testbed::run::{RunLine, read_runs};
 use std::path::PathBuf;
 use std::process::Command;
 
@@ -18,7 +18,7 @@
         Lab { folder }
     }
 
-    /// The program with a sub-command, on the experiment of this folder.
+    /// The testbed program with a subcommand, on the experiment of this directory.
     pub fn command(&self, args: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_bellsill-testbed"));
         command
@@ -36,40 +36,40 @@
     }
 
     pub fn lines(&self) -> Vec<RunLine> {
-        lines(&self.runs()).unwrap()
+        read_runs(&self.runs()).unwrap()
     }
 }
 
 impl Drop for Lab {
     fn drop(&mut self) {
-        // What a failing test left is looked at by hand.
+        // The files of a failing test are kept for inspection.
         if !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
     }
 }
 
-/// A program of the workspace, built if it is not; where it stands below the target folder.
-fn built(what: &[&str], place: &str) -> PathBuf {
+/// Builds a program of the workspace; `path_in_target` is its path below the profile directory of the target.
+fn build_program(package: &[&str], path_in_target: &str) -> PathBuf {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
-    let done = Command::new(cargo)
+    let status = Command::new(cargo)
         .args(["build", "--locked", "--quiet"])
-        .args(what)
+        .args(package)
         .status()
         .unwrap();
-    assert!(done.success());
+    assert!(status.success());
     let mut path = std::env::current_exe().unwrap();
     path.pop();
     path.pop();
-    path.join(place)
+    path.join(path_in_target)
 }
 
 pub fn dispatcher() -> PathBuf {
-    built(&["-p", "bellsill-daemon"], "bellsill")
+    build_program(&["-p", "bellsill-daemon"], "bellsill")
 }
 
 pub fn scripted_peer() -> PathBuf {
-    built(
+    build_program(
         &["-p", "bellsill-testbed", "--example", "scripted_peer"],
         "examples/scripted_peer",
     )
--- a/crates/testbed/tests/program.rs
+++ b/crates/testbed/tests/program.rs
@@ -1,44 +1,48 @@
-//! The program itself: what it refuses, what it keeps, and how it ends.
+//! Tests of the program `bellsill-testbed`: validation, stored runs, reports and interruption.
 
 mod common;
 
-use bellsill_testbed::experiment::{self, BadExperiment};
+use bellsill_testbed::experiment::{self, ExperimentError};
 use common::*;
 use rustix::process::{Pid, Signal, kill_process};
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-const CALM: &str = include_str!("../experiments/calm.toml");
+const BASE_EXPERIMENT: &str = include_str!("../experiments/calm.toml");
 
-/// The faults of an experiment, as a user reads them.
-fn faults(text: &str) -> String {
+/// The error message for an invalid experiment; empty for a valid one.
+fn error_message(text: &str) -> String {
     experiment::parse(text, "x.toml")
         .err()
-        .map_or(String::new(), |e: BadExperiment| e.to_string())
+        .map_or(String::new(), |e: ExperimentError| e.to_string())
 }
 
 #[test]
-fn a_bad_experiment_is_refused_with_field_place_and_what_was_expected() {
-    let unknown = faults(&CALM.replace("rate = 120", "rate = 120\nrtae = 3"));
+fn invalid_experiment_is_rejected_with_field_line_and_expected_value() {
+    let unknown = error_message(&BASE_EXPERIMENT.replace("rate = 120", "rate = 120\nrtae = 3"));
     assert!(
         unknown.contains("line 59") && unknown.contains("rtae") && unknown.contains("`rate`"),
         "{unknown}"
     );
-    let typed = faults(&CALM.replace("rate = 120", "rate = 'many'"));
+    let typed = error_message(&BASE_EXPERIMENT.replace("rate = 120", "rate = 'many'"));
     assert!(
         typed.contains("line 58") && typed.contains("'many'") && typed.contains("f64"),
         "{typed}"
     );
-    let (world, long) = CALM.split_once("[long]").unwrap();
+    let (world, long) = BASE_EXPERIMENT.split_once("[long]").unwrap();
     let fault = "[[troubles]]\nwhat = 'silent'\nzone = 'hall-x'\nfrom_s = 4\nto_s = 3\n";
-    let both = faults(&format!(
+    let both = error_message(&format!(
         "{}{fault}[long]{long}",
         world.replace("rate = 120", "rate = -1")
     ));
     let lines: Vec<&str> = both.lines().collect();
-    assert_eq!(lines.len(), 3, "all at once: {both}");
+    assert_eq!(
+        lines.len(),
+        3,
+        "all invalid fields are reported together: {both}"
+    );
     assert!(
-        lines[0].contains("line 58, field load.rate: expected mails a second"),
+        lines[0].contains("line 58, field load.rate: expected messages per second"),
         "{both}"
     );
     assert!(
@@ -49,49 +53,50 @@
         lines[2].contains("field troubles[0].zone: expected one of hall-a, hall-b, hall-c"),
         "{both}"
     );
-    let varied = faults(&CALM.replace(
+    let varied = error_message(&BASE_EXPERIMENT.replace(
         "[long]",
         "[vary]\nfield = 'load.retries'\nvalues = [1, -1]\n[long]",
     ));
     assert!(varied.contains("vary.values"), "{varied}");
-    let whom = faults(&format!(
+    let target = error_message(&format!(
         "{world}[[troubles]]\nwhat = 'killed'\nzone = 'hall-a'\nfrom_s = 1\nto_s = 2\n"
     ));
-    assert!(whom.contains("dispatcher or share"), "{whom}");
+    assert!(target.contains("dispatcher or share"), "{target}");
 }
 
 #[test]
-fn nothing_is_started_for_a_bad_experiment() {
-    let lab = Lab::new("bad", &CALM.replace("rate = 120", "rate = -1"));
-    let done = lab.command(&["run"]).output().unwrap();
-    assert_eq!(done.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&done.stderr).into_owned();
+fn invalid_experiment_starts_nothing() {
+    let lab = Lab::new("bad", &BASE_EXPERIMENT.replace("rate = 120", "rate = -1"));
+    let output = lab.command(&["run"]).output().unwrap();
+    assert_eq!(output.status.code(), Some(2));
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        said.contains("experiment.toml: line 58, field load.rate"),
-        "{said}"
+        message.contains("experiment.toml: line 58, field load.rate"),
+        "{message}"
     );
     assert!(!lab.folder.join("out").exists());
 }
 
 #[test]
-fn runs_are_kept_resumed_compared_and_reported() {
+fn runs_are_stored_resumed_compared_and_reported() {
     let lab = Lab::new(
-        "kept",
-        &CALM.replace(
+        "stored",
+        &BASE_EXPERIMENT.replace(
             "[long]",
             "[vary]\nfield = 'load.rate'\nvalues = [60, 120]\n[long]",
         ),
     );
-    let done = lab.command(&["compare"]).output().unwrap();
-    let said = String::from_utf8_lossy(&done.stdout).into_owned();
-    assert_eq!(done.status.code(), Some(0), "{said}");
+    let output = lab.command(&["compare"]).output().unwrap();
+    let message = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert_eq!(output.status.code(), Some(0), "{message}");
     assert!(
-        said.contains("load.rate = 120, against load.rate = 60") && said.contains("over 3 seeds"),
-        "{said}"
+        message.contains("load.rate = 120, against load.rate = 60")
+            && message.contains("over 3 seeds"),
+        "{message}"
     );
     let lines = lab.lines();
     assert_eq!(lines.len(), 6);
-    // A line that was cut off is no run; the others are not played again.
+    // Truncates the last stored run: only this one may be executed again.
     let text = std::fs::read_to_string(lab.runs()).unwrap();
     std::fs::write(lab.runs(), &text[..text.trim_end().len() - 100]).unwrap();
     let before: Vec<f64> = lines[..5].iter().map(|r| r.cost.wall_s).collect();
@@ -101,7 +106,7 @@
     assert_eq!(
         again[..5].iter().map(|r| r.cost.wall_s).collect::<Vec<_>>(),
         before,
-        "the same runs"
+        "complete runs were executed again"
     );
     assert_eq!(
         (&again[5].results, &again[5].verdict),
@@ -111,13 +116,13 @@
     assert!(report.contains("Delivered importance") && report.matches("<svg").count() >= 7);
     assert!(
         !report.contains("src=") && !report.contains("href="),
-        "it needs nothing else"
+        "the report refers to other files"
     );
 }
 
 #[test]
-fn a_generator_that_is_late_makes_the_run_not_valid() {
-    let world = CALM
+fn late_load_generator_makes_the_run_invalid() {
+    let world = BASE_EXPERIMENT
         .replace("\"virtual\"", "\"sockets\"")
         .replace("seconds = 14", "seconds = 1\nlate_ms = 0.000001");
     let world = world
@@ -125,11 +130,11 @@
         .replace("retries = 2", "retries = 0");
     let lab = Lab::new("late", &world);
     let program = dispatcher();
-    let done = lab
+    let output = lab
         .command(&["run", "--program", program.to_str().unwrap()])
         .output()
         .unwrap();
-    assert_eq!(done.status.code(), Some(1));
+    assert_eq!(output.status.code(), Some(1));
     let line = lab.lines().remove(0);
     assert!(
         !line.valid() && line.not_valid[0].contains("late"),
@@ -139,13 +144,16 @@
     let report = std::fs::read_to_string(lab.folder.join("out/experiment/report.html")).unwrap();
     assert!(
         report.contains("Not valid") && !report.contains("<svg"),
-        "it never reports the good part"
+        "the report contains charts of an invalid run"
     );
 }
 
 #[test]
-fn ctrl_c_ends_all_processes_and_keeps_what_was_measured() {
-    let lab = Lab::new("ctrl-c", &CALM.replace("\"virtual\"", "\"sockets\""));
+fn ctrl_c_ends_all_processes_and_keeps_measurements() {
+    let lab = Lab::new(
+        "ctrl-c",
+        &BASE_EXPERIMENT.replace("\"virtual\"", "\"sockets\""),
+    );
     let program = dispatcher();
     let mut command = lab.command(&["run", "--program", program.to_str().unwrap()]);
     let mut child = command
@@ -153,7 +161,7 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    // Dispatchers carry the name of this test's folder in their command line.
+    // The working directory of the dispatchers of this test lies in the directory of the test.
     let name = lab
         .folder
         .file_name()
@@ -175,8 +183,8 @@
             .count()
     };
     let from = Instant::now();
-    // All three, and the first journal entries of messages: the run is under way.
-    let under_way = || {
+    // All three dispatchers have written journal entries of messages, so the run has begun.
+    let has_begun = || {
         let work = lab.folder.join("out/work");
         let Ok(folders) = std::fs::read_dir(work) else {
             return false;
@@ -192,10 +200,10 @@
             .count()
             == 3
     };
-    while !under_way() {
+    while !has_begun() {
         assert!(
             from.elapsed() < Duration::from_secs(60),
-            "the run never began"
+            "the run did not begin within 60 s"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
