--- a/crates/testbed/src/spec/check.rs
+++ b/crates/testbed/src/spec/check.rs
@@ -407,7 +407,7 @@
         t.share.is_some(),
     ];
     let named = targets.iter().filter(|p| **p).count();
-    if t.what.of_dispatchers() {
+    if t.what.affects_dispatchers() {
         let dispatcher_targets =
             usize::from(t.dispatcher.is_some()) + usize::from(t.share.is_some());
         require(
--- a/crates/testbed/src/spec/format.rs
+++ b/crates/testbed/src/spec/format.rs
@@ -385,7 +385,7 @@
 
 impl FaultKind {
     /// Whether it affects dispatchers.
-    pub fn of_dispatchers(self) -> bool {
+    pub fn affects_dispatchers(self) -> bool {
         matches!(
             self,
             FaultKind::Killed | FaultKind::Restarted | FaultKind::Hot
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -202,7 +202,7 @@
                 ScriptedChange::ListFrozen(true),
                 ScriptedChange::ListFrozen(false),
             ),
-            what if what.of_dispatchers() => {
+            what if what.affects_dispatchers() => {
                 let dispatchers = match fault.dispatcher {
                     Some(n) => vec![n],
                     None => pick(rng, spec.dispatchers.count, fault.share.unwrap_or(0.0)),
--- a/crates/testbed/tests/broken.rs
+++ b/crates/testbed/tests/broken.rs
@@ -61,7 +61,7 @@
 const SHUT: &str =
     "[[troubles]]\nwhat = 'shut'\ndestination = 0\nfrom_s = 0.4\nto_s = 1.9\ncold = false\n";
 fn played(defect: &str, world: &str) -> RunLine {
-    let lab = Lab::new(&format!("broken-{defect}"), world);
+    let lab = TestDirectory::new(&format!("broken-{defect}"), world);
     lab.command(&["run", "--program", scripted_peer().to_str().unwrap()])
         .env("SCRIPTED_DEFECT", defect)
         .output()
@@ -172,7 +172,7 @@
 fn the_real_dispatcher_is_acquitted_through_a_kill() {
     let program = dispatcher();
     let killed = "[[troubles]]\nwhat = 'killed'\ndispatcher = 0\nfrom_s = 0.9\nto_s = 1.5\n";
-    let lab = Lab::new("real", &format!("{WORLD}{FAILING}{killed}"));
+    let lab = TestDirectory::new("real", &format!("{WORLD}{FAILING}{killed}"));
     lab.command(&["run", "--program", program.to_str().unwrap()])
         .output()
         .unwrap();
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -5,17 +5,17 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-pub struct Lab {
-    pub folder: PathBuf,
+pub struct TestDirectory {
+    pub path: PathBuf,
 }
 
-impl Lab {
-    pub fn new(name: &str, experiment: &str) -> Lab {
-        let folder =
+impl TestDirectory {
+    pub fn new(name: &str, experiment: &str) -> TestDirectory {
+        let path =
             std::env::temp_dir().join(format!("bellsill-testbed-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join("experiment.toml"), experiment).unwrap();
-        Lab { folder }
+        std::fs::create_dir_all(&path).unwrap();
+        std::fs::write(path.join("experiment.toml"), experiment).unwrap();
+        TestDirectory { path }
     }
 
     /// The testbed program with a subcommand, on the experiment of this directory.
@@ -24,7 +24,7 @@
         command
             .args(args)
             .arg("experiment.toml")
-            .current_dir(&self.folder);
+            .current_dir(&self.path);
         if args[0] != "check" {
             command.args(["--out", "out", "--quiet"]);
         }
@@ -32,7 +32,7 @@
     }
 
     pub fn runs(&self) -> PathBuf {
-        self.folder.join("out/experiment/runs.jsonl")
+        self.path.join("out/experiment/runs.jsonl")
     }
 
     pub fn lines(&self) -> Vec<RunLine> {
@@ -40,11 +40,11 @@
     }
 }
 
-impl Drop for Lab {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         // The files of a failing test are kept for inspection.
         if !std::thread::panicking() {
-            let _ = std::fs::remove_dir_all(&self.folder);
+            let _ = std::fs::remove_dir_all(&self.path);
         }
     }
 }
--- a/crates/testbed/tests/program.rs
+++ b/crates/testbed/tests/program.rs
@@ -66,27 +66,27 @@
 
 #[test]
 fn invalid_experiment_starts_nothing() {
-    let lab = Lab::new("bad", &BASE_EXPERIMENT.replace("rate = 120", "rate = -1"));
-    let output = lab.command(&["run"]).output().unwrap();
+    let directory = TestDirectory::new("bad", &BASE_EXPERIMENT.replace("rate = 120", "rate = -1"));
+    let output = directory.command(&["run"]).output().unwrap();
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         message.contains("experiment.toml: line 58, field load.rate"),
         "{message}"
     );
-    assert!(!lab.folder.join("out").exists());
+    assert!(!directory.path.join("out").exists());
 }
 
 #[test]
 fn runs_are_stored_resumed_compared_and_reported() {
-    let lab = Lab::new(
+    let directory = TestDirectory::new(
         "stored",
         &BASE_EXPERIMENT.replace(
             "[long]",
             "[vary]\nfield = 'load.rate'\nvalues = [60, 120]\n[long]",
         ),
     );
-    let output = lab.command(&["compare"]).output().unwrap();
+    let output = directory.command(&["compare"]).output().unwrap();
     let message = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(0), "{message}");
     assert!(
@@ -94,14 +94,14 @@
             && message.contains("over 3 seeds"),
         "{message}"
     );
-    let lines = lab.lines();
+    let lines = directory.lines();
     assert_eq!(lines.len(), 6);
     // Truncates the last stored run: only this one may be executed again.
-    let text = std::fs::read_to_string(lab.runs()).unwrap();
-    std::fs::write(lab.runs(), &text[..text.trim_end().len() - 100]).unwrap();
+    let text = std::fs::read_to_string(directory.runs()).unwrap();
+    std::fs::write(directory.runs(), &text[..text.trim_end().len() - 100]).unwrap();
     let before: Vec<f64> = lines[..5].iter().map(|r| r.cost.wall_s).collect();
-    assert!(lab.command(&["run"]).status().unwrap().success());
-    let again = lab.lines();
+    assert!(directory.command(&["run"]).status().unwrap().success());
+    let again = directory.lines();
     assert_eq!(again.len(), 6);
     assert_eq!(
         again[..5].iter().map(|r| r.cost.wall_s).collect::<Vec<_>>(),
@@ -112,7 +112,8 @@
         (&again[5].results, &again[5].verdict),
         (&lines[5].results, &lines[5].verdict)
     );
-    let report = std::fs::read_to_string(lab.folder.join("out/experiment/report.html")).unwrap();
+    let report =
+        std::fs::read_to_string(directory.path.join("out/experiment/report.html")).unwrap();
     assert!(report.contains("Delivered importance") && report.matches("<svg").count() >= 7);
     assert!(
         !report.contains("src=") && !report.contains("href="),
@@ -128,20 +129,21 @@
     let world = world
         .replace("seeds = [1, 2, 3]", "seeds = [1]")
         .replace("retries = 2", "retries = 0");
-    let lab = Lab::new("late", &world);
+    let directory = TestDirectory::new("late", &world);
     let program = dispatcher();
-    let output = lab
+    let output = directory
         .command(&["run", "--program", program.to_str().unwrap()])
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(1));
-    let line = lab.lines().remove(0);
+    let line = directory.lines().remove(0);
     assert!(
         !line.valid() && line.not_valid[0].contains("late"),
         "{:?}",
         line.not_valid
     );
-    let report = std::fs::read_to_string(lab.folder.join("out/experiment/report.html")).unwrap();
+    let report =
+        std::fs::read_to_string(directory.path.join("out/experiment/report.html")).unwrap();
     assert!(
         report.contains("Not valid") && !report.contains("<svg"),
         "the report contains charts of an invalid run"
@@ -150,20 +152,20 @@
 
 #[test]
 fn ctrl_c_ends_all_processes_and_keeps_measurements() {
-    let lab = Lab::new(
+    let directory = TestDirectory::new(
         "ctrl-c",
         &BASE_EXPERIMENT.replace("\"virtual\"", "\"sockets\""),
     );
     let program = dispatcher();
-    let mut command = lab.command(&["run", "--program", program.to_str().unwrap()]);
+    let mut command = directory.command(&["run", "--program", program.to_str().unwrap()]);
     let mut child = command
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
     // The working directory of the dispatchers of this test lies in the directory of the test.
-    let name = lab
-        .folder
+    let name = directory
+        .path
         .file_name()
         .unwrap()
         .to_str()
@@ -185,11 +187,11 @@
     let from = Instant::now();
     // All three dispatchers have written journal entries of messages, so the run has begun.
     let has_begun = || {
-        let work = lab.folder.join("out/work");
-        let Ok(folders) = std::fs::read_dir(work) else {
+        let work = directory.path.join("out/work");
+        let Ok(entries) = std::fs::read_dir(work) else {
             return false;
         };
-        folders
+        entries
             .flatten()
             .filter(|f| {
                 f.path()
@@ -211,7 +213,7 @@
     kill_process(Pid::from_raw(child.id() as i32).unwrap(), Signal::INT).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(2));
     assert_eq!(dispatchers(), 0);
-    let line = lab.lines().remove(0);
+    let line = directory.lines().remove(0);
     assert!(
         line.interrupted && !line.valid() && line.results.arrivals > 0,
         "{:?}",
