--- a/crates/testbed/examples/scripted_peer.rs
+++ b/crates/testbed/examples/scripted_peer.rs
@@ -1,5 +1,6 @@
-//! A dispatcher for the laboratory's own tests, plain and slow: it sends each mail by one call at a time, heeds waits, drains
-//! and the order of keys, and gives up at once what may not go again. `SCRIPTED_DEFECT` names what it does wrong on purpose.
+//! A minimal dispatcher for the testbed's own tests. It delivers each message with one call at a time, honors `Retry-After`,
+//! draining endpoints and the order of keys, and gives up at once on a message that must not be sent again.
+//! `SCRIPTED_DEFECT` names the rule that it breaks on purpose.
 //!
 //!     SCRIPTED_DEFECT=told-wait bellsill-testbed run FILE --drive sockets --program target/debug/examples/scripted_peer
 
@@ -11,8 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CALL_TIME: Duration = Duration::from_millis(900);
-const STEP: Duration = Duration::from_millis(5);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Clone)]
 struct Endpoint {
@@ -21,7 +22,7 @@
     serving: bool,
 }
 
-struct Mail {
+struct Message {
     id: String,
     class: String,
     key: String,
@@ -35,37 +36,37 @@
 struct Shared {
     defect: String,
     platform: String,
-    repeats: HashMap<String, String>,
+    repeat_by_class: HashMap<String, String>,
     endpoints: Mutex<HashMap<u64, Vec<Endpoint>>>,
-    waits: Mutex<HashMap<u64, Instant>>,
-    lines: Mutex<HashMap<String, VecDeque<String>>>,
-    moved: Condvar,
+    retry_after: Mutex<HashMap<u64, Instant>>,
+    key_queues: Mutex<HashMap<String, VecDeque<String>>>,
+    queue_changed: Condvar,
 }
 
 enum Outcome {
-    Relayed,
-    Refused(Duration),
-    Unconnected,
-    MayHaveRun,
+    Delivered,
+    RateLimited(Duration),
+    ConnectFailed,
+    Unknown,
 }
 
 impl Shared {
-    fn has(&self, defect: &str) -> bool {
+    fn has_defect(&self, defect: &str) -> bool {
         self.defect == defect
     }
 
-    fn list(&self, json: &Value) {
+    fn update_list(&self, json: &Value) {
         let mut endpoints = self.endpoints.lock().unwrap();
         for server in json["servers"].as_array().into_iter().flatten() {
-            let of = endpoints
+            let listed = endpoints
                 .entry(server["cell"].as_u64().unwrap())
                 .or_default();
             let (id, serving) = (server["id"].as_str().unwrap(), server["state"] == "up");
-            match of.iter_mut().find(|e| e.id == id) {
-                Some(known) => known.serving = serving || self.has("drained"),
+            match listed.iter_mut().find(|e| e.id == id) {
+                Some(known) => known.serving = serving || self.has_defect("drained"),
                 None => {
                     let addr = server["addr"].as_str().unwrap().parse().unwrap();
-                    of.push(Endpoint {
+                    listed.push(Endpoint {
                         id: id.into(),
                         addr,
                         serving,
@@ -82,14 +83,14 @@
             if let Ok(json) = serde_json::from_str::<Value>(&line?)
                 && json.get("servers").is_some()
             {
-                self.list(&json);
+                self.update_list(&json);
             }
         }
         Ok(())
     }
 
-    fn notice(&self, mail: &Mail, result: &str) {
-        let body = json!({"ref": mail.id, "result": result}).to_string() + "\n";
+    fn notify(&self, message: &Message, result: &str) {
+        let body = json!({"ref": message.id, "result": result}).to_string() + "\n";
         let text = format!(
             "POST /v2/finals HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -101,27 +102,27 @@
         let _ = BufReader::new(stream).read_line(&mut String::new());
     }
 
-    fn call(&self, mail: &Mail, endpoint: &Endpoint) -> Outcome {
+    fn call(&self, message: &Message, endpoint: &Endpoint) -> Outcome {
         let Ok(mut stream) = TcpStream::connect(endpoint.addr) else {
-            return Outcome::Unconnected;
+            return Outcome::ConnectFailed;
         };
         let head = format!(
             "POST /events HTTP/1.1\r\nX-Trace-Id: {}\r\nIdempotency-Key: {}\r\nContent-Length: {}\r\n\r\n",
-            mail.id,
-            mail.tag,
-            mail.body.len()
+            message.id,
+            message.tag,
+            message.body.len()
         );
-        let left = mail
+        let left = message
             .due
             .saturating_duration_since(Instant::now())
-            .min(CALL_TIME)
-            .max(STEP);
+            .min(CALL_TIMEOUT)
+            .max(POLL_INTERVAL);
         stream.set_read_timeout(Some(left)).unwrap();
         if stream
-            .write_all(&[head.as_bytes(), &mail.body].concat())
+            .write_all(&[head.as_bytes(), &message.body].concat())
             .is_err()
         {
-            return Outcome::MayHaveRun;
+            return Outcome::Unknown;
         }
         let mut from = BufReader::new(stream);
         let mut lines = vec![];
@@ -130,7 +131,7 @@
             match from.read_line(&mut line) {
                 Ok(n) if n > 2 => lines.push(line.trim_end().to_string()),
                 Ok(n) if n > 0 => break,
-                _ => return Outcome::MayHaveRun,
+                _ => return Outcome::Unknown,
             }
         }
         let wait = lines
@@ -138,143 +139,159 @@
             .find_map(|l| l.strip_prefix("Retry-After: "))
             .and_then(|s| s.parse().ok());
         match lines[0].split(' ').nth(1) {
-            Some("200") => Outcome::Relayed,
-            Some("429" | "503") => Outcome::Refused(Duration::from_secs_f64(wait.unwrap_or(0.05))),
-            _ => Outcome::MayHaveRun,
+            Some("200") => Outcome::Delivered,
+            Some("429" | "503") => {
+                Outcome::RateLimited(Duration::from_secs_f64(wait.unwrap_or(0.05)))
+            }
+            _ => Outcome::Unknown,
         }
     }
 
-    fn pick(&self, mail: &Mail, n: usize) -> Option<Endpoint> {
+    fn pick_endpoint(&self, message: &Message, n: usize) -> Option<Endpoint> {
         let endpoints = self.endpoints.lock().unwrap();
         let open: Vec<&Endpoint> = endpoints
-            .get(&mail.destination)?
+            .get(&message.destination)?
             .iter()
             .filter(|e| e.serving)
             .collect();
         open.get(n % open.len().max(1)).map(|e| (*e).clone())
     }
 
-    /// A mail's whole way. Only the head of a key's line goes.
-    fn deliver(&self, mail: &Mail) {
-        let ordered = mail.key != "0000000000000000" && !self.has("order");
+    /// Delivers a message. An ordered message waits until it is at the front of its key's queue.
+    fn deliver(&self, message: &Message) {
+        let ordered = message.key != "0000000000000000" && !self.has_defect("order");
         if ordered {
-            let mut lines = self.lines.lock().unwrap();
-            while lines[&mail.key].front() != Some(&mail.id) {
-                if mail.due < Instant::now() + Duration::from_millis(150) {
-                    lines
-                        .get_mut(&mail.key)
+            let mut key_queues = self.key_queues.lock().unwrap();
+            while key_queues[&message.key].front() != Some(&message.id) {
+                if message.due < Instant::now() + Duration::from_millis(150) {
+                    key_queues
+                        .get_mut(&message.key)
                         .unwrap()
-                        .retain(|id| *id != mail.id);
-                    drop(lines);
-                    return self.give_up(mail);
+                        .retain(|id| *id != message.id);
+                    drop(key_queues);
+                    return self.give_up(message);
                 }
-                lines = self.moved.wait_timeout(lines, STEP).unwrap().0;
+                key_queues = self
+                    .queue_changed
+                    .wait_timeout(key_queues, POLL_INTERVAL)
+                    .unwrap()
+                    .0;
             }
         }
-        self.send(mail);
+        self.send(message);
         if ordered {
-            // The key's rest, whatever the end was.
+            // Pauses the key after every outcome.
             thread::sleep(Duration::from_millis(150));
-            self.lines
+            self.key_queues
                 .lock()
                 .unwrap()
-                .get_mut(&mail.key)
+                .get_mut(&message.key)
                 .unwrap()
                 .pop_front();
-            self.moved.notify_all();
+            self.queue_changed.notify_all();
         }
     }
 
-    fn send(&self, mail: &Mail) {
-        let once = self.repeats[&mail.class] == "at_most_once";
-        let seed = usize::from_str_radix(&mail.id[8..], 16).unwrap() / 16;
-        if self.has("after-end") {
-            self.notice(mail, "dead");
+    fn send(&self, message: &Message) {
+        let once = self.repeat_by_class[&message.class] == "at_most_once";
+        let seed = usize::from_str_radix(&message.id[8..], 16).unwrap() / 16;
+        if self.has_defect("after-end") {
+            self.notify(message, "dead");
             thread::sleep(Duration::from_millis(250));
         }
         for n in 0.. {
             loop {
-                let until = self.waits.lock().unwrap().get(&mail.destination).copied();
+                let until = self
+                    .retry_after
+                    .lock()
+                    .unwrap()
+                    .get(&message.destination)
+                    .copied();
                 match until {
-                    Some(until) if Instant::now() < until && !self.has("told-wait") => {
-                        thread::sleep(STEP)
+                    Some(until) if Instant::now() < until && !self.has_defect("told-wait") => {
+                        thread::sleep(POLL_INTERVAL)
                     }
                     _ => break,
                 }
             }
-            if mail.due < Instant::now() + Duration::from_millis(150) {
-                return self.give_up(mail);
+            if message.due < Instant::now() + Duration::from_millis(150) {
+                return self.give_up(message);
             }
-            let Some(endpoint) = self.pick(mail, seed + n) else {
-                return self.give_up(mail);
+            let Some(endpoint) = self.pick_endpoint(message, seed + n) else {
+                return self.give_up(message);
             };
-            let twin = self
-                .has("two-at-once")
-                .then(|| self.pick(mail, seed + n + 1))
+            let second = self
+                .has_defect("two-at-once")
+                .then(|| self.pick_endpoint(message, seed + n + 1))
                 .flatten();
             let outcome = thread::scope(|s| {
-                twin.as_ref().map(|twin| s.spawn(|| self.call(mail, twin)));
-                self.call(mail, &endpoint)
+                second
+                    .as_ref()
+                    .map(|second| s.spawn(|| self.call(message, second)));
+                self.call(message, &endpoint)
             });
             match outcome {
-                Outcome::Relayed if self.has("effect-twice") && once => {
-                    // As if its answer had been lost, and to another hall.
-                    self.pick(mail, seed + n + 1)
-                        .map(|other| self.call(mail, &other));
+                Outcome::Delivered if self.has_defect("effect-twice") && once => {
+                    // Acts as if the response had been lost, and sends to another endpoint, which may be in another zone.
+                    self.pick_endpoint(message, seed + n + 1)
+                        .map(|other| self.call(message, &other));
                     return;
                 }
-                Outcome::Relayed => return,
-                Outcome::Refused(wait) => {
+                Outcome::Delivered => return,
+                Outcome::RateLimited(wait) => {
                     let until = Instant::now() + wait;
-                    let mut waits = self.waits.lock().unwrap();
-                    let old = waits.entry(mail.destination).or_insert(until);
+                    let mut retry_after = self.retry_after.lock().unwrap();
+                    let old = retry_after.entry(message.destination).or_insert(until);
                     *old = until.max(*old);
                 }
-                Outcome::Unconnected => thread::sleep(STEP),
-                Outcome::MayHaveRun if once && !self.has("repeated") => return self.give_up(mail),
-                Outcome::MayHaveRun => thread::sleep(STEP),
+                Outcome::ConnectFailed => thread::sleep(POLL_INTERVAL),
+                Outcome::Unknown if once && !self.has_defect("repeated") => {
+                    return self.give_up(message);
+                }
+                Outcome::Unknown => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    fn give_up(&self, mail: &Mail) {
-        if self.has("lost") {
+    fn give_up(&self, message: &Message) {
+        if self.has_defect("lost") {
             return;
         }
-        if self.has("held-back") {
+        if self.has_defect("held-back") {
             thread::sleep(
-                mail.due
+                message
+                    .due
                     .saturating_duration_since(Instant::now() + Duration::from_millis(50)),
             );
         }
-        self.notice(mail, "dead");
-        if self.has("ended-twice") {
-            self.notice(mail, "bounced");
+        self.notify(message, "dead");
+        if self.has_defect("ended-twice") {
+            self.notify(message, "bounced");
         }
     }
 
-    fn client(self: &Arc<Self>, stream: TcpStream) -> Option<()> {
+    fn serve_client(self: &Arc<Self>, stream: TcpStream) -> Option<()> {
         let mut to = stream.try_clone().ok()?;
         let mut from = BufReader::new(stream);
         loop {
             let mut line = String::new();
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
             let count: usize = line.trim_end().strip_prefix('*')?.parse().ok()?;
-            let mut words = vec![];
+            let mut arguments = vec![];
             for _ in 0..count {
                 let mut line = String::new();
                 from.read_line(&mut line).ok()?;
-                let mut word =
+                let mut argument =
                     vec![0; line.trim_end().strip_prefix('$')?.parse::<usize>().ok()? + 2];
-                from.read_exact(&mut word).ok()?;
-                word.truncate(word.len() - 2);
-                words.push(word);
+                from.read_exact(&mut argument).ok()?;
+                argument.truncate(argument.len() - 2);
+                arguments.push(argument);
             }
-            if words[0] == b"PING" {
+            if arguments[0] == b"PING" {
                 to.write_all(b"+PONG\r\n").ok()?;
                 continue;
             }
-            let text = |i: usize| String::from_utf8(words[i].clone()).unwrap();
+            let text = |i: usize| String::from_utf8(arguments[i].clone()).unwrap();
             let fields = text(3);
             let field = |name: &str| {
                 fields
@@ -283,24 +300,24 @@
                     .unwrap_or_default()
                     .to_string()
             };
-            let mail = Mail {
+            let message = Message {
                 id: text(2),
                 key: text(1),
                 class: field("c="),
                 tag: field("k="),
                 destination: field("dest=").parse().ok()?,
                 due: Instant::now() + Duration::from_millis(field("d=").parse().ok()?),
-                body: words[4].clone(),
+                body: arguments[4].clone(),
             };
-            self.lines
+            self.key_queues
                 .lock()
                 .unwrap()
-                .entry(mail.key.clone())
+                .entry(message.key.clone())
                 .or_default()
-                .push_back(mail.id.clone());
+                .push_back(message.id.clone());
             to.write_all(b"+OK\r\n").ok()?;
             let shared = Arc::clone(self);
-            thread::spawn(move || shared.deliver(&mail));
+            thread::spawn(move || shared.deliver(&message));
         }
     }
 }
@@ -311,7 +328,7 @@
         .iter()
         .position(|a| a == "--config")
         .map(|i| &args[i + 1])
-        .expect("--config FILE");
+        .expect("missing option --config FILE");
     let json: Value = serde_json::from_str(&std::fs::read_to_string(config).unwrap()).unwrap();
     let repeat = |c: &Value| {
         Some((
@@ -322,7 +339,7 @@
     let shared = Arc::new(Shared {
         defect: std::env::var("SCRIPTED_DEFECT").unwrap_or_default(),
         platform: json["discovery"].as_str().unwrap().to_string(),
-        repeats: json["settings"]["services"]
+        repeat_by_class: json["settings"]["services"]
             .as_array()
             .unwrap()
             .iter()
@@ -330,17 +347,17 @@
             .collect(),
         ..Default::default()
     });
-    shared.list(&json["known"]);
+    shared.update_list(&json["known"]);
     let watch = Arc::clone(&shared);
     thread::spawn(move || {
         loop {
             let _ = watch.watch();
-            thread::sleep(STEP);
+            thread::sleep(POLL_INTERVAL);
         }
     });
     let listener = TcpListener::bind(json["listen"].as_str().unwrap()).unwrap();
     for stream in listener.incoming().flatten() {
         let shared = Arc::clone(&shared);
-        thread::spawn(move || shared.client(stream));
+        thread::spawn(move || shared.serve_client(stream));
     }
 }
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for clients: RESP2, open loop. A submission starts when it was meant to and waits for no other answer.
+//! Simulated clients: RESP2, open loop. A submission starts at its scheduled time and doesn't wait for replies to others.
 
 use super::state::{Shared, SubmittedMessage};
 use crate::load::{Arrival, RetryReason, deadline, message_id, next_submission};
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// The tag and the body that a message goes out with, and must come with.
+/// Returns the tag and body that a message is submitted with; its calls must carry the same.
 pub(super) fn content(plan: &Plan, arrival: &Arrival) -> (String, Vec<u8>) {
     let tagged = plan.spec.classes[arrival.class].repeat == Repeat::Tagged;
     let tag = if tagged {
@@ -26,12 +26,12 @@
     (tag, body)
 }
 
-/// Takes arrivals from the schedule, each as soon as it comes.
+/// Submits each arrival as soon as the schedule sends it, and records how late that is.
 pub(super) async fn submit_arrivals(
     shared: Rc<Shared>,
-    mut from: mpsc::UnboundedReceiver<Arrival>,
+    mut arrivals: mpsc::UnboundedReceiver<Arrival>,
 ) {
-    while let Some(arrival) = from.recv().await {
+    while let Some(arrival) = arrivals.recv().await {
         {
             let mut s = shared.state.borrow_mut();
             let late = s.now().saturating_sub(arrival.at);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Submits a message again at a later moment.
+/// Submits a message again at time `at`.
 pub(super) fn submit_later(
     shared: &Rc<Shared>,
     arrival: Rc<Arrival>,
@@ -64,9 +64,9 @@
     Accepted,
     Rejected(Option<Nanos>),
     Failed(String),
-    /// The connection could not be had, or has ended before an answer.
+    /// The connection could not be opened, or closed before a complete reply.
     Disconnected,
-    NoAnswer,
+    TimedOut,
 }
 
 async fn submit(shared: Rc<Shared>, arrival: Rc<Arrival>, attempts: u32, dispatcher: usize) {
@@ -81,14 +81,14 @@
     }
 }
 
-/// Submits a message once. Why it may be submitted again, if it may.
+/// Submits a message once. Returns the reason for a retry, or `None` if it must not be submitted again.
 async fn submit_once(
     shared: &Rc<Shared>,
     arrival: &Rc<Arrival>,
     attempts: u32,
     dispatcher: usize,
 ) -> Option<RetryReason> {
-    let meant = if attempts == 0 {
+    let scheduled = if attempts == 0 {
         arrival.at
     } else {
         shared.now()
@@ -101,7 +101,7 @@
             None => return Some(RetryReason::NoAnswer),
         },
     };
-    let (command, wait) = {
+    let (command, reply_timeout) = {
         let mut s = shared.state.borrow_mut();
         let now = s.now();
         let left = deadline(&s.world.plan, arrival).saturating_sub(now) / MS;
@@ -141,53 +141,56 @@
         }
         (command, ms(s.world.plan.spec.load.answer_ms))
     };
-    let until = tokio::time::Instant::now() + Duration::from_nanos(wait);
-    let heard = loop {
-        let heard = tokio::time::timeout_at(until, ask(&mut stream.0, &command))
+    let reply_deadline = tokio::time::Instant::now() + Duration::from_nanos(reply_timeout);
+    let result = loop {
+        let result = tokio::time::timeout_at(reply_deadline, send_command(&mut stream.0, &command))
             .await
-            .unwrap_or(SubmissionResult::NoAnswer);
-        match heard {
-            // Its closing crossed this: once more on a new connection.
+            .unwrap_or(SubmissionResult::TimedOut);
+        match result {
+            // The dispatcher closed the idle connection while the command was sent: retries once on a new one.
             SubmissionResult::Disconnected if stream.1 => match connect(shared, dispatcher).await {
                 Some(new) => stream = (new, false),
                 None => break SubmissionResult::Disconnected,
             },
-            heard => break heard,
+            result => break result,
         }
     };
-    let answered = matches!(
-        heard,
+    let replied = matches!(
+        result,
         SubmissionResult::Accepted | SubmissionResult::Rejected(_) | SubmissionResult::Failed(_)
     );
-    if answered {
+    if replied {
         shared.clients.borrow_mut()[dispatcher].0.push(stream.0);
     }
     shared.with(|s| {
-        if answered {
-            let span = s.now().saturating_sub(meant);
+        if replied {
+            let span = s.now().saturating_sub(scheduled);
             s.ledger.measure.submission_answered(span);
         }
-        match heard {
+        match result {
             SubmissionResult::Accepted => {
                 s.observe(Observation::Accepted { message });
                 None
             }
-            SubmissionResult::Rejected(come_back) => {
+            SubmissionResult::Rejected(retry_after) => {
                 s.observe(Observation::Rejected {
                     message,
-                    retry_after: come_back,
+                    retry_after,
                 });
-                Some(RetryReason::Rejected(come_back))
+                Some(RetryReason::Rejected(retry_after))
             }
             SubmissionResult::Failed(why) => {
                 s.observe(Observation::Rejected {
                     message,
                     retry_after: None,
                 });
-                s.fault(format!("mail {:016x} was answered {why}", message.0));
+                s.fault(format!(
+                    "message {:016x}: unexpected reply: {why}",
+                    message.0
+                ));
                 Some(RetryReason::Rejected(None))
             }
-            SubmissionResult::Disconnected | SubmissionResult::NoAnswer => {
+            SubmissionResult::Disconnected | SubmissionResult::TimedOut => {
                 s.observe(Observation::Abandoned { message });
                 Some(RetryReason::NoAnswer)
             }
@@ -195,7 +198,7 @@
     })
 }
 
-/// The last used connection that has not been ended by the other side.
+/// Takes the most recently used idle connection that the dispatcher has not closed.
 fn pooled(shared: &Rc<Shared>, dispatcher: usize) -> Option<TcpStream> {
     loop {
         let stream = shared.clients.borrow_mut()[dispatcher].0.pop()?;
@@ -208,28 +211,29 @@
 }
 
 async fn connect(shared: &Rc<Shared>, dispatcher: usize) -> Option<TcpStream> {
-    let (at, wait, nagle) = {
+    let (at, timeout, nagle) = {
         let s = shared.state.borrow();
         let load = &s.world.plan.spec.load;
         (s.net.listen(dispatcher), ms(load.answer_ms), load.nagle)
     };
-    let stream = tokio::time::timeout(Duration::from_nanos(wait), TcpStream::connect(at)).await;
+    let stream = tokio::time::timeout(Duration::from_nanos(timeout), TcpStream::connect(at)).await;
     let stream = stream.ok()?.ok()?;
     stream.set_nodelay(!nagle).ok()?;
     Some(stream)
 }
 
-fn halves(command: &[u8]) -> Vec<&[u8]> {
+fn split_in_half(command: &[u8]) -> Vec<&[u8]> {
     let (head, body) = command.split_at(command.len() / 2);
     vec![head, body]
 }
 
-async fn ask(stream: &mut TcpStream, command: &[u8]) -> SubmissionResult {
-    // A client that minds its delays writes at once; one that does not writes in two parts, as many libraries do.
+async fn send_command(stream: &mut TcpStream, command: &[u8]) -> SubmissionResult {
+    // With TCP_NODELAY the command is one write. Otherwise it is two, as in many client libraries, so that Nagle's
+    // algorithm can delay the second.
     let parts = if stream.nodelay().unwrap_or(true) {
         vec![command]
     } else {
-        halves(command)
+        split_in_half(command)
     };
     for part in parts {
         if stream.write_all(part).await.is_err() {
@@ -248,21 +252,21 @@
         .split_once(' ')
         .map_or((line.as_str(), ""), |(a, b)| (a, b))
     {
-        ("-BUSY", told) => SubmissionResult::Rejected(told.parse().ok().map(ms)),
+        ("-BUSY", wait) => SubmissionResult::Rejected(wait.parse().ok().map(ms)),
         _ if line.starts_with('+') => SubmissionResult::Accepted,
         _ => SubmissionResult::Failed(line),
     }
 }
 
-/// Asks a dispatcher until it says that it is there.
-pub(super) async fn ready(at: std::net::SocketAddr) {
+/// Sends `PING` to a dispatcher until it replies.
+pub(super) async fn wait_until_ready(at: std::net::SocketAddr) {
     loop {
         if let Ok(mut stream) = TcpStream::connect(at).await {
-            let asked = tokio::time::timeout(
+            let reply = tokio::time::timeout(
                 Duration::from_secs(1),
-                ask(&mut stream, b"*1\r\n$4\r\nPING\r\n"),
+                send_command(&mut stream, b"*1\r\n$4\r\nPING\r\n"),
             );
-            if let Ok(SubmissionResult::Accepted) = asked.await {
+            if let Ok(SubmissionResult::Accepted) = reply.await {
                 return;
             }
         }
--- a/crates/testbed/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for endpoints: HTTP/1.1 servers, one listener each, all behind the one world.
+//! Simulated endpoints: HTTP/1.1 servers with one listener each, which all take their behavior from the world.
 
 use super::http::{content_length, header};
 use super::state::{EndpointReply, Listening, Shared, SubmittedMessage};
@@ -15,24 +15,24 @@
 use tokio::sync::mpsc;
 
 const BACKLOG: i32 = 1_024;
-/// A call's head and body, at most.
-const CALL_MOST: usize = 80 * 1024;
+/// Limit on the body of a call; the input buffer of a connection may hold twice as much.
+const MAX_CALL_BYTES: usize = 80 * 1024;
 
-fn socket() -> std::io::Result<Socket> {
+fn new_socket() -> std::io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
 
-fn bound(at: SocketAddr) -> Result<TcpListener> {
-    let socket = socket()?;
+fn bind(at: SocketAddr) -> Result<TcpListener> {
+    let socket = new_socket()?;
     socket.set_reuse_address(true)?;
     socket.bind(&at.into())?;
     socket.listen(BACKLOG)?;
     Ok(TcpListener::from_std(socket.into())?)
 }
 
-/// Makes the listener of an endpoint what the world says of it: open, refusing, or silent.
+/// Makes the listener of an endpoint match its reachability in the world: open, refusing or silent.
 pub(super) fn update_listener(shared: &Rc<Shared>, endpoint: EndpointId) -> Result<()> {
     let (reach, at, old) = {
         let mut s = shared.state.borrow_mut();
@@ -48,7 +48,7 @@
     };
     let listener = || match &old {
         Some(old) => Ok(Rc::clone(&old.socket)),
-        None => bound(at).map(Rc::new),
+        None => bind(at).map(Rc::new),
     };
     let new = match reach {
         Reachability::Refusing => None,
@@ -61,26 +61,26 @@
                 reach,
                 accepts: Some(accepts),
                 socket,
-                _fill: vec![],
+                _queue_fillers: vec![],
             })
         }
         Reachability::Silent => {
             let socket = listener()?;
             drop(old);
-            // One connection fills a queue of length zero; the kernel then leaves all others unanswered.
+            // With a backlog of zero, one connection fills the accept queue; the kernel then leaves all others unanswered.
             SockRef::from(&*socket).listen(0)?;
-            let mut fill = vec![];
+            let mut queue_fillers = vec![];
             for _ in 0..2 {
-                let filler = self::socket()?;
-                // It is under way, or it is up: either is meant.
+                let filler = new_socket()?;
+                // The connection may be established or still in progress; both serve the purpose.
                 let _ = filler.connect(&at.into());
-                fill.push(filler);
+                queue_fillers.push(filler);
             }
             Some(Listening {
                 reach,
                 accepts: None,
                 socket,
-                _fill: fill,
+                _queue_fillers: queue_fillers,
             })
         }
     };
@@ -98,7 +98,7 @@
             Err(e) => {
                 shared.with(|s| {
                     s.fault(format!(
-                        "endpoint {}: a connection could not be taken: {e}",
+                        "endpoint {}: a connection could not be accepted: {e}",
                         endpoint.0
                     ))
                 });
@@ -108,35 +108,37 @@
     }
 }
 
-/// A call as it was read.
+/// A parsed call.
 struct Request {
     message: Option<MessageId>,
     tag: Vec<u8>,
     body: Vec<u8>,
-    /// How much of the input it was.
-    taken: usize,
+    /// Length of the request in the input, in bytes.
+    length_in_input: usize,
 }
 
-/// Reads one call from what has come. None: more must come.
-fn request(bytes: &[u8]) -> Result<Option<Request>, String> {
+/// Parses one call from the start of the input. Returns `None` if it is incomplete.
+fn parse_request(bytes: &[u8]) -> Result<Option<Request>, String> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(e) => return Err(format!("a head that is no HTTP: {e}")),
+        Err(e) => return Err(format!("invalid HTTP request head: {e}")),
     };
     let value = |name: &str| header(&head, name);
-    let size = content_length(&head).ok_or("a call without its length")?;
-    if size > CALL_MOST {
-        return Err(format!("a call of {size} bytes"));
+    let size = content_length(&head).ok_or("a call without a valid Content-Length")?;
+    if size > MAX_CALL_BYTES {
+        return Err(format!(
+            "a call of {size} bytes exceeds the limit of {MAX_CALL_BYTES}"
+        ));
     }
     if bytes.len() < length + size {
         return Ok(None);
     }
     if (head.method, head.path) != (Some("POST"), Some("/events")) {
         return Err(format!(
-            "{:?} {:?}, where POST /events was expected",
+            "unexpected request {:?} {:?}; expected POST /events",
             head.method, head.path
         ));
     }
@@ -147,11 +149,11 @@
             .map(MessageId),
         tag: value("idempotency-key").unwrap_or_default().to_vec(),
         body: bytes[length..length + size].to_vec(),
-        taken: length + size,
+        length_in_input: length + size,
     }))
 }
 
-fn answer(answer: Answer) -> String {
+fn response_text(answer: Answer) -> String {
     match answer {
         Answer::Delivered => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".into(),
         Answer::ServerError => {
@@ -171,11 +173,11 @@
 }
 
 fn reset(stream: TcpStream) {
-    // Closed with nothing to linger for, a connection is reset.
+    // With a linger time of zero, closing the socket sends a reset.
     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// One connection to an endpoint, from its first byte to its last.
+/// Serves one connection to an endpoint until either side closes it.
 async fn serve(shared: Rc<Shared>, endpoint: EndpointId, mut stream: TcpStream) {
     let opened = shared.with(|s| {
         let now = s.now();
@@ -196,29 +198,29 @@
     let by_endpoint = loop {
         tokio::select! {
             biased;
-            say = from.recv() => match say {
-                Some(EndpointReply::Answer(said)) => {
+            reply = from.recv() => match reply {
+                Some(EndpointReply::Answer(answer)) => {
                     call = None;
-                    if stream.write_all(answer(said).as_bytes()).await.is_err() {
+                    if stream.write_all(response_text(answer).as_bytes()).await.is_err() {
                         break false;
                     }
                 }
                 Some(EndpointReply::Disconnect) | None => break true,
             },
             read = stream.read_buf(&mut input) => {
-                if !matches!(read, Ok(n) if n > 0) || input.len() > 2 * CALL_MOST {
+                if !matches!(read, Ok(n) if n > 0) || input.len() > 2 * MAX_CALL_BYTES {
                     break false;
                 }
                 let now = shared.now();
                 started_at.get_or_insert(now);
                 if call.is_some() {
-                    shared.with(|s| s.fault(format!("endpoint {}: a call before the last was answered", endpoint.0)));
+                    shared.with(|s| s.fault(format!("endpoint {}: data received while a call was waiting for its response", endpoint.0)));
                     break true;
                 }
-                match request(&input) {
+                match parse_request(&input) {
                     Ok(None) => {}
                     Ok(Some(request)) => {
-                        input.drain(..request.taken);
+                        input.drain(..request.length_in_input);
                         let started_at = started_at.take().unwrap_or(now);
                         match call_received(&shared, endpoint, conn, &request, started_at) {
                             Ok(no) => call = Some(no),
@@ -248,7 +250,8 @@
     }
 }
 
-/// A call has come whole. Err: the connection breaks, with the call that was on it.
+/// Passes a complete call to the world and the ledger. On `Err` the connection must be closed; the error holds the call's
+/// number, if it got one.
 fn call_received(
     shared: &Rc<Shared>,
     endpoint: EndpointId,
@@ -263,7 +266,7 @@
             .cloned();
         let (Some(message), Some(known)) = (request.message, known) else {
             s.fault(format!(
-                "endpoint {}: a call with a mail that nobody handed in",
+                "endpoint {}: a call with a missing or unknown message id",
                 endpoint.0
             ));
             return Err(None);
@@ -271,13 +274,13 @@
         let (tag, body) = super::clients::content(&s.world.plan, &known.arrival);
         if request.tag != tag.as_bytes() || request.body != body {
             s.fault(format!(
-                "endpoint {}: mail {:016x} came with another tag or body",
+                "endpoint {}: message {:016x} arrived with a tag or body that differs from the submission",
                 endpoint.0, message.0
             ));
         }
         if s.world.endpoint(endpoint).destination != known.arrival.destination {
             s.fault(format!(
-                "endpoint {}: mail {:016x} is for another destination",
+                "endpoint {}: message {:016x} was sent to the wrong destination",
                 endpoint.0, message.0
             ));
         }
--- a/crates/testbed/src/sockets/http.rs
+++ b/crates/testbed/src/sockets/http.rs
@@ -1,6 +1,6 @@
-//! What the stand-ins read of HTTP heads.
+//! Reads header fields of HTTP requests for the simulated servers.
 
-/// The value of a header of this name.
+/// Returns the value of the first header with this name, compared without regard to case.
 pub(crate) fn header<'b>(head: &httparse::Request<'_, 'b>, name: &str) -> Option<&'b [u8]> {
     head.headers
         .iter()
@@ -8,7 +8,7 @@
         .map(|h| h.value)
 }
 
-/// The length of the body; none where it is missing or no number.
+/// Returns the value of `Content-Length`; `None` if it is missing or not a number.
 pub(crate) fn content_length(head: &httparse::Request) -> Option<usize> {
     std::str::from_utf8(header(head, "content-length")?)
         .ok()?
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,6 +1,6 @@
-//! The world on sockets: stand-ins for endpoints, platform and clients around real `bellsill serve` processes, all on
-//! loopback addresses and in one thread of this process. The world is the same as in virtual time; here it is given what
-//! comes over connections, and what it answers is written to them.
+//! Runs an experiment on sockets: simulated endpoints, platform agents and clients around real `bellsill serve` processes,
+//! all on loopback addresses and in one thread of this process. The world model is the one used in virtual time; here its
+//! input is read from connections and its responses are written to them.
 
 mod clients;
 mod config;
@@ -35,16 +35,16 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, mpsc};
 
-/// What a run on sockets came to.
+/// The result of a run on sockets.
 pub struct RunOutcome {
     pub verdict: Verdict,
     pub results: Results,
     pub returns: Vec<ReturnLoad>,
     pub not_valid: Vec<String>,
-    /// What went wrong beside the rules: a dispatcher that ended by itself, calls that were not what was submitted.
+    /// Failures outside the audited rules: a dispatcher that exited unexpectedly, calls that differ from the submission.
     pub faults: Vec<String>,
     pub cost: Cost,
-    /// Ctrl-C came.
+    /// The run was stopped by Ctrl-C.
     pub interrupted: bool,
 }
 
@@ -56,18 +56,18 @@
 ) -> Result<RunOutcome> {
     if !program.is_file() {
         bail!(
-            "{}: expected the dispatcher's program; build it with cargo build --release",
+            "{}: dispatcher program not found; build it with cargo build --release",
             program.display()
         );
     }
-    // A task that fails must not leave a run that looks whole.
+    // A panic in a task or thread must not leave a run that looks valid.
     static FAILED: AtomicBool = AtomicBool::new(false);
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
-        let before = std::panic::take_hook();
-        std::panic::set_hook(Box::new(move |what| {
+        let previous = std::panic::take_hook();
+        std::panic::set_hook(Box::new(move |info| {
             FAILED.store(true, Ordering::SeqCst);
-            before(what);
+            previous(info);
         }));
     });
     FAILED.store(false, Ordering::SeqCst);
@@ -75,16 +75,16 @@
         .enable_all()
         .build()?;
     let local = tokio::task::LocalSet::new();
-    let mut outcome = local.block_on(&runtime, play(plan, program, work, tick))?;
+    let mut outcome = local.block_on(&runtime, run_plan(plan, program, work, tick))?;
     if FAILED.load(Ordering::SeqCst) {
         outcome
             .not_valid
-            .push("the laboratory itself failed; see its standard error".into());
+            .push("the testbed panicked; see its standard error".into());
     }
     Ok(outcome)
 }
 
-/// The state of a run, with its endpoints and platforms listening and its dispatchers ready.
+/// Creates the state of a run, starts the endpoint and platform listeners, and waits until all dispatchers are ready.
 async fn set_up(
     plan: &Plan,
     net: Net,
@@ -107,13 +107,14 @@
         listeners: (0..world.endpoints()).map(|_| None).collect(),
         slow_effects,
         pending: 0,
-        late: Histogram::new_with_bounds(1, 3_600_000_000, 2).context("bounds")?,
+        late: Histogram::new_with_bounds(1, 3_600_000_000, 2)
+            .context("histogram of arrival lateness")?,
         open: vec![],
         faults: vec![],
         world,
     };
     let shared = Rc::new(Shared {
-        sooner: Notify::new(),
+        timer_changed: Notify::new(),
         list_changed: (0..count).map(|_| Notify::new()).collect(),
         dispatchers: RefCell::new(vec![]),
         clients: RefCell::new((0..count).map(|_| Pool::default()).collect()),
@@ -125,13 +126,14 @@
             .with_context(|| format!("endpoint {e}"))?;
     }
     for d in 0..count {
-        platform::listen(&shared, d).with_context(|| format!("the platform of dispatcher {d}"))?;
+        platform::listen(&shared, d)
+            .with_context(|| format!("platform agent of dispatcher {d}"))?;
     }
     processes::start_all(&shared, program, work).await?;
     Ok(shared)
 }
 
-/// Sends the arrivals of a plan at their times, from a thread of its own: it waits for nothing but the clock.
+/// Sends the arrivals of a plan at their scheduled times from a separate thread, so that no other task can delay them.
 fn schedule_arrivals(
     plan: &Plan,
     t0: Instant,
@@ -149,7 +151,7 @@
     })
 }
 
-/// Lets the run go on until its time is over or nothing is left to do. True: Ctrl-C came.
+/// Waits until the run's time is over, or the load has ended and no work is left. Returns true if Ctrl-C stopped it.
 async fn wait_for_end(shared: &Rc<Shared>, plan: &Plan, tick: &mut dyn FnMut(f64)) -> bool {
     let (over_at, load_until) = (plan.over_at, plan.load_until);
     loop {
@@ -169,53 +171,53 @@
     }
 }
 
-/// Why a run is not valid; `late_most` is in milliseconds.
-fn reasons_not_valid(cost: &Cost, late_most: f64, stall: Duration) -> Vec<String> {
-    let (p99, most, stood) = (
+/// Returns why a run is not valid; `max_late_ms` is the allowed 99th percentile of the lateness of arrivals.
+fn reasons_not_valid(cost: &Cost, max_late_ms: f64, stall: Duration) -> Vec<String> {
+    let (p99, max, stall_ms) = (
         cost.late_p99_ms,
         cost.late_max_ms,
         stall.as_secs_f64() * 1e3,
     );
     let mut not_valid = vec![];
-    if p99 > late_most || most > 10.0 * late_most {
+    if p99 > max_late_ms || max > 10.0 * max_late_ms {
         not_valid.push(format!(
-            "the generator was late: {p99:.1} ms at its 99th percentile and {most:.1} ms at worst, at most {late_most} \
-             and {} are allowed",
-            10.0 * late_most
+            "the load generator was late: 99th percentile {p99:.1} ms, maximum {max:.1} ms; the limits are {max_late_ms} ms \
+             and {} ms",
+            10.0 * max_late_ms
         ));
     }
-    if stood > 10.0 * late_most {
+    if stall_ms > 10.0 * max_late_ms {
         not_valid.push(format!(
-            "the machine was too busy: the laboratory stood still for {stood:.0} ms"
+            "the machine was too busy: the testbed thread stalled for {stall_ms:.0} ms"
         ));
     }
     not_valid
 }
 
-async fn play(
+async fn run_plan(
     plan: Plan,
     program: &Path,
     work: &Path,
     tick: &mut dyn FnMut(f64),
 ) -> Result<RunOutcome> {
-    let (net, keeps) = Net::free()?;
+    let (net, net_guard) = Net::reserve()?;
     let (effect_sender, effect_receiver) = mpsc::unbounded_channel();
     let shared = set_up(&plan, net, program, work, effect_sender).await?;
 
-    // From here on time counts.
+    // Setup is not part of the measured time.
     shared.state.borrow_mut().t0 = Instant::now();
-    let worst = Rc::new(RefCell::new(Duration::ZERO));
+    let longest_stall = Rc::new(RefCell::new(Duration::ZERO));
     tokio::task::spawn_local(tasks::clock(shared.clone()));
     tokio::task::spawn_local(tasks::carry_out_effects(shared.clone(), effect_receiver));
-    tokio::task::spawn_local(tasks::watch_stalls(worst.clone()));
+    tokio::task::spawn_local(tasks::watch_stalls(longest_stall.clone()));
     tokio::task::spawn_local(processes::watch(shared.clone()));
-    let (to, from) = mpsc::unbounded_channel();
-    let schedule = schedule_arrivals(&plan, shared.state.borrow().t0, to);
-    tokio::task::spawn_local(clients::submit_arrivals(shared.clone(), from));
+    let (arrival_sender, arrival_receiver) = mpsc::unbounded_channel();
+    let schedule = schedule_arrivals(&plan, shared.state.borrow().t0, arrival_sender);
+    tokio::task::spawn_local(clients::submit_arrivals(shared.clone(), arrival_receiver));
     let interrupted = wait_for_end(&shared, &plan, tick).await;
     *shared.over.borrow_mut() = true;
     let usage = processes::end_all(&shared).await;
-    drop(keeps);
+    drop(net_guard);
     let mut state = shared.state.borrow_mut();
     let now = state.now();
     let ledger = std::mem::replace(&mut state.ledger, Ledger::new(&plan, Slack::SOCKETS));
@@ -231,10 +233,10 @@
     if interrupted {
         not_valid.push("interrupted".to_string());
     }
-    let stall = *worst.borrow();
+    let stall = *longest_stall.borrow();
     not_valid.extend(reasons_not_valid(&cost, plan.spec.run.late_ms, stall));
     if !interrupted && schedule.is_finished() {
-        // A panic of the schedule has been noted by the hook.
+        // A panic of this thread has already been recorded by the panic hook.
         drop(schedule.join());
     }
     Ok(RunOutcome {
--- a/crates/testbed/src/sockets/platform.rs
+++ b/crates/testbed/src/sockets/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's agent of one dispatcher: the list, the watch on it, and the receiver of notifications.
+//! Simulates the platform agent of a dispatcher: serves the endpoint list and the watch on it, and receives notifications.
 
 use super::http::content_length;
 use super::state::{Listing, Shared, State};
@@ -13,9 +13,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A watch on which nothing changes says an empty line this often.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-const REQUEST_MOST: usize = 4 << 20;
+/// Interval of heartbeats on a watch without changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+const MAX_REQUEST_BYTES: usize = 4 << 20;
 
 fn entry(
     state: &State,
@@ -23,7 +23,7 @@
     listed: ListState,
 ) -> Value {
     let (plan, spec) = (state.world.endpoint(endpoint), &state.world.plan.spec);
-    let word = match listed {
+    let list_state = match listed {
         ListState::Up => "up",
         ListState::Draining => "draining",
         ListState::Removed => "removed",
@@ -31,7 +31,7 @@
     json!({
         "id": format!("e-{:06}", endpoint.0), "addr": state.net.endpoint(endpoint).to_string(),
         "zone": spec.world.zones[plan.zone], "kind": spec.kinds[plan.kind].name, "cell": plan.destination,
-        "state": word, "weight": 1.0, "started_ms": 0,
+        "state": list_state, "weight": 1.0, "started_ms": 0,
     })
 }
 
@@ -52,7 +52,7 @@
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            // A connection that breaks is taken up again by the dispatcher.
+            // Errors need no handling here: the dispatcher reconnects.
             let shared = Rc::clone(&shared);
             tokio::task::spawn_local(async move { drop(serve(shared, dispatcher, stream).await) });
         }
@@ -60,8 +60,8 @@
     Ok(())
 }
 
-/// Notes what of the list has been written to a dispatcher, each version once.
-pub(super) fn note_written(state: &mut State, dispatcher: usize, version: usize) {
+/// Records the list changes that have been written to a dispatcher, each version once.
+pub(super) fn record_written(state: &mut State, dispatcher: usize, version: usize) {
     let from = state.written[dispatcher];
     state.written[dispatcher] = version.max(from);
     let changes: Vec<_> = state.world.changes(from.min(version), version).to_vec();
@@ -78,7 +78,7 @@
 async fn serve(shared: Rc<Shared>, dispatcher: usize, mut stream: TcpStream) -> Result<()> {
     let mut input = Vec::new();
     loop {
-        // What is read of a request, owned: the input is read on.
+        // Copies the request out of the input, because `head` borrows the buffer that is drained below.
         let read = {
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut head = httparse::Request::new(&mut headers);
@@ -93,7 +93,10 @@
             }
         };
         let Some((path, body, taken)) = read else {
-            anyhow::ensure!(input.len() < REQUEST_MOST, "a request that is too long");
+            anyhow::ensure!(
+                input.len() < MAX_REQUEST_BYTES,
+                "request longer than {MAX_REQUEST_BYTES} bytes"
+            );
             if stream.read_buf(&mut input).await? == 0 {
                 return Ok(());
             }
@@ -101,14 +104,14 @@
         };
         input.drain(..taken);
         if path == "/v2/finals" {
-            let good = notified(&shared, &body);
-            let answer = if good {
+            let valid = notifications_received(&shared, &body);
+            let status = if valid {
                 "204 No Content"
             } else {
                 "400 Bad Request"
             };
             stream
-                .write_all(format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n").as_bytes())
+                .write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes())
                 .await?;
         } else if let Some(since) = path.strip_prefix("/api/targets?follow=1&since=") {
             return watch(&shared, dispatcher, &mut stream, since.parse().unwrap_or(0)).await;
@@ -139,10 +142,10 @@
     let mut at = since;
     let mut first = true;
     loop {
-        let news = shared.list_changed[dispatcher].notified();
-        tokio::pin!(news);
-        // Registered before the version is read, so that nothing is missed while a line is written.
-        news.as_mut().enable();
+        let changed = shared.list_changed[dispatcher].notified();
+        tokio::pin!(changed);
+        // Registered before the version is read, so that no change is missed while a line is written.
+        changed.as_mut().enable();
         let version = shared.state.borrow().published[dispatcher];
         if version > at || first {
             let line = shared.with(|s| {
@@ -159,28 +162,29 @@
                     }
                 }
             });
-            chunk(stream, &format!("{line}\n")).await?;
-            shared.with(|s| note_written(s, dispatcher, version));
+            write_chunk(stream, &format!("{line}\n")).await?;
+            shared.with(|s| record_written(s, dispatcher, version));
             (at, first) = (version, false);
             continue;
         }
         let mut byte = [0; 64];
         tokio::select! {
-            () = &mut news => {}
-            () = tokio::time::sleep(EMPTY_LINE) => chunk(stream, "\n").await?,
+            () = &mut changed => {}
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => write_chunk(stream, "\n").await?,
             read = stream.read(&mut byte) => if read? == 0 { return Ok(()) },
         }
     }
 }
 
-async fn chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
+async fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream
         .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
         .await
 }
 
-/// Notifications have come. False: they cannot be read.
-fn notified(shared: &Rc<Shared>, body: &[u8]) -> bool {
+/// Records the notifications in a request body and schedules the retries of bounced messages. Returns false, and records
+/// none, if a line is invalid.
+fn notifications_received(shared: &Rc<Shared>, body: &[u8]) -> bool {
     let mut read = vec![];
     for line in body
         .split(|b| *b == b'\n')
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -1,4 +1,5 @@
-//! The dispatchers' processes: started, asked to shut down, killed and started again with the folder that lasts; and what they use.
+//! Starts, terminates, kills and restarts the dispatcher processes, and samples their resource usage. A restarted dispatcher
+//! keeps its state directory.
 
 use super::config::config;
 use super::state::{DispatcherProcess, Pool, Shared};
@@ -15,10 +16,10 @@
 use std::time::{Duration, Instant};
 use tokio::process::{Child, Command};
 
-/// All dispatchers must be there within this.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// SIGKILL comes this long after SIGTERM.
-const TERM_TO_KILL: Duration = Duration::from_millis(3_700);
+/// Time limit for each dispatcher to become ready at the start of a run.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// A process that is still running this long after SIGTERM is killed.
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3_700);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(super) async fn start_all(shared: &Rc<Shared>, program: &Path, work: &Path) -> Result<()> {
@@ -29,7 +30,7 @@
     let program = std::fs::canonicalize(program).with_context(|| program.display().to_string())?;
     for d in 0..count {
         let folder = work.join(format!("net{}-d{d}", net.0));
-        // Nothing of an earlier run may remain.
+        // State left by an earlier run must not be loaded.
         if folder.exists() {
             std::fs::remove_dir_all(&folder).with_context(|| folder.display().to_string())?;
         }
@@ -52,10 +53,10 @@
     }
     for d in 0..count {
         let at = shared.state.borrow().net.listen(d);
-        let there = tokio::time::timeout(READY_WITHIN, clients::ready(at)).await;
-        there.with_context(|| {
+        let ready = tokio::time::timeout(READY_TIMEOUT, clients::wait_until_ready(at)).await;
+        ready.with_context(|| {
             let folder = shared.dispatchers.borrow()[d].folder.display().to_string();
-            format!("dispatcher {d} did not get ready; its log is in {folder}")
+            format!("dispatcher {d} did not become ready; its log is in {folder}")
         })?;
         shared
             .state
@@ -72,7 +73,7 @@
     let mut state = shared.state.borrow_mut();
     let json = config(&state, d, process.starts);
     let version = state.published[d];
-    platform::note_written(&mut state, d, version);
+    platform::record_written(&mut state, d, version);
     state.observe(Observation::Started { dispatcher: d });
     let file = process.folder.join("config.json");
     std::fs::write(&file, json.to_string()).with_context(|| file.display().to_string())?;
@@ -105,7 +106,7 @@
         .and_then(|id| Pid::from_raw(id as i32))
 }
 
-/// Carries out a signal of the script.
+/// Carries out a signal of the plan in a separate task.
 pub(super) fn signal(shared: &Rc<Shared>, d: usize, signal: DispatcherSignal) {
     let shared = Rc::clone(shared);
     tokio::task::spawn_local(async move {
@@ -117,12 +118,12 @@
     });
 }
 
-/// Ends a dispatcher's process: killed at once, or `asked` first and killed when its time is up.
-async fn end(shared: &Rc<Shared>, d: usize, asked: bool) {
+/// Ends a dispatcher's process: with SIGTERM first if `graceful`, and with SIGKILL at once or after the timeout.
+async fn end(shared: &Rc<Shared>, d: usize, graceful: bool) {
     let child = {
         let mut dispatchers = shared.dispatchers.borrow_mut();
-        if let Some(pid) = pid(&dispatchers[d]).filter(|_| asked) {
-            // It may just have ended by itself.
+        if let Some(pid) = pid(&dispatchers[d]).filter(|_| graceful) {
+            // Fails if the process has just exited by itself.
             let _ = kill_process(pid, Signal::TERM);
         }
         let child = dispatchers[d].child.take();
@@ -130,17 +131,17 @@
         child
     };
     let Some(mut child) = child else { return };
-    let in_time = asked
-        && tokio::time::timeout(TERM_TO_KILL, child.wait())
+    let in_time = graceful
+        && tokio::time::timeout(TERMINATION_TIMEOUT, child.wait())
             .await
             .is_ok();
     if !in_time {
         let _ = child.kill().await;
     }
-    ended(shared, d);
+    record_stop(shared, d);
 }
 
-fn ended(shared: &Rc<Shared>, d: usize) {
+fn record_stop(shared: &Rc<Shared>, d: usize) {
     let mut dispatchers = shared.dispatchers.borrow_mut();
     let process = &mut dispatchers[d];
     (process.shutting_down, process.sampled) = (false, None);
@@ -149,7 +150,7 @@
 }
 
 async fn start(shared: &Rc<Shared>, d: usize) {
-    // A process that is shutting down may take until it is killed.
+    // Waits for a previous process that is still shutting down.
     while shared.dispatchers.borrow()[d].shutting_down && !*shared.over.borrow() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -157,17 +158,17 @@
         return;
     }
     if let Err(e) = spawn(shared, d) {
-        return shared
-            .with(|s| s.fault(format!("dispatcher {d} could not be started again: {e:#}")));
+        return shared.with(|s| s.fault(format!("dispatcher {d} could not be restarted: {e:#}")));
     }
     let at = shared.state.borrow().net.listen(d);
-    clients::ready(at).await;
+    clients::wait_until_ready(at).await;
     shared.with(|s| s.observe(Observation::Ready { dispatcher: d }));
 }
 
-/// Processor seconds, resident megabytes and descriptors of a process.
-fn used(pid: u32) -> Option<(f64, f64, u64)> {
-    // In nanoseconds, where the ticks of `stat` are hundredths of a second. The daemon is one thread.
+/// Returns the CPU seconds, resident megabytes and open file descriptors of a process.
+fn read_usage(pid: u32) -> Option<(f64, f64, u64)> {
+    // `schedstat` counts in nanoseconds, `stat` only in ticks of 10 ms. It covers only the main thread, which is enough
+    // because the dispatcher has one thread.
     let stat = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
     let cpu = stat.split_whitespace().next()?.parse::<f64>().ok()? / 1e9;
     let statm = std::fs::read_to_string(format!("/proc/{pid}/statm")).ok()?;
@@ -176,7 +177,7 @@
     Some((cpu, pages * rustix::param::page_size() as f64 / 1e6, fds))
 }
 
-/// Samples what each dispatcher uses, and notes one that ended unasked.
+/// Samples the usage of each dispatcher periodically, and records a fault for one that exited unexpectedly.
 pub(super) async fn watch(shared: Rc<Shared>) {
     loop {
         let count = shared.dispatchers.borrow().len();
@@ -195,38 +196,38 @@
 
 fn sample(shared: &Rc<Shared>, d: usize) {
     let at = (shared.now() - START) as f64 / 1e9;
-    let mut crashed = None;
+    let mut exit_status = None;
     {
         let mut dispatchers = shared.dispatchers.borrow_mut();
         let process = &mut dispatchers[d];
         let Some(child) = &mut process.child else {
             return;
         };
-        // One that was asked to shut down is no longer here.
+        // A process that is being ended on purpose has already been taken out of `child`.
         if let Ok(Some(status)) = child.try_wait() {
-            crashed = Some(status);
+            exit_status = Some(status);
             process.child = None;
-        } else if let Some((cpu, mb, fds)) = child.id().and_then(used) {
+        } else if let Some((cpu, mb, fds)) = child.id().and_then(read_usage) {
             let now = Instant::now();
-            if let Some((before, was)) = process.sampled {
-                let share = (cpu - was) / now.duration_since(before).as_secs_f64();
+            if let Some((last_time, last_cpu)) = process.sampled {
+                let share = (cpu - last_cpu) / now.duration_since(last_time).as_secs_f64();
                 process.usage.samples.push((at, share, mb, fds));
             }
             process.sampled = Some((now, cpu));
             process.usage.peak_mb = process.usage.peak_mb.max(mb);
         }
     }
-    if let Some(status) = crashed {
+    if let Some(status) = exit_status {
         shared.with(|s| {
             s.fault(format!(
-                "dispatcher {d} ended by itself at {at:.3} s: {status}"
+                "dispatcher {d} exited unexpectedly at {at:.3} s: {status}"
             ))
         });
-        ended(shared, d);
+        record_stop(shared, d);
     }
 }
 
-/// All processes end; what each used.
+/// Kills all processes and returns the usage of each.
 pub(super) async fn end_all(shared: &Rc<Shared>) -> Vec<Usage> {
     let count = shared.dispatchers.borrow().len();
     (0..count).for_each(|d| sample(shared, d));
--- a/crates/testbed/src/sockets/state.rs
+++ b/crates/testbed/src/sockets/state.rs
@@ -20,32 +20,32 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::JoinHandle;
 
-/// Up to this many faults are described.
+/// Faults beyond this number are not recorded.
 const MAX_FAULTS: usize = 50;
 
 /// The list at a version, by endpoint.
 pub(super) type Listing = BTreeMap<EndpointId, ListState>;
 
-/// What a connection's task is told by the world.
+/// What the world tells the task of an endpoint connection to do.
 pub(super) enum EndpointReply {
     Answer(Answer),
     Disconnect,
 }
 
-/// What is known of a submitted message.
+/// The dispatcher and arrival of a submitted message.
 #[derive(Clone)]
 pub(super) struct SubmittedMessage {
     pub(super) dispatcher: usize,
     pub(super) arrival: Rc<Arrival>,
 }
 
-/// An endpoint that can be connected to, or seems to be there and says nothing.
+/// The listening socket of an endpoint that accepts connections or leaves them unanswered.
 pub(super) struct Listening {
     pub(super) reach: Reachability,
     pub(super) accepts: Option<JoinHandle<()>>,
     pub(super) socket: Rc<TcpListener>,
-    /// Connections that fill the queue of one that is silent, so that no other comes up.
-    pub(super) _fill: Vec<Socket>,
+    /// Connections that fill the accept queue of a silent endpoint, so that no other is established.
+    pub(super) _queue_fillers: Vec<Socket>,
 }
 
 impl Drop for Listening {
@@ -60,15 +60,15 @@
     pub(super) program: PathBuf,
     pub(super) folder: PathBuf,
     pub(super) child: Option<Child>,
-    /// Its process has been asked to shut down, and has not.
+    /// The process is being ended and has not exited yet.
     pub(super) shutting_down: bool,
     pub(super) starts: u32,
     pub(super) usage: Usage,
-    /// When the present process was looked at last, and its processor seconds then.
+    /// Time of the last usage sample of the current process, and its CPU seconds at that time.
     pub(super) sampled: Option<(Instant, f64)>,
 }
 
-/// Connections to one dispatcher that nobody uses just now.
+/// Idle client connections to one dispatcher.
 #[derive(Default)]
 pub(super) struct Pool(pub(super) Vec<TcpStream>);
 
@@ -78,16 +78,16 @@
     pub(super) net: Net,
     pub(super) t0: Instant,
     pub(super) conns: HashMap<ConnId, mpsc::UnboundedSender<EndpointReply>>,
-    /// Which connection a call is on, and its number in the records.
+    /// The record number of each call that has no response yet.
     pub(super) calls: HashMap<CallId, CallNumber>,
     pub(super) messages: HashMap<MessageId, SubmittedMessage>,
-    /// Which version of the list each dispatcher's agent has, and which it has written to the dispatcher.
+    /// By dispatcher: the version of the list its agent has, and the version it has written to the dispatcher.
     pub(super) published: Vec<usize>,
     pub(super) written: Vec<usize>,
     pub(super) listeners: Vec<Option<Listening>>,
-    /// Effects that a task of their own carries out.
+    /// Effects that a separate task carries out.
     pub(super) slow_effects: mpsc::UnboundedSender<Effect>,
-    /// Messages that may be submitted again.
+    /// Submissions that are in progress or waiting for their retry time.
     pub(super) pending: usize,
     pub(super) late: Histogram<u64>,
     pub(super) open: Vec<(f64, usize)>,
@@ -96,9 +96,9 @@
 
 pub(super) struct Shared {
     pub(super) state: RefCell<State>,
-    /// The world's next moment may have come nearer.
-    pub(super) sooner: Notify,
-    /// By dispatcher: its agent has a new version of the list.
+    /// Notified when the world's next timer may have become earlier.
+    pub(super) timer_changed: Notify,
+    /// By dispatcher: notified when its agent has a new version of the list.
     pub(super) list_changed: Vec<Notify>,
     pub(super) dispatchers: RefCell<Vec<DispatcherProcess>>,
     pub(super) clients: RefCell<Vec<Pool>>,
@@ -118,13 +118,14 @@
         let now = self.now();
         self.ledger.observe(now, observation);
     }
-    /// Lets the world come up to now, and carries out what it does.
+    /// Advances the world to the current time and handles its effects.
     pub(super) fn advance(&mut self) {
         let now = self.now();
         self.world.advance(now);
-        self.pump();
+        self.handle_effects();
     }
-    pub(super) fn pump(&mut self) {
+    /// Handles all queued effects of the world; slow ones go to `tasks::carry_out_effects`.
+    pub(super) fn handle_effects(&mut self) {
         while let Some(effect) = self.world.effect() {
             match effect {
                 Effect::Answer { call, conn, answer } => {
@@ -132,7 +133,7 @@
                         self.observe(Observation::Answered { call, answer });
                     }
                     if let Some(to) = self.conns.get(&conn) {
-                        // A task that has ended has closed its connection.
+                        // If the task has ended, its connection is already closed.
                         let _ = to.send(EndpointReply::Answer(answer));
                     }
                 }
@@ -162,13 +163,13 @@
 }
 
 impl Shared {
-    /// Something is done with the world as it is now, and what comes of it is carried out.
+    /// Runs `act` on the state advanced to the current time, and handles the resulting effects.
     pub(super) fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.borrow_mut();
         state.advance();
         let done = act(&mut state);
-        state.pump();
-        self.sooner.notify_one();
+        state.handle_effects();
+        self.timer_changed.notify_one();
         done
     }
     pub(super) fn now(&self) -> Nanos {
--- a/crates/testbed/src/sockets/tasks.rs
+++ b/crates/testbed/src/sockets/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that let the world's time pass and carry out what takes its time.
+//! Tasks that advance the world's clock, carry out slow effects and measure stalls.
 
 use super::state::Shared;
 use super::{endpoints, processes};
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// How often this thread checks for its own stalls.
+/// Interval at which this thread checks for its own stalls.
 const STALL_CHECK: Duration = Duration::from_millis(5);
 
-/// Lets the world's own moments come.
+/// Advances the world whenever its next timer is due.
 pub(super) async fn clock(shared: Rc<Shared>) {
     loop {
         let next = shared.state.borrow().world.next_timer();
@@ -21,16 +21,16 @@
             Some(at) => {
                 tokio::select! {
                     () = tokio::time::sleep_until(at) => {}
-                    () = shared.sooner.notified() => {}
+                    () = shared.timer_changed.notified() => {}
                 }
             }
-            None => shared.sooner.notified().await,
+            None => shared.timer_changed.notified().await,
         }
         shared.state.borrow_mut().advance();
     }
 }
 
-/// What the world asks for that takes its time.
+/// Carries out effects that change listeners, published lists or processes.
 pub(super) async fn carry_out_effects(
     shared: Rc<Shared>,
     mut from: mpsc::UnboundedReceiver<Effect>,
@@ -38,10 +38,13 @@
     while let Some(effect) = from.recv().await {
         match effect {
             Effect::ReachabilityChanged { endpoint, .. } => {
-                // As it is by now, not as it was when this was sent.
+                // Applies the current reachability, which may have changed since the effect was sent.
                 if let Err(e) = endpoints::update_listener(&shared, endpoint) {
                     shared.with(|s| {
-                        s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0))
+                        s.fault(format!(
+                            "endpoint {}: listener could not be updated: {e}",
+                            endpoint.0
+                        ))
                     });
                 }
             }
@@ -57,7 +60,10 @@
                 });
                 if let Err(e) = endpoints::update_listener(&shared, endpoint) {
                     shared.with(|s| {
-                        s.fault(format!("endpoint {} could not be set up: {e}", endpoint.0))
+                        s.fault(format!(
+                            "endpoint {}: listener could not be updated: {e}",
+                            endpoint.0
+                        ))
                     });
                 }
             }
@@ -77,13 +83,13 @@
     }
 }
 
-/// Notes the longest time for which this thread was stalled.
-pub(super) async fn watch_stalls(worst: Rc<RefCell<Duration>>) {
+/// Records the longest time for which this thread was stalled.
+pub(super) async fn watch_stalls(longest: Rc<RefCell<Duration>>) {
     loop {
         let from = Instant::now();
         tokio::time::sleep(STALL_CHECK).await;
-        let over = from.elapsed().saturating_sub(STALL_CHECK);
-        let mut worst = worst.borrow_mut();
-        *worst = (*worst).max(over);
+        let stall = from.elapsed().saturating_sub(STALL_CHECK);
+        let mut longest = longest.borrow_mut();
+        *longest = (*longest).max(stall);
     }
 }
