--- a/crates/testbed/examples/scripted_peer.rs
+++ b/crates/testbed/examples/scripted_peer.rs
@@ -28,7 +28,7 @@
     key: String,
     tag: String,
     destination: u64,
-    due: Instant,
+    deadline: Instant,
     body: Vec<u8>,
 }
 
@@ -47,6 +47,7 @@
     Delivered,
     RateLimited(Duration),
     ConnectFailed,
+    /// No usable response: the endpoint may have processed the message.
     Unknown,
 }
 
@@ -113,7 +114,7 @@
             message.body.len()
         );
         let left = message
-            .due
+            .deadline
             .saturating_duration_since(Instant::now())
             .min(CALL_TIMEOUT)
             .max(POLL_INTERVAL);
@@ -163,7 +164,7 @@
         if ordered {
             let mut key_queues = self.key_queues.lock().unwrap();
             while key_queues[&message.key].front() != Some(&message.id) {
-                if message.due < Instant::now() + Duration::from_millis(150) {
+                if message.deadline < Instant::now() + Duration::from_millis(150) {
                     key_queues
                         .get_mut(&message.key)
                         .unwrap()
@@ -214,7 +215,7 @@
                     _ => break,
                 }
             }
-            if message.due < Instant::now() + Duration::from_millis(150) {
+            if message.deadline < Instant::now() + Duration::from_millis(150) {
                 return self.give_up(message);
             }
             let Some(endpoint) = self.pick_endpoint(message, seed + n) else {
@@ -260,7 +261,7 @@
         if self.has_defect("held-back") {
             thread::sleep(
                 message
-                    .due
+                    .deadline
                     .saturating_duration_since(Instant::now() + Duration::from_millis(50)),
             );
         }
@@ -306,7 +307,7 @@
                 class: field("c="),
                 tag: field("k="),
                 destination: field("dest=").parse().ok()?,
-                due: Instant::now() + Duration::from_millis(field("d=").parse().ok()?),
+                deadline: Instant::now() + Duration::from_millis(field("d=").parse().ok()?),
                 body: arguments[4].clone(),
             };
             self.key_queues
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -76,7 +76,7 @@
         let now = s.now();
         reason.and_then(|reason| next_submission(&s.world.plan, &arrival, attempts, reason, now))
     });
-    if let Some((at, to)) = next.filter(|_| !*shared.over.borrow()) {
+    if let Some((at, to)) = next.filter(|_| !*shared.finished.borrow()) {
         submit_later(&shared, arrival, attempts + 1, at, to);
     }
 }
--- a/crates/testbed/src/sockets/endpoints.rs
+++ b/crates/testbed/src/sockets/endpoints.rs
@@ -55,11 +55,11 @@
         Reachability::Open => {
             let socket = listener()?;
             SockRef::from(&*socket).listen(BACKLOG)?;
-            let accepts =
+            let accept_task =
                 tokio::task::spawn_local(accept(Rc::clone(shared), endpoint, Rc::clone(&socket)));
             Some(Listening {
                 reach,
-                accepts: Some(accepts),
+                accept_task: Some(accept_task),
                 socket,
                 _queue_fillers: vec![],
             })
@@ -78,7 +78,7 @@
             }
             Some(Listening {
                 reach,
-                accepts: None,
+                accept_task: None,
                 socket,
                 _queue_fillers: queue_fillers,
             })
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -118,7 +118,7 @@
         list_changed: (0..count).map(|_| Notify::new()).collect(),
         dispatchers: RefCell::new(vec![]),
         clients: RefCell::new((0..count).map(|_| Pool::default()).collect()),
-        over: RefCell::new(false),
+        finished: RefCell::new(false),
         state: RefCell::new(state),
     });
     for e in 0..plan.endpoints.len() {
@@ -215,7 +215,7 @@
     let schedule = schedule_arrivals(&plan, shared.state.borrow().t0, arrival_sender);
     tokio::task::spawn_local(clients::submit_arrivals(shared.clone(), arrival_receiver));
     let interrupted = wait_for_end(&shared, &plan, tick).await;
-    *shared.over.borrow_mut() = true;
+    *shared.finished.borrow_mut() = true;
     let usage = processes::end_all(&shared).await;
     drop(net_guard);
     let mut state = shared.state.borrow_mut();
@@ -236,7 +236,7 @@
     let stall = *longest_stall.borrow();
     not_valid.extend(reasons_not_valid(&cost, plan.spec.run.late_ms, stall));
     if !interrupted && schedule.is_finished() {
-        // A panic of this thread has already been recorded by the panic hook.
+        // A panic of the scheduling thread has already been recorded by the panic hook.
         drop(schedule.join());
     }
     Ok(RunOutcome {
--- a/crates/testbed/src/sockets/processes.rs
+++ b/crates/testbed/src/sockets/processes.rs
@@ -30,7 +30,7 @@
     let program = std::fs::canonicalize(program).with_context(|| program.display().to_string())?;
     for d in 0..count {
         let folder = work.join(format!("net{}-d{d}", net.0));
-        // State left by an earlier run must not be loaded.
+        // No state or log of an earlier run may remain.
         if folder.exists() {
             std::fs::remove_dir_all(&folder).with_context(|| folder.display().to_string())?;
         }
@@ -151,10 +151,10 @@
 
 async fn start(shared: &Rc<Shared>, d: usize) {
     // Waits for a previous process that is still shutting down.
-    while shared.dispatchers.borrow()[d].shutting_down && !*shared.over.borrow() {
+    while shared.dispatchers.borrow()[d].shutting_down && !*shared.finished.borrow() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    if *shared.over.borrow() || shared.dispatchers.borrow()[d].child.is_some() {
+    if *shared.finished.borrow() || shared.dispatchers.borrow()[d].child.is_some() {
         return;
     }
     if let Err(e) = spawn(shared, d) {
--- a/crates/testbed/src/sockets/state.rs
+++ b/crates/testbed/src/sockets/state.rs
@@ -42,7 +42,7 @@
 /// The listening socket of an endpoint that accepts connections or leaves them unanswered.
 pub(super) struct Listening {
     pub(super) reach: Reachability,
-    pub(super) accepts: Option<JoinHandle<()>>,
+    pub(super) accept_task: Option<JoinHandle<()>>,
     pub(super) socket: Rc<TcpListener>,
     /// Connections that fill the accept queue of a silent endpoint, so that no other is established.
     pub(super) _queue_fillers: Vec<Socket>,
@@ -50,8 +50,8 @@
 
 impl Drop for Listening {
     fn drop(&mut self) {
-        if let Some(accepts) = &self.accepts {
-            accepts.abort();
+        if let Some(accept_task) = &self.accept_task {
+            accept_task.abort();
         }
     }
 }
@@ -77,6 +77,7 @@
     pub(super) ledger: Ledger,
     pub(super) net: Net,
     pub(super) t0: Instant,
+    /// Sender to the task of each open endpoint connection.
     pub(super) conns: HashMap<ConnId, mpsc::UnboundedSender<EndpointReply>>,
     /// The record number of each call that has no response yet.
     pub(super) calls: HashMap<CallId, CallNumber>,
@@ -89,7 +90,9 @@
     pub(super) slow_effects: mpsc::UnboundedSender<Effect>,
     /// Submissions that are in progress or waiting for their retry time.
     pub(super) pending: usize,
+    /// Lateness of arrivals, in microseconds.
     pub(super) late: Histogram<u64>,
+    /// Samples of the unresolved messages: seconds since the start of the run, and their number.
     pub(super) open: Vec<(f64, usize)>,
     pub(super) faults: Vec<String>,
 }
@@ -102,7 +105,8 @@
     pub(super) list_changed: Vec<Notify>,
     pub(super) dispatchers: RefCell<Vec<DispatcherProcess>>,
     pub(super) clients: RefCell<Vec<Pool>>,
-    pub(super) over: RefCell<bool>,
+    /// Set at the end of the run: no retry is scheduled and no process restarted after it.
+    pub(super) finished: RefCell<bool>,
 }
 
 impl State {
