--- a/crates/testbed/src/hollow/routes.rs
+++ b/crates/testbed/src/hollow/routes.rs
@@ -100,12 +100,12 @@
         if let Some(after) = outlet.wake_after {
             self.wake_at = Some(now + after);
         }
-        if outlet.forgotten.is_empty() {
+        if outlet.removed_endpoints.is_empty() {
             return;
         }
         self.routes
-            .retain(|_, route| !outlet.forgotten.contains(&route.endpoint));
-        self.free.extend(outlet.forgotten);
+            .retain(|_, route| !outlet.removed_endpoints.contains(&route.endpoint));
+        self.free.extend(outlet.removed_endpoints);
     }
 
     fn gone(&mut self, name: &str) -> Option<EndpointEntry> {
--- a/crates/testbed/src/recording_actions.rs
+++ b/crates/testbed/src/recording_actions.rs
@@ -10,7 +10,7 @@
     /// How long until they want to be woken, as they said last.
     pub wake_after: Option<Nanos>,
     /// The endpoints that they know nothing of any more.
-    pub forgotten: Vec<EndpointId>,
+    pub removed_endpoints: Vec<EndpointId>,
 }
 
 impl Actions for RecordingActions {
@@ -27,7 +27,7 @@
     fn close_idle_connections(&mut self, _: EndpointId) {}
 
     fn endpoint_removed(&mut self, endpoint: EndpointId) {
-        self.forgotten.push(endpoint);
+        self.removed_endpoints.push(endpoint);
     }
 
     fn request_watch(&mut self) {}
