--- a/crates/testbed/src/audit/cold_return.rs
+++ b/crates/testbed/src/audit/cold_return.rs
@@ -1,4 +1,4 @@
-//! Rule 4: a cold endpoint is not overloaded by those who had seen its outage.
+//! Rule 4: a cold endpoint is not overloaded by dispatchers that had seen its outage.
 
 use super::state::Auditor;
 use super::verdict::Rule;
@@ -12,14 +12,14 @@
         informed_calls: usize,
         all_calls: usize,
     ) {
-        // Two thirds of the calls make it theirs.
+        // The rule is violated if at least two thirds of the calls came from informed dispatchers.
         if informed_calls * 3 >= all_calls * 2 {
             let evidence = format!(
                 "endpoint {} fell over on its return: {informed_calls} of the last {all_calls} calls came from dispatchers \
                  that had seen its outage",
                 endpoint.0
             );
-            self.violated(at, Rule::Tipped, None, evidence);
+            self.report_violation(at, Rule::Tipped, None, evidence);
         }
     }
 }
--- a/crates/testbed/src/audit/draining.rs
+++ b/crates/testbed/src/audit/draining.rs
@@ -1,4 +1,4 @@
-//! Rule 3: nothing new goes to an endpoint that is draining or removed, after the grace period.
+//! Rule 3: no new attempt is sent to a draining or removed endpoint after the grace period.
 
 use super::observing::ObservedCall;
 use super::state::Auditor;
@@ -7,7 +7,10 @@
 impl Auditor {
     pub(super) fn check_draining(&mut self, call: &ObservedCall) {
         let (dispatcher, started_at) = (call.dispatcher, call.started_at);
-        if let Some(since) = self.drains.get(&(dispatcher, call.endpoint)).copied()
+        if let Some(since) = self
+            .draining_since
+            .get(&(dispatcher, call.endpoint))
+            .copied()
             && started_at > since + self.settings.drain_grace + self.settings.slack.time
         {
             let late = (started_at - since) as f64 / 1e9;
@@ -15,7 +18,7 @@
                 "sent to endpoint {} {late:.3} s after dispatcher {dispatcher} was told it drains",
                 call.endpoint.0
             );
-            self.violated(call.at, Rule::Drained, Some(call.message), evidence);
+            self.report_violation(call.at, Rule::Drained, Some(call.message), evidence);
         }
     }
 }
--- a/crates/testbed/src/audit/endings.rs
+++ b/crates/testbed/src/audit/endings.rs
@@ -1,4 +1,4 @@
-//! Rule 1: an accepted message ends once, within its queue lifetime, and nothing is sent after that.
+//! Rule 1: an accepted message ends exactly once, within its queue lifetime, and is not sent afterwards.
 
 use super::observing::{EarlierAttempts, ObservedCall};
 use super::settings::MILLISECOND;
@@ -8,7 +8,7 @@
 use bellsill_core::interface::{MessageId, Nanos};
 use std::cmp::Reverse;
 
-/// How soon a message is checked again whose dispatcher is not running.
+/// Interval for rechecking an overdue message while its dispatcher is not running.
 const RECHECK: Nanos = 500 * MILLISECOND;
 
 impl Auditor {
@@ -25,7 +25,7 @@
             let state = self.dispatcher(submission.dispatcher);
             let ready = self.settings.slack.ready;
             match state.ready_since {
-                // Nothing is overdue while a dispatcher is not running, and a little longer.
+                // No message counts as lost while its dispatcher is down, nor for `ready` after its restart.
                 None => return self.deadline_checks.push(Reverse((at + RECHECK, id))),
                 Some(since) if state.stopped_at.is_some() && at < since + ready => {
                     return self.deadline_checks.push(Reverse((since + ready, id)));
@@ -37,8 +37,8 @@
                 submission.dispatcher,
                 submission.deadline as f64 / 1e9
             );
-            self.violated(at, Rule::Lost, Some(id), evidence);
-            // It is reported once.
+            self.report_violation(at, Rule::Lost, Some(id), evidence);
+            // Prevents further reports for this message.
             if let Some(message) = self.messages.get_mut(&id) {
                 message.abandoned = true;
             }
@@ -50,7 +50,7 @@
     fn forget_message(&mut self, at: Nanos, id: MessageId) {
         if self.is_overdue(id, at) {
             let evidence = "its dispatcher did not come back, and nobody ended it".into();
-            self.violated(at, Rule::Lost, Some(id), evidence);
+            self.report_violation(at, Rule::Lost, Some(id), evidence);
         }
         let Some(message) = self.messages.remove(&id) else {
             return;
@@ -68,7 +68,7 @@
 
     pub(super) fn is_overdue(&self, message: MessageId, now: Nanos) -> bool {
         self.messages.get(&message).is_some_and(|m| {
-            m.is_unresolved() && m.submission.deadline + self.settings.slack.end < now
+            m.is_unresolved() && m.submission.deadline + self.settings.slack.ending < now
         })
     }
 
@@ -77,10 +77,10 @@
         if started_at > earlier.deadline + slack.time {
             let late = (started_at - earlier.deadline) as f64 / 1e9;
             let evidence = format!("sent {late:.3} s after its queue lifetime");
-            self.violated(call.at, Rule::AfterEnd, Some(call.message), evidence);
+            self.report_violation(call.at, Rule::AfterEnd, Some(call.message), evidence);
         }
         match earlier.ending {
-            Some((Ending::Delivered, since)) if started_at > since + slack.order => {
+            Some((Ending::Delivered, since)) if started_at > since + slack.reordering => {
                 let stopped_at = self.dispatcher(earlier.dispatcher).stopped_at;
                 let restarted = stopped_at.is_some_and(|stopped| stopped > since);
                 if let (false, Some(last)) = (restarted, earlier.last) {
@@ -88,7 +88,7 @@
                         by: call.message,
                         answered: last.call,
                     };
-                    self.suspect(call.at, suspicion);
+                    self.add_suspicion(call.at, suspicion);
                 }
             }
             Some((ending @ (Ending::Rejected | Ending::Failed), since))
@@ -96,13 +96,13 @@
             {
                 let late = (started_at - since) as f64 / 1e9;
                 let evidence = format!("sent {late:.3} s after it had been {ending}");
-                self.violated(call.at, Rule::AfterEnd, Some(call.message), evidence);
+                self.report_violation(call.at, Rule::AfterEnd, Some(call.message), evidence);
             }
             _ => {}
         }
     }
 
-    /// The platform was notified of an ending.
+    /// Handles a notification of an ending to the platform.
     pub(super) fn notified(&mut self, at: Nanos, id: MessageId, ending: Ending) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
@@ -112,7 +112,7 @@
             Some((before, _)) => {
                 if before != ending && !message.abandoned {
                     let evidence = format!("{before}, and then {ending}");
-                    self.violated(at, Rule::EndedTwice, Some(id), evidence);
+                    self.report_violation(at, Rule::EndedTwice, Some(id), evidence);
                 }
             }
             None => {
--- a/crates/testbed/src/audit/held_back.rs
+++ b/crates/testbed/src/audit/held_back.rs
@@ -1,11 +1,11 @@
-//! What can go nowhere any more is answered at once, not when its lifetime is up.
+//! A message without further possible attempts is rejected or failed promptly, not only at the end of its lifetime.
 
 use super::state::{Auditor, Ending};
 use super::verdict::Rule;
 use bellsill_core::interface::{DeliverySemantics, MessageId, Nanos};
 
 impl Auditor {
-    /// Notes since when no further attempt of a message is possible.
+    /// Records the time from which no further attempt of a message is possible.
     pub(super) fn note_exhausted(&mut self, at: Nanos, id: MessageId) {
         let Some(message) = self
             .messages
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A message has just ended at its dispatcher.
+    /// Checks a message that was just rejected or failed.
     pub(super) fn check_held_back(&mut self, at: Nanos, id: MessageId, ending: Ending) {
         let Some(message) = self.messages.get(&id).filter(|m| !m.abandoned) else {
             return;
@@ -31,20 +31,20 @@
         let Some(exhausted_since) = message.exhausted_since else {
             return;
         };
-        // The time in which the dispatcher was not running does not count as holding back.
+        // Downtime of the dispatcher does not count as a delay.
         let state = self.dispatcher(dispatcher);
         let from = if state.stopped_at.is_some_and(|s| s >= exhausted_since) {
             state.ready_since.unwrap_or(at)
         } else {
             exhausted_since
         };
-        if at > from + self.settings.slack.given_up {
+        if at > from + self.settings.slack.exhausted {
             let held = (at - from) as f64 / 1e9;
             let left = deadline as f64 / 1e9 - at as f64 / 1e9;
             let evidence = format!(
                 "could go nowhere any more for {held:.3} s before it was {ending}, {left:.3} s before its due"
             );
-            self.violated(at, Rule::HeldBack, Some(id), evidence);
+            self.report_violation(at, Rule::HeldBack, Some(id), evidence);
         }
     }
 }
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -1,10 +1,10 @@
-//! The auditor: the six rules, judged from outside on what really passed ([`Observation`](crate::record::Observation)). It
-//! does not know what a dispatcher intended; each violation names message, time, rule and evidence.
+//! The auditor: checks the six rules against externally observed events ([`Observation`](crate::record::Observation)). It
+//! has no access to the internal state of a dispatcher. Each violation records the message, time, rule and evidence.
 //!
-//! Two things that happen in one order may be observed in the other, since they arrive on different sockets. Where that can
-//! be, the verdict waits for [`Slack::order`]; in virtual time the order is exact and the slack zero.
+//! Events on different sockets may be observed out of order. Checks that depend on the order are therefore delayed by
+//! [`Slack::reordering`]; in virtual time the order is exact and this slack is zero.
 //!
-//! `state` holds what has been observed, `observing` applies each observation to it, and each rule has a module of its own.
+//! `state` holds the observed state, `observing` applies each observation to it, and each rule has its own module.
 
 mod cold_return;
 mod draining;
--- a/crates/testbed/src/audit/observing.rs
+++ b/crates/testbed/src/audit/observing.rs
@@ -1,4 +1,4 @@
-//! Applies each observation to what is remembered, and lets the rules judge it.
+//! Applies each observation to the state of the auditor and runs the checks of the rules.
 
 use super::state::{
     Auditor, Call, DispatcherState, Ending, MessageState, OrderedKey, PossibleEffect, RETENTION,
@@ -9,7 +9,7 @@
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use std::cmp::Reverse;
 
-/// A call that came to an endpoint.
+/// A call received by an endpoint.
 pub(super) struct ObservedCall {
     pub(super) at: Nanos,
     pub(super) call: CallNumber,
@@ -19,7 +19,7 @@
     pub(super) started_at: Nanos,
 }
 
-/// What was known of a message before its latest call.
+/// State of a message before its latest call.
 pub(super) struct EarlierAttempts {
     pub(super) class: usize,
     pub(super) dispatcher: usize,
@@ -31,7 +31,7 @@
 }
 
 impl Auditor {
-    /// Takes in one observation. Times never go back.
+    /// Processes one observation. Times must not decrease.
     pub fn observe(&mut self, at: Nanos, observation: &Observation) {
         self.advance(at);
         match observation {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Judges everything whose time has come.
+    /// Runs all checks that are due and discards expired calls.
     fn advance(&mut self, now: Nanos) {
         while let Some(Reverse((at, _))) = self.suspicions.peek()
             && *at < now
@@ -107,9 +107,9 @@
         }
     }
 
-    /// The verdict once the run is over and everything has had its time.
+    /// Runs the remaining checks at the end of the run and returns the verdict.
     pub fn finish(mut self, now: Nanos) -> Verdict {
-        self.advance(now + self.settings.slack.order + 1);
+        self.advance(now + self.settings.slack.reordering + 1);
         let mut overdue: Vec<MessageId> = self
             .messages
             .keys()
@@ -119,14 +119,14 @@
         overdue.sort_unstable();
         for message in overdue {
             let evidence = "no end by the end of the run".into();
-            self.violated(now, Rule::Lost, Some(message), evidence);
+            self.report_violation(now, Rule::Lost, Some(message), evidence);
         }
         self.verdict
     }
 
     fn submitted(&mut self, submission: Submission) {
         self.verdict.messages += 1;
-        let check_at = submission.deadline + self.settings.slack.end;
+        let check_at = submission.deadline + self.settings.slack.ending;
         self.deadline_checks
             .push(Reverse((check_at, submission.message)));
         self.messages
@@ -152,9 +152,11 @@
         serving: bool,
     ) {
         if serving {
-            self.drains.remove(&(dispatcher, endpoint));
+            self.draining_since.remove(&(dispatcher, endpoint));
         } else {
-            self.drains.entry((dispatcher, endpoint)).or_insert(at);
+            self.draining_since
+                .entry((dispatcher, endpoint))
+                .or_insert(at);
         }
     }
 
@@ -169,7 +171,7 @@
                     stopped_at: Some(at),
                 };
                 self.dispatchers.insert(*dispatcher, stopped);
-                self.waits.retain(|(d, _), _| d != dispatcher);
+                self.retry_after_waits.retain(|(d, _), _| d != dispatcher);
             }
             Observation::Ready { dispatcher } => {
                 self.dispatchers.entry(*dispatcher).or_default().ready_since = Some(at);
@@ -192,7 +194,7 @@
         let Some(message) = self.messages.get_mut(&call.message) else {
             let endpoint = call.endpoint.0;
             let evidence = format!("sent to endpoint {endpoint}, but nobody handed it in");
-            self.violated(call.at, Rule::AfterEnd, Some(call.message), evidence);
+            self.report_violation(call.at, Rule::AfterEnd, Some(call.message), evidence);
             return;
         };
         let earlier = EarlierAttempts {
@@ -224,7 +226,7 @@
         }
     }
 
-    /// A call is not in flight any more. Says what is known of it, if its message is still remembered.
+    /// Marks a call as no longer in flight. Returns it if both the call and its message are still known.
     fn call_ended(&mut self, at: Nanos, call: CallNumber) -> Option<Call> {
         let known = self.calls.get(&call)?;
         let ended = Call { ..*known };
--- a/crates/testbed/src/audit/ordering.rs
+++ b/crates/testbed/src/audit/ordering.rs
@@ -1,5 +1,5 @@
-//! Rule 6: messages of one key go one at a time, in the order of their acceptance, and rest after an attempt without an
-//! answer.
+//! Rule 6: messages of one key are sent one at a time, in order of acceptance, with a cooldown after an attempt without a
+//! response.
 
 use super::observing::ObservedCall;
 use super::state::{Auditor, Cooldown, OrderedKey};
@@ -23,15 +23,15 @@
                 });
             }
         }
-        // Its call may be observed before the answer to its client.
-        let own = queue
+        // The call may be observed before the reply to the client, so the message may not be queued yet.
+        let own_accepted_at = queue
             .messages
             .iter()
             .find(|m| m.0 == id)
             .map_or(call.at, |m| m.1);
         for (earlier, accepted_at) in queue.messages.iter().take_while(|m| m.0 != id) {
-            // Accepted at nearly the same time on two connections, either may have been first.
-            if accepted_at + slack.order <= own {
+            // If both were accepted at nearly the same time on two connections, their order is unknown.
+            if accepted_at + slack.reordering <= own_accepted_at {
                 suspicions.push(Suspicion::NotEnded {
                     by: id,
                     earlier: *earlier,
@@ -41,15 +41,15 @@
         let cooldown = queue.cooldown;
         queue.in_flight.insert((call.call, id));
         for suspicion in suspicions {
-            self.suspect(call.at, suspicion);
+            self.add_suspicion(call.at, suspicion);
         }
         if let Some(Cooldown { until, message }) = cooldown
             && message != id
-            && started_at + slack.order / 3 < until
+            && started_at + slack.reordering / 3 < until
         {
             let left = (until - started_at) as f64 / 1e9;
             let evidence = format!("sent {left:.3} s before its key's rest was over");
-            self.violated(call.at, Rule::Order, Some(id), evidence);
+            self.report_violation(call.at, Rule::Order, Some(id), evidence);
         }
     }
 
--- a/crates/testbed/src/audit/repeats.rs
+++ b/crates/testbed/src/audit/repeats.rs
@@ -1,4 +1,4 @@
-//! Rule 2: one attempt of a message at a time, a further one only where its class allows it, and one effect.
+//! Rule 2: at most one attempt of a message at a time, repeats only where the queue class allows them, and one effect.
 
 use super::observing::{EarlierAttempts, ObservedCall};
 use super::state::{Auditor, CallEnd, FreshEffect, PossibleEffect};
@@ -8,8 +8,8 @@
 use crate::world::Answer;
 use bellsill_core::interface::{DeduplicationScope, DeliverySemantics, MessageId, Nanos};
 
-/// An answer in the words of the evidence.
-fn answer_word(answer: Option<Answer>) -> String {
+/// Text of an answer as stored in evidence; must stay unchanged to remain comparable with earlier results.
+fn answer_evidence(answer: Option<Answer>) -> String {
     match answer {
         None => "None".into(),
         Some(Answer::Delivered) => "Some(Relayed)".into(),
@@ -19,8 +19,8 @@
     }
 }
 
-fn end_word(end: &CallEnd) -> String {
-    format!("({}, {:?})", answer_word(end.answer), end.closed_at)
+fn call_end_evidence(end: &CallEnd) -> String {
+    format!("({}, {:?})", answer_evidence(end.answer), end.closed_at)
 }
 
 impl Auditor {
@@ -31,7 +31,7 @@
                 earlier: in_flight,
                 rule: Rule::TwoAtOnce,
             };
-            self.suspect(call.at, suspicion);
+            self.add_suspicion(call.at, suspicion);
         }
     }
 
@@ -39,22 +39,22 @@
         let Some(first) = earlier.first else { return };
         let zone = self.endpoint(call.endpoint).zone;
         let semantics = self.settings.classes[earlier.class].semantics;
-        let Some(why) = self.forbids_repeat(semantics, &first, call.started_at, zone) else {
+        let Some(why) = self.reason_against_repeat(semantics, &first, call.started_at, zone) else {
             return;
         };
         let ended = self
             .ended_calls
             .get(&first.call)
-            .map_or("is out".into(), end_word);
+            .map_or("is out".into(), call_end_evidence);
         let evidence = format!(
             "sent again, to endpoint {}: {why}; that connect {ended}",
             call.endpoint.0
         );
-        self.violated(call.at, Rule::Repeated, Some(call.message), evidence);
+        self.report_violation(call.at, Rule::Repeated, Some(call.message), evidence);
     }
 
-    /// Why the semantics forbid another attempt in a zone, if they do.
-    fn forbids_repeat(
+    /// Returns why the delivery semantics forbid another attempt in this zone, or `None` if they allow it.
+    fn reason_against_repeat(
         &self,
         semantics: DeliverySemantics,
         first: &PossibleEffect,
@@ -110,7 +110,7 @@
     }
 
     fn check_single_effect(&mut self, at: Nanos, id: MessageId, arrival: u64) {
-        // What was sent under an id whose client did not wait for the answer counts for nothing.
+        // Effects of messages whose client stopped waiting for the reply are ignored.
         let counts = |m: MessageId| self.messages.get(&m).is_none_or(|m| !m.abandoned);
         let effects: Vec<FreshEffect> = self.effects[&arrival]
             .iter()
@@ -120,7 +120,7 @@
         if effects.len() < 2 || !counts(id) {
             return;
         }
-        let words: Vec<String> = effects
+        let descriptions: Vec<String> = effects
             .iter()
             .map(|e| {
                 format!(
@@ -132,7 +132,7 @@
                 )
             })
             .collect();
-        let evidence = format!("took effect {}", words.join(", and "));
-        self.violated(at, Rule::EffectTwice, Some(id), evidence);
+        let evidence = format!("took effect {}", descriptions.join(", and "));
+        self.report_violation(at, Rule::EffectTwice, Some(id), evidence);
     }
 }
--- a/crates/testbed/src/audit/resolving.rs
+++ b/crates/testbed/src/audit/resolving.rs
@@ -1,4 +1,4 @@
-//! Suspicions that have waited long enough: violations, or cleared by what was observed meanwhile.
+//! Resolves due suspicions: each one is reported as a violation or cleared by later observations.
 
 use super::state::Auditor;
 use super::suspicions::Suspicion;
@@ -20,7 +20,7 @@
                     .is_some_and(|end| end.closed_at.is_some());
                 if !crossed && !self.is_abandoned(by) {
                     let evidence = "sent again after it had been relayed".into();
-                    self.violated(at, Rule::AfterEnd, Some(by), evidence);
+                    self.report_violation(at, Rule::AfterEnd, Some(by), evidence);
                 }
             }
         }
@@ -43,7 +43,7 @@
         let evidence = format!(
             "sent while a connect of mail {message:016x} to endpoint {endpoint} was still out"
         );
-        self.violated(at, rule, Some(by), evidence);
+        self.report_violation(at, rule, Some(by), evidence);
     }
 
     fn resolve_not_ended(&mut self, at: Nanos, by: MessageId, earlier: MessageId) {
@@ -56,11 +56,11 @@
                 "sent before mail {:016x} of its key, taken earlier, had ended",
                 earlier.0
             );
-            self.violated(at, Rule::Order, Some(by), evidence);
+            self.report_violation(at, Rule::Order, Some(by), evidence);
         }
     }
 
-    /// Also where it is not known any more.
+    /// Returns whether the message is abandoned or no longer known.
     fn is_abandoned(&self, message: MessageId) -> bool {
         self.messages.get(&message).is_none_or(|m| m.abandoned)
     }
--- a/crates/testbed/src/audit/settings.rs
+++ b/crates/testbed/src/audit/settings.rs
@@ -1,77 +1,77 @@
-//! What the auditor has to know of the world, and the tolerances of its verdicts.
+//! Settings of the auditor: the simulated environment and the tolerances of the checks.
 
 use bellsill_core::interface::{ClassSettings, Nanos};
 
 pub(super) const MILLISECOND: Nanos = 1_000_000;
 
-/// What the real world is allowed beyond the rules' own limits.
+/// Tolerances added to the limits of the rules.
 #[derive(Clone, Copy, Debug)]
 pub struct Slack {
-    /// Added to the queue lifetime, until a message must have ended.
-    pub end: Nanos,
-    /// Added to the grace period of draining and to the lifetime of what is sent.
+    /// Time after the queue lifetime within which a message must have ended.
+    pub ending: Nanos,
+    /// Added to the drain grace period, and to deadlines when checking the start of an attempt.
     pub time: Nanos,
-    /// After a Retry-After was written, until the dispatcher must know it.
-    pub told: Nanos,
-    /// Within this, two events may be observed in the wrong order.
-    pub order: Nanos,
-    /// Until what has been given up must be answered.
-    pub given_up: Nanos,
-    /// After a dispatcher is ready again, until messages that ended meanwhile must be known to have ended.
+    /// Time from writing a Retry-After until the dispatcher must respect it.
+    pub retry_after: Nanos,
+    /// Maximum time between two events that may be observed out of order.
+    pub reordering: Nanos,
+    /// Time within which a message must be rejected or failed once no further attempt is possible.
+    pub exhausted: Nanos,
+    /// Time after a dispatcher is ready again within which overdue messages must be reported as ended.
     pub ready: Nanos,
 }
 
 impl Slack {
     /// For runs with real processes on loopback sockets.
     pub const SOCKETS: Slack = Slack {
-        end: 300 * MILLISECOND,
+        ending: 300 * MILLISECOND,
         time: 50 * MILLISECOND,
-        told: 100 * MILLISECOND,
-        order: 60 * MILLISECOND,
-        given_up: 1_500 * MILLISECOND,
+        retry_after: 100 * MILLISECOND,
+        reordering: 60 * MILLISECOND,
+        exhausted: 1_500 * MILLISECOND,
         ready: 1_500 * MILLISECOND,
     };
     /// For runs in virtual time, where the order of events is exact.
     pub const VIRTUAL: Slack = Slack {
-        end: MILLISECOND,
+        ending: MILLISECOND,
         time: MILLISECOND,
-        told: 0,
-        order: 0,
-        given_up: 1_500 * MILLISECOND,
+        retry_after: 0,
+        reordering: 0,
+        exhausted: 1_500 * MILLISECOND,
         ready: 1_500 * MILLISECOND,
     };
 }
 
-/// What the auditor knows of an endpoint.
+/// An endpoint as the auditor knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AuditedEndpoint {
-    /// Where it is.
+    /// Zone of the endpoint.
     pub zone: usize,
-    /// What its Retry-After binds: equal for endpoints that share a limit.
+    /// Number of the rate limit that a Retry-After applies to; shared by endpoints with a common limit.
     pub rate_limit: usize,
 }
 
 impl AuditedEndpoint {
-    /// Stands in for an endpoint that was never announced.
+    /// Placeholder for an endpoint that was never announced.
     pub(super) const UNKNOWN: AuditedEndpoint = AuditedEndpoint {
         zone: usize::MAX,
         rate_limit: usize::MAX,
     };
 }
 
-/// What the auditor must know of the world; everything else it observes.
+/// Configuration of the auditor; everything else is learnt from observations.
 #[derive(Clone, Debug)]
 pub struct AuditSettings {
-    /// The queue classes, by number.
+    /// Queue classes, indexed by number.
     pub classes: Vec<ClassSettings>,
-    /// The endpoints, by number.
+    /// Endpoints, indexed by number.
     pub endpoints: Vec<AuditedEndpoint>,
-    /// For how long a draining endpoint may still get something new.
+    /// Time during which a draining endpoint may still receive new attempts.
     pub drain_grace: Nanos,
-    /// For how long a key rests after an attempt without an answer.
+    /// Cooldown of a key after an attempt without a response.
     pub key_cooldown: Nanos,
-    /// Attempts of one message at most.
+    /// Maximum number of attempts per message.
     pub max_attempts: u32,
-    /// The tolerances.
+    /// Tolerances of the checks.
     pub slack: Slack,
 }
--- a/crates/testbed/src/audit/state.rs
+++ b/crates/testbed/src/audit/state.rs
@@ -1,4 +1,4 @@
-//! What the auditor remembers of the messages, calls, keys and dispatchers that it has observed.
+//! State that the auditor keeps about observed messages, calls, keys and dispatchers.
 
 use super::settings::{AuditSettings, AuditedEndpoint, MILLISECOND};
 use super::suspicions::Suspicion;
@@ -9,19 +9,19 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
 
-/// For how long after its deadline a message is remembered, and a call after its end.
+/// How long a message is kept after its deadline, and a call after its end.
 pub(super) const RETENTION: Nanos = 30_000 * MILLISECOND;
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Ending {
     Delivered,
-    /// After it had been accepted; the platform was notified.
+    /// Rejected after it had been accepted, with a notification to the platform.
     Rejected,
     Failed,
 }
 
-// Evidence keeps its words, so that the results of earlier versions can be compared with new ones.
+// The texts are stored as evidence and must stay unchanged to remain comparable with results of earlier versions.
 impl std::fmt::Display for Ending {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
@@ -43,13 +43,13 @@
 pub(super) struct MessageState {
     pub(super) submission: Submission,
     pub(super) accepted_at: Option<Nanos>,
-    /// Its client did not wait for the answer, or its loss has been reported: nothing is judged any more.
+    /// The client stopped waiting for the reply, or the loss has already been reported; no further checks apply.
     pub(super) abandoned: bool,
     pub(super) in_flight: Option<CallNumber>,
     pub(super) attempts: u32,
     pub(super) possible_effects: Vec<PossibleEffect>,
     pub(super) ending: Option<(Ending, Nanos)>,
-    /// Since when no further attempt is possible.
+    /// Time from which no further attempt is possible.
     pub(super) exhausted_since: Option<Nanos>,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Whether its dispatcher still has to bring it to an end.
+    /// Whether the message was accepted and has not ended yet.
     pub(super) fn is_unresolved(&self) -> bool {
         self.accepted_at.is_some() && self.ending.is_none() && !self.abandoned
     }
@@ -79,14 +79,14 @@
     pub(super) dispatcher: usize,
 }
 
-/// How a call ended; both where an answer crossed the closing of its connection.
+/// How a call ended. Both fields are set if the response and the closing of the connection crossed.
 #[derive(Clone, Copy, Default)]
 pub(super) struct CallEnd {
     pub(super) answer: Option<Answer>,
     pub(super) closed_at: Option<Nanos>,
 }
 
-/// A key of messages that go in order, and the dispatcher that has it.
+/// Key of messages that are delivered in order, per dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OrderedKey {
     pub(super) dispatcher: usize,
@@ -100,7 +100,7 @@
     }
 }
 
-/// After an attempt without an answer only its own message may go, until the cooldown is over.
+/// After an attempt without a response, only the same message may be sent until the cooldown ends.
 #[derive(Clone, Copy)]
 pub(super) struct Cooldown {
     pub(super) until: Nanos,
@@ -109,7 +109,7 @@
 
 #[derive(Default)]
 pub(super) struct KeyQueue {
-    /// As they were accepted, and when.
+    /// Messages in order of acceptance, with the time of acceptance.
     pub(super) messages: VecDeque<(MessageId, Nanos)>,
     pub(super) in_flight: BTreeSet<(CallNumber, MessageId)>,
     pub(super) cooldown: Option<Cooldown>,
@@ -121,7 +121,7 @@
     pub(super) stopped_at: Option<Nanos>,
 }
 
-/// Where and when a message took effect as something new.
+/// An effect of a message that the endpoint did not recognize as a duplicate.
 #[derive(Clone, Copy)]
 pub(super) struct FreshEffect {
     pub(super) message: MessageId,
@@ -129,38 +129,38 @@
     pub(super) at: Nanos,
 }
 
-/// A span in which nothing may be sent past a limit.
+/// Period during which a Retry-After forbids attempts through a rate limit.
 #[derive(Clone, Copy)]
 pub(super) struct RetryAfterWait {
     pub(super) from: Nanos,
     pub(super) until: Nanos,
 }
 
-/// Judges the six rules on what it observes.
+/// Checks the six rules against observations.
 pub struct Auditor {
     pub(super) settings: AuditSettings,
     pub(super) messages: HashMap<MessageId, MessageState>,
     pub(super) calls: HashMap<CallNumber, Call>,
-    /// Calls that ended, for what is learnt of them later.
+    /// Ended calls, kept for observations that arrive later.
     pub(super) ended_calls: HashMap<CallNumber, CallEnd>,
-    /// By arrival.
+    /// Effects by arrival number.
     pub(super) effects: HashMap<u64, Vec<FreshEffect>>,
     pub(super) keys: HashMap<OrderedKey, KeyQueue>,
-    /// Since when a dispatcher knows that an endpoint is draining.
-    pub(super) drains: HashMap<(usize, EndpointId), Nanos>,
-    /// By dispatcher and limit.
-    pub(super) waits: HashMap<(usize, usize), Vec<RetryAfterWait>>,
+    /// Time at which a dispatcher learnt that an endpoint is draining or removed.
+    pub(super) draining_since: HashMap<(usize, EndpointId), Nanos>,
+    /// Retry-After waits by dispatcher and rate limit.
+    pub(super) retry_after_waits: HashMap<(usize, usize), Vec<RetryAfterWait>>,
     pub(super) dispatchers: BTreeMap<usize, DispatcherState>,
-    /// When a message is checked, or forgotten.
+    /// Times at which messages are checked or discarded.
     pub(super) deadline_checks: BinaryHeap<Reverse<(Nanos, MessageId)>>,
     pub(super) suspicions: BinaryHeap<Reverse<(Nanos, Suspicion)>>,
-    /// When an ended call is forgotten.
+    /// Times at which ended calls are discarded.
     pub(super) call_expiry: VecDeque<(Nanos, CallNumber)>,
     pub(super) verdict: Verdict,
 }
 
 impl Auditor {
-    /// An auditor that has observed nothing yet.
+    /// Creates an auditor without any observations.
     pub fn new(settings: AuditSettings) -> Auditor {
         Auditor {
             settings,
@@ -169,8 +169,8 @@
             ended_calls: HashMap::new(),
             effects: HashMap::new(),
             keys: HashMap::new(),
-            drains: HashMap::new(),
-            waits: HashMap::new(),
+            draining_since: HashMap::new(),
+            retry_after_waits: HashMap::new(),
             dispatchers: BTreeMap::new(),
             deadline_checks: BinaryHeap::new(),
             suspicions: BinaryHeap::new(),
@@ -179,17 +179,17 @@
         }
     }
 
-    /// Announces an endpoint that was not there at the start; they are numbered consecutively.
+    /// Adds an endpoint that appeared during the run; endpoints are numbered consecutively.
     pub fn endpoint_appeared(&mut self, endpoint: AuditedEndpoint) {
         self.settings.endpoints.push(endpoint);
     }
 
-    /// How many accepted messages have not ended yet.
+    /// Number of accepted messages that have not ended yet.
     pub fn unresolved(&self) -> usize {
         self.messages.values().filter(|m| m.is_unresolved()).count()
     }
 
-    pub(super) fn violated(
+    pub(super) fn report_violation(
         &mut self,
         at: Nanos,
         rule: Rule,
@@ -199,9 +199,9 @@
         self.verdict.record(at, rule, message, evidence);
     }
 
-    pub(super) fn suspect(&mut self, at: Nanos, suspicion: Suspicion) {
+    pub(super) fn add_suspicion(&mut self, at: Nanos, suspicion: Suspicion) {
         self.suspicions
-            .push(Reverse((at + self.settings.slack.order, suspicion)));
+            .push(Reverse((at + self.settings.slack.reordering, suspicion)));
     }
 
     pub(super) fn endpoint(&self, endpoint: EndpointId) -> AuditedEndpoint {
--- a/crates/testbed/src/audit/suspicions.rs
+++ b/crates/testbed/src/audit/suspicions.rs
@@ -1,21 +1,21 @@
-//! What looks like a violation, until the order in which it was observed is certain.
+//! Possible violations that stay pending until the order of the observations is certain.
 
 use crate::record::CallNumber;
 use bellsill_core::interface::MessageId;
 
 use super::verdict::Rule;
 
-/// Something that may turn out to be a violation.
+/// A possible violation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Suspicion {
-    /// The earlier call must turn out to have been closed by then.
+    /// Cleared if the earlier call has ended by the time of the check.
     StillInFlight {
         by: MessageId,
         earlier: CallNumber,
         rule: Rule,
     },
-    /// The earlier message must turn out to have ended by then.
+    /// Cleared if the earlier message has ended by the time of the check.
     NotEnded { by: MessageId, earlier: MessageId },
-    /// The answer must turn out to have crossed the closing of its connection.
+    /// Cleared if the response crossed the closing of its connection.
     AfterDelivery { by: MessageId, answered: CallNumber },
 }
--- a/crates/testbed/src/audit/verdict.rs
+++ b/crates/testbed/src/audit/verdict.rs
@@ -1,51 +1,51 @@
-//! What the auditor found: the rules, their violations and the counts of a run.
+//! Result of an audit: the rules, their violations and the counters of a run.
 
 use bellsill_core::interface::{MessageId, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Violations are always counted, and described up to this many.
+/// Maximum number of violations stored with evidence; further ones are only counted.
 const MAX_SAMPLES: usize = 200;
 
-/// A rule, or one way of breaking it. The names are those of runs.jsonl and of reports.
+/// A rule, or one way of violating it. The names are stored in `runs.jsonl` and shown in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// 1: not ended within its queue lifetime.
+    /// 1: the message did not end within its queue lifetime.
     Lost,
-    /// 1: two endings that contradict each other.
+    /// 1: the message had two contradictory endings.
     EndedTwice,
-    /// 1: something was sent after the ending, or after the queue lifetime.
+    /// 1: an attempt was sent after the ending or after the queue lifetime.
     AfterEnd,
-    /// 2: two attempts of one message in flight at once.
+    /// 2: two attempts of one message were in flight at the same time.
     TwoAtOnce,
-    /// 2: a further attempt that its class forbids.
+    /// 2: another attempt was sent although the queue class forbids it.
     Repeated,
-    /// 2: took effect twice.
+    /// 2: the message took effect twice.
     EffectTwice,
-    /// 3: something new to an endpoint that is draining or removed, after the grace period.
+    /// 3: a new attempt was sent to a draining or removed endpoint after the grace period.
     Drained,
-    /// 4: a cold endpoint was overloaded by those who had seen its outage.
+    /// 4: a cold endpoint was overloaded by dispatchers that had seen its outage.
     Tipped,
-    /// 5: something was sent during a Retry-After wait.
+    /// 5: an attempt was sent during a Retry-After wait.
     ToldWait,
-    /// 6: out of order, two of a key at once, or within the key's cooldown.
+    /// 6: messages of a key were sent out of order, concurrently or within the key's cooldown.
     Order,
-    /// What had been given up was not answered at once.
+    /// A message without further possible attempts was not rejected or failed promptly.
     HeldBack,
 }
 
 /// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// When it was found.
+    /// Time at which it was detected.
     pub at: Nanos,
-    /// What was violated.
+    /// The violated rule.
     pub rule: Rule,
-    /// By which message, where it is one message's.
+    /// The message concerned, if the violation concerns a single one.
     #[serde(rename = "mail")]
     pub message: Option<u64>,
-    /// What was observed, in words.
+    /// Description of the observed events.
     pub evidence: String,
 }
 
@@ -64,29 +64,29 @@
     }
 }
 
-/// What the auditor found in a run.
+/// Result of the audit of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Messages that were submitted.
+    /// Number of submitted messages.
     #[serde(rename = "mails")]
     pub messages: u64,
-    /// Calls that came to endpoints.
+    /// Number of calls received by endpoints.
     pub calls: u64,
-    /// Calls that took effect, or were dropped as repeats.
+    /// Number of calls that took effect or were dropped as duplicates.
     pub applied: u64,
-    /// Effects of calls whose answer never reached the dispatcher: once applied, not twice sent.
+    /// Number of effects of calls whose response never reached the dispatcher; each counts as one effect, not as a repeat.
     #[serde(rename = "applied_unheard")]
     pub applied_unanswered: u64,
-    /// How often each rule was violated.
+    /// Number of violations per rule.
     #[serde(rename = "breaks")]
     pub violations: BTreeMap<Rule, u64>,
-    /// The first violations, described.
+    /// The first violations, with evidence.
     #[serde(rename = "words")]
     pub samples: Vec<Violation>,
 }
 
 impl Verdict {
-    /// Whether no rule was violated.
+    /// Returns whether no rule was violated.
     pub fn passed(&self) -> bool {
         self.violations.is_empty()
     }
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -1,33 +1,33 @@
-//! What a run costs the machine that it runs on.
+//! Resource usage of a run.
 
 use serde::{Deserialize, Serialize};
 
-/// What one dispatcher's process used, sampled; sockets only.
+/// Sampled resource usage of a dispatcher process; only for runs on sockets.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Which one.
+    /// Number of the dispatcher.
     pub dispatcher: usize,
-    /// Second, share of a core since the sample before, resident megabytes, descriptors.
+    /// Second of the run, share of a core since the previous sample, resident memory in megabytes, open descriptors.
     pub samples: Vec<(f64, f64, f64, u64)>,
-    /// The most memory that it held.
+    /// Peak memory in megabytes.
     pub peak_mb: f64,
 }
 
-/// What the run cost this machine: not the same in equal runs.
+/// Resource usage of a run on this machine; differs between otherwise equal runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
-    /// How long the run took.
+    /// Duration of the run in seconds of real time.
     pub wall_s: f64,
-    /// Of the testbed's own process.
+    /// Peak memory of the testbed process in megabytes.
     pub peak_mb: f64,
-    /// How late the generator was, in milliseconds: at its 99th percentile and at worst.
+    /// 99th percentile of the load generator's delay, in milliseconds.
     pub late_p99_ms: f64,
-    /// At worst.
+    /// Maximum delay of the load generator, in milliseconds.
     pub late_max_ms: f64,
-    /// By dispatcher.
+    /// Resource usage per dispatcher.
     pub usage: Vec<Usage>,
-    /// Messages accepted and not ended, at seconds of the run; sockets only.
+    /// Number of accepted messages that have not ended, by second of the run; only for runs on sockets.
     pub open: Vec<(f64, usize)>,
-    /// From which second on processor time counts.
+    /// Second of the run from which processor time is measured.
     pub cpu_from_s: f64,
 }
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Passes every observation to the auditor and to the measurements, in one order of time.
+//! Passes every observation to the auditor and the measurements, in chronological order.
 
 use crate::audit::{AuditSettings, AuditedEndpoint, Auditor, Slack, Verdict};
 use crate::load::Arrival;
@@ -10,7 +10,7 @@
 
 /// The auditor and the measurements of a run.
 pub struct Ledger {
-    /// Judges the rules.
+    /// Checks the rules.
     pub audit: Auditor,
     /// Measures latencies and counts.
     pub measure: Measure,
@@ -18,9 +18,9 @@
     at: Nanos,
 }
 
-/// What the auditor must know of the world of this plan.
+/// Returns the settings of the auditor for a plan.
 pub fn audit_settings(plan: &Plan, slack: Slack) -> AuditSettings {
-    let r = &plan.spec.rules;
+    let rules = &plan.spec.rules;
     AuditSettings {
         classes: plan.dispatcher_settings(0, 0).classes,
         endpoints: plan
@@ -31,15 +31,15 @@
                 rate_limit: e.gate,
             })
             .collect(),
-        drain_grace: ms(r.drain_grace_ms),
-        key_cooldown: ms(r.key_rest_ms),
+        drain_grace: ms(rules.drain_grace_ms),
+        key_cooldown: ms(rules.key_rest_ms),
         max_attempts: plan.spec.dispatchers.max_connects,
         slack,
     }
 }
 
 impl Ledger {
-    /// The ledger of a run that has not begun.
+    /// Creates the ledger of a run that has not started.
     pub fn new(plan: &Plan, slack: Slack) -> Ledger {
         Ledger {
             audit: Auditor::new(audit_settings(plan, slack)),
@@ -49,27 +49,27 @@
         }
     }
 
-    /// A number for a call that was not observed before.
+    /// Allocates the number of a new call.
     pub fn next_call_number(&mut self) -> CallNumber {
         self.calls += 1;
         CallNumber(self.calls)
     }
 
-    /// Takes in an observation.
+    /// Records an observation.
     pub fn observe(&mut self, at: Nanos, observation: Observation) {
-        // Two tasks may have looked at the clock in another order than they come here.
+        // Two tasks may have read the clock in a different order from that of their calls.
         self.at = self.at.max(at);
         tracing::trace!(at = self.at, ?observation);
         self.audit.observe(self.at, &observation);
         self.measure.observe(self.at, &observation);
     }
 
-    /// Notes an arrival that a client means to submit.
+    /// Records an arrival that a client is about to submit.
     pub fn arrived(&mut self, arrival: &Arrival) {
         self.measure.arrived(arrival);
     }
 
-    /// The verdict and the results once the run is over.
+    /// Returns the verdict and the results at the end of the run.
     pub fn finish(self, now: Nanos) -> (Verdict, Results) {
         (self.audit.finish(now.max(self.at)), self.measure.finish())
     }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,11 +1,11 @@
-//! What passed between clients, dispatchers, endpoints and the platform, as observed from outside: the auditor and the
-//! measurements know nothing else.
+//! Externally observed events between clients, dispatchers, endpoints and the platform: the only input of the auditor and
+//! the measurements during a run.
 
 use crate::load::{Arrival, message_id};
 use crate::world::Answer;
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 
-/// Counts the calls of a run.
+/// Sequence number of a call within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallNumber(pub u64);
 
@@ -14,7 +14,7 @@
 pub enum Observation {
     /// A client submits a message.
     Submitted(Submission),
-    /// The dispatcher has accepted the message and has to bring it to an end.
+    /// The dispatcher accepted the message and is responsible for its ending.
     Accepted {
         /// The message.
         message: MessageId,
@@ -23,34 +23,34 @@
     Rejected {
         /// The message.
         message: MessageId,
-        /// When the client may submit it again, if the dispatcher said so.
+        /// Time to wait before the client may submit it again, if the dispatcher gave one.
         retry_after: Option<Nanos>,
     },
-    /// The client has stopped waiting for the answer: what becomes of the message counts for nothing.
+    /// The client stopped waiting for the reply; the further handling of the message is ignored.
     Abandoned {
         /// The message.
         message: MessageId,
     },
-    /// The last byte of a call has come to an endpoint.
+    /// An endpoint received the last byte of a call.
     Call {
         /// The call.
         call: CallNumber,
-        /// The message that it carries.
+        /// The message it carries.
         message: MessageId,
-        /// Where it came in.
+        /// The endpoint that received it.
         endpoint: EndpointId,
-        /// Who sent it.
+        /// The dispatcher that sent it.
         dispatcher: usize,
-        /// When its first byte was sent.
+        /// Time at which its first byte was sent.
         started_at: Nanos,
-        /// False: the connection broke and the call never ran.
+        /// False if the connection broke and the call was never processed.
         fresh: bool,
     },
-    /// What the endpoint wrote.
+    /// The endpoint wrote a response.
     Answered {
         /// The call.
         call: CallNumber,
-        /// Its answer.
+        /// The response.
         answer: Answer,
     },
     /// The connection of a call was closed.
@@ -64,14 +64,14 @@
     Applied {
         /// The call.
         call: CallNumber,
-        /// False: the endpoint dropped it as a repeat.
+        /// False if the endpoint dropped it as a duplicate.
         fresh: bool,
     },
-    /// The platform is notified that an accepted message was rejected (with the time to come back) or has failed.
+    /// The platform is notified that an accepted message was rejected (with a retry time) or has failed.
     Notified {
         /// The message.
         message: MessageId,
-        /// Some: rejected. None: failed.
+        /// `Some` if rejected, `None` if failed.
         retry_after: Option<Nanos>,
     },
     /// A dispatcher learns of a change of the endpoint list.
@@ -80,7 +80,7 @@
         dispatcher: usize,
         /// The endpoint that changed.
         endpoint: EndpointId,
-        /// False: it is draining or removed.
+        /// False if it is draining or removed.
         serving: bool,
     },
     /// A dispatcher's process has started.
@@ -88,12 +88,12 @@
         /// The dispatcher.
         dispatcher: usize,
     },
-    /// A dispatcher's process has stopped: from here on its connections are closed.
+    /// A dispatcher's process has stopped and its connections are closed.
     Stopped {
         /// The dispatcher.
         dispatcher: usize,
     },
-    /// A dispatcher accepts messages from now on.
+    /// A dispatcher starts accepting messages.
     Ready {
         /// The dispatcher.
         dispatcher: usize,
@@ -102,36 +102,37 @@
     Overloaded {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Its last calls that came from dispatchers which had seen its outage.
+        /// Number of its recent calls from dispatchers that had seen its outage.
         informed_calls: usize,
-        /// All of its last calls.
+        /// Number of all its recent calls.
         all_calls: usize,
     },
 }
 
-/// A message as a client submits it.
+/// A submission of a message by a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Submission {
-    /// Its id in this submission.
+    /// Message id of this submission.
     pub message: MessageId,
-    /// What it was first drawn for; the same when it is submitted again.
+    /// Number of the arrival it belongs to; the same for all resubmissions.
     pub arrival: u64,
     /// Its queue class.
     pub class: usize,
-    /// The destination it is for.
+    /// Destination of the message.
     pub destination: usize,
-    /// Messages of one key go in order.
+    /// Ordering key: messages of one key are delivered in order.
     pub key: Option<u64>,
-    /// To which dispatcher it goes.
+    /// The dispatcher that receives it.
     pub dispatcher: usize,
-    /// When its queue lifetime is up.
+    /// End of its queue lifetime.
     pub deadline: Nanos,
-    /// An earlier submission was not delivered, as far as the client knows: what became of it under other ids counts.
+    /// Whether the client submitted the arrival before without learning of a delivery; effects under the earlier ids count
+    /// as well.
     pub resubmitted: bool,
 }
 
 impl Submission {
-    /// An arrival as it is submitted after this many earlier attempts.
+    /// Creates the submission of an arrival after the given number of earlier submissions.
     pub fn new(arrival: &Arrival, attempts: u32, dispatcher: usize, deadline: Nanos) -> Submission {
         Submission {
             message: message_id(arrival.no, attempts),
--- a/crates/testbed/src/recording_actions.rs
+++ b/crates/testbed/src/recording_actions.rs
@@ -1,15 +1,15 @@
-//! Actions for decisions without sockets: it records what the testbed follows and drops the rest.
+//! Implementation of [`Actions`] without sockets: records the actions that the testbed uses and ignores the others.
 
 use bellsill_core::interface::{Actions, AttemptNumber, EndpointId, MessageId, Nanos};
 
-/// What the decisions answered.
+/// Actions requested by the decision logic.
 #[derive(Default)]
 pub struct RecordingActions {
-    /// The attempts that they ordered, in their order.
+    /// Requested attempts, in order.
     pub attempts: Vec<(MessageId, EndpointId)>,
-    /// How long until they want to be woken, as they said last.
+    /// Delay of the most recently requested wakeup.
     pub wake_after: Option<Nanos>,
-    /// The endpoints that they know nothing of any more.
+    /// Endpoints removed from the state of the decision logic.
     pub removed_endpoints: Vec<EndpointId>,
 }
 
