--- a/crates/testbed/src/audit/endings.rs
+++ b/crates/testbed/src/audit/endings.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 
 /// Interval for rechecking an overdue message while its dispatcher is not running.
-const RECHECK: Nanos = 500 * MILLISECOND;
+const RECHECK_INTERVAL: Nanos = 500 * MILLISECOND;
 
 impl Auditor {
     pub(super) fn check_deadline(&mut self, at: Nanos, id: MessageId) {
@@ -26,7 +26,11 @@
             let ready = self.settings.slack.ready;
             match state.ready_since {
                 // No message counts as lost while its dispatcher is down, nor for `ready` after its restart.
-                None => return self.deadline_checks.push(Reverse((at + RECHECK, id))),
+                None => {
+                    return self
+                        .deadline_checks
+                        .push(Reverse((at + RECHECK_INTERVAL, id)));
+                }
                 Some(since) if state.stopped_at.is_some() && at < since + ready => {
                     return self.deadline_checks.push(Reverse((since + ready, id)));
                 }
--- a/crates/testbed/src/audit/settings.rs
+++ b/crates/testbed/src/audit/settings.rs
@@ -9,7 +9,7 @@
 pub struct Slack {
     /// Time after the queue lifetime within which a message must have ended.
     pub ending: Nanos,
-    /// Added to the drain grace period, and to deadlines when checking the start of an attempt.
+    /// Added to the other time limits on sending: drain grace period, deadline, deduplication window and ending.
     pub time: Nanos,
     /// Time from writing a Retry-After until the dispatcher must respect it.
     pub retry_after: Nanos,
--- a/crates/testbed/src/audit/verdict.rs
+++ b/crates/testbed/src/audit/verdict.rs
@@ -74,7 +74,7 @@
     pub calls: u64,
     /// Number of calls that took effect or were dropped as duplicates.
     pub applied: u64,
-    /// Number of effects of calls whose response never reached the dispatcher; each counts as one effect, not as a repeat.
+    /// Number of effects of calls whose response never reached the dispatcher; each is one effect, not a repeat.
     #[serde(rename = "applied_unheard")]
     pub applied_unanswered: u64,
     /// Number of violations per rule.
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -14,8 +14,8 @@
     pub audit: Auditor,
     /// Measures latencies and counts.
     pub measure: Measure,
-    calls: u64,
-    at: Nanos,
+    last_call_number: u64,
+    latest_time: Nanos,
 }
 
 /// Returns the settings of the auditor for a plan.
@@ -44,24 +44,24 @@
         Ledger {
             audit: Auditor::new(audit_settings(plan, slack)),
             measure: Measure::new(plan),
-            calls: 0,
-            at: 0,
+            last_call_number: 0,
+            latest_time: 0,
         }
     }
 
     /// Allocates the number of a new call.
     pub fn next_call_number(&mut self) -> CallNumber {
-        self.calls += 1;
-        CallNumber(self.calls)
+        self.last_call_number += 1;
+        CallNumber(self.last_call_number)
     }
 
     /// Records an observation.
     pub fn observe(&mut self, at: Nanos, observation: Observation) {
         // Two tasks may have read the clock in a different order from that of their calls.
-        self.at = self.at.max(at);
-        tracing::trace!(at = self.at, ?observation);
-        self.audit.observe(self.at, &observation);
-        self.measure.observe(self.at, &observation);
+        self.latest_time = self.latest_time.max(at);
+        tracing::trace!(at = self.latest_time, ?observation);
+        self.audit.observe(self.latest_time, &observation);
+        self.measure.observe(self.latest_time, &observation);
     }
 
     /// Records an arrival that a client is about to submit.
@@ -71,6 +71,9 @@
 
     /// Returns the verdict and the results at the end of the run.
     pub fn finish(self, now: Nanos) -> (Verdict, Results) {
-        (self.audit.finish(now.max(self.at)), self.measure.finish())
+        (
+            self.audit.finish(now.max(self.latest_time)),
+            self.measure.finish(),
+        )
     }
 }
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,5 +1,5 @@
-//! Externally observed events between clients, dispatchers, endpoints and the platform: the only input of the auditor and
-//! the measurements during a run.
+//! Externally observed events between clients, dispatchers, endpoints and the platform. The auditor and the measurements
+//! know nothing else.
 
 use crate::load::{Arrival, message_id};
 use crate::world::Answer;
@@ -126,8 +126,8 @@
     pub dispatcher: usize,
     /// End of its queue lifetime.
     pub deadline: Nanos,
-    /// Whether the client submitted the arrival before without learning of a delivery; effects under the earlier ids count
-    /// as well.
+    /// Whether the client submitted the arrival before without learning of a delivery; effects under the earlier ids
+    /// count as well.
     pub resubmitted: bool,
 }
 
--- a/crates/testbed/tests/broken.rs
+++ b/crates/testbed/tests/broken.rs
@@ -1,5 +1,5 @@
-//! For each rule a dispatcher that breaks it on purpose: a scripted peer, played on real sockets by the program itself. The
-//! auditor must convict it of that rule; the same peer without a defect, and the real dispatcher, are acquitted.
+//! Runs a scripted peer with one deliberate defect per rule in place of the dispatcher, on real sockets. The auditor must
+//! report a violation of that rule, and none for the peer without a defect or for the real dispatcher.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use bellsill_testbed::run::RunLine;
 use common::*;
 
-const WORLD: &str = r#"
+const EXPERIMENT: &str = r#"
 title = "A small world"
 seeds = [5]
 [run]
@@ -55,13 +55,15 @@
 drain_grace_ms = 300
 "#;
 
-const FAILING: &str =
+const FAILING_ENDPOINTS: &str =
     "[[troubles]]\nwhat = 'failing'\nshare = 1.0\nfrom_s = 0.2\nto_s = 2.0\npart = 0.6\n";
-const DRAINED: &str = "[[troubles]]\nwhat = 'drained'\nzone = 'hall-b'\nfrom_s = 0.2\nto_s = 2.4\n";
-const SHUT: &str =
+const DRAINED_ZONE: &str =
+    "[[troubles]]\nwhat = 'drained'\nzone = 'hall-b'\nfrom_s = 0.2\nto_s = 2.4\n";
+const CLOSED_DESTINATION: &str =
     "[[troubles]]\nwhat = 'shut'\ndestination = 0\nfrom_s = 0.4\nto_s = 1.9\ncold = false\n";
-fn played(defect: &str, world: &str) -> RunLine {
-    let lab = Lab::new(&format!("broken-{defect}"), world);
+
+fn run_scripted_peer(defect: &str, experiment: &str) -> RunLine {
+    let lab = Lab::new(&format!("broken-{defect}"), experiment);
     lab.command(&["run", "--program", scripted_peer().to_str().unwrap()])
         .env("SCRIPTED_DEFECT", defect)
         .output()
@@ -69,30 +71,30 @@
     lab.lines().remove(0)
 }
 
-fn convicted(defect: &str, faults: &str, rule: Rule) {
-    let line = played(defect, &format!("{WORLD}{faults}"));
+fn assert_violation_detected(defect: &str, faults: &str, rule: Rule) {
+    let line = run_scripted_peer(defect, &format!("{EXPERIMENT}{faults}"));
     assert!(
         line.verdict.violations.contains_key(&rule),
         "{defect}: {:?}, {:?}",
         line.verdict,
         line.faults
     );
-    let words = line
+    let violation = line
         .verdict
         .samples
         .iter()
         .find(|w| w.rule == rule)
-        .expect("in words");
+        .expect("a stored sample of the violation");
     assert!(
-        !words.evidence.is_empty() && (words.message.is_some() || rule == Rule::Tipped),
-        "{words}"
+        !violation.evidence.is_empty() && (violation.message.is_some() || rule == Rule::Tipped),
+        "{violation}"
     );
 }
 
 #[test]
-fn a_peer_without_a_defect_is_acquitted() {
-    for faults in [FAILING, DRAINED, SHUT] {
-        let line = played("none", &format!("{WORLD}{faults}"));
+fn a_peer_without_a_defect_passes() {
+    for faults in [FAILING_ENDPOINTS, DRAINED_ZONE, CLOSED_DESTINATION] {
+        let line = run_scripted_peer("none", &format!("{EXPERIMENT}{faults}"));
         assert!(line.verdict.passed(), "{faults}: {:?}", line.verdict);
         assert!(
             line.faults.is_empty() && line.verdict.applied > 50,
@@ -104,47 +106,47 @@
 }
 
 #[test]
-fn rule_1_mails_without_an_end() {
-    convicted("lost", FAILING, Rule::Lost);
+fn rule_1_messages_without_an_ending() {
+    assert_violation_detected("lost", FAILING_ENDPOINTS, Rule::Lost);
 }
 
 #[test]
-fn rule_1_two_ends() {
-    convicted("ended-twice", FAILING, Rule::EndedTwice);
+fn rule_1_contradictory_endings() {
+    assert_violation_detected("ended-twice", FAILING_ENDPOINTS, Rule::EndedTwice);
 }
 
 #[test]
-fn rule_1_sent_after_the_end() {
-    convicted("after-end", "", Rule::AfterEnd);
+fn rule_1_sent_after_the_ending() {
+    assert_violation_detected("after-end", "", Rule::AfterEnd);
 }
 
 #[test]
-fn rule_2_two_connects_at_once() {
-    convicted("two-at-once", "", Rule::TwoAtOnce);
+fn rule_2_concurrent_attempts() {
+    assert_violation_detected("two-at-once", "", Rule::TwoAtOnce);
 }
 
 #[test]
-fn rule_2_once_only_sent_again() {
-    convicted("repeated", FAILING, Rule::Repeated);
+fn rule_2_at_most_once_message_repeated() {
+    assert_violation_detected("repeated", FAILING_ENDPOINTS, Rule::Repeated);
 }
 
 #[test]
-fn rule_2_an_effect_in_two_zones() {
-    convicted("effect-twice", "", Rule::EffectTwice);
+fn rule_2_effects_in_two_zones() {
+    assert_violation_detected("effect-twice", "", Rule::EffectTwice);
 }
 
 #[test]
 fn rule_3_sent_to_a_draining_endpoint() {
-    convicted("drained", DRAINED, Rule::Drained);
+    assert_violation_detected("drained", DRAINED_ZONE, Rule::Drained);
 }
 
 #[test]
-fn rule_4_a_cold_endpoint_pushed_over() {
-    // The peer knows of no cold endpoints: all that waited for the opening comes at once.
-    let shut = SHUT.replace("cold = false", "cold = true");
-    let line = played(
+fn rule_4_cold_endpoint_overloaded() {
+    // The peer does not treat cold endpoints differently: it sends all waiting messages at once when the endpoint returns.
+    let cold_return = CLOSED_DESTINATION.replace("cold = false", "cold = true");
+    let line = run_scripted_peer(
         "cold",
-        &format!("{WORLD}cold_share = 0.05\ntip_window_ms = 1000\n{shut}"),
+        &format!("{EXPERIMENT}cold_share = 0.05\ntip_window_ms = 1000\n{cold_return}"),
     );
     assert!(
         line.verdict.violations.contains_key(&Rule::Tipped),
@@ -154,25 +156,25 @@
 }
 
 #[test]
-fn rule_5_sent_while_a_told_wait_runs() {
-    convicted("told-wait", SHUT, Rule::ToldWait);
+fn rule_5_sent_during_a_retry_after_wait() {
+    assert_violation_detected("told-wait", CLOSED_DESTINATION, Rule::ToldWait);
 }
 
 #[test]
 fn rule_6_out_of_order() {
-    convicted("order", "", Rule::Order);
+    assert_violation_detected("order", "", Rule::Order);
 }
 
 #[test]
-fn what_was_given_up_is_held_back() {
-    convicted("held-back", FAILING, Rule::HeldBack);
+fn messages_without_further_attempts_are_held_back() {
+    assert_violation_detected("held-back", FAILING_ENDPOINTS, Rule::HeldBack);
 }
 
 #[test]
-fn the_real_dispatcher_is_acquitted_through_a_kill() {
+fn the_dispatcher_passes_through_a_kill() {
     let program = dispatcher();
     let killed = "[[troubles]]\nwhat = 'killed'\ndispatcher = 0\nfrom_s = 0.9\nto_s = 1.5\n";
-    let lab = Lab::new("real", &format!("{WORLD}{FAILING}{killed}"));
+    let lab = Lab::new("real", &format!("{EXPERIMENT}{FAILING_ENDPOINTS}{killed}"));
     lab.command(&["run", "--program", program.to_str().unwrap()])
         .output()
         .unwrap();
--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -1,4 +1,4 @@
-//! The auditor on records that are written down here one by one, for what must be told apart exactly.
+//! Tests the auditor on hand-written observations, at the boundaries between allowed and forbidden behaviour.
 
 use bellsill_core::interface::{
     ClassSettings, DeduplicationScope, DeliverySemantics, EndpointId, MessageId, Nanos,
@@ -10,18 +10,19 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-fn class(repeat: DeliverySemantics, ordered: bool) -> ClassSettings {
+fn class(semantics: DeliverySemantics, ordered: bool) -> ClassSettings {
     ClassSettings {
         priority_weight: 1.0,
         latency_objective: S,
         lifetime: 10 * S,
         late_value_share: 0.4,
-        semantics: repeat,
+        semantics,
         ordered,
     }
 }
 
-/// Redeliverable, tagged within a zone for 4 s, once-only, once-only in order; two zones with two endpoints each.
+/// Queue classes by number: idempotent, idempotency key per zone with a window of 4 s, at most once, at most once in order.
+/// Two zones with two endpoints each.
 fn auditor() -> Auditor {
     Auditor::new(AuditSettings {
         classes: vec![
@@ -46,7 +47,7 @@
     })
 }
 
-fn taken(a: &mut Auditor, at: Nanos, message: u64, class: usize) {
+fn submit_and_accept(a: &mut Auditor, at: Nanos, message: u64, class: usize) {
     let message = MessageId(message);
     let key = (class == 3).then_some(9);
     let (destination, dispatcher) = (0, 0);
@@ -99,7 +100,7 @@
     );
 }
 
-fn broken(a: &mut Auditor, at: Nanos, no: u64) {
+fn close_connection(a: &mut Auditor, at: Nanos, no: u64) {
     a.observe(
         at,
         &Observation::ConnectionClosed {
@@ -109,12 +110,12 @@
     );
 }
 
-fn notice(a: &mut Auditor, at: Nanos, message: u64, deferred: Option<Nanos>) {
+fn notify(a: &mut Auditor, at: Nanos, message: u64, retry_after: Option<Nanos>) {
     a.observe(
         at,
         &Observation::Notified {
             message: MessageId(message),
-            retry_after: deferred,
+            retry_after,
         },
     );
 }
@@ -124,13 +125,13 @@
 }
 
 #[test]
-fn a_call_that_applied_and_was_never_answered_is_applied_once_not_sent_twice() {
+fn an_unanswered_call_that_took_effect_counts_as_one_effect() {
     let mut a = auditor();
-    taken(&mut a, S, 1, 2);
+    submit_and_accept(&mut a, S, 1, 2);
     call(&mut a, S, 1, 1, 0);
-    broken(&mut a, 3 * S, 1);
+    close_connection(&mut a, 3 * S, 1);
     applied(&mut a, 4 * S, 1);
-    notice(&mut a, 3 * S + MS, 1, None);
+    notify(&mut a, 3 * S + MS, 1, None);
     let verdict = a.finish(60 * S);
     assert!(verdict.passed(), "{verdict:?}");
     assert_eq!(
@@ -140,140 +141,140 @@
 }
 
 #[test]
-fn killed_before_the_first_byte_a_once_only_mail_may_be_bounced_but_not_sent() {
-    for (sent, kept) in [(false, true), (true, false)] {
+fn after_a_kill_an_at_most_once_message_may_fail_but_not_be_sent_again() {
+    for (sent_again, passes) in [(false, true), (true, false)] {
         let mut a = auditor();
         a.observe(S, &Observation::Ready { dispatcher: 0 });
-        taken(&mut a, S, 1, 2);
+        submit_and_accept(&mut a, S, 1, 2);
         call(&mut a, S, 1, 1, 0);
-        broken(&mut a, 2 * S, 1);
+        close_connection(&mut a, 2 * S, 1);
         a.observe(2 * S, &Observation::Stopped { dispatcher: 0 });
         a.observe(3 * S, &Observation::Started { dispatcher: 0 });
         a.observe(3 * S, &Observation::Ready { dispatcher: 0 });
-        if sent {
+        if sent_again {
             call(&mut a, 3 * S + MS, 2, 1, 2);
             answered(&mut a, 3 * S + 2 * MS, 2, Answer::Delivered);
         } else {
-            notice(&mut a, 3 * S + MS, 1, None);
+            notify(&mut a, 3 * S + MS, 1, None);
         }
         let rules = rules(a);
-        assert_eq!(rules.is_empty(), kept, "{rules:?}");
-        assert_eq!(rules.contains(&Rule::Repeated), sent);
+        assert_eq!(rules.is_empty(), passes, "{rules:?}");
+        assert_eq!(rules.contains(&Rule::Repeated), sent_again);
     }
 }
 
 #[test]
-fn an_effect_twice_in_two_zones_names_both() {
+fn evidence_of_a_double_effect_names_both_zones() {
     let mut a = auditor();
-    taken(&mut a, S, 1, 2);
+    submit_and_accept(&mut a, S, 1, 2);
     call(&mut a, S, 1, 1, 0);
     applied(&mut a, 2 * S, 1);
-    broken(&mut a, 2 * S, 1);
+    close_connection(&mut a, 2 * S, 1);
     call(&mut a, 3 * S, 2, 1, 3);
     applied(&mut a, 4 * S, 2);
     answered(&mut a, 4 * S, 2, Answer::Delivered);
     let verdict = a.finish(60 * S);
-    let words = verdict
+    let violation = verdict
         .samples
         .iter()
         .find(|w| w.rule == Rule::EffectTwice)
         .expect("found");
-    assert_eq!((words.at, words.message), (4 * S, Some(1)));
+    assert_eq!((violation.at, violation.message), (4 * S, Some(1)));
     assert!(
-        words.evidence.contains("zone 0") && words.evidence.contains("zone 1"),
-        "{words}"
+        violation.evidence.contains("zone 0") && violation.evidence.contains("zone 1"),
+        "{violation}"
     );
 }
 
 #[test]
-fn a_tagged_mail_stays_in_its_window_and_its_zone() {
-    for (at, endpoint, kept) in [
+fn repeats_with_an_idempotency_key_stay_within_window_and_zone() {
+    for (at, endpoint, passes) in [
         (4 * S, 1, true),
         (4 * S, 2, false),
         (5 * S + 2 * MS, 1, false),
     ] {
         let mut a = auditor();
-        taken(&mut a, S, 1, 1);
+        submit_and_accept(&mut a, S, 1, 1);
         call(&mut a, S, 1, 1, 0);
-        broken(&mut a, 2 * S, 1);
+        close_connection(&mut a, 2 * S, 1);
         call(&mut a, at, 2, 1, endpoint);
         answered(&mut a, at + S, 2, Answer::Delivered);
-        assert_eq!(rules(a).is_empty(), kept, "at {at} to {endpoint}");
+        assert_eq!(rules(a).is_empty(), passes, "at {at} to {endpoint}");
     }
 }
 
 #[test]
-fn a_told_wait_binds_its_gate_until_it_ends_or_the_process_does() {
-    let told = Answer::RateLimited(Some(3 * S));
-    for (at, endpoint, restart, kept) in [
+fn retry_after_applies_to_its_rate_limit_until_it_expires_or_the_process_stops() {
+    let rate_limited = Answer::RateLimited(Some(3 * S));
+    for (at, endpoint, restart, passes) in [
         (3 * S, 0, false, false),
         (3 * S, 1, false, true),
         (4 * S + MS, 0, false, true),
         (3 * S, 0, true, true),
     ] {
         let mut a = auditor();
-        taken(&mut a, S, 1, 0);
-        taken(&mut a, S, 2, 0);
+        submit_and_accept(&mut a, S, 1, 0);
+        submit_and_accept(&mut a, S, 2, 0);
         call(&mut a, S, 1, 1, 0);
-        answered(&mut a, S + MS, 1, told);
+        answered(&mut a, S + MS, 1, rate_limited);
         if restart {
             a.observe(2 * S, &Observation::Stopped { dispatcher: 0 });
             a.observe(2 * S, &Observation::Ready { dispatcher: 0 });
         }
         call(&mut a, at, 2, 2, endpoint);
         answered(&mut a, at + S, 2, Answer::Delivered);
-        notice(&mut a, 5 * S, 1, Some(0));
+        notify(&mut a, 5 * S, 1, Some(0));
         let rules = rules(a);
-        assert_eq!(rules.is_empty(), kept, "at {at} to {endpoint}: {rules:?}");
+        assert_eq!(rules.is_empty(), passes, "at {at} to {endpoint}: {rules:?}");
     }
 }
 
 #[test]
-fn order_holds_per_key_with_its_rest() {
-    for (ends, next, kept) in [
+fn messages_of_a_key_are_ordered_and_respect_the_cooldown() {
+    for (answer, next, passes) in [
         (Answer::Delivered, 2 * S + MS, true),
         (Answer::ServerError, 2 * S + 50 * MS, false),
         (Answer::RateLimited(None), 2 * S + 50 * MS, false),
     ] {
         let mut a = auditor();
-        taken(&mut a, S, 1, 3);
-        taken(&mut a, S + MS, 2, 3);
+        submit_and_accept(&mut a, S, 1, 3);
+        submit_and_accept(&mut a, S + MS, 2, 3);
         call(&mut a, S + MS, 1, 1, 0);
-        answered(&mut a, 2 * S, 1, ends);
-        // Not over: it is another's turn only once this has ended.
+        answered(&mut a, 2 * S, 1, answer);
+        // Unless delivered, the first message has not ended yet, so the second must not be sent.
         call(&mut a, next, 2, 2, 1);
         answered(&mut a, next + S, 2, Answer::Delivered);
-        notice(&mut a, next + 2 * S, 1, None);
-        assert_eq!(!rules(a).contains(&Rule::Order), kept, "{ends:?}");
+        notify(&mut a, next + 2 * S, 1, None);
+        assert_eq!(!rules(a).contains(&Rule::Order), passes, "{answer:?}");
     }
     let mut a = auditor();
-    taken(&mut a, S, 1, 3);
-    taken(&mut a, S + MS, 2, 3);
+    submit_and_accept(&mut a, S, 1, 3);
+    submit_and_accept(&mut a, S + MS, 2, 3);
     call(&mut a, S + MS, 1, 1, 0);
-    broken(&mut a, 2 * S, 1);
-    notice(&mut a, 2 * S, 1, None);
+    close_connection(&mut a, 2 * S, 1);
+    notify(&mut a, 2 * S, 1, None);
     call(&mut a, 2 * S + 60 * MS, 2, 2, 1);
     answered(&mut a, 3 * S, 2, Answer::Delivered);
-    assert_eq!(rules(a), [Rule::Order], "within the key's rest");
+    assert_eq!(rules(a), [Rule::Order], "within the key's cooldown");
 }
 
 #[test]
-fn ends_are_one_and_in_time() {
+fn each_message_ends_once_and_in_time() {
     let mut a = auditor();
     for message in 1..=4 {
-        taken(&mut a, S, message, 0);
+        submit_and_accept(&mut a, S, message, 0);
     }
-    notice(&mut a, 2 * S, 1, None);
-    // The same notice again is no second end.
-    notice(&mut a, 3 * S, 1, None);
-    notice(&mut a, 3 * S, 2, Some(S));
-    notice(&mut a, 4 * S, 2, None);
+    notify(&mut a, 2 * S, 1, None);
+    // A repeated notification of the same ending is not a second ending.
+    notify(&mut a, 3 * S, 1, None);
+    notify(&mut a, 3 * S, 2, Some(S));
+    notify(&mut a, 4 * S, 2, None);
     call(&mut a, 5 * S, 1, 3, 0);
     answered(&mut a, 6 * S, 1, Answer::Delivered);
-    // A dispatcher may give up a message whose 200 it never read.
-    notice(&mut a, 6 * S, 3, None);
+    // A dispatcher that never read the 200 response may report the message as failed.
+    notify(&mut a, 6 * S, 3, None);
     let verdict = a.finish(60 * S);
-    let of = |rule| {
+    let messages_violating = |rule| {
         verdict
             .samples
             .iter()
@@ -281,15 +282,15 @@
             .map(|w| w.message)
             .collect::<Vec<_>>()
     };
-    assert_eq!(of(Rule::EndedTwice), [Some(2)]);
-    assert_eq!(of(Rule::Lost), [Some(4)]);
+    assert_eq!(messages_violating(Rule::EndedTwice), [Some(2)]);
+    assert_eq!(messages_violating(Rule::Lost), [Some(4)]);
     assert_eq!(verdict.samples.len(), 2, "{verdict:?}");
 }
 
 #[test]
-fn what_a_client_never_heard_of_counts_for_nothing() {
+fn effects_of_abandoned_messages_are_ignored() {
     let mut a = auditor();
-    taken(&mut a, S, 1, 2);
+    submit_and_accept(&mut a, S, 1, 2);
     a.observe(
         S,
         &Observation::Abandoned {
@@ -298,7 +299,7 @@
     );
     call(&mut a, S, 1, 1, 0);
     applied(&mut a, 2 * S, 1);
-    let again = Submission {
+    let resubmission = Submission {
         message: MessageId(2),
         arrival: 1,
         class: 2,
@@ -308,7 +309,7 @@
         deadline: 9 * S,
         resubmitted: true,
     };
-    a.observe(2 * S, &Observation::Submitted(again));
+    a.observe(2 * S, &Observation::Submitted(resubmission));
     a.observe(
         2 * S,
         &Observation::Accepted {
