--- a/crates/testbed/src/audit/retry_after.rs
+++ b/crates/testbed/src/audit/retry_after.rs
@@ -14,9 +14,9 @@
         endpoint: EndpointId,
         wait: Nanos,
     ) {
-        let gate = self.endpoint(endpoint).gate;
+        let rate_limit = self.endpoint(endpoint).rate_limit;
         self.waits
-            .entry((dispatcher, gate))
+            .entry((dispatcher, rate_limit))
             .or_default()
             .push(RetryAfterWait {
                 from: at,
@@ -26,8 +26,8 @@
 
     pub(super) fn check_retry_after(&mut self, call: &ObservedCall) {
         let (started_at, slack) = (call.started_at, self.settings.slack);
-        let gate = self.endpoint(call.endpoint).gate;
-        let Some(waits) = self.waits.get_mut(&(call.dispatcher, gate)) else {
+        let rate_limit = self.endpoint(call.endpoint).rate_limit;
+        let Some(waits) = self.waits.get_mut(&(call.dispatcher, rate_limit)) else {
             return;
         };
         waits.retain(|w| w.until > call.at);
--- a/crates/testbed/src/audit/settings.rs
+++ b/crates/testbed/src/audit/settings.rs
@@ -48,14 +48,14 @@
     /// Where it is.
     pub zone: usize,
     /// What its Retry-After binds: equal for endpoints that share a limit.
-    pub gate: usize,
+    pub rate_limit: usize,
 }
 
 impl AuditedEndpoint {
     /// Stands in for an endpoint that was never announced.
     pub(super) const UNKNOWN: AuditedEndpoint = AuditedEndpoint {
         zone: usize::MAX,
-        gate: usize::MAX,
+        rate_limit: usize::MAX,
     };
 }
 
--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -28,7 +28,7 @@
             .iter()
             .map(|e| AuditedEndpoint {
                 zone: e.zone,
-                gate: e.gate,
+                rate_limit: e.rate_limit,
             })
             .collect(),
         drain_grace: ms(r.drain_grace_ms),
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -2,7 +2,7 @@
 //! waits for an answer before the next message, and times count from the intended moment.
 
 use crate::spec::{Burst, Class};
-use crate::world::draw::{between, draw};
+use crate::world::draw::{draw, interpolate};
 use crate::world::plan::Plan;
 use crate::world::time::{MS, START, ms, secs};
 use bellsill_core::interface::{MessageId, Nanos};
@@ -97,7 +97,7 @@
         Arrivals {
             rng: Pcg64Mcg::seed_from_u64(plan.seed ^ 0x6c6f_6164),
             classes: index(shares.collect()),
-            destinations: index(plan.parts.clone()),
+            destinations: index(plan.load_shares.clone()),
             peak: plan
                 .spec
                 .load
@@ -249,7 +249,7 @@
 ) -> Option<(Nanos, usize)> {
     let load = &plan.spec.load;
     let drawn = draw(plan.seed, arrival.no, u64::from(attempts), 11);
-    let pause = ms(between(load.retry_ms, drawn));
+    let pause = ms(interpolate(load.retry_ms, drawn));
     let (wait, dispatcher) = match reason {
         RetryReason::Rejected(wait) => (wait.unwrap_or(pause).max(MS), arrival.dispatcher),
         RetryReason::NoAnswer => (
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -196,7 +196,7 @@
     /// The measurements of a run that has not begun.
     pub fn new(plan: &Plan) -> Measure {
         let classes = plan.spec.classes.clone();
-        let points = ((plan.over_at - START) / BUCKET + 2) as usize;
+        let points = ((plan.run_ends_at - START) / BUCKET + 2) as usize;
         let row = |c: &Class| ClassResult {
             name: c.name.clone(),
             ..Default::default()
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -151,19 +151,19 @@
 
 /// Lets the run go on until its time is over or nothing is left to do. True: Ctrl-C came.
 async fn wait_for_end(shared: &Rc<Shared>, plan: &Plan, tick: &mut dyn FnMut(f64)) -> bool {
-    let (over_at, load_until) = (plan.over_at, plan.load_until);
+    let (run_ends_at, load_until) = (plan.run_ends_at, plan.load_until);
     loop {
         tokio::select! {
             () = tokio::time::sleep(Duration::from_millis(200)) => {}
             _ = tokio::signal::ctrl_c() => return true,
         }
         let now = shared.now();
-        tick((now - START) as f64 / (over_at - START) as f64);
+        tick((now - START) as f64 / (run_ends_at - START) as f64);
         let idle = || {
             let s = shared.state.borrow();
             s.pending == 0 && s.ledger.audit.unresolved() == 0
         };
-        if now > over_at || now > load_until + S && idle() {
+        if now > run_ends_at || now > load_until + S && idle() {
             return false;
         }
     }
--- a/crates/testbed/src/sockets/tasks.rs
+++ b/crates/testbed/src/sockets/tasks.rs
@@ -50,7 +50,7 @@
                     let plan = s.world.endpoint(endpoint).clone();
                     let endpoint = AuditedEndpoint {
                         zone: plan.zone,
-                        gate: plan.gate,
+                        rate_limit: plan.rate_limit,
                     };
                     s.ledger.audit.endpoint_appeared(endpoint);
                     s.listeners.resize_with(s.world.endpoints(), || None);
--- a/crates/testbed/src/virtual_time/effects.rs
+++ b/crates/testbed/src/virtual_time/effects.rs
@@ -38,7 +38,7 @@
                 let plan = self.world.endpoint(endpoint);
                 let endpoint = AuditedEndpoint {
                     zone: plan.zone,
-                    gate: plan.gate,
+                    rate_limit: plan.rate_limit,
                 };
                 self.ledger.audit.endpoint_appeared(endpoint);
             }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -38,7 +38,7 @@
 /// Runs a plan to its end. `progress` is given the fraction that is done, from 0 to 1.
 pub fn run(plan: Plan, progress: &mut dyn FnMut(f64)) -> RunOutcome {
     let mut arrivals = Arrivals::new(&plan).peekable();
-    let over_at = plan.over_at;
+    let run_ends_at = plan.run_ends_at;
     let mut simulation = Simulation::new(plan);
     let mut reported_at = START;
     loop {
@@ -48,13 +48,13 @@
             .into_iter()
             .flatten()
             .min();
-        let Some(at) = next.filter(|at| *at <= over_at) else {
+        let Some(at) = next.filter(|at| *at <= run_ends_at) else {
             break;
         };
         simulation.now = at;
         if at > reported_at + PROGRESS_INTERVAL {
             reported_at = at;
-            progress((at - START) as f64 / (over_at - START) as f64);
+            progress((at - START) as f64 / (run_ends_at - START) as f64);
         }
         simulation.world.advance(at);
         simulation.settle();
@@ -69,7 +69,7 @@
         }
         simulation.settle();
     }
-    let (verdict, results) = simulation.ledger.finish(over_at);
+    let (verdict, results) = simulation.ledger.finish(run_ends_at);
     RunOutcome {
         verdict,
         results,
--- a/crates/testbed/src/world/cold_return.rs
+++ b/crates/testbed/src/world/cold_return.rs
@@ -118,7 +118,7 @@
                     .is_some_and(|since| at < since + ramp)
             });
         }
-        if at < self.plan.over_at {
+        if at < self.plan.run_ends_at {
             self.schedule(at + SAMPLE_INTERVAL, Timer::Sample);
         }
     }
--- a/crates/testbed/src/world/connections.rs
+++ b/crates/testbed/src/world/connections.rs
@@ -156,9 +156,14 @@
             self.note_outage_seen(e, dispatcher);
             return Some(Answer::RateLimited(wait));
         }
-        let gate = self.plan.endpoints[e].gate;
+        let rate_limit = self.plan.endpoints[e].rate_limit;
         let drawn = draw(seed, message.0, count, 2);
-        let wait = self.gates[gate].call(now, &self.plan.gates[gate], kind, drawn)?;
+        let wait = self.rate_limits[rate_limit].call(
+            now,
+            &self.plan.rate_limits[rate_limit],
+            kind,
+            drawn,
+        )?;
         Some(Answer::RateLimited(told().then_some(wait.max(MS))))
     }
 
--- a/crates/testbed/src/world/draw.rs
+++ b/crates/testbed/src/world/draw.rs
@@ -12,6 +12,6 @@
 }
 
 /// The point of a range at a fraction of it.
-pub fn between(pair: [f64; 2], x: f64) -> f64 {
+pub fn interpolate(pair: [f64; 2], x: f64) -> f64 {
     pair[0] + (pair[1] - pair[0]) * x
 }
--- a/crates/testbed/src/world/listing.rs
+++ b/crates/testbed/src/world/listing.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: its versions, and when each dispatcher receives them.
 
-use super::draw::{between, draw};
+use super::draw::{draw, interpolate};
 use super::effects::{ListChange, ListState};
 use super::state::{Timer, World};
 use super::time::ms;
@@ -47,7 +47,7 @@
         let (upto, seed) = (self.changes.len(), self.plan.seed);
         for d in 0..self.plan.spec.dispatchers.count {
             let drawn = draw(seed, upto as u64, d as u64, 7);
-            let lag = ms(between(self.plan.spec.world.list_lag_ms, drawn)) as i64 + self.lag;
+            let lag = ms(interpolate(self.plan.spec.world.list_lag_ms, drawn)) as i64 + self.lag;
             self.schedule(self.now + lag.max(0) as Nanos, Timer::PublishList(d, upto));
         }
     }
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,6 +1,6 @@
 //! What a world is made of, drawn from an experiment and a seed: equal seeds give equal plans.
 
-use super::draw::between;
+use super::draw::interpolate;
 use super::time::{MS, S, START, ms, secs};
 use crate::spec::{Class, Fault, FaultKind, LimitForm, Repeat, Spec};
 use bellsill_core::interface::{
@@ -25,13 +25,13 @@
     pub capacity: f64,
     /// Calls that wait in it at most.
     pub queue: usize,
-    /// What its limit binds: a row of [`Plan::gates`].
-    pub gate: usize,
+    /// What its limit binds: a row of [`Plan::rate_limits`].
+    pub rate_limit: usize,
 }
 
 /// The limit on one route, or on all routes of a destination together.
 #[derive(Clone, Debug)]
-pub struct GatePlan {
+pub struct RateLimitPlan {
     /// Calls a second, if there is a limit.
     pub limit: Option<f64>,
     /// Calls a second that are possible; a fault that lowers a limit starts from this where there is none.
@@ -97,11 +97,11 @@
     /// The endpoints of all destinations, in their order.
     pub endpoints: Vec<EndpointPlan>,
     /// The limits on them.
-    pub gates: Vec<GatePlan>,
+    pub rate_limits: Vec<RateLimitPlan>,
     /// The part of the load of each destination.
-    pub parts: Vec<f64>,
+    pub load_shares: Vec<f64>,
     /// What service times of each destination are multiplied by.
-    pub paces: Vec<f64>,
+    pub service_time_factors: Vec<f64>,
     /// In order of time, from [`START`].
     pub script: Vec<(Nanos, ScriptedChange)>,
     /// When some dispatchers get more than their part of the messages.
@@ -109,7 +109,7 @@
     /// No message is submitted for the first time from then on.
     pub load_until: Nanos,
     /// All messages have had their time by then.
-    pub over_at: Nanos,
+    pub run_ends_at: Nanos,
 }
 
 fn pick(rng: &mut Pcg64Mcg, of: usize, share: f64) -> Vec<usize> {
@@ -139,25 +139,25 @@
 }
 
 /// Endpoints in order of their destinations, each as strong as its part of the load asks for, and the limits on them.
-fn endpoints_and_gates(
+fn endpoints_and_rate_limits(
     spec: &Spec,
-    parts: &[f64],
+    load_shares: &[f64],
     kind_of: &[usize],
-    paces: &[f64],
-) -> (Vec<EndpointPlan>, Vec<GatePlan>) {
+    service_time_factors: &[f64],
+) -> (Vec<EndpointPlan>, Vec<RateLimitPlan>) {
     let world = &spec.world;
     let class_total: f64 = spec.classes.iter().map(|c| c.share).sum();
     let mean_ms: f64 = spec
         .classes
         .iter()
-        .map(|c| c.share * between(c.service_ms, 0.5))
+        .map(|c| c.share * interpolate(c.service_ms, 0.5))
         .sum::<f64>()
         / class_total;
-    let (mut endpoints, mut gates) = (Vec::new(), Vec::new());
+    let (mut endpoints, mut rate_limits) = (Vec::new(), Vec::new());
     for d in 0..world.destinations {
         let kind = &spec.kinds[kind_of[d]];
-        let (load, routes) = (spec.load.rate * parts[d], world.endpoints_each as f64);
-        let service = mean_ms * paces[d] / 1e3;
+        let (load, routes) = (spec.load.rate * load_shares[d], world.endpoints_each as f64);
+        let service = mean_ms * service_time_factors[d] / 1e3;
         let workers = (kind.headroom * load / routes * service).ceil().max(1.0);
         let capacity = workers / service;
         for n in 0..world.endpoints_each {
@@ -165,7 +165,7 @@
                 let shared = if kind.apart { 1.0 } else { routes };
                 let limit = kind.limit_headroom * load / routes * shared;
                 let limit = (kind.limit != LimitForm::None).then_some(limit.max(1.0));
-                gates.push(GatePlan {
+                rate_limits.push(RateLimitPlan {
                     limit,
                     capacity: capacity * shared,
                 });
@@ -177,11 +177,11 @@
                 workers: workers as u32,
                 capacity,
                 queue: (workers * kind.queue).ceil() as usize,
-                gate: gates.len() - 1,
+                rate_limit: rate_limits.len() - 1,
             });
         }
     }
-    (endpoints, gates)
+    (endpoints, rate_limits)
 }
 
 /// What happens during the run, fault by fault, and the spans in which some dispatchers are hot.
@@ -288,14 +288,15 @@
             .map(|r| (r as f64 + 1.0).powf(-world.popularity))
             .collect();
         let total: f64 = raw.iter().sum();
-        let parts: Vec<f64> = raw.iter().map(|x| x / total).collect();
+        let load_shares: Vec<f64> = raw.iter().map(|x| x / total).collect();
         let shares: Vec<f64> = spec.kinds.iter().map(|k| k.share).collect();
         let kind_of = deal_kinds(&shares, world.destinations, &mut rng);
-        let paces: Vec<f64> = kind_of
+        let service_time_factors: Vec<f64> = kind_of
             .iter()
-            .map(|&k| between(spec.kinds[k].pace, rng.random()))
+            .map(|&k| interpolate(spec.kinds[k].pace, rng.random()))
             .collect();
-        let (endpoints, gates) = endpoints_and_gates(spec, &parts, &kind_of, &paces);
+        let (endpoints, rate_limits) =
+            endpoints_and_rate_limits(spec, &load_shares, &kind_of, &service_time_factors);
         let (mut script, hot) = script(spec, &endpoints, &mut rng);
         script.sort_by_key(|(at, _)| *at);
         let load_until = START + secs(spec.run.seconds);
@@ -304,18 +305,18 @@
             .iter()
             .map(|c| c.lifetime_ms)
             .fold(0.0, f64::max);
-        let over_at = load_until + ms(longest) + S;
+        let run_ends_at = load_until + ms(longest) + S;
         Plan {
             seed,
             spec: spec.clone(),
             endpoints,
-            gates,
-            parts,
-            paces,
+            rate_limits,
+            load_shares,
+            service_time_factors,
             script,
             hot,
             load_until,
-            over_at,
+            run_ends_at,
         }
     }
 
--- a/crates/testbed/src/world/gate.rs
+++ b/crates/testbed/src/world/rate_limit.rs
@@ -1,7 +1,7 @@
 //! The limit on what one route, or all routes of a destination together, take on.
 
-use super::draw::between;
-use super::plan::GatePlan;
+use super::draw::interpolate;
+use super::plan::RateLimitPlan;
 use super::time::{MS, ms};
 use crate::spec::{Kind, LimitForm};
 use bellsill_core::interface::Nanos;
@@ -11,7 +11,7 @@
 
 /// The state of a limit.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct RateLimit {
     /// Rate: when it will have room again for all that it takes at once.
     free_at: Nanos,
     /// Span: which one, and the calls counted in it.
@@ -21,9 +21,15 @@
     pub lowered: Vec<(usize, f64)>,
 }
 
-impl Gate {
+impl RateLimit {
     /// None: the call is within the limit. Else the time until there is room again.
-    pub fn call(&mut self, now: Nanos, plan: &GatePlan, kind: &Kind, drawn: f64) -> Option<Nanos> {
+    pub fn call(
+        &mut self,
+        now: Nanos,
+        plan: &RateLimitPlan,
+        kind: &Kind,
+        drawn: f64,
+    ) -> Option<Nanos> {
         let part: f64 = self.lowered.iter().map(|l| l.1).product();
         let rate = match plan.limit {
             Some(rate) => rate * part,
@@ -56,6 +62,6 @@
             // Never further than a second: one that is beaten on opens again.
             self.free_at = (self.free_at + space).min(now + slack + 1_000 * MS);
         }
-        Some(ms(between(kind.told_ms, drawn)).max(self.free_at - now - slack))
+        Some(ms(interpolate(kind.told_ms, drawn)).max(self.free_at - now - slack))
     }
 }
--- a/crates/testbed/src/world/script.rs
+++ b/crates/testbed/src/world/script.rs
@@ -34,15 +34,17 @@
         let fault = self.plan.spec.faults[t].clone();
         match fault.what {
             FaultKind::LimitLowered => {
-                let mut gates: Vec<usize> = endpoints
+                let mut rate_limits: Vec<usize> = endpoints
                     .iter()
-                    .map(|&e| self.plan.endpoints[e].gate)
+                    .map(|&e| self.plan.endpoints[e].rate_limit)
                     .collect();
-                gates.dedup();
-                for g in gates {
-                    self.gates[g].lowered.retain(|l| l.0 != t);
+                rate_limits.dedup();
+                for g in rate_limits {
+                    self.rate_limits[g].lowered.retain(|l| l.0 != t);
                     if begins {
-                        self.gates[g].lowered.push((t, fault.part.unwrap_or(1.0)));
+                        self.rate_limits[g]
+                            .lowered
+                            .push((t, fault.part.unwrap_or(1.0)));
                     }
                 }
             }
--- a/crates/testbed/src/world/service.rs
+++ b/crates/testbed/src/world/service.rs
@@ -1,6 +1,6 @@
 //! The work of endpoints on their calls, and the effects of it.
 
-use super::draw::{between, draw};
+use super::draw::{draw, interpolate};
 use super::effects::{Answer, CallId, Effect};
 use super::state::{CallState, Timer, World};
 use super::time::{S, ms};
@@ -30,8 +30,10 @@
         let stretch =
             f64::from(self.workers(e)) / (f64::from(plan.workers) * self.warm_fraction(e));
         let slow = self.endpoints[e].condition.slow;
-        let takes =
-            between(*service, drawn) * self.plan.paces[plan.destination] * slow * stretch.max(1.0);
+        let takes = interpolate(*service, drawn)
+            * self.plan.service_time_factors[plan.destination]
+            * slow
+            * stretch.max(1.0);
         self.endpoints[e].working += 1;
         self.schedule(self.now + handshake + ms(takes).max(1), Timer::Finish(id));
     }
--- a/crates/testbed/src/world/state.rs
+++ b/crates/testbed/src/world/state.rs
@@ -2,8 +2,8 @@
 
 use super::effects::{CallId, CallRequest, ConnId, Effect, ListChange, ListState, ReturnLoad};
 use super::endpoint::Endpoint;
-use super::gate::Gate;
 use super::plan::{EndpointPlan, Plan};
+use super::rate_limit::RateLimit;
 use super::time::{MS, START};
 use bellsill_core::interface::{EndpointId, Nanos};
 use slotmap::SlotMap;
@@ -53,7 +53,7 @@
     pub plan: Plan,
     pub(super) now: Nanos,
     pub(super) endpoints: Vec<Endpoint>,
-    pub(super) gates: Vec<Gate>,
+    pub(super) rate_limits: Vec<RateLimit>,
     pub(super) conns: SlotMap<ConnId, Conn>,
     pub(super) calls: SlotMap<CallId, Call>,
     pub(super) timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
@@ -87,7 +87,7 @@
             endpoints: (0..plan.endpoints.len())
                 .map(|_| Endpoint::new(None))
                 .collect(),
-            gates: vec![Gate::default(); plan.gates.len()],
+            rate_limits: vec![RateLimit::default(); plan.rate_limits.len()],
             conns: SlotMap::with_key(),
             calls: SlotMap::with_key(),
             timers: BinaryHeap::new(),
--- a/crates/testbed/tests/records.rs
+++ b/crates/testbed/tests/records.rs
@@ -37,7 +37,7 @@
             class(DeliverySemantics::AtMostOnce, true),
         ],
         endpoints: [(0, 0), (0, 1), (1, 2), (1, 3)]
-            .map(|(zone, gate)| AuditedEndpoint { zone, gate })
+            .map(|(zone, rate_limit)| AuditedEndpoint { zone, rate_limit })
             .to_vec(),
         drain_grace: 2 * S,
         key_cooldown: 100 * MS,
