--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! The load: messages as they are drawn ahead from the seed, and what clients do with an answer. Open loop: nothing here
-//! waits for an answer before the next message, and times count from the intended moment.
+//! The load generator: arrivals drawn from the seed, and the clients' retry policy. The load is open-loop: arrivals don't
+//! wait for earlier replies, and latencies count from the intended submission time.
 
 use crate::spec::{Burst, Class};
 use crate::world::draw::{draw, interpolate};
@@ -11,31 +11,31 @@
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 
-/// A message that a client means to submit.
+/// A message to be submitted by a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Counted from zero; also the idempotency key of its repeats.
+    /// The arrival's index, from zero; also the idempotency key of all its submissions.
     pub no: u64,
-    /// When it is meant to be submitted first.
+    /// The intended time of the first submission.
     pub at: Nanos,
     /// Its queue class.
     pub class: usize,
-    /// The destination it is for.
+    /// Its destination.
     pub destination: usize,
-    /// Messages of one key go in order.
+    /// Messages with the same key are delivered in order.
     pub key: Option<u64>,
-    /// To which dispatcher it is submitted first.
+    /// The dispatcher that receives the first submission.
     pub dispatcher: usize,
 }
 
-/// Ids name the arrival and how often it had been submitted before.
+/// A message id encodes the arrival and its number of earlier submissions, which is below this.
 const MAX_SUBMISSIONS: u64 = 16;
 
-/// The id of an arrival that has been submitted this often before.
+/// The message id of an arrival that has been submitted `attempts` times before.
 pub fn message_id(arrival: u64, attempts: u32) -> MessageId {
     MessageId((arrival + 1) * MAX_SUBMISSIONS + u64::from(attempts))
 }
-/// The arrival of a message, and how often it had been submitted before.
+/// The arrival index of a message id, and the number of earlier submissions.
 pub fn arrival_of(message: MessageId) -> (u64, u32) {
     (
         (message.0 / MAX_SUBMISSIONS).saturating_sub(1),
@@ -43,34 +43,34 @@
     )
 }
 
-/// When a message is to come, and for which destination.
+/// The time and destination of a message that is not yet completely drawn.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Planned {
     at: Nanos,
     destination: usize,
 }
 
-/// Messages of a burst that are still to come, and where they go.
+/// The remaining messages of a burst, and their destination.
 #[derive(Default)]
 struct CurrentBurst {
     left: usize,
     destination: usize,
 }
 
-/// All arrivals of a run in order of time.
+/// An iterator over all arrivals of a run in order of time.
 pub struct Arrivals {
     plan: Plan,
     rng: Pcg64Mcg,
     classes: WeightedIndex<f64>,
     destinations: WeightedIndex<f64>,
-    /// The most that the rate is ever multiplied by.
+    /// The largest factor on the rate during the run.
     peak: f64,
     at: f64,
-    /// The rest of the burst that is being drawn.
+    /// The burst that is being drawn from the random stream.
     current_burst: CurrentBurst,
-    /// Drawn and not returned yet.
+    /// The next message of the random stream, if already drawn.
     ahead: Option<Planned>,
-    /// What the experiment's bursts bring, the next one last.
+    /// The messages of the experiment's configured bursts, in reverse order of time.
     bursts: Vec<Planned>,
     next: u64,
 }
@@ -79,7 +79,7 @@
     /// The arrivals of a plan.
     pub fn new(plan: &Plan) -> Arrivals {
         let shares = plan.spec.classes.iter().map(|c| c.share);
-        // The shares were checked: none is negative, not all are zero.
+        // The specification's checks ensure that no share is negative and not all are zero.
         let index = |w: Vec<f64>| WeightedIndex::new(w).expect("shares that are not all zero");
         let burst = |c: &Burst| {
             let space = c.over_s / c.messages.max(1) as f64;
@@ -114,8 +114,8 @@
         }
     }
 
-    /// By how much the rate is multiplied at a moment.
-    fn times(&self, at: f64) -> f64 {
+    /// The factor on the rate at a given time.
+    fn rate_factor(&self, at: f64) -> f64 {
         let s = (at - START as f64) / 1e9;
         self.plan
             .spec
@@ -150,9 +150,9 @@
         let drawn: f64 = rng.random();
         let any = rng.random_range(0..count);
         let dispatcher = match (key, hot) {
-            // A key stays with its dispatcher.
+            // All messages with the same key go to the same dispatcher.
             (Some(key), _) => key as usize % count,
-            (None, Some(hot)) if drawn < hot.part => hot.dispatchers[any % hot.dispatchers.len()],
+            (None, Some(hot)) if drawn < hot.share => hot.dispatchers[any % hot.dispatchers.len()],
             _ => any,
         };
         Arrival {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The next message of the Poisson stream.
+    /// Draws the next message of the Poisson process, by thinning a process at the peak rate.
     fn draw(&mut self) -> Option<Planned> {
         if self.current_burst.left > 0 {
             self.current_burst.left -= 1;
@@ -186,7 +186,7 @@
             if self.at >= self.plan.load_until as f64 {
                 return None;
             }
-            if self.rng.random::<f64>() * self.peak < self.times(self.at) {
+            if self.rng.random::<f64>() * self.peak < self.rate_factor(self.at) {
                 break;
             }
         }
@@ -221,25 +221,25 @@
 /// Why a client may submit a message again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryReason {
-    /// Rejected, at its submission or later; with the Retry-After wait if there was one.
+    /// Rejected on submission or later, with the Retry-After delay if there is one.
     Rejected(Option<Nanos>),
-    /// No connection, or no answer in time: another dispatcher is tried.
+    /// No connection, or no reply in time; the client tries another dispatcher.
     NoAnswer,
 }
 
 impl RetryReason {
-    /// After a notification that it was rejected; a wait of zero is none.
+    /// The reason after a rejection notification; a delay of zero counts as none.
     pub fn rejected_after(wait: Nanos) -> RetryReason {
         RetryReason::Rejected(Some(wait).filter(|wait| *wait > 0))
     }
 }
 
-/// When the queue lifetime of an arrival is up.
+/// The time at which the queue lifetime of an arrival expires.
 pub fn deadline(plan: &Plan, arrival: &Arrival) -> Nanos {
     arrival.at + ms(plan.spec.classes[arrival.class].lifetime_ms)
 }
 
-/// When a client submits a message again and to which dispatcher, if it still may.
+/// The time and dispatcher of a client's next submission, or `None` if retries or lifetime are exhausted.
 pub fn next_submission(
     plan: &Plan,
     arrival: &Arrival,
@@ -261,7 +261,7 @@
         .then_some((now + wait, dispatcher))
 }
 
-/// The value of a message that is delivered this long after its intended submission; 1 is in time.
+/// The fraction of its value that a message keeps when delivered `delay` after its intended submission; 1 if on time.
 pub fn delivered_value(class: &Class, delay: Nanos) -> f64 {
     let (late, target) = (delay as f64 / 1e6 - class.target_ms, class.target_ms);
     match () {
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,5 +1,5 @@
-//! What a run comes to: delivered importance over time, latencies with their whole distribution, and counts. Fed with the
-//! same [`Observation`] as the auditor. Times count from the moment at which a message was meant to be submitted first.
+//! The measurements of a run: delivered importance over time, latency distributions and counts, taken from the same
+//! [`Observation`]s as the auditor's. Latencies count from the intended time of the first submission.
 
 use crate::load::{Arrival, arrival_of, delivered_value};
 use crate::record::{CallNumber, Observation};
@@ -12,15 +12,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The span of one point of the curves.
+/// The interval that one point of the curves covers.
 pub const BUCKET: Nanos = 500 * MS;
 
-/// A whole distribution: the value up to which each step counts, in microseconds, with how many there are in it.
+/// A latency distribution, in microseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// How many values there are.
+    /// The number of values.
     pub count: u64,
-    /// Their mean.
+    /// The mean.
     pub mean_us: f64,
     /// The median.
     pub p50_us: u64,
@@ -30,15 +30,15 @@
     pub p99_us: u64,
     /// The 99.9th percentile.
     pub p999_us: u64,
-    /// The largest.
+    /// The maximum.
     pub max_us: u64,
-    /// The steps, the smallest value first.
+    /// The histogram's non-empty steps, ascending: the upper bound of each and the number of values in it.
     pub steps: Vec<(u64, u64)>,
 }
 
-/// Two significant digits, up to an hour.
+/// A histogram with two significant digits and values of up to one hour.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds that hold")
+    Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("valid histogram bounds")
 }
 
 fn record(h: &mut Histogram<u64>, span: Nanos) {
@@ -62,7 +62,7 @@
                 .collect(),
         }
     }
-    /// The value under which this share of all lies, in milliseconds.
+    /// The quantile at `share`, in milliseconds.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let mut left = (self.count as f64 * share).ceil().max(1.0) as u64;
         for (value, count) in &self.steps {
@@ -75,116 +75,117 @@
     }
 }
 
-/// What came of a queue class.
+/// The results of a queue class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassResult {
-    /// The class.
+    /// The name of the class.
     pub name: String,
-    /// The importance of its messages.
+    /// The total importance of its messages.
     pub asked: f64,
-    /// The importance that was delivered.
+    /// The importance that was delivered, reduced for late deliveries.
     pub delivered: f64,
-    /// From the intended submission to the answer of the endpoint.
+    /// From the intended submission to the endpoint's response.
     pub latency: Spread,
-    /// Messages that were delivered after their latency objective.
+    /// Messages delivered after their latency objective.
     pub late: u64,
-    /// Messages that failed after they had been accepted.
+    /// Accepted messages that failed later.
     pub bounced: u64,
-    /// Messages that were rejected after they had been accepted.
+    /// Accepted messages that were rejected later.
     pub deferred: u64,
 }
 
-/// The part of the importance asked for that was delivered; all of it where nothing was asked for.
-fn part(delivered: f64, asked: f64) -> f64 {
+/// The fraction of the submitted importance that was delivered; 1 if there was none.
+fn delivered_share(delivered: f64, asked: f64) -> f64 {
     if asked > 0.0 { delivered / asked } else { 1.0 }
 }
 
 impl ClassResult {
-    /// The part of its importance that was delivered.
+    /// The fraction of its importance that was delivered.
     pub fn share(&self) -> f64 {
-        part(self.delivered, self.asked)
+        delivered_share(self.delivered, self.asked)
     }
 }
 
-/// One point of the curves; counts of what happened in the span, importance by the moment of the intended submission.
+/// One point of the curves. Counts are of events within the interval; importance is attributed to the intended submission
+/// time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Messages that were meant to be submitted for the first time.
+    /// Messages whose intended first submission is in the interval.
     pub arrivals: u64,
-    /// Their importance.
+    /// The total importance of these messages.
     pub asked: f64,
-    /// What of that was delivered.
+    /// The importance of these that was delivered.
     pub delivered: f64,
-    /// Calls that came to endpoints.
+    /// Calls received by endpoints.
     pub calls: u64,
-    /// Calls that were rejected for a limit or a full queue.
+    /// Calls rejected because of a rate limit or a full queue.
     pub refused: u64,
-    /// Calls with an error or an unreadable answer.
+    /// Calls with a server error or a malformed response.
     pub errors: u64,
-    /// Calls whose connection was closed before an answer.
+    /// Calls whose connection was closed before a response.
     pub unanswered: u64,
-    /// Connections to endpoints.
+    /// Connections opened to endpoints.
     pub opened: u64,
-    /// Submissions that were rejected.
+    /// Rejected submissions.
     pub turned_away: u64,
-    /// Messages that were rejected after they had been accepted.
+    /// Accepted messages that were rejected later.
     pub deferred: u64,
-    /// Messages that failed after they had been accepted.
+    /// Accepted messages that failed later.
     pub bounced: u64,
 }
 
-/// What a run comes to.
+/// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Results {
-    /// Messages that clients meant to submit.
+    /// Messages that were to be submitted by clients.
     pub arrivals: u64,
-    /// Submissions, repeated ones too.
+    /// Submissions, including repeated ones.
     pub handed_in: u64,
     /// The importance of all messages.
     pub asked: f64,
-    /// What of that was delivered.
+    /// The importance of these that was delivered.
     pub delivered: f64,
-    /// Delivered over asked, in the whole run, in its worst 10 s and of the worst class.
+    /// The fraction of importance delivered, over the whole run.
     pub share: f64,
-    /// The same in the worst 10 s.
+    /// The fraction of importance delivered in the worst 10 s.
     pub worst_span: f64,
-    /// The same of the worst class.
+    /// The fraction of importance delivered of the worst class.
     pub worst_class: f64,
-    /// By queue class.
+    /// The results by queue class.
     pub classes: Vec<ClassResult>,
-    /// From the intended submission to the dispatcher's answer to it.
+    /// From the intended submission to the dispatcher's reply.
     #[serde(rename = "hand_in")]
     pub submission_latency: Spread,
     /// The curves over time.
     pub points: Vec<Point>,
-    /// Calls that came to endpoints.
+    /// Calls received by endpoints.
     pub calls: u64,
-    /// Calls that were rejected for a limit or a full queue.
+    /// Calls rejected because of a rate limit or a full queue.
     pub refused: u64,
-    /// Connections to endpoints.
+    /// Connections opened to endpoints.
     pub opened: u64,
-    /// Submissions that were rejected.
+    /// Rejected submissions.
     pub turned_away: u64,
-    /// Submissions whose client did not get an answer.
+    /// Submissions without a reply to the client.
     pub no_answer: u64,
-    /// The largest number of calls of any endpoint, over the mean of its destination's endpoints; zero with no calls.
+    /// The largest ratio of an endpoint's calls to the mean of its destination's endpoints; zero without calls.
     #[serde(default)]
     pub largest_over_mean: f64,
 }
 
-struct State {
+struct ArrivalState {
     at: Nanos,
     class: u16,
-    relayed: bool,
+    delivered: bool,
 }
 
-/// Measures a run from what is observed of it.
+/// Computes the results of a run from its observations.
 pub struct Measure {
     classes: Vec<Class>,
-    arrivals: Vec<State>,
+    arrivals: Vec<ArrivalState>,
     calls: HashMap<CallNumber, MessageId>,
-    unheard: HashSet<MessageId>,
-    /// Calls by endpoint, and the destination of each endpoint.
+    abandoned: HashSet<MessageId>,
+    /// The number of calls by endpoint; `destinations` holds the destination of each.
     calls_by_endpoint: Vec<u64>,
     destinations: Vec<usize>,
     latency: Vec<Histogram<u64>>,
@@ -193,7 +194,7 @@
 }
 
 impl Measure {
-    /// The measurements of a run that has not begun.
+    /// Empty measurements for a run of `plan`.
     pub fn new(plan: &Plan) -> Measure {
         let classes = plan.spec.classes.clone();
         let points = ((plan.run_ends_at - START) / BUCKET + 2) as usize;
@@ -206,7 +207,7 @@
             submission_latency: histogram(),
             arrivals: vec![],
             calls: HashMap::new(),
-            unheard: HashSet::new(),
+            abandoned: HashSet::new(),
             calls_by_endpoint: vec![0; plan.endpoints.len()],
             destinations: plan
                 .endpoints
@@ -227,13 +228,13 @@
         &mut self.results.points[i]
     }
 
-    /// Arrivals come in their order, each once, whatever becomes of it.
+    /// Records an arrival. Every arrival has to be passed exactly once, in order, whatever its outcome.
     pub fn arrived(&mut self, arrival: &Arrival) {
         let importance = self.classes[arrival.class].importance;
-        self.arrivals.push(State {
+        self.arrivals.push(ArrivalState {
             at: arrival.at,
             class: arrival.class as u16,
-            relayed: false,
+            delivered: false,
         });
         self.results.arrivals += 1;
         self.results.classes[arrival.class].asked += importance;
@@ -242,24 +243,24 @@
         point.asked += importance;
     }
 
-    /// A connection to an endpoint was opened.
+    /// Records a new connection to an endpoint.
     pub fn opened(&mut self, at: Nanos) {
         self.results.opened += 1;
         self.point(at).opened += 1;
     }
 
-    fn meant_at(&self, message: MessageId) -> Option<(Nanos, usize)> {
+    fn intended_submission(&self, message: MessageId) -> Option<(Nanos, usize)> {
         self.arrivals
             .get(arrival_of(message).0 as usize)
             .map(|a| (a.at, a.class as usize))
     }
 
-    /// The answer to a submission has come, this long after the submission was meant to be made.
+    /// Records a dispatcher's reply to a submission, `span` after the intended submission time.
     pub fn submission_answered(&mut self, span: Nanos) {
         record(&mut self.submission_latency, span);
     }
 
-    /// Takes in an observation.
+    /// Records an observation.
     pub fn observe(&mut self, at: Nanos, observation: &Observation) {
         match observation {
             Observation::Submitted(_) => self.results.handed_in += 1,
@@ -269,7 +270,7 @@
             }
             Observation::Abandoned { message } => {
                 self.results.no_answer += 1;
-                self.unheard.insert(*message);
+                self.abandoned.insert(*message);
             }
             Observation::Call {
                 call,
@@ -278,7 +279,7 @@
                 ..
             } => {
                 self.calls.insert(*call, *message);
-                // Endpoints that come later in a run are not compared: they had less time.
+                // Endpoints added during the run are excluded from the comparison: they had less time to receive calls.
                 if let Some(calls) = self.calls_by_endpoint.get_mut(endpoint.0 as usize) {
                     *calls += 1;
                 }
@@ -295,7 +296,7 @@
                     Answer::ServerError | Answer::Malformed => self.point(at).errors += 1,
                     Answer::Delivered => message
                         .into_iter()
-                        .for_each(|message| self.relayed(at, message)),
+                        .for_each(|message| self.record_delivery(at, message)),
                 }
             }
             Observation::ConnectionClosed { call, .. } if self.calls.remove(call).is_some() => {
@@ -303,12 +304,12 @@
             }
             Observation::Notified {
                 message,
-                retry_after: deferred,
+                retry_after,
             } => {
-                let Some((_, class)) = self.meant_at(*message) else {
+                let Some((_, class)) = self.intended_submission(*message) else {
                     return;
                 };
-                match deferred {
+                match retry_after {
                     Some(_) => {
                         self.results.classes[class].deferred += 1;
                         self.point(at).deferred += 1;
@@ -323,25 +324,25 @@
         }
     }
 
-    fn relayed(&mut self, at: Nanos, message: MessageId) {
+    fn record_delivery(&mut self, at: Nanos, message: MessageId) {
         let Some(state) = self.arrivals.get_mut(arrival_of(message).0 as usize) else {
             return;
         };
-        if self.unheard.contains(&message) || std::mem::replace(&mut state.relayed, true) {
+        if self.abandoned.contains(&message) || std::mem::replace(&mut state.delivered, true) {
             return;
         }
-        let (meant, class) = (state.at, state.class as usize);
-        let delay = at.saturating_sub(meant);
+        let (intended_at, class) = (state.at, state.class as usize);
+        let delay = at.saturating_sub(intended_at);
         let row = &self.classes[class];
-        let worth = row.importance * delivered_value(row, delay);
+        let value = row.importance * delivered_value(row, delay);
         let late = delay > ms(row.target_ms);
         record(&mut self.latency[class], delay);
-        self.results.classes[class].delivered += worth;
+        self.results.classes[class].delivered += value;
         self.results.classes[class].late += u64::from(late);
-        self.point(meant).delivered += worth;
+        self.point(intended_at).delivered += value;
     }
 
-    /// The largest share of an endpoint among those of its destination, where 1 is an even one.
+    /// The largest ratio of an endpoint's calls to the mean of its destination's endpoints.
     fn largest_over_mean(&self) -> f64 {
         let mut by_destination: BTreeMap<usize, Vec<u64>> = BTreeMap::new();
         for (&destination, &calls) in self.destinations.iter().zip(&self.calls_by_endpoint) {
@@ -358,7 +359,7 @@
         by_destination.values().map(of).fold(0.0, f64::max)
     }
 
-    /// The results once the run is over.
+    /// Computes the results at the end of the run.
     pub fn finish(mut self) -> Results {
         self.results.largest_over_mean = self.largest_over_mean();
         let r = &mut self.results;
@@ -370,7 +371,7 @@
             .points
             .iter()
             .fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
-        r.share = part(r.delivered, r.asked);
+        r.share = delivered_share(r.delivered, r.asked);
         let span = (10 * S / BUCKET) as usize;
         let loaded = r
             .points
@@ -381,7 +382,7 @@
             let sums = points
                 .iter()
                 .fold((0.0, 0.0), |s, p| (s.0 + p.asked, s.1 + p.delivered));
-            part(sums.1, sums.0)
+            delivered_share(sums.1, sums.0)
         };
         r.worst_span = r.points[..loaded]
             .windows(span.min(loaded.max(1)))
--- a/crates/testbed/src/virtual_time/actions.rs
+++ b/crates/testbed/src/virtual_time/actions.rs
@@ -1,4 +1,4 @@
-//! Collects what the decisions answer in one call, to be carried out after it.
+//! Records the actions of the decision logic during a call, to be executed after the call.
 
 use bellsill_core::interface::{Actions, AttemptNumber, EndpointId, MessageId, Nanos};
 
@@ -20,7 +20,7 @@
 
 pub(super) struct CommandRecorder {
     pub(super) commands: Vec<Command>,
-    /// For the log.
+    /// The dispatcher's index, for log lines.
     dispatcher: usize,
     now: Nanos,
 }
@@ -65,7 +65,7 @@
 
     fn endpoint_removed(&mut self, _: EndpointId) {}
 
-    // The model publishes its lists by itself.
+    // The model publishes the endpoint list by itself.
     fn request_watch(&mut self) {}
 
     fn schedule_wakeup(&mut self, after: Nanos) {
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, timed out, closed and ended.
+//! The life cycle of attempts: sending, time-outs, closing and completion.
 
 use super::dispatcher::AttemptInFlight;
 use super::simulation::{Event, Simulation};
@@ -30,7 +30,7 @@
             conn: None,
             call: None,
         });
-        let expiry = |unconnected| Event::AttemptTimeout {
+        let timeout_event = |unconnected| Event::AttemptTimeout {
             dispatcher,
             message,
             number: number.0,
@@ -38,7 +38,7 @@
         };
         match self.connection(dispatcher, endpoint) {
             ConnectResult::Connected(conn) => {
-                self.schedule(now + timeout, expiry(false));
+                self.schedule(now + timeout, timeout_event(false));
                 self.call(dispatcher, message, endpoint, conn);
             }
             ConnectResult::Refused => {
@@ -46,12 +46,12 @@
             }
             ConnectResult::NoResponse => {
                 let connect_timeout = ms(self.world.plan.spec.dispatchers.connect_timeout_ms);
-                self.schedule(now + timeout.min(connect_timeout), expiry(true));
+                self.schedule(now + timeout.min(connect_timeout), timeout_event(true));
             }
         }
     }
 
-    /// An idle connection, or a new one.
+    /// Takes an idle connection or opens a new one.
     fn connection(&mut self, dispatcher: usize, endpoint: EndpointId) -> ConnectResult {
         if let Some(conn) = self.take_idle(dispatcher, endpoint) {
             return ConnectResult::Connected(conn);
@@ -151,7 +151,7 @@
         };
         if outcome.may_have_run() {
             let zone = ZoneId(self.world.endpoint(attempt.endpoint).zone);
-            pending.note_possible_run(attempt.started_at, zone);
+            pending.record_possible_run(attempt.started_at, zone);
         }
         let message_ended = pending.ended || outcome == Outcome::Delivered;
         if message_ended {
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit messages, and again what was rejected or not answered.
+//! Clients: they submit messages and resubmit those that were rejected or got no reply.
 
 use super::dispatcher::PendingMessage;
 use super::simulation::{Event, Simulation};
@@ -21,7 +21,7 @@
         let full = state.pending >= capacity;
         let submission = Submission::new(&arrival, attempts, dispatcher, deadline);
         self.observe(Observation::Submitted(submission));
-        // No time passes on the way.
+        // Submission takes no time in the simulation.
         self.ledger.measure.submission_answered(0);
         if full {
             self.observe(Observation::Rejected {
@@ -40,7 +40,7 @@
         self.decide(dispatcher, |d, now, out| d.accept(now, [new], out));
     }
 
-    /// The client may submit the message again.
+    /// Schedules the client's next submission, if the message may be submitted again.
     fn resubmit(&mut self, arrival: Arrival, attempts: u32, reason: RetryReason) {
         match next_submission(&self.world.plan, &arrival, attempts, reason, self.now) {
             Some((at, dispatcher)) => self.schedule(
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The decisions reject an accepted message (with the time to come back) or fail it; the platform is notified.
-    pub(super) fn give_up(
+    /// Ends an accepted message that the decision logic rejects (with a Retry-After delay) or fails, and notifies the platform.
+    pub(super) fn end_undelivered(
         &mut self,
         dispatcher: usize,
         message: MessageId,
--- a/crates/testbed/src/virtual_time/connections.rs
+++ b/crates/testbed/src/virtual_time/connections.rs
@@ -1,4 +1,4 @@
-//! The idle connections of a dispatcher.
+//! The pool of idle connections of a dispatcher.
 
 use super::dispatcher::IdleConnection;
 use super::simulation::Simulation;
@@ -6,11 +6,11 @@
 use crate::world::time::ms;
 use bellsill_core::interface::EndpointId;
 
-/// Descriptors that the daemon needs for other things than idle connections, about.
+/// Approximate number of descriptors that the daemon needs for purposes other than idle connections.
 const RESERVED_SOCKETS: usize = 64;
 
 impl Simulation {
-    /// An idle connection that is still good.
+    /// Takes the most recently used idle connection that is still open.
     pub(super) fn take_idle(&mut self, dispatcher: usize, endpoint: EndpointId) -> Option<ConnId> {
         self.close_expired(dispatcher);
         let state = &mut self.dispatchers[dispatcher];
@@ -23,15 +23,15 @@
         None
     }
 
-    /// Closes connections that have been idle for too long, and the oldest while there are too many.
+    /// Closes connections that have exceeded the idle limit, and the oldest ones while there are too many.
     fn close_expired(&mut self, dispatcher: usize) {
         let settings = &self.world.plan.spec.dispatchers;
-        // A little sooner than the endpoint does.
-        let keep = ms(settings.keep_alive_ms) / 20 * 19;
-        let most = (settings.sockets as usize).saturating_sub(RESERVED_SOCKETS);
+        // Slightly shorter than the endpoint's keep-alive, so that the dispatcher closes first.
+        let idle_limit = ms(settings.keep_alive_ms) / 20 * 19;
+        let max_idle = (settings.sockets as usize).saturating_sub(RESERVED_SOCKETS);
         let state = &mut self.dispatchers[dispatcher];
         while let Some(&(endpoint, oldest)) = state.idle_since.front()
-            && (oldest.since + keep <= self.now || state.idle_count > most)
+            && (oldest.since + idle_limit <= self.now || state.idle_count > max_idle)
         {
             state.idle_since.pop_front();
             if let Some(idle) = state.idle.get_mut(&endpoint)
--- a/crates/testbed/src/virtual_time/dispatcher.rs
+++ b/crates/testbed/src/virtual_time/dispatcher.rs
@@ -1,4 +1,4 @@
-//! What a simulated dispatcher holds beside its decisions.
+//! The state of a simulated dispatcher besides its decision logic.
 
 use crate::load::Arrival;
 use crate::record::CallNumber;
@@ -22,12 +22,12 @@
 pub(super) struct PendingMessage {
     pub(super) arrival: Arrival,
     pub(super) deadline: Nanos,
-    /// Its place in the order of acceptance.
+    /// Its position in the order of acceptance.
     pub(super) accepted: u64,
     pub(super) attempts: u32,
     pub(super) possible_run: Option<PossibleRun>,
     pub(super) in_flight: Option<AttemptInFlight>,
-    /// It has been rejected or has failed, while an attempt is still in flight.
+    /// Whether it has been rejected or has failed while an attempt is still in flight.
     pub(super) ended: bool,
 }
 
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Notes an attempt that may have taken effect; the first of them counts.
-    pub(super) fn note_possible_run(&mut self, sent_at: Nanos, zone: ZoneId) {
+    /// Records an attempt that may have taken effect; only the first one is kept.
+    pub(super) fn record_possible_run(&mut self, sent_at: Nanos, zone: ZoneId) {
         self.possible_run
             .get_or_insert(PossibleRun { sent_at, zone });
     }
@@ -73,23 +73,23 @@
 
 #[derive(Default)]
 pub(super) struct SimulatedDispatcher {
-    /// None while its process is not running.
+    /// The decision logic; `None` while the process is not running.
     pub(super) decisions: Option<Dispatcher>,
     pub(super) accepts_from: Nanos,
     pub(super) shutting_down: bool,
     pub(super) messages: BTreeMap<MessageId, PendingMessage>,
-    /// Messages that have not ended yet.
+    /// The number of messages that have not ended.
     pub(super) pending: usize,
     pub(super) accepted: u64,
-    /// Idle connections by endpoint, the last used last.
+    /// Idle connections by endpoint, the most recently used last.
     pub(super) idle: BTreeMap<EndpointId, Vec<IdleConnection>>,
-    /// The same in the order in which they became idle.
+    /// The same connections in the order in which they became idle; may contain connections that are in use again.
     pub(super) idle_since: VecDeque<(EndpointId, IdleConnection)>,
     pub(super) idle_count: usize,
-    /// Counts the wake-ups that were asked for; only the latest is due.
+    /// The number of wake-ups requested; only the latest request is valid.
     pub(super) wakeups: u64,
     pub(super) starts: u32,
-    /// Of the endpoint list, as it knows it.
+    /// The version of the endpoint list that it has received.
     pub(super) version: usize,
 }
 
--- a/crates/testbed/src/virtual_time/effects.rs
+++ b/crates/testbed/src/virtual_time/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the world does.
+//! Handles the model's effects.
 
 use super::simulation::{Event, Simulation};
 use crate::audit::AuditedEndpoint;
@@ -8,8 +8,8 @@
 use crate::world::{Answer, CallId, ConnId, Effect};
 use bellsill_core::interface::{Nanos, Outcome};
 
-/// A dispatcher that is shutting down keeps sending for this long.
-const SHUTDOWN: Nanos = 2_900 * MS;
+/// How long a dispatcher keeps sending during a graceful shutdown.
+const SHUTDOWN_DURATION: Nanos = 2_900 * MS;
 
 fn outcome_of(answer: Answer) -> Outcome {
     match answer {
@@ -23,7 +23,7 @@
 }
 
 impl Simulation {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    pub(super) fn handle_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { call, conn, answer } => self.answered(call, conn, answer),
             Effect::ConnectionBroken { conn } => self.connection_broken(conn),
@@ -32,7 +32,7 @@
                     self.observe(Observation::Applied { call, fresh });
                 }
             }
-            // A connection that is opened meets the endpoint as it is by then.
+            // Nothing to do: the model checks reachability whenever a connection is opened.
             Effect::ReachabilityChanged { .. } => {}
             Effect::EndpointAdded { endpoint } => {
                 let plan = self.world.endpoint(endpoint);
@@ -95,8 +95,8 @@
                 let state = &mut self.dispatchers[dispatcher];
                 state.shutting_down = true;
                 let starts = state.starts;
-                let over = Event::ShutdownOver { dispatcher, starts };
-                self.schedule(self.now + SHUTDOWN, over);
+                let timeout = Event::ShutdownTimeout { dispatcher, starts };
+                self.schedule(self.now + SHUTDOWN_DURATION, timeout);
             }
             DispatcherSignal::Start => self.start(dispatcher),
         }
--- a/crates/testbed/src/virtual_time/lifecycle.rs
+++ b/crates/testbed/src/virtual_time/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A dispatcher's process from start to kill, and the endpoint list that it receives meanwhile.
+//! Starting and killing a dispatcher's process, and updates of its endpoint list.
 
 use super::simulation::Simulation;
 use crate::record::Observation;
@@ -10,11 +10,11 @@
     ZoneId,
 };
 
-/// From a start until messages are accepted.
+/// The time from a process start until it accepts messages.
 const START_DURATION: Nanos = 50 * MS;
 
 impl Simulation {
-    /// Starts a dispatcher with the list as it received it last and what its journal holds.
+    /// Starts a dispatcher with its last received endpoint list and the messages in its journal.
     pub(super) fn start(&mut self, dispatcher: usize) {
         let state = &mut self.dispatchers[dispatcher];
         if state.decisions.is_some() {
@@ -74,7 +74,7 @@
             };
             if let Some(attempt) = pending.in_flight.take().filter(|a| a.call.is_some()) {
                 let zone = ZoneId(self.world.endpoint(attempt.endpoint).zone);
-                pending.note_possible_run(attempt.started_at, zone);
+                pending.record_possible_run(attempt.started_at, zone);
             }
         }
         let state = &mut self.dispatchers[dispatcher];
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -1,6 +1,6 @@
-//! The world in virtual time: it drives the decisions directly, with no sockets and no sleeping. Each dispatcher of the
-//! simulation stands for what the daemon is around the decisions: pending messages, idle connections, time-outs, and the
-//! journal that outlasts a kill. Equal plans give equal runs, byte for byte.
+//! Simulation in virtual time: calls the decision logic directly, without sockets or sleeping. Each simulated dispatcher models
+//! the rest of the daemon: pending messages, idle connections, time-outs, and the journal that survives a kill. Runs are
+//! deterministic: equal plans give byte-identical results.
 
 mod actions;
 mod attempts;
@@ -20,22 +20,22 @@
 use bellsill_core::interface::Nanos;
 use simulation::Simulation;
 
-/// How much virtual time passes between two reports of progress.
+/// The virtual time between two progress reports.
 const PROGRESS_INTERVAL: Nanos = S / 4;
 
-/// What a run in virtual time came to.
+/// The outcome of a run in virtual time.
 pub struct RunOutcome {
-    /// What the auditor found.
+    /// The auditor's verdict.
     pub verdict: Verdict,
-    /// What was measured.
+    /// The measurements.
     pub results: Results,
-    /// The load on endpoints that had returned cold.
+    /// Samples of the load on endpoints in slow start.
     pub returns: Vec<ReturnLoad>,
-    /// Calls on the decisions, all dispatchers together.
+    /// The number of calls to the decision logic, over all dispatchers.
     pub steps: u64,
 }
 
-/// Runs a plan to its end. `progress` is given the fraction that is done, from 0 to 1.
+/// Runs a plan to its end. `progress` receives the completed fraction, from 0 to 1.
 pub fn run(plan: Plan, progress: &mut dyn FnMut(f64)) -> RunOutcome {
     let mut arrivals = Arrivals::new(&plan).peekable();
     let run_ends_at = plan.run_ends_at;
--- a/crates/testbed/src/virtual_time/simulation.rs
+++ b/crates/testbed/src/virtual_time/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: one world, its dispatchers, and the timers of both in one order.
+//! The simulation: the model, its dispatchers, and a common order of their timers.
 
 use super::actions::{Command, CommandRecorder};
 use super::dispatcher::SimulatedDispatcher;
@@ -14,7 +14,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
-/// What happens at a later moment.
+/// A scheduled event.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
     Resubmit {
@@ -32,7 +32,7 @@
         number: u32,
         unconnected: bool,
     },
-    ShutdownOver {
+    ShutdownTimeout {
         dispatcher: usize,
         starts: u32,
     },
@@ -45,12 +45,12 @@
     events: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
     events_scheduled: u64,
     pub(super) now: Nanos,
-    /// Whose attempt is on a connection.
+    /// The dispatcher and message whose attempt uses a connection.
     pub(super) busy: HashMap<ConnId, (usize, MessageId)>,
     pub(super) call_numbers: HashMap<CallId, CallNumber>,
     /// Arrivals that may be submitted again.
     pub(super) unresolved: BTreeMap<u64, Arrival>,
-    /// Ends of attempts that the decisions have not been given yet.
+    /// Ends of attempts not yet passed to the decision logic.
     pub(super) ended: VecDeque<(usize, AttemptEnd)>,
     pub(super) steps: u64,
 }
@@ -93,11 +93,11 @@
         self.ledger.observe(self.now, observation);
     }
 
-    /// Carries out what the world did and gives the decisions the ends of attempts, until nothing is left of either.
+    /// Handles the model's effects and passes ended attempts to the decision logic, until none of either are left.
     pub(super) fn settle(&mut self) {
         loop {
             if let Some(effect) = self.world.effect() {
-                self.carry_out(effect);
+                self.handle_effect(effect);
             } else if let Some((dispatcher, end)) = self.ended.pop_front() {
                 self.decide(dispatcher, |d, now, out| d.attempt_ended(now, end, out));
             } else {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// One call on a dispatcher's decisions; what they answer is done at once.
+    /// Calls a dispatcher's decision logic and executes the resulting commands at once.
     pub(super) fn decide(
         &mut self,
         dispatcher: usize,
@@ -128,8 +128,8 @@
                 Command::Reject {
                     message,
                     retry_after,
-                } => self.give_up(dispatcher, message, Some(retry_after)),
-                Command::Fail(message) => self.give_up(dispatcher, message, None),
+                } => self.end_undelivered(dispatcher, message, Some(retry_after)),
+                Command::Fail(message) => self.end_undelivered(dispatcher, message, None),
                 Command::CancelAttempt(message, number) => {
                     let attempt = self.dispatchers[dispatcher].in_flight(message);
                     if attempt.is_some_and(|attempt| attempt.number == number) {
@@ -172,7 +172,7 @@
                 number,
                 unconnected,
             } => self.attempt_timed_out(dispatcher, message, number, unconnected),
-            Event::ShutdownOver { dispatcher, starts } => {
+            Event::ShutdownTimeout { dispatcher, starts } => {
                 if self.dispatchers[dispatcher].starts == starts {
                     self.kill(dispatcher);
                 }
--- a/crates/testbed/src/world/cold_return.rs
+++ b/crates/testbed/src/world/cold_return.rs
@@ -1,4 +1,4 @@
-//! Endpoints that have returned cold: their share of capacity, their overload, and the load on them.
+//! Slow start of endpoints that recovered with cold caches: available capacity, collapse under overload, and load samples.
 
 use super::effects::{Effect, ReturnLoad};
 use super::endpoint::RecentCall;
@@ -6,25 +6,25 @@
 use super::time::ms;
 use bellsill_core::interface::EndpointId;
 
-/// Where fewer calls than this are allowed, the slack of a cold endpoint's budget is larger.
-const SMALL_ALLOWANCE: f64 = 30.0;
+/// Below this number of expected calls, the budget of a cold endpoint gets a larger tolerance for random variation.
+const SMALL_CALL_COUNT: f64 = 30.0;
 
-/// How many calls a cold endpoint bears in the window, of which it could handle `allowed` in the mean: as the standing test
-/// counts, with a slack for chance.
+/// The number of calls in the window above which a cold endpoint collapses. `allowed` is the expected number of calls; the
+/// tolerance added to it covers random variation. The acceptance test uses the same formula.
 pub fn slow_start_budget(allowed: f64) -> f64 {
-    let slack = if allowed < SMALL_ALLOWANCE { 3.0 } else { 2.0 };
+    let slack = if allowed < SMALL_CALL_COUNT { 3.0 } else { 2.0 };
     allowed + slack * allowed.sqrt() + slack
 }
 
 impl World {
-    /// The part of its capacity that is back.
+    /// The fraction of an endpoint's capacity that is available; it grows linearly during slow start.
     pub(super) fn warm_fraction(&self, e: usize) -> f64 {
         let (r, endpoint) = (&self.plan.spec.rules, &self.endpoints[e]);
         match endpoint.cold_since {
             None => 1.0,
             Some(since) => {
-                let back = (self.now - since) as f64 / ms(r.ramp_ms).max(1) as f64;
-                (r.cold_share + (1.0 - r.cold_share) * back).min(1.0)
+                let ramp_progress = (self.now - since) as f64 / ms(r.ramp_ms).max(1) as f64;
+                (r.cold_share + (1.0 - r.cold_share) * ramp_progress).min(1.0)
             }
         }
     }
@@ -33,7 +33,7 @@
         ((f64::from(self.plan.endpoints[e].workers) * self.warm_fraction(e)).ceil() as u32).max(1)
     }
 
-    /// Calls a second that an endpoint can do now.
+    /// The calls per second that an endpoint can currently handle.
     pub fn capacity(&self, endpoint: EndpointId) -> f64 {
         let e = endpoint.0 as usize;
         if self.endpoints[e].in_outage() {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Counts a call against the budget of a cold endpoint.
+    /// Counts a call against the budget of a cold endpoint, and collapses the endpoint if the call exceeds it.
     pub(super) fn count_against_budget(&mut self, e: usize, dispatcher: usize) {
         let Some(since) = self.endpoints[e].cold_since else {
             return;
--- a/crates/testbed/src/world/connections.rs
+++ b/crates/testbed/src/world/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, and calls as they come in and are answered.
+//! Connections to endpoints, and how their calls are accepted, rejected and answered.
 
 use super::draw::draw;
 use super::effects::{Answer, CallId, CallRequest, ConnId, ConnectResult, Effect, Reachability};
@@ -7,13 +7,14 @@
 use super::time::{MS, S, ms};
 use bellsill_core::interface::{EndpointId, Nanos};
 
-/// Reaped: for how long a connection may be idle.
+/// How long a connection may be idle before an endpoint with the `reaped` fault drops it.
 const REAPED_IDLE_LIMIT: Nanos = 300 * MS;
-/// A caller that breaks a call off sooner has not seen it fail: it had other reasons.
+/// A dispatcher that closes the connection of a running call sooner than this did not do so because the call seemed to fail,
+/// so it doesn't count as having seen the outage.
 const MIN_WAIT_TO_NOTICE_FAULT: Nanos = 2 * S;
 
 impl World {
-    /// What new connections to an endpoint meet now.
+    /// How an endpoint currently responds to new connections.
     pub fn reach(&self, endpoint: EndpointId) -> Reachability {
         self.endpoints
             .get(endpoint.0 as usize)
@@ -48,12 +49,13 @@
         }
     }
 
-    /// A dispatcher has waited in vain for a connection to come up.
+    /// A dispatcher's connection attempt has timed out.
     pub fn connect_timed_out(&mut self, dispatcher: usize, endpoint: EndpointId) {
         self.note_outage_seen(endpoint.0 as usize, dispatcher);
     }
 
-    /// A dispatcher has closed its side. A call that waits is dropped; one that is being worked on is finished, and its answer lost.
+    /// A dispatcher has closed a connection. A queued call is dropped; a call in progress is finished, but its response is
+    /// lost.
     pub fn close(&mut self, conn: ConnId) {
         let Some(gone) = self.conns.remove(conn) else {
             return;
@@ -74,14 +76,14 @@
         }
     }
 
-    /// The last byte of a call has come. None: the connection breaks, and the call never ran.
+    /// Handles a completely received call. Returns `None` if the connection is reset and the call never runs.
     pub fn call(&mut self, conn: ConnId, new: CallRequest) -> Option<CallId> {
         let now = self.now;
         let at = self.conns.get_mut(conn)?;
         let (e, idle) = (at.endpoint, now - at.used);
         let fresh = std::mem::replace(&mut at.fresh, false);
         at.used = now;
-        // On sockets it is not known whose connection this is before its first call.
+        // With real sockets, the dispatcher behind a connection is unknown until its first call.
         at.dispatcher = new.dispatcher;
         let condition = self.endpoints[e].condition;
         let keep_alive = ms(self.plan.spec.dispatchers.keep_alive_ms);
@@ -111,26 +113,26 @@
         if let Some(at) = self.conns.get_mut(conn) {
             at.call = Some(id);
         }
-        // A silent endpoint does nothing with it.
+        // A silent endpoint never processes the call.
         if !condition.silent {
             self.accept_or_reject(id);
         }
         Some(id)
     }
 
-    /// An endpoint begins with a call, queues it, or has no capacity for it.
+    /// Starts a call, queues it, or rejects it if a limit is exceeded or the queue is full.
     fn accept_or_reject(&mut self, id: CallId) {
         let Some(e) = self.calls.get(id).map(|call| call.endpoint) else {
             return;
         };
-        if let Some(rejection) = self.limited(id) {
+        if let Some(rejection) = self.check_limits(id) {
             self.answer(id, rejection);
             return;
         }
         let condition = self.endpoints[e].condition;
         let workers = self.workers(e);
         if !condition.hung && self.endpoints[e].working < workers {
-            self.work(id);
+            self.start_work(id);
         } else if self.endpoints[e].queue.len() < self.plan.endpoints[e].queue || condition.hung {
             self.calls[id].state = CallState::Queued;
             self.endpoints[e].queue.push_back(id);
@@ -139,8 +141,8 @@
         }
     }
 
-    /// The answer to a call that is over the limit, or that comes to an endpoint which is shut.
-    fn limited(&mut self, id: CallId) -> Option<Answer> {
+    /// The rejection of a call that exceeds the rate limit or arrives while the endpoint is shut.
+    fn check_limits(&mut self, id: CallId) -> Option<Answer> {
         let call = self.calls.get(id)?;
         let (e, message, dispatcher, count) = (
             call.endpoint,
@@ -150,9 +152,9 @@
         );
         let (now, seed) = (self.now, self.plan.seed);
         let kind = &self.plan.spec.kinds[self.plan.endpoints[e].kind];
-        let told = || draw(seed, message.0, count, 1) < kind.told_share;
+        let sends_retry_after = || draw(seed, message.0, count, 1) < kind.told_share;
         if let Some(until) = self.endpoints[e].condition.shut_until {
-            let wait = told().then(|| until.saturating_sub(now).max(MS));
+            let wait = sends_retry_after().then(|| until.saturating_sub(now).max(MS));
             self.note_outage_seen(e, dispatcher);
             return Some(Answer::RateLimited(wait));
         }
@@ -164,10 +166,12 @@
             kind,
             drawn,
         )?;
-        Some(Answer::RateLimited(told().then_some(wait.max(MS))))
+        Some(Answer::RateLimited(
+            sends_retry_after().then_some(wait.max(MS)),
+        ))
     }
 
-    /// Whether a connection has not been closed by either side.
+    /// Whether neither side has closed a connection.
     pub fn is_open(&self, conn: ConnId) -> bool {
         self.conns.contains_key(conn)
     }
@@ -187,7 +191,7 @@
         }
     }
 
-    /// The call gets no answer; its caller still waits, or has closed the connection.
+    /// Drops the response to a call. The call is kept while its caller is still waiting on the connection.
     pub(super) fn leave_unanswered(&mut self, id: CallId) {
         let Some(conn) = self.calls.get(id).map(|c| c.conn) else {
             return;
@@ -215,7 +219,7 @@
         self.effects.push_back(Effect::ConnectionBroken { conn });
     }
 
-    /// All that an endpoint has in hand is lost, and its connections break.
+    /// Drops all queued and running calls of an endpoint and resets its connections.
     pub(super) fn collapse(&mut self, e: usize) {
         for conn in std::mem::take(&mut self.endpoints[e].conns) {
             if let Some(c) = self.conns.get(conn)
--- a/crates/testbed/src/world/effects.rs
+++ b/crates/testbed/src/world/effects.rs
@@ -1,4 +1,4 @@
-//! What comes into the world and what goes out of it.
+//! Inputs and outputs of the model.
 
 use super::plan::DispatcherSignal;
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
@@ -7,23 +7,23 @@
 new_key_type! {
     /// A connection to an endpoint.
     pub struct ConnId;
-    /// A call that an endpoint has received completely.
+    /// A call that an endpoint has completely received.
     pub struct CallId;
 }
 
-/// What goes out of the world.
+/// An output of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// An endpoint answers a call.
     Answer {
         /// The call.
         call: CallId,
-        /// The connection it came on.
+        /// The connection that carries it.
         conn: ConnId,
         /// The answer.
         answer: Answer,
     },
-    /// The endpoint breaks a connection, with the calls on it.
+    /// The endpoint resets a connection; calls on it get no response.
     ConnectionBroken {
         /// The connection.
         conn: ConnId,
@@ -34,19 +34,19 @@
         call: CallId,
         /// The message that it carried.
         message: MessageId,
-        /// Where it took effect.
+        /// The endpoint that ran it.
         endpoint: EndpointId,
-        /// False: the endpoint dropped it as a repeat.
+        /// False if the endpoint discarded it as a duplicate.
         fresh: bool,
     },
-    /// New connections meet something else than before.
+    /// An endpoint now responds differently to new connections.
     ReachabilityChanged {
         /// The endpoint.
         endpoint: EndpointId,
-        /// What they meet now.
+        /// How it responds from now on.
         reach: Reachability,
     },
-    /// A new endpoint is there.
+    /// A new endpoint has been added.
     EndpointAdded {
         /// The endpoint.
         endpoint: EndpointId,
@@ -55,23 +55,23 @@
     ListPublished {
         /// The dispatcher.
         dispatcher: usize,
-        /// Up to this version.
+        /// The version of the list that it receives.
         version: usize,
     },
     /// A dispatcher's process is killed, terminated or started.
     DispatcherSignalled {
         /// The dispatcher.
         dispatcher: usize,
-        /// What is done to it.
+        /// The signal that it receives.
         signal: DispatcherSignal,
     },
-    /// A cold endpoint collapsed under its calls.
+    /// A cold endpoint collapsed because it received too many calls.
     Overloaded {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Its last calls that came from dispatchers which had seen its outage.
+        /// Calls in the overload window from dispatchers that had seen the outage.
         informed_calls: usize,
-        /// All of its last calls.
+        /// All calls in the overload window.
         all_calls: usize,
     },
 }
@@ -81,78 +81,78 @@
 pub enum Answer {
     /// The call took effect.
     Delivered,
-    /// An error; the call may have taken effect.
+    /// A server error; the call may have taken effect.
     ServerError,
-    /// Over the limit or the queue, with the Retry-After wait if there is one.
+    /// The rate limit is exceeded or the queue is full; carries the Retry-After delay, if the endpoint sends one.
     RateLimited(Option<Nanos>),
-    /// Cannot be read; the call took effect.
+    /// A malformed response; the call took effect.
     Malformed,
 }
 
-/// What new connections to an endpoint meet.
+/// How an endpoint responds to new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// They are accepted.
+    /// Accepts them.
     Open,
-    /// They are refused.
+    /// Refuses them.
     Refusing,
-    /// They are never answered.
+    /// Never responds to them.
     Silent,
 }
 
-/// What comes of opening a connection.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectResult {
-    /// It is open.
+    /// The connection is open.
     Connected(ConnId),
-    /// It was refused.
+    /// The endpoint refused the connection.
     Refused,
-    /// Nothing answers; the caller has to time out.
+    /// The endpoint doesn't respond; the caller has to time out.
     NoResponse,
 }
 
-/// A call as it comes in.
+/// A call sent to an endpoint.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
     /// The message that it carries.
     pub message: MessageId,
     /// Its queue class.
     pub class: usize,
-    /// Who sends it.
+    /// The dispatcher that sends it.
     pub dispatcher: usize,
-    /// Equal for repeats of one message.
+    /// The same for all submissions of one message.
     pub idempotency_key: u64,
 }
 
 /// An endpoint's state in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// It serves.
+    /// Accepts new calls.
     Up,
-    /// It serves what it has, and wants nothing new.
+    /// Finishes its calls and takes no new ones.
     Draining,
-    /// It is not listed any more.
+    /// No longer listed.
     Removed,
 }
 
 /// One change of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// What changed.
+    /// The endpoint that changed.
     pub endpoint: EndpointId,
-    /// Its state from now on.
+    /// Its new state.
     pub listed: ListState,
 }
 
-/// The load on all endpoints that have returned cold, in one sample.
+/// The load on all endpoints in slow start during one sample interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct ReturnLoad {
-    /// The end of the sample.
+    /// The end of the interval.
     pub at: Nanos,
-    /// How many endpoints are cold.
+    /// The number of endpoints in slow start.
     pub endpoints: usize,
-    /// Calls that came in the sample.
+    /// Calls received in the interval.
     pub calls: f64,
-    /// Calls that could be done in it.
+    /// Calls that the endpoints could have handled in the interval.
     pub capacity: f64,
 }
--- a/crates/testbed/src/world/endpoint.rs
+++ b/crates/testbed/src/world/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint of the model: its condition under the faults of the moment, and what it has in hand.
+//! The state of an endpoint: its condition under the active faults, its calls and its connections.
 
 use super::effects::{CallId, ConnId, Reachability};
 use bellsill_core::interface::Nanos;
@@ -33,28 +33,28 @@
     };
 }
 
-/// A call to a cold endpoint.
+/// A recent call to a cold endpoint.
 pub(super) struct RecentCall {
     pub(super) at: Nanos,
-    /// It came from a dispatcher that had seen the outage.
+    /// Whether the calling dispatcher had seen the outage.
     pub(super) informed: bool,
 }
 
 pub(super) struct Endpoint {
-    /// The faults of the moment.
+    /// The active faults, as rows of the experiment's faults.
     pub(super) faults: Vec<usize>,
     pub(super) condition: Condition,
     pub(super) collapsed: bool,
     pub(super) removed: bool,
     pub(super) working: u32,
     pub(super) queue: VecDeque<CallId>,
-    /// Their work is done, but it hangs and does not answer.
+    /// Calls whose work completed while the endpoint hangs; they are answered when it recovers.
     pub(super) stalled: Vec<CallId>,
     pub(super) conns: BTreeSet<ConnId>,
     pub(super) cold_since: Option<Nanos>,
-    /// Dispatchers that saw a call or a connection fail here during the outage.
+    /// Dispatchers that saw a call or a connection to this endpoint fail during the outage.
     pub(super) outage_seen_by: BTreeSet<usize>,
-    /// The latest calls since its return, while it is cold.
+    /// Calls within the overload window, while the endpoint is cold.
     pub(super) recent_calls: VecDeque<RecentCall>,
     pub(super) calls_in_sample: u64,
 }
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -1,7 +1,7 @@
-//! The model of the world: endpoints, their faults over time, and what is listed of them. It has no sockets, no clock and no
-//! threads: it is given what comes and when, and answers with effects. Both drives use it.
+//! The simulation model: endpoints, their faults over time, and the endpoint list. It has no sockets, clock or threads: it
+//! takes timestamped inputs and returns effects. Runs in virtual time and runs on sockets both use it.
 //!
-//! Call [`World::advance`] up to a moment before passing in what comes then, and take each [`World::effect`] after a call.
+//! Call [`World::advance`] before passing in the inputs of a moment, and drain [`World::effect`] after each call.
 
 mod cold_return;
 mod connections;
--- a/crates/testbed/src/world/plan.rs
+++ b/crates/testbed/src/world/plan.rs
@@ -1,4 +1,4 @@
-//! What a world is made of, drawn from an experiment and a seed: equal seeds give equal plans.
+//! The plan of a run, drawn from an experiment and a seed. Equal seeds give equal plans.
 
 use super::draw::interpolate;
 use super::time::{MS, S, START, ms, secs};
@@ -10,105 +10,105 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// An endpoint as it is when it is well.
+/// The properties of an endpoint without faults.
 #[derive(Clone, Debug)]
 pub struct EndpointPlan {
-    /// The destination that it belongs to.
+    /// Its destination.
     pub destination: usize,
-    /// Where it is: a row of the world's zones.
+    /// Its zone, as an index into the experiment's zones.
     pub zone: usize,
-    /// A row of the experiment's kinds.
+    /// Its kind, as an index into the experiment's kinds.
     pub kind: usize,
-    /// Calls that it works on at once.
+    /// The number of calls that it processes concurrently.
     pub workers: u32,
-    /// Calls a second that it can do when it is warm.
+    /// Calls per second that it can handle outside slow start.
     pub capacity: f64,
-    /// Calls that wait in it at most.
+    /// The maximum number of queued calls.
     pub queue: usize,
-    /// What its limit binds: a row of [`Plan::rate_limits`].
+    /// Its rate limit, as an index into [`Plan::rate_limits`].
     pub rate_limit: usize,
 }
 
-/// The limit on one route, or on all routes of a destination together.
+/// The rate limit of one route, or of all routes of a destination together.
 #[derive(Clone, Debug)]
 pub struct RateLimitPlan {
-    /// Calls a second, if there is a limit.
+    /// Calls per second, if there is a limit.
     pub limit: Option<f64>,
-    /// Calls a second that are possible; a fault that lowers a limit starts from this where there is none.
+    /// Calls per second that the routes can handle. Without a limit, a fault that lowers the limit is relative to this.
     pub capacity: f64,
 }
 
-/// What is done to a dispatcher's process.
+/// A signal to a dispatcher's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DispatcherSignal {
-    /// It ends at once.
+    /// Ends the process at once.
     Kill,
-    /// It is asked to shut down gracefully.
+    /// Requests a graceful shutdown.
     Terminate,
-    /// It starts, unless it is running.
+    /// Starts the process unless it is running.
     Start,
 }
 
-/// What happens at a moment of the script.
+/// A scripted change.
 #[derive(Clone, Debug)]
 pub enum ScriptedChange {
     /// A fault begins.
     BeginFault {
-        /// A row of the experiment's faults.
+        /// An index into the experiment's faults.
         fault: usize,
         /// The endpoints that it affects.
         endpoints: Vec<usize>,
     },
     /// A fault ends.
     EndFault {
-        /// A row of the experiment's faults.
+        /// An index into the experiment's faults.
         fault: usize,
         /// The endpoints that it affected.
         endpoints: Vec<usize>,
     },
-    /// Whether the endpoint list is held back altogether.
+    /// Stops or resumes publication of the endpoint list.
     ListFrozen(bool),
-    /// The delay of the endpoint list grows by this, in nanoseconds.
+    /// Adds this many nanoseconds to the delay of the endpoint list.
     ListLag(i64),
     /// A dispatcher's process is killed, terminated or started.
     Signal(usize, DispatcherSignal),
 }
 
-/// A span in which these dispatchers together get a part of all messages.
+/// An interval in which some dispatchers together receive a given share of all messages.
 #[derive(Clone, Debug)]
 pub struct HotSpan {
     /// Its start.
     pub from: Nanos,
     /// Its end.
     pub to: Nanos,
-    /// Their part of all messages.
-    pub part: f64,
+    /// Their combined share of the messages.
+    pub share: f64,
     /// The dispatchers.
     pub dispatchers: Vec<usize>,
 }
 
-/// All that a run is made of.
+/// The complete plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What all draws start from.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// The experiment, as this variant has it.
+    /// The experiment's specification, for this variant.
     pub spec: Spec,
-    /// The endpoints of all destinations, in their order.
+    /// The endpoints, ordered by destination.
     pub endpoints: Vec<EndpointPlan>,
-    /// The limits on them.
+    /// The rate limits of the endpoints.
     pub rate_limits: Vec<RateLimitPlan>,
-    /// The part of the load of each destination.
+    /// Each destination's share of the load.
     pub load_shares: Vec<f64>,
-    /// What service times of each destination are multiplied by.
+    /// Each destination's factor on service times.
     pub service_time_factors: Vec<f64>,
-    /// In order of time, from [`START`].
+    /// The scripted changes in order of time, from [`START`].
     pub script: Vec<(Nanos, ScriptedChange)>,
-    /// When some dispatchers get more than their part of the messages.
+    /// Intervals in which some dispatchers receive more than their even share of the messages.
     pub hot: Vec<HotSpan>,
-    /// No message is submitted for the first time from then on.
+    /// From this time on, no new messages are submitted.
     pub load_until: Nanos,
-    /// All messages have had their time by then.
+    /// The end of the run; the lifetimes of all messages have passed by then.
     pub run_ends_at: Nanos,
 }
 
@@ -120,8 +120,9 @@
     all
 }
 
-/// As many of each kind as the shares say, dealt over the ranks so that each kind has busy and quiet ones.
-fn deal_kinds(shares: &[f64], count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
+/// Assigns kinds to destinations in proportion to the shares, in random order so that each kind has destinations with high
+/// and with low load.
+fn assign_kinds(shares: &[f64], count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
     let total: f64 = shares.iter().sum();
     let mut kinds: Vec<usize> = (0..count)
         .map(|i| {
@@ -138,7 +139,7 @@
     kinds
 }
 
-/// Endpoints in order of their destinations, each as strong as its part of the load asks for, and the limits on them.
+/// The endpoints, ordered by destination and sized for their share of the load, and their rate limits.
 fn endpoints_and_rate_limits(
     spec: &Spec,
     load_shares: &[f64],
@@ -184,7 +185,7 @@
     (endpoints, rate_limits)
 }
 
-/// What happens during the run, fault by fault, and the spans in which some dispatchers are hot.
+/// The scripted changes of all faults, and the intervals in which some dispatchers are hot.
 fn script(
     spec: &Spec,
     endpoints: &[EndpointPlan],
@@ -211,7 +212,7 @@
                     hot.push(HotSpan {
                         from,
                         to,
-                        part: fault.part.unwrap_or(0.0),
+                        share: fault.part.unwrap_or(0.0),
                         dispatchers,
                     });
                     continue;
@@ -238,7 +239,7 @@
     (script, hot)
 }
 
-/// Each dispatcher is ended at the beginning of the fault and started again at its end.
+/// Stops each dispatcher when the fault begins and starts it again when the fault ends.
 fn signals(
     what: FaultKind,
     from: Nanos,
@@ -280,7 +281,7 @@
 }
 
 impl Plan {
-    /// Draws the plan of a run, always in the same order.
+    /// Draws the plan of a run. The order of the draws is fixed, so that equal seeds give equal plans.
     pub fn new(spec: &Spec, seed: u64) -> Plan {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let world = &spec.world;
@@ -290,7 +291,7 @@
         let total: f64 = raw.iter().sum();
         let load_shares: Vec<f64> = raw.iter().map(|x| x / total).collect();
         let shares: Vec<f64> = spec.kinds.iter().map(|k| k.share).collect();
-        let kind_of = deal_kinds(&shares, world.destinations, &mut rng);
+        let kind_of = assign_kinds(&shares, world.destinations, &mut rng);
         let service_time_factors: Vec<f64> = kind_of
             .iter()
             .map(|&k| interpolate(spec.kinds[k].pace, rng.random()))
@@ -320,7 +321,8 @@
         }
     }
 
-    /// Attempts that one dispatcher has in flight at most: what its part of the load needs, times the experiment's factor.
+    /// The maximum number of attempts in flight per dispatcher. Unless the experiment sets it, this is the dispatcher's share of
+    /// the load's concurrency, times the experiment's factor.
     pub fn max_in_flight(&self) -> usize {
         let d = &self.spec.dispatchers;
         let busy: f64 = self
@@ -332,14 +334,14 @@
             .unwrap_or(((busy * d.slots_times / d.count as f64).ceil() as usize).max(2))
     }
 
-    /// Messages that one dispatcher holds at most.
+    /// The maximum number of pending messages per dispatcher.
     pub fn queue_capacity(&self) -> usize {
         let d = &self.spec.dispatchers;
         d.hold
             .unwrap_or(((self.spec.load.rate * d.hold_s / d.count as f64).ceil() as usize).max(16))
     }
 
-    /// The settings of one dispatcher's decisions at one of its starts.
+    /// The settings of a dispatcher's decision logic for its `start`-th start.
     pub fn dispatcher_settings(&self, dispatcher: usize, start: u32) -> Settings {
         let (d, r) = (&self.spec.dispatchers, &self.spec.rules);
         let class = |c: &Class| ClassSettings {
@@ -384,7 +386,7 @@
         }
     }
 
-    /// What the draws of one dispatcher's decisions start from.
+    /// The seed of a dispatcher's decision logic for its `start`-th start.
     pub fn dispatcher_seed(&self, dispatcher: usize, start: u32) -> u64 {
         Pcg64Mcg::seed_from_u64(self.seed ^ ((dispatcher as u64 + 1) << 20) ^ u64::from(start))
             .random()
--- a/crates/testbed/src/world/rate_limit.rs
+++ b/crates/testbed/src/world/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on what one route, or all routes of a destination together, take on.
+//! The rate limit of one route, or of all routes of a destination together.
 
 use super::draw::interpolate;
 use super::plan::RateLimitPlan;
@@ -6,23 +6,24 @@
 use crate::spec::{Kind, LimitForm};
 use bellsill_core::interface::Nanos;
 
-/// The part of a second whose calls a plain rate takes at once.
-const AT_ONCE: f64 = 0.1;
+/// The burst that a plain rate limit allows, in seconds of its rate.
+const BURST_SECONDS: f64 = 0.1;
 
 /// The state of a limit.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimit {
-    /// Rate: when it will have room again for all that it takes at once.
+    /// For a plain rate: when the full burst is available again.
     free_at: Nanos,
-    /// Span: which one, and the calls counted in it.
-    span: Nanos,
+    /// For a fixed window: the index of the current window.
+    window: Nanos,
+    /// For a fixed window: the calls counted in it.
     count: u64,
-    /// The parts to which faults have lowered it.
+    /// The active faults that lower the limit, each with the fraction that remains.
     pub lowered: Vec<(usize, f64)>,
 }
 
 impl RateLimit {
-    /// None: the call is within the limit. Else the time until there is room again.
+    /// Counts a call. Returns `None` if it is within the limit, otherwise the delay after which to retry.
     pub fn call(
         &mut self,
         now: Nanos,
@@ -39,8 +40,8 @@
         let rate = rate.max(0.01);
         if kind.limit == LimitForm::Span {
             let length = ms(kind.span_ms).max(MS);
-            if now / length != self.span {
-                (self.span, self.count) = (now / length, 0);
+            if now / length != self.window {
+                (self.window, self.count) = (now / length, 0);
             }
             let most = ((rate * length as f64 / 1e9).round() as u64).max(1);
             if self.count < most {
@@ -53,13 +54,13 @@
             return Some(length - now % length);
         }
         let space = (1e9 / rate) as Nanos;
-        let slack = space * ((rate * AT_ONCE) as Nanos).max(1) - space;
+        let slack = space * ((rate * BURST_SECONDS) as Nanos).max(1) - space;
         if self.free_at <= now + slack {
             self.free_at = self.free_at.max(now) + space;
             return None;
         }
         if kind.refusals_count {
-            // Never further than a second: one that is beaten on opens again.
+            // At most one second ahead, so that the limit opens again even under constant retries.
             self.free_at = (self.free_at + space).min(now + slack + 1_000 * MS);
         }
         Some(ms(interpolate(kind.told_ms, drawn)).max(self.free_at - now - slack))
--- a/crates/testbed/src/world/script.rs
+++ b/crates/testbed/src/world/script.rs
@@ -1,4 +1,4 @@
-//! The script of a run: faults begin and end, dispatchers are signalled, the list is delayed.
+//! Scripted changes of a run: faults begin and end, dispatchers are signalled, the endpoint list is delayed.
 
 use super::effects::{Answer, Effect, ListState};
 use super::endpoint::{Condition, Endpoint};
@@ -102,13 +102,13 @@
         self.report_reachability(e);
     }
 
-    /// The condition of an endpoint under all of its faults together.
+    /// The combined condition of an endpoint under all of its active faults.
     pub(super) fn condition(&self, e: usize) -> Condition {
         let mut c = Condition::HEALTHY;
         for &t in &self.endpoints[e].faults {
             let fault = &self.plan.spec.faults[t];
             let part = fault.part.unwrap_or(0.0);
-            let or = |a: f64| 1.0 - (1.0 - a) * (1.0 - part);
+            let combine = |a: f64| 1.0 - (1.0 - a) * (1.0 - part);
             match fault.what {
                 FaultKind::Down => c.down = true,
                 FaultKind::Reset => c.reset = true,
@@ -116,9 +116,9 @@
                 FaultKind::Hung => c.hung = true,
                 FaultKind::Shut => c.shut_until = c.shut_until.max(Some(START + secs(fault.to_s))),
                 FaultKind::Slow => c.slow *= fault.times.unwrap_or(1.0),
-                FaultKind::Failing => c.failing = or(c.failing),
-                FaultKind::AnswersLost => c.lost = or(c.lost),
-                FaultKind::AnswersSpoilt => c.malformed = or(c.malformed),
+                FaultKind::Failing => c.failing = combine(c.failing),
+                FaultKind::AnswersLost => c.lost = combine(c.lost),
+                FaultKind::AnswersSpoilt => c.malformed = combine(c.malformed),
                 FaultKind::Reaped => c.reaped = true,
                 _ => {}
             }
@@ -142,10 +142,10 @@
             }
         }
         if before.hung && !is.hung {
-            let frozen = std::mem::take(&mut self.endpoints[e].stalled);
-            frozen.into_iter().for_each(|call| self.finish(call));
-            self.next_of(e);
-            // What is over its queue is rejected.
+            let stalled = std::mem::take(&mut self.endpoints[e].stalled);
+            stalled.into_iter().for_each(|call| self.finish(call));
+            self.start_queued_calls(e);
+            // Calls beyond the queue's capacity are rejected.
             while self.endpoints[e].queue.len() > self.plan.endpoints[e].queue {
                 let Some(call) = self.endpoints[e].queue.pop_back() else {
                     break;
--- a/crates/testbed/src/world/service.rs
+++ b/crates/testbed/src/world/service.rs
@@ -1,4 +1,4 @@
-//! The work of endpoints on their calls, and the effects of it.
+//! How endpoints process their calls.
 
 use super::draw::{draw, interpolate};
 use super::effects::{Answer, CallId, Effect};
@@ -7,11 +7,11 @@
 use crate::spec::Repeat;
 use bellsill_core::interface::{EndpointId, Nanos};
 
-/// For how long effects are remembered after their window.
+/// How long an idempotency key is kept after its deduplication window.
 const EFFECT_RETENTION: Nanos = 30 * S;
 
 impl World {
-    pub(super) fn work(&mut self, id: CallId) {
+    pub(super) fn start_work(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(id) else {
             return;
         };
@@ -26,16 +26,19 @@
         let plan = &self.plan.endpoints[e];
         let service = &self.plan.spec.classes[class].service_ms;
         let drawn = draw(self.plan.seed, message.0, count, 3);
-        // Too few workers for the part that is back: each takes its time.
+        // The number of workers is rounded up, so each is slowed down to match the capacity available in slow start.
         let stretch =
             f64::from(self.workers(e)) / (f64::from(plan.workers) * self.warm_fraction(e));
         let slow = self.endpoints[e].condition.slow;
-        let takes = interpolate(*service, drawn)
+        let duration_ms = interpolate(*service, drawn)
             * self.plan.service_time_factors[plan.destination]
             * slow
             * stretch.max(1.0);
         self.endpoints[e].working += 1;
-        self.schedule(self.now + handshake + ms(takes).max(1), Timer::Finish(id));
+        self.schedule(
+            self.now + handshake + ms(duration_ms).max(1),
+            Timer::Finish(id),
+        );
     }
 
     pub(super) fn finish(&mut self, id: CallId) {
@@ -65,19 +68,19 @@
                 self.answer(id, Answer::Delivered);
             }
         }
-        self.next_of(e);
+        self.start_queued_calls(e);
     }
 
-    pub(super) fn next_of(&mut self, e: usize) {
+    pub(super) fn start_queued_calls(&mut self, e: usize) {
         while !self.endpoints[e].condition.hung && self.endpoints[e].working < self.workers(e) {
             let Some(id) = self.endpoints[e].queue.pop_front() else {
                 break;
             };
-            self.work(id);
+            self.start_work(id);
         }
     }
 
-    /// The call takes effect, unless it is a repeat that is dropped.
+    /// Applies the effect of a call, unless it is discarded as a duplicate.
     pub(super) fn apply(&mut self, id: CallId) {
         let Some(call) = self.calls.get(id) else {
             return;
@@ -87,7 +90,7 @@
             &self.plan.spec.classes[call.new.class],
             call.new.message,
         );
-        // Whether it is a repeat depends on when it came, however long the work takes.
+        // Deduplication depends on the arrival time, regardless of how long the work takes.
         let arrived_at = call.arrived_at;
         let mut fresh = true;
         if class.repeat == Repeat::Tagged {
--- a/crates/testbed/src/world/state.rs
+++ b/crates/testbed/src/world/state.rs
@@ -1,4 +1,4 @@
-//! The state of the model, and the passing of its time.
+//! The state of the model, its timers and its clock.
 
 use super::effects::{CallId, CallRequest, ConnId, Effect, ListChange, ListState, ReturnLoad};
 use super::endpoint::Endpoint;
@@ -10,14 +10,14 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// How often the load on endpoints that have returned is recorded.
+/// How often the load on endpoints in slow start is recorded.
 pub(super) const SAMPLE_INTERVAL: Nanos = 500 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CallState {
     Queued,
     Working,
-    /// It gets no answer.
+    /// No response is sent.
     Unanswered,
 }
 
@@ -47,9 +47,9 @@
     Sample,
 }
 
-/// The model: endpoints, connections, calls and the endpoint list, at one moment.
+/// The current state of the model: endpoints, connections, calls and the endpoint list.
 pub struct World {
-    /// What it is made of; grows when endpoints are added.
+    /// The plan of the run; grows when endpoints are added.
     pub plan: Plan,
     pub(super) now: Nanos,
     pub(super) endpoints: Vec<Endpoint>,
@@ -59,22 +59,22 @@
     pub(super) timers: BinaryHeap<Reverse<(Nanos, u64, Timer)>>,
     pub(super) seq: u64,
     pub(super) effects: VecDeque<Effect>,
-    /// When an idempotency key first took effect, by the key and the zone that remembers it.
+    /// When each idempotency key first took effect, by key and deduplicating zone (`usize::MAX` for all zones).
     pub(super) applied: BTreeMap<(u64, usize), Nanos>,
     pub(super) expiring_effects: VecDeque<(Nanos, (u64, usize))>,
     pub(super) changes: Vec<ListChange>,
-    /// The version that all dispatchers know at the start.
+    /// The version of the endpoint list that all dispatchers have at the start.
     pub(super) listed_at_start: usize,
     pub(super) list_frozen: bool,
     pub(super) lag: i64,
     pub(super) cold: Vec<usize>,
-    /// The load on endpoints that had returned cold.
+    /// Samples of the load on endpoints in slow start.
     pub returns: Vec<ReturnLoad>,
     pub(super) calls_seen: u64,
 }
 
 impl World {
-    /// The world of a plan at its start.
+    /// The model at the start of a run.
     pub fn new(plan: Plan) -> World {
         let changes: Vec<ListChange> = (0..plan.endpoints.len())
             .map(|e| ListChange {
@@ -116,17 +116,17 @@
         self.timers.push(Reverse((at, self.seq, what)));
     }
 
-    /// When something happens here next by itself.
+    /// The time of the next timer.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse((at, _, _))| *at)
     }
 
-    /// Takes the next effect that is to be carried out.
+    /// Takes the next pending effect.
     pub fn effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// Lets everything happen up to now.
+    /// Advances the clock and runs all timers due by `now`.
     pub fn advance(&mut self, now: Nanos) {
         while let Some(&Reverse((at, _, what))) =
             self.timers.peek().filter(|Reverse((at, _, _))| *at <= now)
@@ -142,7 +142,7 @@
                         version,
                     })
                 }
-                // It is published when the list moves again.
+                // The list is frozen; it is published when the freeze ends.
                 Timer::PublishList(..) => {}
                 Timer::Sample => self.sample(),
             }
@@ -164,7 +164,7 @@
         &self.plan.endpoints[endpoint.0 as usize]
     }
 
-    /// How many endpoints there have been.
+    /// The number of endpoints so far, including removed ones.
     pub fn endpoints(&self) -> usize {
         self.plan.endpoints.len()
     }
--- a/crates/testbed/tests/subset.rs
+++ b/crates/testbed/tests/subset.rs
@@ -1,4 +1,5 @@
-//! The subset of a large destination's routes: small, spread evenly over the fleet, widened when it is suspended.
+//! A dispatcher's subset of a large destination's routes: it is small, evenly spread over the fleet, and widened when all of it
+//! is suspended.
 
 use bellsill_core::control::Dispatcher;
 use bellsill_core::interface::{
@@ -13,16 +14,16 @@
 const S: Nanos = 1_000 * MS;
 const DESTINATION: DestinationId = DestinationId(7);
 
-struct Fleet {
+struct FleetMember {
     dispatcher: Dispatcher,
     out: RecordingActions,
     now: Nanos,
     next: u64,
 }
 
-impl Fleet {
-    /// One dispatcher of a fleet, with so many routes to one destination, each with a limit of its own.
-    fn member(dispatchers: u32, position: u32, routes: u32) -> Fleet {
+impl FleetMember {
+    /// The dispatcher at `position` in a fleet, with `routes` routes to one destination that have separate rate limits.
+    fn new(dispatchers: u32, position: u32, routes: u32) -> FleetMember {
         let class = ClassSettings {
             priority_weight: 1.0,
             latency_objective: 2 * S,
@@ -31,7 +32,7 @@
             semantics: DeliverySemantics::Idempotent,
             ordered: false,
         };
-        let facts = Settings {
+        let settings = Settings {
             seed: u64::from(position) + 1,
             dispatchers,
             dispatcher_index: Some(position),
@@ -51,10 +52,10 @@
         };
         let now = 1_000 * S;
         let mut out = RecordingActions::default();
-        let mut dispatcher = Dispatcher::new(now, facts);
+        let mut dispatcher = Dispatcher::new(now, settings);
         let entries: Vec<EndpointEntry> = (0..routes).map(entry).collect();
         dispatcher.update_endpoints(now, EndpointUpdate::Snapshot, &entries, &mut out);
-        Fleet {
+        FleetMember {
             dispatcher,
             out,
             now,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// A message comes; where it is sent.
+    /// Accepts a message and returns its first attempt.
     fn send(&mut self) -> (MessageId, EndpointId) {
         self.now += 100 * MS;
         self.next += 1;
@@ -78,7 +79,7 @@
         *self.out.attempts.last().unwrap()
     }
 
-    fn ends(&mut self, (message, _): (MessageId, EndpointId), outcome: Outcome) {
+    fn end_attempt(&mut self, (message, _): (MessageId, EndpointId), outcome: Outcome) {
         let end = AttemptEnd {
             message,
             number: AttemptNumber(0),
@@ -90,13 +91,13 @@
         self.dispatcher.attempt_ended(self.now, end, &mut self.out);
     }
 
-    /// The endpoints that messages go to while all are delivered.
-    fn used(&mut self, messages: usize) -> BTreeMap<EndpointId, usize> {
+    /// Sends messages that are all delivered, and returns the number sent to each endpoint.
+    fn deliver(&mut self, messages: usize) -> BTreeMap<EndpointId, usize> {
         let mut used = BTreeMap::new();
         for _ in 0..messages {
             let sent = self.send();
             *used.entry(sent.1).or_default() += 1;
-            self.ends(sent, Outcome::Delivered);
+            self.end_attempt(sent, Outcome::Delivered);
         }
         used
     }
@@ -113,14 +114,14 @@
 }
 
 #[test]
-fn a_dispatcher_of_a_large_fleet_uses_few_routes_and_the_fleet_all_of_them_evenly() {
+fn large_fleets_use_small_subsets_that_cover_all_routes_evenly() {
     let mut users: BTreeMap<EndpointId, usize> = BTreeMap::new();
     for position in 0..300 {
-        let used = Fleet::member(300, position, 48).used(40);
+        let used = FleetMember::new(300, position, 48).deliver(40);
         assert_eq!(used.len(), 4, "{used:?}");
         assert!(
             used.values().all(|&messages| messages == 10),
-            "even picks: {used:?}"
+            "routes must be picked evenly: {used:?}"
         );
         used.keys()
             .for_each(|&endpoint| *users.entry(endpoint).or_default() += 1);
@@ -136,36 +137,39 @@
 }
 
 #[test]
-fn small_destinations_and_small_fleets_are_not_divided() {
+fn small_destinations_and_small_fleets_use_all_routes() {
     for (dispatchers, routes) in [(300, 4), (3, 48), (1, 64)] {
-        let used = Fleet::member(dispatchers, 0, routes).used(2 * routes as usize);
+        let used = FleetMember::new(dispatchers, 0, routes).deliver(2 * routes as usize);
         assert_eq!(used.len(), routes as usize, "{dispatchers} dispatchers");
     }
 }
 
 #[test]
-fn when_the_whole_subset_is_suspended_the_pick_widens_and_told_waits_bind() {
-    let mut fleet = Fleet::member(300, 5, 48);
-    let subset = fleet.used(8);
+fn a_fully_suspended_subset_is_widened_and_retry_after_is_kept() {
+    let mut member = FleetMember::new(300, 5, 48);
+    let subset = member.deliver(8);
     for _ in 0..4 {
-        // Each refusal moves its message to another route at once.
-        let sent = fleet.send();
+        // Each rejection moves the message to another route at once.
+        let sent = member.send();
         assert!(subset.contains_key(&sent.1));
-        fleet.ends(
+        member.end_attempt(
             sent,
             Outcome::RateLimited {
                 retry_after: Some(60 * S),
             },
         );
     }
-    let last = *fleet.out.attempts.last().unwrap();
+    let last = *member.out.attempts.last().unwrap();
     assert!(
         !subset.contains_key(&last.1),
         "no route outside the subset was tried"
     );
     for _ in 0..20 {
-        let sent = fleet.send();
-        assert!(!subset.contains_key(&sent.1), "a told wait was not kept");
-        fleet.ends(sent, Outcome::Delivered);
+        let sent = member.send();
+        assert!(
+            !subset.contains_key(&sent.1),
+            "a Retry-After delay was not kept"
+        );
+        member.end_attempt(sent, Outcome::Delivered);
     }
 }
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,4 +1,5 @@
-//! The model, the load and virtual time: equal seeds give equal runs, and the decisions keep the rules in whatever overlaps.
+//! Tests of the model, the load generator and virtual time: equal seeds give equal runs, and the decision logic keeps the
+//! rules under overlapping faults.
 
 use bellsill_core::interface::{EndpointId, MessageId, Nanos};
 use bellsill_testbed::experiment;
@@ -34,15 +35,15 @@
         .spec
 }
 
-/// The calm world with other faults.
-fn with(faults: &str) -> Spec {
+/// The specification of `calm.toml` with the given faults.
+fn spec_with_faults(faults: &str) -> Spec {
     let calm = std::fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/calm.toml"),
     )
     .unwrap();
-    // Faults stand before the longer form's table.
-    let (world, _) = calm.split_once("[long]").unwrap();
-    experiment::parse(&format!("{world}\n{faults}"), "test")
+    // The faults have to precede the table of the long form.
+    let (base, _) = calm.split_once("[long]").unwrap();
+    experiment::parse(&format!("{base}\n{faults}"), "test")
         .unwrap()
         .variants
         .remove(0)
@@ -51,13 +52,18 @@
 
 #[test]
 fn equal_seeds_give_equal_runs_byte_for_byte() {
-    let play = |seed| {
-        let played = virtual_time::run(Plan::new(&spec("worst.toml"), seed), &mut |_| {});
-        serde_json::to_string(&(played.results, played.verdict, played.returns, played.steps))
-            .unwrap()
+    let run = |seed| {
+        let outcome = virtual_time::run(Plan::new(&spec("worst.toml"), seed), &mut |_| {});
+        serde_json::to_string(&(
+            outcome.results,
+            outcome.verdict,
+            outcome.returns,
+            outcome.steps,
+        ))
+        .unwrap()
     };
-    assert_eq!(play(4), play(4));
-    assert_ne!(play(4), play(5));
+    assert_eq!(run(4), run(4));
+    assert_ne!(run(4), run(5));
 }
 
 #[test]
@@ -71,37 +77,37 @@
 }
 
 #[test]
-fn the_rules_hold_in_every_experiment_of_one_world() {
+fn rules_hold_in_every_small_experiment() {
     for path in experiments() {
         let spec = experiment::read(&path, false)
             .unwrap()
             .variants
             .remove(0)
             .spec;
-        // The large ones are for measurements.
+        // Large experiments are only for measurements.
         if spec.world.destinations > 100 {
             continue;
         }
         for seed in [1, 2, 11] {
-            let played = virtual_time::run(Plan::new(&spec, seed), &mut |_| {});
+            let outcome = virtual_time::run(Plan::new(&spec, seed), &mut |_| {});
             assert!(
-                played.verdict.passed(),
+                outcome.verdict.passed(),
                 "{}, seed {seed}: {:?}",
                 path.display(),
-                played.verdict.samples
+                outcome.verdict.samples
             );
             assert!(
-                played.results.share > 0.5,
+                outcome.results.share > 0.5,
                 "{}, seed {seed}: {}",
                 path.display(),
-                played.results.share
+                outcome.results.share
             );
         }
     }
 }
 
 #[test]
-fn the_rules_hold_in_troubles_drawn_at_random() {
+fn rules_hold_under_random_faults() {
     const KINDS: [&str; 12] = [
         "'down'",
         "'reset'",
@@ -122,14 +128,14 @@
         for n in 0..3 + seed % 3 {
             let what = KINDS[(drawn(n, 1) * KINDS.len() as f64) as usize];
             let (from, span) = (1.0 + 8.0 * drawn(n, 2), 0.5 + 5.0 * drawn(n, 3));
-            let whom = match (drawn(n, 4) * 3.0) as u32 {
+            let scope = match (drawn(n, 4) * 3.0) as u32 {
                 0 => "zone = 'hall-b'".to_string(),
                 1 => format!("destination = {}", (drawn(n, 5) * 12.0) as usize),
                 _ => format!("share = {:.2}", 0.1 + 0.5 * drawn(n, 5)),
             };
             let to = from + span;
             text += &format!(
-                "[[troubles]]\nwhat = {what}\n{whom}\nfrom_s = {from:.3}\nto_s = {to:.3}\n"
+                "[[troubles]]\nwhat = {what}\n{scope}\nfrom_s = {from:.3}\nto_s = {to:.3}\n"
             );
         }
         if seed % 2 == 0 {
@@ -138,23 +144,23 @@
         if seed % 3 == 0 {
             text += "[[troubles]]\nwhat = 'list-frozen'\nfrom_s = 2\nto_s = 8\n";
         }
-        let played = virtual_time::run(Plan::new(&with(&text), seed), &mut |_| {});
+        let outcome = virtual_time::run(Plan::new(&spec_with_faults(&text), seed), &mut |_| {});
         assert!(
-            played.verdict.passed(),
+            outcome.verdict.passed(),
             "seed {seed}:\n{text}\n{:?}",
-            played.verdict.samples
+            outcome.verdict.samples
         );
     }
 }
 
 #[test]
-fn arrivals_are_drawn_ahead_at_their_rate_and_do_not_hang_on_the_troubles() {
+fn arrivals_follow_the_rate_and_do_not_depend_on_faults() {
     let mut spec = spec("full-hold.toml");
     spec.load.burst_share = 0.3;
     let arrivals: Vec<_> = Arrivals::new(&Plan::new(&spec, 3)).collect();
     spec.faults.clear();
-    let calm: Vec<_> = Arrivals::new(&Plan::new(&spec, 3)).collect();
-    assert_eq!(arrivals, calm);
+    let without_faults: Vec<_> = Arrivals::new(&Plan::new(&spec, 3)).collect();
+    assert_eq!(arrivals, without_faults);
     assert!(
         arrivals
             .windows(2)
@@ -167,7 +173,7 @@
             .count() as f64
             / (to - from) as f64
     };
-    // 120 a second, then three times as many: four standard deviations of bursts.
+    // 120 per second, then three times that; the tolerance is four standard deviations, bursts included.
     assert!((between(0, 2) - 120.0).abs() < 85.0, "{}", between(0, 2));
     assert!((between(3, 10) - 360.0).abs() < 75.0, "{}", between(3, 10));
     let together =
@@ -176,7 +182,7 @@
 }
 
 #[test]
-fn importance_falls_after_the_target_delay() {
+fn delivered_value_decays_after_the_target_delay() {
     let class = &spec("calm.toml").classes[0];
     let value = |s: f64| delivered_value(class, secs(s));
     assert_eq!(
@@ -185,12 +191,12 @@
     );
 }
 
-/// A world of its own, with a way to call an endpoint and to see what comes.
-struct Tried(World, u64);
+/// A model with helpers to call an endpoint and to collect effects.
+struct ModelHarness(World, u64);
 
-impl Tried {
-    fn new(faults: &str) -> Tried {
-        Tried(World::new(Plan::new(&with(faults), 1)), 0)
+impl ModelHarness {
+    fn new(faults: &str) -> ModelHarness {
+        ModelHarness(World::new(Plan::new(&spec_with_faults(faults), 1)), 0)
     }
     fn call(&mut self, at_ms: u64, endpoint: u32) -> Option<(ConnId, Option<CallId>)> {
         self.0.advance(START + at_ms * MS);
@@ -226,12 +232,12 @@
 }
 
 #[test]
-fn an_endpoint_does_its_work_and_is_down_silent_hung_or_shut_as_the_script_says() {
+fn endpoints_follow_scripted_down_silent_hung_and_shut_faults() {
     let fault =
         |what: &str| format!("[[troubles]]\nwhat = '{what}'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
-    let mut sound = Tried::new("");
-    sound.call(0, 0).unwrap();
-    let effects = sound.until(1_000);
+    let mut healthy = ModelHarness::new("");
+    healthy.call(0, 0).unwrap();
+    let effects = healthy.until(1_000);
     assert!(matches!(
         effects[..],
         [
@@ -243,18 +249,18 @@
         ]
     ));
 
-    let mut down = Tried::new(&fault("down"));
+    let mut down = ModelHarness::new(&fault("down"));
     down.call(990, 0).unwrap();
     assert!(
         down.until(1_010)
             .iter()
             .any(|e| matches!(e, Effect::ConnectionBroken { .. })),
-        "what is in hand is lost"
+        "calls in progress must be lost"
     );
     assert!(down.call(2_000, 0).is_none());
     assert!(down.call(3_001, 0).is_some());
 
-    let mut silent = Tried::new(&fault("silent"));
+    let mut silent = ModelHarness::new(&fault("silent"));
     let (conn, _) = silent.call(999, 0).unwrap();
     let effects = silent.until(2_900);
     assert!(
@@ -267,10 +273,10 @@
     let broken = |e: &Effect| *e == Effect::ConnectionBroken { conn };
     assert!(
         silent.until(3_001).iter().any(broken),
-        "reset once it is back"
+        "the connection must be reset on recovery"
     );
 
-    let mut hung = Tried::new(&fault("hung"));
+    let mut hung = ModelHarness::new(&fault("hung"));
     hung.call(1_500, 0).unwrap();
     assert!(
         hung.until(2_900)
@@ -279,13 +285,13 @@
     );
     assert_eq!(answers(&hung.until(4_000)), [Answer::Delivered]);
 
-    let mut shut = Tried::new(&(fault("shut")));
+    let mut shut = ModelHarness::new(&(fault("shut")));
     for n in 0..20 {
         shut.call(2_000 + n, 0).unwrap();
     }
-    let told = answers(&shut.until(2_100));
-    assert_eq!(told.len(), 20);
-    let waits: Vec<Nanos> = told
+    let rejections = answers(&shut.until(2_100));
+    assert_eq!(rejections.len(), 20);
+    let waits: Vec<Nanos> = rejections
         .iter()
         .filter_map(|a| {
             if let Answer::RateLimited(wait) = a {
@@ -297,18 +303,19 @@
         .collect();
     assert!(
         (3..18).contains(&waits.len()),
-        "about half tell: {}",
+        "about half of the responses must carry Retry-After: {}",
         waits.len()
     );
     assert!(
         waits.iter().all(|w| (980 * MS..=1_000 * MS).contains(w)),
-        "until it opens: {waits:?}"
+        "the delays must last until the fault ends: {waits:?}"
     );
 }
 
 #[test]
-fn a_cold_endpoint_can_do_less_and_falls_over_when_sent_too_much() {
-    let mut w = Tried::new("[[troubles]]\nwhat = 'down'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
+fn a_cold_endpoint_has_reduced_capacity_and_collapses_under_overload() {
+    let mut w =
+        ModelHarness::new("[[troubles]]\nwhat = 'down'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
     let warm = w.0.capacity(EndpointId(0));
     w.call(2_000, 0);
     w.until(3_000);
@@ -316,12 +323,13 @@
     assert!((cold / warm - 0.2).abs() < 0.01, "{cold} of {warm}");
     w.until(8_000);
     assert!((w.0.capacity(EndpointId(0)) / warm - 0.6).abs() < 0.01);
-    let mut w = Tried::new("[[troubles]]\nwhat = 'down'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
+    let mut w =
+        ModelHarness::new("[[troubles]]\nwhat = 'down'\nendpoint = 0\nfrom_s = 1\nto_s = 3\n");
     w.call(2_000, 0);
-    let mut tipped = None;
+    let mut overload = None;
     for n in 0..200 {
         w.call(3_010 + n, 0);
-        tipped = tipped.or(w
+        overload = overload.or(w
             .until(3_010 + n)
             .into_iter()
             .find(|e| matches!(e, Effect::Overloaded { .. })));
@@ -330,20 +338,20 @@
         informed_calls,
         all_calls,
         ..
-    }) = tipped
+    }) = overload
     else {
-        panic!("it stands")
+        panic!("the endpoint did not collapse")
     };
     assert_eq!(
         informed_calls, all_calls,
-        "its only caller had seen the outage"
+        "the only dispatcher had seen the outage"
     );
-    assert!(w.call(13_000, 0).is_none(), "it stays down");
+    assert!(w.call(13_000, 0).is_none(), "the endpoint must stay down");
 }
 
 #[test]
-fn limits_lapse_idle_connections_and_changes_of_the_list() {
-    let mut w = Tried::new(
+fn lowered_limits_reaped_connections_and_list_changes() {
+    let mut w = ModelHarness::new(
         "[[troubles]]\nwhat = 'limit-lowered'\nendpoint = 0\npart = 0.1\nfrom_s = 1\nto_s = 3\n",
     );
     for n in 0..10 {
@@ -355,7 +363,8 @@
         .count();
     assert!(refused >= 8, "{refused} of 10");
 
-    let mut w = Tried::new("[[troubles]]\nwhat = 'reaped'\nendpoint = 0\nfrom_s = 0\nto_s = 3\n");
+    let mut w =
+        ModelHarness::new("[[troubles]]\nwhat = 'reaped'\nendpoint = 0\nfrom_s = 0\nto_s = 3\n");
     let (conn, _) = w.call(10, 0).unwrap();
     w.until(700);
     let again = w.0.call(
@@ -367,16 +376,24 @@
             idempotency_key: 99,
         },
     );
-    assert_eq!(again, None, "dropped at rest, without a word before");
+    assert_eq!(
+        again, None,
+        "the idle connection must have been dropped silently"
+    );
 
-    let mut w = Tried::new("[[troubles]]\nwhat = 'replaced'\nendpoint = 0\nfrom_s = 1\nto_s = 2\n");
-    let told = |effects: Vec<Effect>| {
+    let mut w =
+        ModelHarness::new("[[troubles]]\nwhat = 'replaced'\nendpoint = 0\nfrom_s = 1\nto_s = 2\n");
+    let publications = |effects: Vec<Effect>| {
         effects
             .iter()
             .filter(|e| matches!(e, Effect::ListPublished { .. }))
             .count()
     };
-    assert_eq!(told(w.until(4_500)), 6, "three dispatchers, two changes");
+    assert_eq!(
+        publications(w.until(4_500)),
+        6,
+        "two changes for each of three dispatchers"
+    );
     let list = w.0.listing(w.0.versions());
     assert!(!list.contains_key(&EndpointId(0)) && list[&EndpointId(36)] == ListState::Up);
     assert_eq!(
