--- a/crates/testbed/src/ledger.rs
+++ b/crates/testbed/src/ledger.rs
@@ -28,7 +28,7 @@
             .iter()
             .map(|e| AuditedEndpoint {
                 zone: e.zone,
-                rate_limit: e.gate,
+                rate_limit: e.rate_limit,
             })
             .collect(),
         drain_grace: ms(rules.drain_grace_ms),
--- a/crates/testbed/src/world/script.rs
+++ b/crates/testbed/src/world/script.rs
@@ -1,4 +1,4 @@
-//! The script of a run: faults begin and end, dispatchers are signalled, the list is delayed.
+//! Scripted changes of a run: faults begin and end, dispatchers are signalled, the endpoint list is delayed.
 
 use super::effects::{Answer, Effect, ListState};
 use super::endpoint::{Condition, Endpoint};
@@ -34,15 +34,17 @@
         let fault = self.plan.spec.faults[t].clone();
         match fault.what {
             FaultKind::LimitLowered => {
-                let mut gates: Vec<usize> = endpoints
+                let mut rate_limits: Vec<usize> = endpoints
                     .iter()
-                    .map(|&e| self.plan.endpoints[e].gate)
+                    .map(|&e| self.plan.endpoints[e].rate_limit)
                     .collect();
-                gates.dedup();
-                for g in gates {
-                    self.gates[g].lowered.retain(|l| l.0 != t);
+                rate_limits.dedup();
+                for g in rate_limits {
+                    self.rate_limits[g].lowered.retain(|l| l.0 != t);
                     if begins {
-                        self.gates[g].lowered.push((t, fault.part.unwrap_or(1.0)));
+                        self.rate_limits[g]
+                            .lowered
+                            .push((t, fault.part.unwrap_or(1.0)));
                     }
                 }
             }
@@ -100,13 +102,13 @@
         self.report_reachability(e);
     }
 
-    /// The condition of an endpoint under all of its faults together.
+    /// The combined condition of an endpoint under all of its active faults.
     pub(super) fn condition(&self, e: usize) -> Condition {
         let mut c = Condition::HEALTHY;
         for &t in &self.endpoints[e].faults {
             let fault = &self.plan.spec.faults[t];
             let part = fault.part.unwrap_or(0.0);
-            let or = |a: f64| 1.0 - (1.0 - a) * (1.0 - part);
+            let combine = |a: f64| 1.0 - (1.0 - a) * (1.0 - part);
             match fault.what {
                 FaultKind::Down => c.down = true,
                 FaultKind::Reset => c.reset = true,
@@ -114,9 +116,9 @@
                 FaultKind::Hung => c.hung = true,
                 FaultKind::Shut => c.shut_until = c.shut_until.max(Some(START + secs(fault.to_s))),
                 FaultKind::Slow => c.slow *= fault.times.unwrap_or(1.0),
-                FaultKind::Failing => c.failing = or(c.failing),
-                FaultKind::AnswersLost => c.lost = or(c.lost),
-                FaultKind::AnswersSpoilt => c.malformed = or(c.malformed),
+                FaultKind::Failing => c.failing = combine(c.failing),
+                FaultKind::AnswersLost => c.lost = combine(c.lost),
+                FaultKind::AnswersSpoilt => c.malformed = combine(c.malformed),
                 FaultKind::Reaped => c.reaped = true,
                 _ => {}
             }
@@ -140,10 +142,10 @@
             }
         }
         if before.hung && !is.hung {
-            let frozen = std::mem::take(&mut self.endpoints[e].stalled);
-            frozen.into_iter().for_each(|call| self.finish(call));
-            self.next_of(e);
-            // What is over its queue is rejected.
+            let stalled = std::mem::take(&mut self.endpoints[e].stalled);
+            stalled.into_iter().for_each(|call| self.finish(call));
+            self.start_queued_calls(e);
+            // Calls beyond the queue's capacity are rejected.
             while self.endpoints[e].queue.len() > self.plan.endpoints[e].queue {
                 let Some(call) = self.endpoints[e].queue.pop_back() else {
                     break;
